--- /dev/null
+++ b/internal/block/keys_test.go
@@ -0,0 +1,23 @@
+package block
+
+import "testing"
+
+// The key of a page of start records names the grant that wrote it, and its count there; leaders of any
+// version find the pages of a block by the beginning of their keys.
+func TestKeyOfARecordPage(t *testing.T) {
+	b := &heldBlock{id: 2, token: 7<<12 | 3}
+	cases := []struct {
+		name, want string
+		token      uint64
+	}{
+		{"of its own records", "run/002/28675-1", 7<<12 | 3},
+		{"of an earlier grant's", "run/002/28675-2", 6<<12 | 1},
+	}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			if got := b.newPage(c.token).key; got != c.want {
+				t.Errorf("the key is %s, want %s", got, c.want)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/compat/exact_test.go
@@ -0,0 +1,286 @@
+package compat
+
+import (
+	"bytes"
+	"encoding/hex"
+	"encoding/json"
+	"flag"
+	"os"
+	"path/filepath"
+	"reflect"
+	"slices"
+	"strings"
+	"testing"
+
+	goccy "github.com/goccy/go-json"
+	"github.com/vmihailenco/msgpack/v5"
+
+	"swiftledge/internal/config"
+	"swiftledge/internal/peer"
+	"swiftledge/internal/status"
+	"swiftledge/wire"
+)
+
+// recordExact writes testdata/exact.txt as this version encodes the values.
+var recordExact = flag.Bool("record-exact", false, "write testdata/exact.txt")
+
+const exactFile = "exact.txt"
+
+// exactForm is a value of one of the protocols, whose bytes are a line of testdata/exact.txt.
+type exactForm struct {
+	name  string
+	value any
+}
+
+var (
+	notice   = 12.5
+	leeway   = 4.0
+	rawValue = json.RawMessage(`{"node":"n1","run":77}`)
+)
+
+// protocolForms are the JSON bodies of the four protocols, filled and empty, and the platform's settings.
+func protocolForms() []exactForm {
+	return []exactForm{
+		{"Job", batch}, {"Job/empty", wire.Job{}},
+		{"JobStatus", wire.JobStatus{Ref: "j-000412", State: wire.Running, Done: 3, Running: 13}}, {"JobStatus/empty", wire.JobStatus{}},
+		{"Problem", wire.Problem{Error: "no <such> job"}},
+		{"Report", wire.Report{Machine: "host-000001", Address: "10.1.0.1:9000", Type: "g8", Zone: "a", Spot: true, Session: 5, Seq: 6, Token: 7<<12 | 3,
+			NoticeS: &notice, Tasks: []wire.TaskReport{{Task: "j-000412/3", Attempt: 9, State: wire.Exited, Cause: wire.CauseDone, Stored: true}}}},
+		{"Report/empty", wire.Report{Tasks: []wire.TaskReport{{}}}},
+		{"ReportAnswer", wire.ReportAnswer{Token: 7<<12 | 3, Commands: []wire.Command{{Op: wire.Kill, Task: "j-000412/3", Attempt: 9, GraceS: &leeway}}}},
+		{"ReportAnswer/empty", wire.ReportAnswer{}},
+		{"Redirect", wire.Redirect{ReportTo: "10.1.0.2:8000"}}, {"Redirect/empty", wire.Redirect{}},
+		{"Orders", wire.Orders{Token: 7<<12 | 3, Session: 5, Commands: []wire.Command{{Op: wire.Run, Task: "j-000412/3", Attempt: 9}}}}, {"Orders/empty", wire.Orders{}},
+		{"Catalog", wire.Catalog{Types: []wire.MachineType{g8}}}, {"Catalog/empty", wire.Catalog{Types: []wire.MachineType{{}}}},
+		{"Rental", wire.Rental{Request: "r-7-1", Type: "g8", Zone: "a", Spot: true, Count: 2}}, {"Rental/empty", wire.Rental{}},
+		{"Machines", wire.Machines{Machines: []string{"host-000001"}}}, {"Machines/empty", wire.Machines{}},
+		{"MachineList", wire.MachineList{More: true, Machines: []wire.Machine{{Name: "host-000001", Address: "10.1.0.1:9000", Type: "g8", Zone: "a", Spot: true, State: wire.Starting, AgeS: 1.5}}}},
+		{"MachineList/empty", wire.MachineList{Machines: []wire.Machine{{}}}},
+		{"ItemList", wire.ItemList{Items: []wire.Item{{Key: "leader", Value: rawValue, Version: 8, Lease: 9}}, More: true, Revision: 10}},
+		{"ItemList/empty", wire.ItemList{Items: []wire.Item{{Value: rawValue}}}},
+		{"Txn", wire.Txn{If: []wire.Guard{{Key: "leader", Version: 8}}, Then: []wire.Write{{Put: "leader", Value: rawValue, Lease: 9}, {Delete: "layout"}}}},
+		{"Txn/empty", wire.Txn{}},
+		{"TxnAnswer", wire.TxnAnswer{Revision: 10, Failed: []string{"leader"}, Error: "guards"}}, {"TxnAnswer/empty", wire.TxnAnswer{}},
+		{"LeaseForm", wire.LeaseForm{TTLMs: 3000}}, {"LeaseAnswer", wire.LeaseAnswer{Lease: 9}},
+		{"WatchAnswer", wire.WatchAnswer{Revision: 10, Events: []wire.Event{{Put: "leader", Value: rawValue, Version: 8}, {Version: 9, Delete: "layout"}}}},
+		{"WatchAnswer/empty", wire.WatchAnswer{}},
+		{"Settings", platformSettings()}, {"Settings/empty", config.Settings{}},
+	}
+}
+
+// platformSettings has every key that the platform's file may hold.
+func platformSettings() config.Settings {
+	s := config.Settings{Name: "c0", Zone: "a", ServeOn: "127.0.0.1:1", Back: "127.0.0.1:2", Peers: []config.Peer{{Name: "c1", Zone: "b", Address: "127.0.0.1:3"}}}
+	s.Endpoints.Cloud, s.Endpoints.State = "127.0.0.1:4", "127.0.0.1:5"
+	f := &s.Facts
+	f.InitialSize, f.Zones, f.SkewMs = 3, []string{"a", "b"}, 10
+	f.Teams = []config.Team{{Name: "vision", CPUs: 1, CPUsMax: 2, GPUs: 3, GPUsMax: 4}}
+	f.Objectives = []config.Objective{{Kind: "wait", Class: "train", WithinS: 60, Share: 0.9}}
+	f.Workers.ReportS, f.Workers.LeaseS, f.Workers.CancelS = 3, 22, 52
+	f.State.RPS, f.State.WriteRPS, f.State.ValueKB, f.State.TxnOps = 100, 20, 8, 16
+	f.State.Next = &config.Next{WriteRPS: 10, ValueKB: 4, TxnOps: 8}
+	f.Cloud.RPS, f.Cloud.ListLagS = 5, 4
+	f.Quota.CPU, f.Quota.MemMB, f.Quota.MaxSockets = 0.1, 125, 100
+	return s
+}
+
+// fullStatus has every field that a status may tell.
+func fullStatus() peer.Status {
+	return peer.Status{Node: "c0", Leader: "c1", Epoch: 7, Leads: true, Pauses: 4,
+		LastPause: &peer.PauseStatus{At: 1234567, AgoS: 61, LengthS: 12.5, Expired: []string{"grant of block 1"}},
+		Spread:    true, MeanLoad: 0.5,
+		Blocks:   []peer.BlockStatus{{Block: 1, Holder: "c1", Granted: true, Machines: 9, TakeWork: 8, MeanLoad: 0.25, MostLoad: 0.75, Tasks: 31, Unstarted: 2}},
+		Machines: []peer.MachineStatus{{Name: "host-000001", Block: 1, Type: "g8", Zone: "a", Load: 0.75, OverMean: 1.5, Tasks: 5, TakesWork: true, WhyNot: "not needed"}},
+		Teams:    []peer.TeamStatus{{Team: "vision", CPUs: 64, Limit: 128, Waiting: 12, AtLimit: 3}},
+		Moves:    []peer.MoveStatus{{Task: "j-000412/3", Team: "vision", From: "host-000001", To: "host-000002", Stage: "stopping", AgeS: 1.5, GainS: 20, CostS: 6}},
+		Refusals: []peer.RefusalStatus{{Machine: "host-000003", Reason: "cannot save", Task: "j-000413/0", Tasks: 4}},
+		Ended:    peer.MovesEnded{Begun: 15, Arrived: 5, Elsewhere: 4, Cancelled: 3, GivenUp: 2},
+		Suspects: []peer.SuspectStatus{{Job: "j-000414", Team: "vision", Machines: 3, Probes: 2, NextS: 7.5}}}
+}
+
+// messagePackForms travel between controllers and have no sample of the version in production.
+func messagePackForms() []exactForm {
+	spread := batch
+	spread.FleetLoad = 0.5
+	return []exactForm{
+		{"Offer/spread", peer.Offer{Job: spread, Zone: "a", Indexes: []int{3, 4}}}, {"Offer/empty", peer.Offer{}},
+		{"MachineType/empty", wire.MachineType{}},
+		{"Hello/empty", peer.Hello{}}, {"Up/empty", peer.Up{Updates: []peer.BlockUpdate{{Events: []peer.Event{{}}, Machines: []peer.MachineState{{}}}}}},
+		{"Down/empty", peer.Down{Grants: []peer.Grant{{Pages: map[string]peer.RecordPage{"": {Groups: []peer.RecordGroup{{}}}}, Machines: []peer.RosterMachine{{}}}},
+			Orders: []peer.BlockOrders{{Stop: []peer.StopTask{{}}, Stored: []peer.Task{{}}}}, Counts: []peer.TaskCount{{}}}},
+		{"Hello/status", peer.Hello{Epoch: 1<<64 - 1}},
+		{"Status", fullStatus()}, {"Status/empty", peer.Status{}},
+	}
+}
+
+// exactLines reads the expected bytes: a name and a text on each line.
+func exactLines(t *testing.T) map[string]string {
+	t.Helper()
+	lines := map[string]string{}
+	for line := range strings.Lines(string(testdata(t, exactFile))) {
+		name, text, _ := strings.Cut(strings.TrimSuffix(line, "\n"), " ")
+		lines[name] = text
+	}
+	return lines
+}
+
+// decodesTo fails the test unless bytes are read as the value that they were made from.
+func decodesTo(t *testing.T, raw []byte, want any, unmarshal func([]byte, any) error) {
+	t.Helper()
+	got := reflect.New(reflect.TypeOf(want))
+	if err := unmarshal(raw, got.Interface()); err != nil {
+		t.Error(err)
+	} else if !reflect.DeepEqual(got.Elem().Interface(), want) {
+		t.Errorf("read as %+v", got.Elem())
+	}
+}
+
+// The JSON of the protocols has these bytes and no others, by either of the encoders in use.
+func TestProtocolBytes(t *testing.T) {
+	lines := exactLines(t)
+	for _, f := range protocolForms() {
+		t.Run(f.name, func(t *testing.T) {
+			want := lines["json:"+f.name]
+			for name, marshal := range map[string]func(any) ([]byte, error){"encoding/json": json.Marshal, "goccy": func(v any) ([]byte, error) { return goccy.Marshal(v) }} {
+				if raw, err := marshal(f.value); err != nil || string(raw) != want {
+					t.Errorf("%s writes %s, %v, want %s", name, raw, err, want)
+				}
+			}
+			decodesTo(t, []byte(want), f.value, json.Unmarshal)
+			decodesTo(t, []byte(want), f.value, func(raw []byte, v any) error { return goccy.Unmarshal(raw, v) })
+		})
+	}
+}
+
+// Messages have these bytes: jobs and machine types have the names of their Go fields as keys.
+func TestMessageBytes(t *testing.T) {
+	lines := exactLines(t)
+	for _, f := range messagePackForms() {
+		t.Run(f.name, func(t *testing.T) {
+			want := lines["msgpack:"+f.name]
+			raw, err := msgpack.Marshal(f.value)
+			if err != nil || hex.EncodeToString(raw) != want {
+				t.Errorf("written as %x, %v, want %s", raw, err, want)
+			}
+			old, err := hex.DecodeString(want)
+			if err != nil {
+				t.Fatal(err)
+			}
+			decodesTo(t, old, f.value, msgpack.Unmarshal)
+		})
+	}
+}
+
+// What `swiftledge status --json` prints is read by operators' own tools.
+func TestStatusJSONBytes(t *testing.T) {
+	full := fullStatus()
+	all := []status.Controller{{Name: "c0", Address: "127.0.0.1:2", Status: &full}, {Name: "c1", Address: "127.0.0.1:3", Problem: "no answer"}, {Name: "c2", Address: "127.0.0.1:4", Status: &peer.Status{}}}
+	var out bytes.Buffer
+	if err := status.WriteJSON(&out, all); err != nil {
+		t.Fatal(err)
+	}
+	if *recordExact {
+		write(t, "status_output.json", out.Bytes(), nil)
+	}
+	if want := testdata(t, "status_output.json"); !bytes.Equal(out.Bytes(), want) {
+		t.Errorf("printed\n%s", out.String())
+	}
+	decodesTo(t, out.Bytes(), all, json.Unmarshal)
+}
+
+// The samples of the version in production are what this version writes, byte for byte.
+func TestSamplesAreWrittenAsProductionWroteThem(t *testing.T) {
+	for _, c := range codecs() {
+		for _, f := range c.forms {
+			t.Run(f.name, func(t *testing.T) {
+				raw, err := c.marshal(f.value)
+				if want := testdata(t, f.name+c.ext); err != nil || !bytes.Equal(raw, want) {
+					t.Errorf("written as %q, %v, want %q", raw, err, want)
+				}
+			})
+		}
+	}
+}
+
+// A field that a sample leaves empty would not be missed when it is renamed.
+func TestSamplesFillEveryField(t *testing.T) {
+	// Of two that exclude each other, or that production does not know.
+	left := []string{"Job.FleetLoad", "Write.Lease", "Write.Value", "Write.Put", "Write.Delete", "Event.Put", "Event.Value", "Event.Delete", "ProgUnit.Chunk", "Command.GraceS"}
+	var values []exactForm
+	for _, c := range codecs() {
+		for _, f := range c.forms {
+			values = append(values, exactForm(f))
+		}
+	}
+	for _, f := range slices.Concat(protocolForms(), messagePackForms()) {
+		if !strings.Contains(f.name, "/") {
+			values = append(values, f)
+		}
+	}
+	for _, f := range values {
+		t.Run(f.name, func(t *testing.T) {
+			for _, name := range emptyFields(reflect.ValueOf(f.value)) {
+				if !slices.Contains(left, name) {
+					t.Errorf("%s is empty", name)
+				}
+			}
+		})
+	}
+}
+
+// emptyFields names the fields of a value that hold nothing, each after its type.
+func emptyFields(v reflect.Value) (names []string) {
+	switch v.Kind() {
+	case reflect.Pointer:
+		return emptyFields(v.Elem())
+	case reflect.Slice, reflect.Map:
+		for _, e := range elements(v) {
+			names = append(names, emptyFields(e)...)
+		}
+	case reflect.Struct:
+		for field, value := range v.Fields() {
+			switch {
+			case !field.IsExported():
+			case value.IsZero():
+				names = append(names, v.Type().Name()+"."+field.Name)
+			default:
+				names = append(names, emptyFields(value)...)
+			}
+		}
+	}
+	return names
+}
+
+// elements are the values of a map or, if it holds structs, of a slice. Numbers may be zero there.
+func elements(v reflect.Value) (values []reflect.Value) {
+	for _, e := range v.Seq2() {
+		if e.Kind() == reflect.Struct {
+			values = append(values, e)
+		}
+	}
+	return values
+}
+
+func TestRecordExact(t *testing.T) {
+	if !*recordExact {
+		t.Skip("only on demand")
+	}
+	var out strings.Builder
+	for _, f := range protocolForms() {
+		raw, err := json.Marshal(f.value)
+		if err != nil {
+			t.Fatal(err)
+		}
+		out.WriteString("json:" + f.name + " " + string(raw) + "\n")
+	}
+	for _, f := range messagePackForms() {
+		raw, err := msgpack.Marshal(f.value)
+		if err != nil {
+			t.Fatal(err)
+		}
+		out.WriteString("msgpack:" + f.name + " " + hex.EncodeToString(raw) + "\n")
+	}
+	if err := os.WriteFile(filepath.Join("testdata", exactFile), []byte(out.String()), 0o644); err != nil {
+		t.Fatal(err)
+	}
+}
--- /dev/null
+++ b/internal/compat/written_test.go
@@ -0,0 +1,109 @@
+package compat
+
+import (
+	"context"
+	"io"
+	"log/slog"
+	"os"
+	"path/filepath"
+	"regexp"
+	"strings"
+	"testing"
+	"time"
+
+	"swiftledge/internal/clock"
+	"swiftledge/internal/peer"
+	"swiftledge/internal/store"
+	"swiftledge/internal/trace"
+	"swiftledge/wire"
+)
+
+// frameStore keeps what is written to the state service.
+type frameStore struct{ written chan wire.Write }
+
+func (s frameStore) Get(context.Context, int, string) (wire.Item, error) {
+	return wire.Item{}, store.ErrMissing
+}
+
+func (s frameStore) Once(_ context.Context, _ int, t wire.Txn) (store.Outcome, error) {
+	s.written <- t.Then[0]
+	return store.Outcome{OK: true, Revision: 1}, nil
+}
+
+func (s frameStore) List(context.Context, int, string) ([]wire.Item, uint64, error) {
+	return nil, 0, nil
+}
+
+func (s frameStore) Watch(ctx context.Context, _ string, _ uint64, _ clock.Micros) (wire.WatchAnswer, error) {
+	<-ctx.Done()
+	return wire.WatchAnswer{}, ctx.Err()
+}
+
+// Frames through the state service have these keys and these bytes, but for the connection's number.
+func TestFrameBytes(t *testing.T) {
+	written := make(chan wire.Write, 16)
+	relay := peer.NewRelay("c0", frameStore{written}, 4096, 1<<20, time.Millisecond)
+	ctx, stop := context.WithCancel(t.Context())
+	defer stop()
+	go relay.Run(ctx, nil)
+	c := relay.Open(ctx, "c1")
+	if _, err := io.WriteString(c, "abc"); err != nil {
+		t.Fatal(err)
+	}
+	number := regexp.MustCompile(`"c":[0-9]+`)
+	expect := func(want string) {
+		t.Helper()
+		w := <-written
+		if got := number.ReplaceAllString(string(w.Value), `"c":0`); w.Put != "mail/c1/c0" || got != want {
+			t.Errorf("%s is %s, want %s", w.Put, got, want)
+		}
+	}
+	expect(`{"c":0,"o":true,"n":1,"a":0,"d":"YWJj"}`)
+	c.Close()
+	for last := range written {
+		if !strings.Contains(string(last.Value), `"d"`) { // the piece is written again until it is acknowledged
+			written <- last
+			break
+		}
+	}
+	expect(`{"c":0,"o":true,"n":1,"a":0,"e":true}`)
+}
+
+// A span is a line with these keys in this order.
+func TestTraceLineBytes(t *testing.T) {
+	file := filepath.Join(t.TempDir(), "trace")
+	tracer, err := trace.New(trace.Settings{File: file, MostBytes: 1 << 20, Share: 1, Queue: 16}, "c0", clock.NewSteady(), slog.New(slog.DiscardHandler))
+	if err != nil {
+		t.Fatal(err)
+	}
+	go tracer.Run(t.Context())
+	tracer.Post(trace.Span{Job: "j-000412", Task: "j-000412/3", Name: "run", Begin: clock.Second, End: 3 * clock.Second,
+		Attributes: []trace.Attribute{{Key: "machine", Value: "host-000001"}}})
+	const want = `{"trace":"ba4114e72abf4f78275d598e62f4fbbb","span":"RANDOM","parent":"efa5181f9212aa71","node":"c0","name":"run","begin":"TIME","took_s":2,` +
+		`"attributes":{"job":"j-000412","machine":"host-000001","task":"j-000412/3"}}` + "\n"
+	got := waitForLine(t, file)
+	got = regexp.MustCompile(`"span":"[0-9a-f]{16}"`).ReplaceAllString(got, `"span":"RANDOM"`)
+	got = regexp.MustCompile(`"begin":"[-0-9]{10}T[0-9:.]+Z"`).ReplaceAllString(got, `"begin":"TIME"`)
+	if got != want {
+		t.Errorf("written %s, want %s", got, want)
+	}
+}
+
+// waitForLine gives what is in a file once a whole line is.
+func waitForLine(t *testing.T, file string) string {
+	t.Helper()
+	tick := time.NewTicker(time.Millisecond)
+	defer tick.Stop()
+	for range 5000 {
+		raw, err := os.ReadFile(file)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if strings.HasSuffix(string(raw), "\n") {
+			return string(raw)
+		}
+		<-tick.C
+	}
+	t.Fatal("no span was written")
+	return ""
+}
--- /dev/null
+++ b/internal/leader/keys_test.go
@@ -0,0 +1,73 @@
+package leader
+
+import (
+	"slices"
+	"testing"
+
+	"swiftledge/internal/clock"
+	"swiftledge/internal/store"
+	"swiftledge/wire"
+)
+
+// Keys that are made of an epoch and a count: a leader of another version finds what they hold by their
+// beginning, and must never make one that is there already.
+func TestKeysOfAnEpoch(t *testing.T) {
+	cases := []struct {
+		name, want string
+		key        func(l *Leader) string
+	}{
+		{"progress page", "prog/5-1", func(l *Leader) string { return l.place(l.jobs[spec.Ref], 0).key }},
+		{"found machines", "fleet/found-5-1", func(l *Leader) string {
+			l.found["host-000009"] = wire.Machine{Name: "host-000009", Type: "small", Zone: "a"}
+			l.fx = nil
+			l.adopt(began)
+			return putKeys(l.fx)[0]
+		}},
+	}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			if got := c.key(leading(t)); got != c.want {
+				t.Errorf("the key is %s, want %s", got, c.want)
+			}
+		})
+	}
+}
+
+// putKeys are the first keys that the effects' transactions put.
+func putKeys(fx []any) (keys []string) {
+	for _, e := range fx {
+		if c, ok := e.(Commit); ok && c.Txn.Then[0].Put != "" {
+			keys = append(keys, c.Txn.Then[0].Put)
+		}
+	}
+	return keys
+}
+
+// A leader of a site without machines writes these keys, in this order, before it asks the cloud.
+func TestKeysOfANewSite(t *testing.T) {
+	l := leading(t)
+	l.Step(began, Deposed{})
+	l.Step(began, Elected{Epoch: 7})
+	l.Step(began, Authority{Until: began + 100*clock.Second})
+	l.Step(began, Joined{Node: "n0", Link: "link"})
+	types := wire.Catalog{Types: []wire.MachineType{{Name: "small", CPUs: 4, MemoryGB: 8, Price: 1, SpotPrice: 0.5, BootS: 10, ZoneNames: []string{"a"}}}}
+	fx := l.Step(began, Loaded{Epoch: 7, Asked: began, Items: []wire.Item{item(t, CatalogKey, 1, types), item(t, JobPrefix+spec.Ref, 2, JobRecord{Spec: spec})}})
+	var keys []string
+	revision := uint64(10)
+	for at := began; at < began+5*clock.Second; at += clock.Second / 4 {
+		for len(fx) > 0 {
+			e := fx[0]
+			fx = fx[1:]
+			if c, ok := e.(Commit); ok {
+				keys = append(keys, putKeys([]any{c})...)
+				revision++
+				fx = append(fx, l.Step(at, Committed{Epoch: 7, Tag: c.Tag, Outcome: store.Outcome{OK: true, Revision: revision}})...)
+			}
+		}
+		l.Step(at, Authority{Until: at + 100*clock.Second})
+		fx = l.Step(at, Tick{})
+	}
+	if want := []string{"layout", "block/000", "fleet/r-7-1"}; !slices.Equal(keys, want) {
+		t.Errorf("the keys are %v, want %v", keys, want)
+	}
+}
