--- a/internal/scenario/commands_questions_test.go
+++ b/internal/scenario/commands_questions_test.go
@@ -16,7 +16,7 @@
 
 // readyCommand tells what the load balancer is told.
 func readyCommand(t *testing.T, w *world, d *datadriven.TestData) string {
-	if !w.nodeOf(t, d).svc.Ready() {
+	if !w.nodeOf(t, d).ready() {
 		return "503"
 	}
 	return "200"
@@ -82,10 +82,10 @@
 // servedCommand tells whether enough of what was accepted of a class or team has completed.
 func servedCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	done, all := 0, 0
-	for r, j := range w.jobs {
-		if j.Class == arg(t, d, "class", j.Class) && j.Team == arg(t, d, "team", j.Team) {
+	for _, r := range sortedKeys(w.jobs) {
+		if j := w.jobs[r]; j.Class == arg(t, d, "class", j.Class) && j.Team == arg(t, d, "team", j.Team) {
 			all++
-			if s := w.nodeOf(t, d).svc.Look(r); s.Code == 200 && s.Status.State == wire.Done {
+			if s := w.nodeOf(t, d).lookUp(r); s.Code == 200 && s.Status.State == wire.Done {
 				done++
 			}
 		}
@@ -100,7 +100,7 @@
 func knownCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	for _, n := range w.nodes {
 		for _, r := range sortedKeys(w.jobs) {
-			if n.alive && n.svc.Look(r).Code != 200 {
+			if n.alive && n.lookUp(r).Code != 200 {
 				return r + " is not known to " + n.name
 			}
 		}
--- a/internal/scenario/commands_users_test.go
+++ b/internal/scenario/commands_users_test.go
@@ -42,7 +42,7 @@
 // statusCommand asks for a job.
 func statusCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	ref := arg(t, d, "ref", "")
-	r := w.hear(ref, w.nodeOf(t, d).svc.Look(ref))
+	r := w.hear(ref, w.nodeOf(t, d).lookUp(ref))
 	if r.Code != 200 {
 		return fmt.Sprint(r.Code)
 	}
--- a/internal/scenario/history_checks_test.go
+++ b/internal/scenario/history_checks_test.go
@@ -94,7 +94,7 @@
 			h.restart(attempt(1))
 		}},
 	} {
-		w := fleetSizes()[0].world()
+		w := fleetSizes()[0].world(t.Name())
 		c.play(w, w.history)
 		w.stop()
 		got := strings.Join(w.broken, "; ")
--- a/internal/scenario/network_test.go
+++ b/internal/scenario/network_test.go
@@ -85,6 +85,7 @@
 }
 
 func (n *simNode) txn(t wire.Txn, answer func(store.Outcome, error)) {
+	n.sendsTxn(t)
 	var o store.Outcome
 	var problem string
 	if n.lost > 0 && n.reaches() && n.w.rng.Float64() < n.lost {
@@ -131,6 +132,7 @@
 
 // Get and Once serve the users' requests, which scenarios make outside of time.
 func (n *simNode) Get(_ context.Context, _ int, key string) (wire.Item, error) {
+	n.sendsRead(key)
 	if !n.reaches() {
 		return wire.Item{}, store.ErrRefused
 	}
@@ -141,6 +143,7 @@
 }
 
 func (n *simNode) Once(_ context.Context, _ int, t wire.Txn) (store.Outcome, error) {
+	n.sendsTxn(t)
 	if !n.reaches() {
 		return store.Outcome{}, store.ErrRefused
 	}
@@ -161,6 +164,7 @@
 func (n *simNode) look() {
 	var it wire.Item
 	var rev uint64
+	n.sendsRead(leader.Key)
 	n.ask(func() {
 		it, _ = n.w.store.Get(leader.Key)
 		_, rev = n.w.store.List("none")
@@ -185,7 +189,7 @@
 				for _, d := range []clock.Micros{clock.Millisecond, 300 * clock.Millisecond, 2 * clock.Second, 6 * clock.Second} {
 					w.after(d+clock.Micros(i), func() {
 						if o.alive && !o.blind {
-							o.still(func() { o.holderStep(block.Report{R: r, Tag: func(block.Answer) {}}) })()
+							o.still(func() { o.report(r, func(block.Answer) {}) })()
 						}
 					})
 				}
--- a/internal/scenario/node_test.go
+++ b/internal/scenario/node_test.go
@@ -7,6 +7,7 @@
 	"io"
 	"log/slog"
 	"slices"
+	"strconv"
 	"strings"
 
 	"swiftledge/internal/api"
@@ -115,6 +116,7 @@
 	}
 	if n.reaches() {
 		if n.leaderRev > 0 {
+			n.sendsWatch(leader.Key, n.leaderRev)
 			a := n.w.store.Since(leader.Key, n.leaderRev)
 			n.leaderRev = max(n.leaderRev, a.Revision)
 			for _, ev := range a.Events {
@@ -131,6 +133,7 @@
 			n.electorStep(election.Resign{Epoch: epoch})
 		}
 		if n.jobEpoch > 0 && !n.stale {
+			n.sendsWatch(leader.JobPrefix, n.jobRev)
 			a := n.w.store.Since(leader.JobPrefix, n.jobRev)
 			n.jobRev = max(n.jobRev, a.Revision)
 			n.leaderStep(leader.Watched{Epoch: n.jobEpoch, Events: a.Events, Asked: n.w.now})
@@ -153,6 +156,7 @@
 	case election.GetLease:
 		sent := w.now
 		var id uint64
+		n.sendsGrant(x.TTL)
 		n.ask(func() { id = w.store.Grant(w.now, x.TTL) }, func(err error) {
 			n.electorStep(election.Leased{Lease: id, Sent: sent, Err: err})
 		})
@@ -165,6 +169,7 @@
 	case election.Renew:
 		sent := w.now
 		found := false
+		n.sendsTouch(x.Lease)
 		n.ask(func() { found = w.store.Touch(w.now, x.Lease) }, func(err error) {
 			if err == nil && !found {
 				err = store.ErrMissing
@@ -172,6 +177,7 @@
 			n.electorStep(election.Renewed{Lease: x.Lease, Sent: sent, Err: err})
 		})
 	case election.Drop:
+		n.sendsDrop(x.Lease)
 		n.ask(func() { w.store.End(x.Lease) }, func(error) {})
 	case election.Look:
 		n.look()
@@ -203,6 +209,7 @@
 	switch x := fx.(type) {
 	case block.Send:
 		if l := n.link; l != nil {
+			n.sendsFrame(l.leader, &x.Up)
 			l.carry(l.leader, func() { l.leader.leaderStep(leader.Said{Node: n.name, Link: l, Up: &x.Up}) })
 		}
 	case block.Answer:
@@ -240,6 +247,7 @@
 }
 
 func (n *simNode) inspect(x block.Inspect) {
+	n.sends(toWorker(x.Machine), "GET /inspect")
 	s := n.w.worker(x.Machine)
 	settled := false
 	settle := func(r *wire.Report) {
@@ -262,6 +270,7 @@
 }
 
 func (n *simNode) direct(o block.Orders) {
+	n.sendsJSON(toWorker(o.Machine), "POST /orders", &o.Body)
 	w := n.w
 	s := w.worker(o.Machine)
 	done := block.Ordered{Orders: o}
@@ -305,6 +314,36 @@
 	})
 }
 
+// report brings a worker's report to the controller.
+func (n *simNode) report(r *wire.Report, answer func(block.Answer)) {
+	n.holderStep(block.Report{R: r, Tag: func(a block.Answer) {
+		n.answersReport(r.Machine, a)
+		answer(a)
+	}})
+}
+
+// submit has a user submit a job.
+func (n *simNode) submit(body []byte) api.Result {
+	return n.answersUser("POST /api/jobs", n.svc.Submit(body))
+}
+
+// lookUp has a user ask for a job.
+func (n *simNode) lookUp(ref string) api.Result {
+	return n.answersUser("GET /api/jobs/"+ref, n.svc.Look(ref))
+}
+
+// cancel has a user cancel a job.
+func (n *simNode) cancel(ref string) api.Result {
+	return n.answersUser("POST /api/jobs/"+ref+"/abort", n.svc.Cancel(ref))
+}
+
+// ready says whether the load balancer may send users.
+func (n *simNode) ready() bool {
+	ready := n.svc.Ready()
+	n.sends(toUser, "GET /ready: "+strconv.FormatBool(ready))
+	return ready
+}
+
 func (n *simNode) leaderStep(msg any) {
 	for _, fx := range n.leader.Step(n.w.now, msg) {
 		n.leaderEffect(fx)
@@ -343,6 +382,7 @@
 			w.history.grant(g)
 		}
 		l := x.Link.(*simLink)
+		n.sendsFrame(l.follower, &x.Down)
 		l.carry(l.follower, func() {
 			l.follower.directory.Post(api.PeerReached{})
 			l.leader.directory.Post(api.PeerReached{})
@@ -363,6 +403,7 @@
 	case leader.ReadKey:
 		n.readKey(x)
 	case leader.Rent:
+		n.sendsJSON(toCloud, "POST /hosts", x.Rental)
 		cloud(func() any {
 			names, ok := w.cloud.Rent(w.now, x.Rental)
 			m := leader.Rented{Epoch: x.Epoch, Request: x.Rental.Request, Machines: names, NoCapacity: !ok}
@@ -372,13 +413,16 @@
 			return m
 		}, leader.Rented{Epoch: x.Epoch, Request: x.Rental.Request, Err: errTrouble})
 	case leader.Delete:
+		n.sendsJSON(toCloud, "POST /hosts/delete", wire.Machines{Machines: x.Machines})
 		cloud(func() any {
 			w.cloud.Delete(x.Machines)
 			return leader.Deleted{Epoch: x.Epoch, Machines: x.Machines}
 		}, leader.Deleted{Epoch: x.Epoch, Machines: x.Machines, Err: errTrouble})
 	case leader.List:
+		n.sends(toCloud, "GET /hosts")
 		cloud(func() any { return leader.Listed{Machines: w.cloud.List(w.now)} }, nil)
 	case leader.ReadCatalog:
+		n.sends(toCloud, "GET /catalog")
 		cloud(func() any { return leader.CatalogRead{Types: w.cloud.Types} }, nil)
 	case leader.Resign:
 		w.after(1, n.still(func() { n.electorStep(election.Resign{Epoch: n.elector.Epoch()}) }))
@@ -396,6 +440,7 @@
 	var items []wire.Item
 	var rev uint64
 	asked := n.w.now
+	n.sendsList("")
 	n.ask(func() {
 		items = nil
 		all, r := n.w.store.List("")
@@ -420,6 +465,7 @@
 
 func (n *simNode) loadRecords(x leader.LoadRecords) {
 	var items []wire.Item
+	n.sendsList(block.RecordPrefix(x.Block))
 	n.ask(func() { items, _ = n.w.store.List(block.RecordPrefix(x.Block)) }, func(err error) {
 		if n.elector.Epoch() != x.Epoch {
 			return
@@ -437,6 +483,7 @@
 func (n *simNode) readKey(x leader.ReadKey) {
 	var it wire.Item
 	var ok bool
+	n.sendsRead(x.Key)
 	n.ask(func() { it, ok = n.w.store.Get(x.Key) }, func(err error) {
 		if n.elector.Epoch() != x.Epoch {
 			return
--- a/internal/scenario/random_faults_test.go
+++ b/internal/scenario/random_faults_test.go
@@ -25,7 +25,9 @@
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.checks": "40", "rapid.nofailfile": "true"} {
 		must(flag.Set(name, value))
 	}
-	os.Exit(m.Run())
+	code := m.Run()
+	must(transcripts.writeDigests())
+	os.Exit(code)
 }
 
 // fault is one trouble of a random world.
@@ -280,7 +282,7 @@
 }
 
 // randomWorld is a cluster with work for all its machines.
-func randomWorld(seed uint64, machines int, spread config.Spread) *world {
+func randomWorld(name string, seed uint64, machines int, spread config.Spread) *world {
 	cfg := config.Config{Tuning: config.DefaultTuning()}
 	f := &cfg.Facts
 	f.InitialSize, f.Zones = 3, []string{"a", "b"}
@@ -293,7 +295,7 @@
 	f.Cloud.RPS, f.Cloud.ListLagS = 4, 4
 	f.Quota.CPU, f.Quota.MemMB, f.Quota.MaxSockets = 0.2, 250, 3000
 	cfg.Tuning.Spread = spread
-	w := newWorld(cfg, []wire.MachineType{{Name: "small", CPUs: 4, MemoryGB: 8, CacheGB: 40, FetchGBPS: 1, Price: 0.3, SpotPrice: 0.1, BootS: 6, ZoneNames: f.Zones}}, seed)
+	w := newWorld(name, cfg, []wire.MachineType{{Name: "small", CPUs: 4, MemoryGB: 8, CacheGB: 40, FetchGBPS: 1, Price: 0.3, SpotPrice: 0.1, BootS: 6, ZoneNames: f.Zones}}, seed)
 	w.cloud.Capacity = machines
 	for i := range machines / 3 {
 		m := w.cloud.Add(0, "small", f.Zones[i%2], i%4 == 0)
@@ -348,7 +350,7 @@
 	machines := rapid.IntRange(least, most).Draw(t, "machines")
 	faults := rapid.SliceOfN(rapid.Custom(drawFault), 1, 14).Draw(t, "faults")
 	seed := rapid.Uint64Range(1, 1000).Draw(t, "seed")
-	w := randomWorld(seed, machines, spread)
+	w := randomWorld(t.Name(), seed, machines, spread)
 	defer w.stop()
 	w.playFaults(faults, machines)
 	if len(w.broken) > 0 {
@@ -376,7 +378,7 @@
 			{at: seconds(57.1), lasts: seconds(0.2), kind: "a burst of jobs", many: 25},
 			{at: seconds(14.2), lasts: seconds(0.3), kind: "machines begin anew", many: 31}}},
 	} {
-		w := randomWorld(c.seed, c.machines, config.DefaultTuning().Spread)
+		w := randomWorld(fmt.Sprintf("%s/seed-%d", t.Name(), c.seed), c.seed, c.machines, config.DefaultTuning().Spread)
 		w.playFaults(c.faults, c.machines)
 		w.stop()
 		if len(w.broken) > 0 {
@@ -420,7 +422,7 @@
 // judgeEnds says whether all that was accepted is known, and every batch has ended.
 func (w *world) judgeEnds() {
 	for _, ref := range sortedKeys(w.jobs) {
-		r := w.hear(ref, w.nodes[0].svc.Look(ref))
+		r := w.hear(ref, w.nodes[0].lookUp(ref))
 		j := w.jobs[ref]
 		switch {
 		case r.Code != 200:
--- a/internal/scenario/rules_test.go
+++ b/internal/scenario/rules_test.go
@@ -127,8 +127,8 @@
 				if !n.alive || n.frozenUntil > w.now {
 					return
 				}
-				w.hear(ref, n.svc.Look(ref))
-				r := n.svc.Submit(w.bodies[ref])
+				w.hear(ref, n.lookUp(ref))
+				r := n.submit(w.bodies[ref])
 				if w.hear(ref, r); r.Code == 400 || r.Code == 422 {
 					w.breaks("forgotten: %s is answered %d", ref, r.Code)
 				}
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -90,7 +90,7 @@
 		{Name: "small", CPUs: 4, MemoryGB: 8, CacheGB: 40, FetchGBPS: 1, Price: 0.3, SpotPrice: 0.1, BootS: boot, ZoneNames: []string{"a", "b"}},
 		{Name: "big", CPUs: 16, MemoryGB: 64, CacheGB: 40, FetchGBPS: 1, Price: 1.3, SpotPrice: 0.5, BootS: boot, ZoneNames: []string{"a"}},
 	}
-	w := newWorld(cfg, types, uint64(arg(t, d, "seed", 1)))
+	w := newWorld(t.Name(), cfg, types, uint64(arg(t, d, "seed", 1)))
 	w.cloud.Capacity = arg(t, d, "capacity", 0)
 	if d.HasArg("old") {
 		for _, n := range w.nodes {
@@ -110,7 +110,7 @@
 }
 
 func (w *world) submit(n *simNode, body []byte) string {
-	r := n.svc.Submit(body)
+	r := n.submit(body)
 	var j wire.Job
 	if json.Unmarshal(body, &j) == nil {
 		w.hear(j.Ref, r)
@@ -153,7 +153,7 @@
 
 // callOff cancels a job and gives its state, or the code of the answer.
 func (w *world) callOff(n *simNode, ref string) string {
-	r := w.hear(ref, n.svc.Cancel(ref))
+	r := w.hear(ref, n.cancel(ref))
 	if r.Code != 200 {
 		return fmt.Sprint(r.Code)
 	}
@@ -268,7 +268,7 @@
 			continue
 		}
 		w.run(clock.Second / 4)
-		if r := w.hear(ref, n.svc.Look(ref)); r.Code == 200 && r.Status.State == state {
+		if r := w.hear(ref, n.lookUp(ref)); r.Code == 200 && r.Status.State == state {
 			return state
 		}
 	}
--- a/internal/scenario/size_test.go
+++ b/internal/scenario/size_test.go
@@ -58,7 +58,7 @@
 	}
 }
 
-func (z *fleetSize) world() *world {
+func (z *fleetSize) world(name string) *world {
 	cfg := config.Config{Tuning: config.DefaultTuning()}
 	f := &cfg.Facts
 	f.InitialSize, f.Zones = 3, z.zones
@@ -69,7 +69,7 @@
 	f.State.RPS, f.State.WriteRPS, f.State.ValueKB, f.State.TxnOps = z.rps, z.writes, z.valueKB, z.txnOps
 	f.Cloud.RPS, f.Cloud.ListLagS = z.cloudRPS, z.lag
 	f.Quota.CPU, f.Quota.MemMB, f.Quota.MaxSockets = z.cpu, z.mem, z.sockets
-	w := newWorld(cfg, z.types, 1)
+	w := newWorld(name, cfg, z.types, 1)
 	w.cloud.Capacity = z.machines
 	return w
 }
@@ -107,7 +107,7 @@
 }
 
 func costAtSize(t *testing.T, z *fleetSize) {
-	w := z.world()
+	w := z.world(t.Name())
 	defer w.stop()
 	w.run(3 * clock.Second)
 	for i := range z.jobs {
@@ -197,7 +197,7 @@
 func TestStandingReplicasAtSize(t *testing.T) {
 	z := fleetSizes()[1]
 	z.machines, z.valueKB, z.txnOps, z.runS = 600, 2, 4, 8
-	w := z.world()
+	w := z.world(t.Name())
 	defer w.stop()
 	w.run(3 * clock.Second)
 	const services, replicas = 130, 8
@@ -256,7 +256,7 @@
 func TestLittleIsSaidAtRest(t *testing.T) {
 	z := fleetSizes()[3]
 	z.machines = 300
-	w := z.world()
+	w := z.world(t.Name())
 	defer w.stop()
 	w.run(3 * clock.Second)
 	// Long tasks keep the machines up.
@@ -300,7 +300,7 @@
 // answered and work goes on.
 func TestSixThousandMachines(t *testing.T) {
 	z := largestFleet()
-	w := z.world()
+	w := z.world(t.Name())
 	defer w.stop()
 	w.run(3 * clock.Second)
 	for i := range z.jobs {
--- /dev/null
+++ b/internal/scenario/transcript_test.go
@@ -0,0 +1,287 @@
+package scenario
+
+import (
+	"bufio"
+	"bytes"
+	"crypto/sha256"
+	"encoding/hex"
+	"errors"
+	"flag"
+	"fmt"
+	"hash"
+	"io"
+	"net/url"
+	"os"
+	"path/filepath"
+	"slices"
+	"strconv"
+	"strings"
+	"sync"
+
+	"github.com/goccy/go-json"
+	"github.com/vmihailenco/msgpack/v5"
+
+	"swiftledge/internal/api"
+	"swiftledge/internal/block"
+	"swiftledge/internal/clock"
+	"swiftledge/wire"
+)
+
+var (
+	transcriptDir  = flag.String("transcripts", "", "record what leaves the controllers: write digests.txt to this directory")
+	transcriptFull = flag.Bool("transcripts-full", false, "with -transcripts: write the full text of each transcript, too")
+)
+
+// digestsFile lists the transcripts of a run.
+const digestsFile = "digests.txt"
+
+// Receivers of a controller's messages, besides other controllers.
+const (
+	toStore = "store"
+	toCloud = "cloud"
+	toUser  = "user"
+)
+
+// toWorker is the receiver of what is sent to a machine.
+func toWorker(machine string) string { return "worker " + machine }
+
+// transcript is a record of all messages that leave the controllers of one world, encoded as on the wire. It
+// names nothing of the program, so that it stays comparable while the program is restructured. A nil
+// transcript records nothing.
+type transcript struct {
+	name   string
+	count  int // of the messages
+	digest hash.Hash
+	out    *bufio.Writer // to the digest and, with -transcripts-full, to the file
+	file   *os.File      // nil without -transcripts-full
+}
+
+// transcriptSet holds the transcripts of a run.
+type transcriptSet struct {
+	mu     sync.Mutex
+	byName map[string]*transcript
+}
+
+var transcripts = transcriptSet{byName: map[string]*transcript{}}
+
+// open begins a transcript, if the run records any. A name that was used before gets a number, so worlds of
+// one name have to be made in a fixed order.
+func (s *transcriptSet) open(name string) *transcript {
+	if *transcriptDir == "" {
+		return nil
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	t := &transcript{name: s.unused(transcriptName(name)), digest: sha256.New()}
+	s.byName[t.name] = t
+	var out io.Writer = t.digest
+	if *transcriptFull {
+		var err error
+		t.file, err = os.Create(filepath.Join(*transcriptDir, t.name+".log"))
+		must(err)
+		out = io.MultiWriter(t.digest, t.file)
+	}
+	t.out = bufio.NewWriter(out)
+	return t
+}
+
+// transcriptName makes a name fit for a file and for a column of digests.txt.
+func transcriptName(name string) string {
+	return strings.NewReplacer("/", "_", " ", "_").Replace(name)
+}
+
+func (s *transcriptSet) unused(name string) string {
+	numbered := name
+	for i := 2; s.byName[numbered] != nil; i++ {
+		numbered = fmt.Sprintf("%s-%03d", name, i)
+	}
+	return numbered
+}
+
+// writeDigests ends all transcripts and lists them: name, SHA-256 and number of messages.
+func (s *transcriptSet) writeDigests() error {
+	if *transcriptDir == "" {
+		return nil
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	var list bytes.Buffer
+	for _, name := range sortedKeys(s.byName) {
+		t := s.byName[name]
+		if err := t.close(); err != nil {
+			return err
+		}
+		fmt.Fprintf(&list, "%s %x %d\n", t.name, t.digest.Sum(nil), t.count)
+	}
+	return os.WriteFile(filepath.Join(*transcriptDir, digestsFile), list.Bytes(), 0o644)
+}
+
+func (t *transcript) close() error {
+	err := t.out.Flush()
+	if t.file != nil {
+		err = errors.Join(err, t.file.Close())
+	}
+	return err
+}
+
+// record adds one message.
+func (t *transcript) record(at clock.Micros, from, to, message string, body []byte) {
+	t.count++
+	fmt.Fprintf(t.out, "%d %s > %s: %s ", int64(at), from, to, message)
+	_, err := t.out.Write(body)
+	must(err)
+	must(t.out.WriteByte('\n'))
+}
+
+// sends records a message without a body.
+func (n *simNode) sends(to, message string) {
+	if t := n.w.transcript; t != nil {
+		t.record(n.w.now, n.name, to, message, nil)
+	}
+}
+
+// sendsJSON records a message with a body in JSON.
+func (n *simNode) sendsJSON(to, message string, body any) {
+	t := n.w.transcript
+	if t == nil {
+		return
+	}
+	raw, err := json.Marshal(body)
+	must(err)
+	t.record(n.w.now, n.name, to, message, raw)
+}
+
+// sendsFrame records a message to another controller.
+func (n *simNode) sendsFrame(to *simNode, frame any) {
+	t := n.w.transcript
+	if t == nil {
+		return
+	}
+	raw, err := msgpack.Marshal(frame)
+	must(err)
+	sorted, err := sortFrame(raw)
+	must(err)
+	t.record(n.w.now, n.name, to.name, "frame", hex.AppendEncode(nil, sorted))
+}
+
+// sendsTxn records a transaction, in the form that the state service's client gives it.
+func (n *simNode) sendsTxn(t wire.Txn) {
+	if t.If == nil {
+		t.If = []wire.Guard{}
+	}
+	n.sendsJSON(toStore, "POST /multi", t)
+}
+
+// sendsRead records the read of one key.
+func (n *simNode) sendsRead(key string) {
+	if n.w.transcript != nil {
+		n.sends(toStore, "GET /store/"+key)
+	}
+}
+
+// sendsList records the read of all keys with a prefix.
+func (n *simNode) sendsList(prefix string) {
+	if n.w.transcript != nil {
+		n.sends(toStore, "GET /store?prefix="+url.QueryEscape(prefix))
+	}
+}
+
+// sendsWatch records a question for the changes of keys with a prefix.
+func (n *simNode) sendsWatch(prefix string, since uint64) {
+	if n.w.transcript != nil {
+		n.sends(toStore, fmt.Sprintf("GET /watch?prefix=%s&since=%d", url.QueryEscape(prefix), since))
+	}
+}
+
+// sendsGrant records the request for a lease of the state service.
+func (n *simNode) sendsGrant(ttl clock.Micros) {
+	n.sendsJSON(toStore, "POST /grants", wire.LeaseForm{TTLMs: int64(ttl / clock.Millisecond)})
+}
+
+// sendsTouch records the renewal of a lease.
+func (n *simNode) sendsTouch(lease uint64) {
+	n.sends(toStore, "POST /grants/"+strconv.FormatUint(lease, 10)+"/touch")
+}
+
+// sendsDrop records the end of a lease.
+func (n *simNode) sendsDrop(lease uint64) {
+	n.sends(toStore, "DELETE /grants/"+strconv.FormatUint(lease, 10))
+}
+
+// answersReport records the answer to a worker's report.
+func (n *simNode) answersReport(machine string, a block.Answer) {
+	message := "answer " + strconv.Itoa(a.Status)
+	switch a.Status {
+	case 200:
+		n.sendsJSON(toWorker(machine), message, a.Body)
+	case 421:
+		n.sendsJSON(toWorker(machine), message, a.Redirect)
+	default:
+		n.sends(toWorker(machine), message)
+	}
+}
+
+// answersUser records the answer to a user, as the service encodes it, and gives it back.
+func (n *simNode) answersUser(request string, r api.Result) api.Result {
+	var body any = r.Status
+	if r.Code >= 400 {
+		body = wire.Problem{Error: r.Why}
+	}
+	n.sendsJSON(toUser, request+": "+strconv.Itoa(r.Code), body)
+	return r
+}
+
+// sortFrame brings the entries of every map in a MessagePack value, which the encoder writes in any order,
+// into the order of their encoded keys. All else stays as it is.
+func sortFrame(raw []byte) ([]byte, error) {
+	var out bytes.Buffer
+	err := copySorted(&out, msgpack.NewDecoder(bytes.NewReader(raw)))
+	return out.Bytes(), err
+}
+
+func copySorted(out *bytes.Buffer, in *msgpack.Decoder) error {
+	code, err := in.PeekCode()
+	if err != nil {
+		return err
+	}
+	switch {
+	case code&0xf0 == 0x90 || code == 0xdc || code == 0xdd:
+		return copyArray(out, in)
+	case code&0xf0 == 0x80 || code == 0xde || code == 0xdf:
+		return copyMap(out, in)
+	}
+	value, err := in.DecodeRaw()
+	out.Write(value)
+	return err
+}
+
+func copyArray(out *bytes.Buffer, in *msgpack.Decoder) error {
+	n, err := in.DecodeArrayLen()
+	if err == nil {
+		err = msgpack.NewEncoder(out).EncodeArrayLen(n)
+	}
+	for i := 0; i < n && err == nil; i++ {
+		err = copySorted(out, in)
+	}
+	return err
+}
+
+func copyMap(out *bytes.Buffer, in *msgpack.Decoder) error {
+	n, err := in.DecodeMapLen()
+	if err == nil {
+		err = msgpack.NewEncoder(out).EncodeMapLen(n)
+	}
+	var entries [][]byte
+	for i := 0; i < n && err == nil; i++ {
+		var entry bytes.Buffer // the key and, after it, the value
+		if err = copySorted(&entry, in); err == nil {
+			err = copySorted(&entry, in)
+		}
+		entries = append(entries, entry.Bytes())
+	}
+	slices.SortFunc(entries, bytes.Compare)
+	for _, entry := range entries {
+		out.Write(entry)
+	}
+	return err
+}
--- a/internal/scenario/world_test.go
+++ b/internal/scenario/world_test.go
@@ -15,6 +15,7 @@
 
 // world is a cluster with all that it talks to.
 type world struct {
+	transcript  *transcript // nil: nothing is recorded
 	now         clock.Micros
 	seq         int
 	events      events
@@ -63,9 +64,10 @@
 
 const step = 50 * clock.Millisecond
 
-func newWorld(cfg config.Config, types []wire.MachineType, seed uint64) *world {
+// newWorld makes a cluster; its transcript has the name.
+func newWorld(name string, cfg config.Config, types []wire.MachineType, seed uint64) *world {
 	ctx, stop := context.WithCancel(context.Background())
-	w := &world{rng: rand.New(rand.NewPCG(seed, 1)), cfg: cfg, ctx: ctx, stop: stop,
+	w := &world{transcript: transcripts.open(name), rng: rand.New(rand.NewPCG(seed, 1)), cfg: cfg, ctx: ctx, stop: stop,
 		store:  standin.NewStore(cfg.Facts.State.ValueKB, cfg.Facts.State.TxnOps),
 		cloud:  standin.NewCloud(types, clock.FromSeconds(cfg.Facts.Cloud.ListLagS)),
 		byName: map[string]*simWorker{}, holds: map[string][]held{},
@@ -130,7 +132,7 @@
 	if w.looks {
 		for i, ref := range sortedKeys(w.jobs) {
 			if n := w.nodes[(int(w.now/step)+i)%len(w.nodes)]; n.alive && n.frozenUntil <= w.now && w.told[ref] != wire.Done && w.told[ref] != wire.Cancelled {
-				w.hear(ref, n.svc.Look(ref))
+				w.hear(ref, n.lookUp(ref))
 			}
 		}
 	}
