--- a/cmd/loopback/main.go
+++ b/cmd/loopback/main.go
@@ -228,7 +228,7 @@
 	case "mistaken":
 		ref := fmt.Sprintf("j-%06d", mistakenJobs+len(o.mistaken))
 		o.mistaken = append(o.mistaken, ref)
-		j := wire.Job{Ref: ref, Class: "results", Team: loopback.DefaultShape().Teams[0], Shape: wire.Batch, Priority: wire.Standard, Tasks: 12,
+		j := wire.Job{Ref: ref, Class: "results", Team: loopback.DefaultShape().Teams[0], Shape: wire.ShapeBatch, Priority: wire.PriorityStandard, Tasks: 12,
 			CPUs: 0.5, MemoryGB: 0.5, Image: "img-mistaken", ImageGB: 1, Spot: true, EstimateS: 20}
 		if err := c.SubmitMistaken(c.Controllers[0], j); err != nil {
 			fmt.Fprintln(out, err)
--- a/internal/api/answers_test.go
+++ b/internal/api/answers_test.go
@@ -61,8 +61,8 @@
 		t.Fatal(err)
 	}
 	it, _ := b.Store.Get(leader.JobPrefix + ref)
-	if o, problem := b.Txn(wire.Txn{If: []wire.Guard{{Key: leader.JobPrefix + ref, Version: it.Version}},
-		Then: []wire.Write{{Put: leader.EndPrefix + ref, Value: raw}, {Delete: leader.JobPrefix + ref}}}); !o.OK {
+	if o, problem := b.Txn(wire.Txn{Conditions: []wire.Condition{{Key: leader.JobPrefix + ref, Version: it.Version}},
+		Writes: []wire.Write{{Put: leader.EndPrefix + ref, Value: raw}, {Delete: leader.JobPrefix + ref}}}); !o.OK {
 		t.Fatal("the job does not end: ", problem)
 	}
 }
@@ -94,11 +94,11 @@
 		{"cancelled, and only the answer is lost", func(b *between, s *Service) Result {
 			b.lost = 1
 			return s.Cancel(ref)
-		}, 200, wire.Cancelled},
+		}, 200, wire.JobCancelled},
 		{"submitted again as it ends", func(b *between, s *Service) Result {
-			b.ends(t, ref, wire.Cancelled)
+			b.ends(t, ref, wire.JobCancelled)
 			return s.Submit(body)
-		}, 200, wire.Cancelled},
+		}, 200, wire.JobCancelled},
 		{"submitted again malformed, once it is over", func(b *between, s *Service) Result {
 			b.ends(t, ref, wire.Done)
 			return s.Submit([]byte(`{"ref":"` + ref + `"}`))
@@ -114,7 +114,7 @@
 				t.Fatal(err)
 			}
 			return s.Submit(raw)
-		}, 200, wire.Queued},
+		}, 200, wire.JobQueued},
 	}
 	for _, c := range cases {
 		b := &between{Store: standin.NewStore(4, 8), hook: map[string]func(){}}
@@ -132,8 +132,8 @@
 	}
 	// Accepted by a write whose answer was lost, and over before it is tried again.
 	b := &between{Store: standin.NewStore(4, 8), hook: map[string]func(){}, lost: 1}
-	b.then = func() { b.ends(t, ref, wire.Cancelled) }
-	if r := service(t, b).Submit(body); r.Code != 200 || r.Status.State != wire.Cancelled {
+	b.then = func() { b.ends(t, ref, wire.JobCancelled) }
+	if r := service(t, b).Submit(body); r.Code != 200 || r.Status.State != wire.JobCancelled {
 		t.Errorf("accepted, cancelled by another node, tried again: %d %s", r.Code, r.Status.State)
 	}
 }
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -31,7 +31,7 @@
 	pause     func(ctx context.Context, n int) bool // before try n+1
 	directory *Directory
 	storeOK   func() bool
-	report    func(*wire.Report) block.Answer
+	report    func(*wire.Heartbeat) block.Answer
 	wall      func() clock.Micros // time of day
 	log       *slog.Logger
 	form      formChecker
@@ -41,7 +41,7 @@
 }
 
 // New makes the service; report answers a worker.
-func New(cfg *config.Config, s Store, pause func(context.Context, int) bool, d *Directory, storeOK func() bool, report func(*wire.Report) block.Answer, wall func() clock.Micros, log *slog.Logger) *Service {
+func New(cfg *config.Config, s Store, pause func(context.Context, int) bool, d *Directory, storeOK func() bool, report func(*wire.Heartbeat) block.Answer, wall func() clock.Micros, log *slog.Logger) *Service {
 	return &Service{cfg: cfg, store: s, pause: pause, directory: d, storeOK: storeOK, report: report, wall: wall, log: log, form: newFormChecker(), reports: newAdmission()}
 }
 
@@ -91,7 +91,7 @@
 	if code == fiber.StatusRequestEntityTooLarge {
 		code = fiber.StatusBadRequest
 	}
-	return c.Status(code).JSON(wire.Problem{Error: err.Error()})
+	return c.Status(code).JSON(wire.ErrorResponse{Error: err.Error()})
 }
 
 // retryAfterS is when a user that could not be served should come back.
@@ -101,9 +101,9 @@
 	switch {
 	case r.Code == 503:
 		c.Set("Retry-After", strconv.Itoa(retryAfterS))
-		return c.Status(503).JSON(wire.Problem{Error: r.Why})
+		return c.Status(503).JSON(wire.ErrorResponse{Error: r.Why})
 	case r.Code >= 400:
-		return c.Status(r.Code).JSON(wire.Problem{Error: r.Why})
+		return c.Status(r.Code).JSON(wire.ErrorResponse{Error: r.Why})
 	}
 	return c.Status(r.Code).JSON(r.Status)
 }
@@ -131,7 +131,7 @@
 
 func (s *Service) ready(c fiber.Ctx) error {
 	if !s.Ready() {
-		return c.Status(503).JSON(wire.Problem{Error: "the state service refuses this node"})
+		return c.Status(503).JSON(wire.ErrorResponse{Error: "the state service refuses this node"})
 	}
 	return c.SendStatus(200)
 }
@@ -150,9 +150,9 @@
 
 func (s *Service) beat(c fiber.Ctx) error {
 	s.reports.wait()
-	r := &wire.Report{}
+	r := &wire.Heartbeat{}
 	if err := json.Unmarshal(c.Body(), r); err != nil {
-		return fiber.NewError(400, "report: "+err.Error())
+		return fiber.NewError(400, "report: "+decodeErrorText(err))
 	}
 	a := s.report(r)
 	// Who is refused goes to another node: closing first spares us the wake-up for its end.
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -23,7 +23,7 @@
 	t.Helper()
 	directory := NewDirectory(cfg, func() clock.Micros { return 0 })
 	go directory.Run(t.Context())
-	s := New(cfg, nil, nil, directory, func() bool { return true }, func(*wire.Report) block.Answer { return answer },
+	s := New(cfg, nil, nil, directory, func() bool { return true }, func(*wire.Heartbeat) block.Answer { return answer },
 		nil, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
--- a/internal/api/jobs.go
+++ b/internal/api/jobs.go
@@ -60,7 +60,7 @@
 	return f
 }
 
-func (f formChecker) check(form *wire.JobForm) string {
+func (f formChecker) check(form *wire.JobSubmission) string {
 	var bad validator.ValidationErrors
 	if errors.As(f.val.Struct(form), &bad) {
 		return bad[0].Field() + " is missing or invalid (" + bad[0].Tag() + ")"
@@ -70,16 +70,16 @@
 
 // Submit takes a submission.
 func (s *Service) Submit(body []byte) Result {
-	var form wire.JobForm
+	var form wire.JobSubmission
 	if err := json.Unmarshal(body, &form); err != nil {
 		// A known job stays known whatever else its retry holds.
 		var only struct {
 			Ref string `json:"ref"`
 		}
 		if json.Unmarshal(body, &only) == nil || only.Ref != "" {
-			return s.known(only.Ref, refuse(400, "not a job: "+err.Error()))
+			return s.known(only.Ref, refuse(400, "not a job: "+decodeErrorText(err)))
 		}
-		return refuse(400, "not a job: "+err.Error())
+		return refuse(400, "not a job: "+decodeErrorText(err))
 	}
 	if why := s.form.check(&form); why != "" {
 		ref := ""
@@ -112,13 +112,13 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), submitWithin)
 	defer cancel()
-	t := wire.Txn{If: []wire.Guard{{Key: leader.JobPrefix + job.Ref}, {Key: leader.EndPrefix + job.Ref}},
-		Then: []wire.Write{{Put: leader.JobPrefix + job.Ref, Value: raw}}}
+	t := wire.Txn{Conditions: []wire.Condition{{Key: leader.JobPrefix + job.Ref}, {Key: leader.EndPrefix + job.Ref}},
+		Writes: []wire.Write{{Put: leader.JobPrefix + job.Ref, Value: raw}}}
 	for n := 0; ; n++ {
 		o, err := s.store.Once(ctx, store.Urgent, t)
 		switch {
 		case err == nil && o.OK:
-			return Result{Code: 201, Status: wire.JobStatus{Ref: job.Ref, State: wire.Queued}}
+			return Result{Code: 201, Status: wire.JobStatus{Ref: job.Ref, State: wire.JobQueued}}
 		case err == nil:
 			r := s.Look(job.Ref)
 			if r.Code == 404 {
@@ -166,7 +166,7 @@
 		return "one task needs more than the team's limit"
 	}
 	// A service runs with all its replicas at once, or its users miss some of it.
-	if n := float64(j.Tasks); j.Standing() && (n*j.CPUs > team.CPULimit()+1e-9 || n*j.GPUs > team.GPULimit()+1e-9) {
+	if n := float64(j.Tasks); j.IsService() && (n*j.CPUs > team.CPULimit()+1e-9 || n*j.GPUs > team.GPULimit()+1e-9) {
 		return "all its tasks together need more than the team's limit"
 	}
 	for _, t := range types {
@@ -229,7 +229,7 @@
 	// A job moves from job/ to over/ in one transaction, so this order never misses it.
 	_, err := s.store.Get(ctx, prio, leader.JobPrefix+ref)
 	if err == nil {
-		st := wire.JobStatus{Ref: ref, State: wire.Queued, Done: v.Count.Done, Running: v.Count.Running}
+		st := wire.JobStatus{Ref: ref, State: wire.JobQueued, Done: v.Count.Done, Running: v.Count.Running}
 		if st.Running > 0 {
 			st.State = wire.Running
 		}
@@ -281,13 +281,13 @@
 	if err != nil {
 		return Result{}, err
 	}
-	end := leader.EndRecord{State: wire.Cancelled}
+	end := leader.EndRecord{State: wire.JobCancelled}
 	raw, err := json.Marshal(end)
 	if err != nil {
 		return Result{}, err
 	}
-	o, err := s.store.Once(ctx, store.Urgent, wire.Txn{If: []wire.Guard{{Key: leader.JobPrefix + ref, Version: it.Version}},
-		Then: []wire.Write{{Put: leader.EndPrefix + ref, Value: raw}, {Delete: leader.JobPrefix + ref}}})
+	o, err := s.store.Once(ctx, store.Urgent, wire.Txn{Conditions: []wire.Condition{{Key: leader.JobPrefix + ref, Version: it.Version}},
+		Writes: []wire.Write{{Put: leader.EndPrefix + ref, Value: raw}, {Delete: leader.JobPrefix + ref}}})
 	if err != nil || !o.OK {
 		return Result{}, err
 	}
--- a/internal/api/report_test.go
+++ b/internal/api/report_test.go
@@ -51,7 +51,7 @@
 	conn net.Conn
 	in   *bufio.Reader
 	seq  uint64
-	rep  wire.Report
+	rep  wire.Heartbeat
 	res  fasthttp.Response
 	// Of the controller, on all its connections.
 	reads, writes *atomic.Int64
@@ -81,7 +81,7 @@
 	tb.Cleanup(stop)
 	directory := NewDirectory(cfg, func() clock.Micros { return 0 })
 	go directory.Run(ctx)
-	s := New(cfg, nil, nil, directory, func() bool { return true }, func(r *wire.Report) block.Answer {
+	s := New(cfg, nil, nil, directory, func() bool { return true }, func(r *wire.Heartbeat) block.Answer {
 		ch := make(chan block.Answer, 1)
 		box <- block.Report{Tag: ch, R: r}
 		return <-ch
@@ -97,10 +97,10 @@
 		tb.Fatal(err)
 	}
 	tb.Cleanup(func() { c.Close(); l.Close() })
-	w := &reporting{conn: c, in: bufio.NewReader(c), reads: n.reads, writes: n.writes, addr: l.Addr().String(), rep: wire.Report{Machine: "host-000001", Address: "10.1.0.1:9000", Type: "small", Zone: "a", Session: 1, Token: 50}}
+	w := &reporting{conn: c, in: bufio.NewReader(c), reads: n.reads, writes: n.writes, addr: l.Addr().String(), rep: wire.Heartbeat{Machine: "host-000001", Address: "10.1.0.1:9000", Type: "small", Zone: "a", AgentEpoch: 1, FencingToken: 50}}
 	for i := range tasks {
 		// No record names them, and they have ended: the answer is the same each time.
-		w.rep.Tasks = append(w.rep.Tasks, wire.TaskReport{Task: fmt.Sprintf("j-000412/%d", i), Attempt: uint64(i + 1), State: wire.Exited, Cause: wire.CauseDone})
+		w.rep.Tasks = append(w.rep.Tasks, wire.TaskStatus{Task: fmt.Sprintf("j-000412/%d", i), Attempt: uint64(i + 1), State: wire.TaskExited, Cause: wire.ExitDone})
 	}
 	return w
 }
--- a/internal/block/compact.go
+++ b/internal/block/compact.go
@@ -42,7 +42,7 @@
 func (c Compact) Txn() (wire.Txn, error) {
 	t, err := Record{Block: c.Block, Stamp: c.Stamp, Pages: []PageWrite{c.Put}}.Txn()
 	for _, k := range c.Delete {
-		t.Then = append(t.Then, wire.Write{Delete: k})
+		t.Writes = append(t.Writes, wire.Write{Delete: k})
 	}
 	return t, err
 }
--- a/internal/block/cycle.go
+++ b/internal/block/cycle.go
@@ -84,7 +84,7 @@
 		}
 		g := &placement.Group{Key: j.Ref, Indexes: o.Indexes, Image: j.Image, Zone: zone, Types: j.Types, Spot: j.Spot,
 			CPUs: j.CPUs, GPUs: j.GPUs, Memory: j.MemoryGB, ImageGB: j.ImageGB}
-		if j.Standing() {
+		if j.IsService() {
 			g.Avoid = b.avoided(j.Ref)
 		}
 		groups = append(groups, g)
--- a/internal/block/cycle_test.go
+++ b/internal/block/cycle_test.go
@@ -50,8 +50,8 @@
 		t.Errorf("the page holds %d records, want 80", n)
 	}
 	txn, err := second.Txn()
-	if err != nil || len(txn.Then) != 1 || len(txn.Then[0].Value) > h.p.ValueBytes {
-		t.Errorf("transaction of %d puts, %v", len(txn.Then), err)
+	if err != nil || len(txn.Writes) != 1 || len(txn.Writes[0].Value) > h.p.ValueBytes {
+		t.Errorf("transaction of %d puts, %v", len(txn.Writes), err)
 	}
 	// No answer: a copy may be carried out yet, so the page is not written again.
 	h.Step(now, second.Settled(store.Outcome{Unsure: true}))
@@ -82,8 +82,8 @@
 				continue
 			}
 			txn, err := r.Txn()
-			if err != nil || len(txn.Then) > h.p.TxnOps {
-				t.Fatalf("cycle %d: %d puts in a transaction, %v", seq, len(txn.Then), err)
+			if err != nil || len(txn.Writes) > h.p.TxnOps {
+				t.Fatalf("cycle %d: %d puts in a transaction, %v", seq, len(txn.Writes), err)
 			}
 			started = len(h.blocks[0].writing.recs)
 			h.Step(now, r.Settled(store.Outcome{OK: true, Revision: 30 + seq}))
@@ -108,14 +108,14 @@
 		h := holding(t)
 		h.Step(now, Linked{Epoch: 10})
 		pages := map[string]peer.RecordPage{}
-		var run []wire.TaskReport
+		var run []wire.TaskStatus
 		for p := range 2 {
 			g := peer.RecordGroup{Job: task.Job, Team: "red", CPUs: 0.01}
 			for i := range 30 {
 				g.Starts = append(g.Starts, 100*p+i, 100*p+i+1, 0)
 			}
 			pages["run/000/1-"+strconv.Itoa(p)] = peer.RecordPage{Token: 40, Machines: []string{"m1"}, Groups: []peer.RecordGroup{g}}
-			run = append(run, wire.TaskReport{Task: TaskName(peer.Task{Job: task.Job, Index: 100 * p}), Attempt: 40<<peer.AttemptBits | uint64(100*p+1), State: wire.Running})
+			run = append(run, wire.TaskStatus{Task: TaskName(peer.Task{Job: task.Job, Index: 100 * p}), Attempt: 40<<peer.AttemptBits | uint64(100*p+1), State: wire.Running})
 		}
 		h.Step(now, &peer.Down{Epoch: 10, Grants: []peer.Grant{{Block: 0, Token: 60, Stamp: 8, Machines: []peer.RosterMachine{{Name: "m1", Address: "a1"}}, Pages: pages}}})
 		h.Step(now, &peer.Down{Epoch: 10, Renewed: h.renew, Tokens: map[int]uint64{0: 60}})
@@ -130,7 +130,7 @@
 			t.Fatalf("%s: nothing is compacted", c.name)
 		}
 		txn, err := got.Txn()
-		if err != nil || len(txn.Then) != 3 || txn.If[0] != (wire.Guard{Key: Key(0), Version: 8}) || txn.If[1] != (wire.Guard{Key: got.Put.Key}) {
+		if err != nil || len(txn.Writes) != 3 || txn.Conditions[0] != (wire.Condition{Key: Key(0), Version: 8}) || txn.Conditions[1] != (wire.Condition{Key: got.Put.Key}) {
 			t.Fatalf("%s: transaction %+v, %v", c.name, txn, err)
 		}
 		records, err := got.Put.Page.Records(&got.Put.Page.Groups[0])
@@ -140,7 +140,7 @@
 		h.Step(later(12), got.Settled(c.outcome))
 		// Both end: whatever may hold their records is erased.
 		for i := range run {
-			run[i].State, run[i].Cause = wire.Exited, wire.CauseStopped
+			run[i].State, run[i].Cause = wire.TaskExited, wire.ExitStopped
 		}
 		h.Step(later(13), beat("m1", 2, 60, run...))
 		keys := map[string]bool{}
@@ -181,12 +181,12 @@
 // to one where another failed.
 func TestReplicasAvoidMachines(t *testing.T) {
 	h := holding(t)
-	failed := wire.TaskReport{Task: TaskName(task), Attempt: 1, State: wire.Exited, Cause: wire.CauseError}
+	failed := wire.TaskStatus{Task: TaskName(task), Attempt: 1, State: wire.TaskExited, Cause: wire.ExitError}
 	h.Step(now, beat("m1", 1, 50, failed))
 	h.Step(now, beat("m2", 1, 50, running(2)))
 	where := func(seq uint64, index int) string {
 		for _, e := range h.Step(now, &peer.Down{Epoch: 9, Orders: []peer.BlockOrders{{Block: 0, Token: 50, Seq: seq,
-			Offers: []peer.Offer{{Job: wire.Job{Ref: task.Job, Shape: wire.Service, Team: "red", CPUs: 1, Tasks: 9}, Indexes: []int{index}}}}}}) {
+			Offers: []peer.Offer{{Job: wire.Job{Ref: task.Job, Shape: wire.ShapeService, Team: "red", CPUs: 1, Tasks: 9}, Indexes: []int{index}}}}}}) {
 			if r, ok := e.(Record); ok {
 				at := h.blocks[0].writing.recs[0].m.name
 				h.Step(now, r.Settled(store.Outcome{OK: true, Revision: 30 + seq}))
--- a/internal/block/dialogue.go
+++ b/internal/block/dialogue.go
@@ -93,7 +93,7 @@
 	if a.R == nil || m.gone || m.shown {
 		return
 	}
-	if a.R.Token > b.token {
+	if a.R.FencingToken > b.token {
 		h.void(b)
 		return
 	}
@@ -106,11 +106,11 @@
 	if r.stop == stopWithSave {
 		grace = graceFor(r.group.SaveS)
 	}
-	return wire.Command{Op: wire.Kill, Task: TaskName(r.task), Attempt: r.attempt, GraceS: &grace}
+	return wire.Command{Verb: wire.VerbKill, Task: TaskName(r.task), Attempt: r.attempt, GraceS: &grace}
 }
 
 func (r *taskAttempt) run() wire.Command {
-	return wire.Command{Op: wire.Run, Task: TaskName(r.task), Attempt: r.attempt}
+	return wire.Command{Verb: wire.VerbRun, Task: TaskName(r.task), Attempt: r.attempt}
 }
 
 // graceFor leaves a task more time than it says it needs to save.
@@ -134,7 +134,7 @@
 	for {
 		part := cmds[:min(len(cmds), mostCommands)]
 		h.emit(Orders{Block: b.id, Machine: m.name, Address: m.address,
-			Body: wire.Orders{Token: b.token, Session: m.session, Commands: part}})
+			Body: wire.CommandBatch{FencingToken: b.token, AgentEpoch: m.session, Commands: part}})
 		if cmds = cmds[len(part):]; len(cmds) == 0 {
 			return
 		}
@@ -147,7 +147,7 @@
 	if len(cmds) <= mostCommands {
 		return cmds
 	}
-	ends := func(c wire.Command) bool { return c.Op == wire.Kill }
+	ends := func(c wire.Command) bool { return c.Verb == wire.VerbKill }
 	first := slices.DeleteFunc(slices.Clone(cmds), func(c wire.Command) bool { return !ends(c) })
 	return append(first, slices.DeleteFunc(cmds, ends)...)[:mostCommands]
 }
@@ -155,7 +155,7 @@
 // answered handles the end of a direct command.
 func (h *Holder) answered(now clock.Micros, a Ordered) {
 	b := h.blocks[a.Block]
-	if b == nil || b.token != a.Body.Token {
+	if b == nil || b.token != a.Body.FencingToken {
 		return
 	}
 	m := b.machines[a.Machine]
@@ -168,14 +168,14 @@
 	if m.gone {
 		return
 	}
-	if a.R != nil && a.R.Token > b.token {
+	if a.R != nil && a.R.FencingToken > b.token {
 		h.void(b)
 		return
 	}
 	if a.Status == 200 || a.Status == 409 || a.Status == NotSent {
 		// Answered or never sent: this copy is carried out or never will be.
 		for _, c := range a.Body.Commands {
-			if c.Op == wire.Run {
+			if c.Verb == wire.VerbRun {
 				if r := m.find(c.Attempt); r != nil && r.inflight > 0 {
 					r.inflight--
 				}
@@ -228,10 +228,10 @@
 		if to == h.p.Node {
 			to = ""
 		}
-		h.emit(Answer{Tag: msg.Tag, Status: 421, Redirect: wire.Redirect{ReportTo: to}})
+		h.emit(Answer{Tag: msg.Tag, Status: 421, Redirect: wire.Redirect{Controller: to}})
 		return
 	}
-	if r.Token > b.token {
+	if r.FencingToken > b.token {
 		// A newer holder has spoken to this machine.
 		h.void(b)
 		h.emit(Answer{Tag: msg.Tag, Status: 421})
@@ -246,22 +246,22 @@
 		h.emit(Answer{Tag: msg.Tag, Status: 503})
 		return
 	}
-	m.beatSession, m.beatSeq = r.Session, r.Seq
-	if r.Session > m.session && m.session > 0 && m.answered > 0 && now-m.answered < h.p.Lease && m.shown {
+	m.beatSession, m.beatSeq = r.AgentEpoch, r.Seq
+	if r.AgentEpoch > m.session && m.session > 0 && m.answered > 0 && now-m.answered < h.p.Lease && m.shown {
 		// Its lease ran out although we answered: the answers do not arrive.
 		h.deafen(now, b, m)
 	}
 	cmds := inOneAnswer(h.observe(now, b, m, r, true))
 	m.answered = now
-	h.emit(Answer{Tag: msg.Tag, Status: 200, Body: wire.ReportAnswer{Token: b.token, Commands: cmds}})
+	h.emit(Answer{Tag: msg.Tag, Status: 200, Body: wire.HeartbeatResponse{FencingToken: b.token, Commands: cmds}})
 }
 
 // outdated says whether a worker's own report is not newer than the last. It is a late copy, as the
 // worker sends one report at a time: nobody waits for an answer, and it renews no lease. Or the worker
 // began anew under its name, and has its lease from then on: it hides that the machine is silent as far
 // as that is to prove something.
-func (m *machine) outdated(now clock.Micros, r *wire.Report) bool {
-	newer := r.Session > m.beatSession || r.Session == m.beatSession && r.Seq > m.beatSeq
+func (m *machine) outdated(now clock.Micros, r *wire.Heartbeat) bool {
+	newer := r.AgentEpoch > m.beatSession || r.AgentEpoch == m.beatSession && r.Seq > m.beatSeq
 	if !newer {
 		m.stale = now
 	}
--- a/internal/block/holder_test.go
+++ b/internal/block/holder_test.go
@@ -29,8 +29,8 @@
 	return h
 }
 
-func beat(machine string, seq, token uint64, tasks ...wire.TaskReport) Report {
-	return Report{Tag: machine, R: &wire.Report{Machine: machine, Address: "a", Type: "small", Session: 1, Seq: seq, Token: token, Tasks: tasks}}
+func beat(machine string, seq, token uint64, tasks ...wire.TaskStatus) Report {
+	return Report{Tag: machine, R: &wire.Heartbeat{Machine: machine, Address: "a", Type: "small", AgentEpoch: 1, Seq: seq, FencingToken: token, Tasks: tasks}}
 }
 
 // later is a time at which the leader is told of all that came before.
@@ -60,12 +60,12 @@
 	return Answer{}
 }
 
-func exitedAs(attempt uint64, cause string) wire.TaskReport {
-	return wire.TaskReport{Task: TaskName(task), Attempt: attempt, State: wire.Exited, Cause: cause}
+func exitedAs(attempt uint64, cause string) wire.TaskStatus {
+	return wire.TaskStatus{Task: TaskName(task), Attempt: attempt, State: wire.TaskExited, Cause: cause}
 }
 
-func running(attempt uint64) wire.TaskReport {
-	return wire.TaskReport{Task: TaskName(task), Attempt: attempt, State: wire.Running}
+func running(attempt uint64) wire.TaskStatus {
+	return wire.TaskStatus{Task: TaskName(task), Attempt: attempt, State: wire.Running}
 }
 
 // A stale start record beside a live attempt of the same task: its end must not
@@ -82,7 +82,7 @@
 		t.Errorf("events %v: an attempt that was shown cannot vanish within a session", ev)
 	}
 	two := beat("m2", 3, 50)
-	two.R.Session = 2
+	two.R.AgentEpoch = 2
 	if ev := eventsOf(h.Step(later(4), two)); len(ev) != 1 || ev[0] != peer.Back {
 		t.Errorf("events %v after the worker's lease ran out, want back", ev)
 	}
@@ -100,7 +100,7 @@
 	if len(h.blocks[0].machines["m1"].recs) != 1 {
 		t.Error("taken for gone by a report under an older token")
 	}
-	if a := answerOf(t, fx); a.Status != 200 || a.Body.Token != 50 {
+	if a := answerOf(t, fx); a.Status != 200 || a.Body.FencingToken != 50 {
 		t.Errorf("answer %+v, want 200 with our token", a)
 	}
 }
@@ -121,7 +121,7 @@
 // done exits are forgotten only after the store has them.
 func TestForgetsAfterStored(t *testing.T) {
 	h := holding(t)
-	exit := wire.TaskReport{Task: TaskName(task), Attempt: 2, State: wire.Exited, Cause: wire.CauseDone}
+	exit := wire.TaskStatus{Task: TaskName(task), Attempt: 2, State: wire.TaskExited, Cause: wire.ExitDone}
 	fx := h.Step(later(1), beat("m2", 1, 50, exit))
 	if ev := eventsOf(fx); !slices.Equal(ev, []string{peer.Remains, peer.Done}) {
 		t.Errorf("events %v, want done beside the record of another attempt", ev)
@@ -130,7 +130,7 @@
 		t.Errorf("commands %v before the completion is stored", a.Body.Commands)
 	}
 	h.Step(now, &peer.Down{Epoch: 9, Orders: []peer.BlockOrders{{Block: 0, Token: 50, Stored: []peer.Task{task}}}})
-	if a := answerOf(t, h.Step(now, beat("m2", 2, 50, exit))); len(a.Body.Commands) != 1 || a.Body.Commands[0].Op != wire.Forget {
+	if a := answerOf(t, h.Step(now, beat("m2", 2, 50, exit))); len(a.Body.Commands) != 1 || a.Body.Commands[0].Verb != wire.VerbForget {
 		t.Errorf("commands %v, want forget", a.Body.Commands)
 	}
 }
@@ -166,10 +166,10 @@
 // it shows nothing that the answer has not told better.
 func TestReportOlderThanAnAnswerProvesNothing(t *testing.T) {
 	h := holding(t)
-	h.Step(now, beat("m1", 1, 50, wire.TaskReport{Task: TaskName(task), Attempt: 1, State: wire.Running}))
-	ended := beat("m1", 3, 50, wire.TaskReport{Task: TaskName(task), Attempt: 1, State: wire.Exited, Cause: wire.CauseDone}).R
-	h.Step(now, Ordered{Orders: Orders{Block: 0, Machine: "m1", Body: wire.Orders{Token: 50, Session: 1}}, Status: 200, R: ended})
-	h.Step(now, beat("m1", 2, 50, wire.TaskReport{Task: TaskName(task), Attempt: 1, State: wire.Running}))
+	h.Step(now, beat("m1", 1, 50, wire.TaskStatus{Task: TaskName(task), Attempt: 1, State: wire.Running}))
+	ended := beat("m1", 3, 50, wire.TaskStatus{Task: TaskName(task), Attempt: 1, State: wire.TaskExited, Cause: wire.ExitDone}).R
+	h.Step(now, Ordered{Orders: Orders{Block: 0, Machine: "m1", Body: wire.CommandBatch{FencingToken: 50, AgentEpoch: 1}}, Status: 200, R: ended})
+	h.Step(now, beat("m1", 2, 50, wire.TaskStatus{Task: TaskName(task), Attempt: 1, State: wire.Running}))
 	if r := h.blocks[0].machines["m1"].find(1); r == nil || r.state != exited {
 		t.Error("an ended attempt runs again by an older report")
 	}
@@ -182,7 +182,7 @@
 	h.Step(now, beat("m1", 1, 50))
 	b := h.blocks[0]
 	m := b.machines["m1"]
-	order := Orders{Block: 0, Machine: "m1", Body: wire.Orders{Token: 50, Session: 1}}
+	order := Orders{Block: 0, Machine: "m1", Body: wire.CommandBatch{FencingToken: 50, AgentEpoch: 1}}
 	r := &taskAttempt{task: peer.Task{Job: "j-000007"}, attempt: 50<<peer.AttemptBits | 9, m: m, group: &peer.RecordGroup{Job: "j-000007"}, state: ordered, session: 1, direct: true, inflight: 1, stop: 2}
 	b.add(r)
 	order.Body.Commands = []wire.Command{r.run()}
@@ -201,13 +201,13 @@
 // session's first report proves that nothing of the former one is left, whatever it had shown.
 func TestNextSessionProvesTheFormersTasksGone(t *testing.T) {
 	h := holding(t)
-	h.Step(now, beat("m1", 1, 50, wire.TaskReport{Task: TaskName(task), Attempt: 1, State: wire.Running}))
+	h.Step(now, beat("m1", 1, 50, wire.TaskStatus{Task: TaskName(task), Attempt: 1, State: wire.Running}))
 	m := h.blocks[0].machines["m1"]
 	if h.Step(now+clock.Second, beat("m1", 2, 50)); m.find(1) == nil {
 		t.Error("taken for gone within its session")
 	}
 	next := beat("m1", 3, 50)
-	next.R.Session = 2
+	next.R.AgentEpoch = 2
 	if h.Step(now+2*clock.Second, next); m.find(1) != nil {
 		t.Error("kept although its session is over")
 	}
@@ -242,11 +242,11 @@
 // run yet: a replica's task would be started once more beside it.
 func TestCompletionBesideAnotherAttemptSaysSo(t *testing.T) {
 	h := holding(t)
-	ev := eventsOf(h.Step(later(1), beat("m1", 1, 50, exitedAs(1, wire.CauseDone))))
+	ev := eventsOf(h.Step(later(1), beat("m1", 1, 50, exitedAs(1, wire.ExitDone))))
 	if !slices.Equal(ev, []string{peer.Remains, peer.Done}) {
 		t.Errorf("events %v when one of two attempts completed", ev)
 	}
-	ev = eventsOf(h.Step(later(2), beat("m2", 1, 50, exitedAs(2, wire.CauseDone))))
+	ev = eventsOf(h.Step(later(2), beat("m2", 1, 50, exitedAs(2, wire.ExitDone))))
 	if !slices.Equal(ev, []string{peer.Done}) {
 		t.Errorf("events %v when the last attempt completed", ev)
 	}
@@ -254,13 +254,13 @@
 
 // A report that contradicts itself proves no end: the attempt counts as running, which is logged once.
 func TestContradictoryReportsProveNothing(t *testing.T) {
-	other := exitedAs(2, wire.CauseDone)
+	other := exitedAs(2, wire.ExitDone)
 	other.Task = "j-000009/1"
-	for name, tasks := range map[string][]wire.TaskReport{
-		"running and done":          {running(2), exitedAs(2, wire.CauseDone)},
-		"done and running":          {exitedAs(2, wire.CauseDone), running(2)},
+	for name, tasks := range map[string][]wire.TaskStatus{
+		"running and done":          {running(2), exitedAs(2, wire.ExitDone)},
+		"done and running":          {exitedAs(2, wire.ExitDone), running(2)},
 		"the attempt of another":    {other},
-		"busy with another attempt": {exitedAs(2, wire.CauseBusy), running(77)},
+		"busy with another attempt": {exitedAs(2, wire.ExitBusy), running(77)},
 	} {
 		h := holding(t)
 		fx := append(h.Step(later(1), beat("m2", 1, 50, tasks...)), h.Step(later(2), beat("m2", 2, 50, tasks...))...)
@@ -275,7 +275,7 @@
 			t.Errorf("%s: events %v, logged %d times", name, ev, logged)
 		}
 		// Without the contradiction the end counts.
-		if ev := eventsOf(h.Step(later(3), beat("m2", 3, 50, exitedAs(2, wire.CauseDone)))); !slices.Contains(ev, peer.Done) {
+		if ev := eventsOf(h.Step(later(3), beat("m2", 3, 50, exitedAs(2, wire.ExitDone)))); !slices.Contains(ev, peer.Done) {
 			t.Errorf("%s: events %v after a report that does not contradict itself", name, ev)
 		}
 	}
@@ -288,9 +288,9 @@
 	h.Step(now, beat("m1", 1, 50, running(1)))
 	h.Step(now, beat("m2", 1, 50, running(2)))
 	h.Step(later(1), beat("m1", 2, 50, exitedAs(1, "struck by lightning")))
-	events := eventsOf(h.Step(later(2), beat("m2", 2, 50, exitedAs(2, wire.CauseError))))
-	events = append(events, eventsOf(h.Step(later(3), beat("m2", 3, 50, exitedAs(2, wire.CauseError))))...)
-	events = append(events, eventsOf(h.Step(later(4), beat("m2", 4, 50, exitedAs(2, wire.CauseError), exitedAs(77, wire.CauseError))))...)
+	events := eventsOf(h.Step(later(2), beat("m2", 2, 50, exitedAs(2, wire.ExitError))))
+	events = append(events, eventsOf(h.Step(later(3), beat("m2", 3, 50, exitedAs(2, wire.ExitError))))...)
+	events = append(events, eventsOf(h.Step(later(4), beat("m2", 4, 50, exitedAs(2, wire.ExitError), exitedAs(77, wire.ExitError))))...)
 	failed := 0
 	for _, kind := range events {
 		if kind == peer.Errored {
--- a/internal/block/limits_test.go
+++ b/internal/block/limits_test.go
@@ -65,13 +65,13 @@
 	h := holding(t)
 	h.Step(now, beat("m1", 1, 50))
 	b := h.blocks[0]
-	var listed []wire.TaskReport
+	var listed []wire.TaskStatus
 	var stop []peer.StopTask
 	for i := range tasks {
 		task := peer.Task{Job: "j-000002", Index: i}
 		attempt := 50<<peer.AttemptBits | uint64(i+1)
 		b.add(&taskAttempt{task: task, attempt: attempt, m: b.machines["m1"], group: &peer.RecordGroup{Job: task.Job}, state: shown, session: 1})
-		listed = append(listed, wire.TaskReport{Task: TaskName(task), Attempt: attempt, State: wire.Running})
+		listed = append(listed, wire.TaskStatus{Task: TaskName(task), Attempt: attempt, State: wire.Running})
 		if i >= 2*mostCommands {
 			stop = append(stop, peer.StopTask{Task: task})
 		}
@@ -101,8 +101,8 @@
 		t.Errorf("an answer of %d bytes", len(raw))
 	}
 	for i, c := range a.Body.Commands {
-		if kill := i < len(stop); (c.Op == wire.Kill) != kill {
-			t.Fatalf("command %d of %d is %s", i, len(a.Body.Commands), c.Op)
+		if kill := i < len(stop); (c.Verb == wire.VerbKill) != kill {
+			t.Fatalf("command %d of %d is %s", i, len(a.Body.Commands), c.Verb)
 		}
 	}
 }
--- a/internal/block/messages.go
+++ b/internal/block/messages.go
@@ -54,18 +54,18 @@
 	// Report is a worker's report that waits for an answer under Tag.
 	Report struct {
 		Tag any
-		R   *wire.Report
+		R   *wire.Heartbeat
 	}
 	// Ordered is the end of a direct command: the worker's status, or 0 without an answer.
 	Ordered struct {
 		Orders
 		Status int
-		R      *wire.Report
+		R      *wire.Heartbeat
 	}
 	// Inspected is the end of an Inspect; R is nil without an answer.
 	Inspected struct {
 		Inspect
-		R *wire.Report
+		R *wire.Heartbeat
 	}
 	// Recorded is the end of a cycle's write of start records. Revision is the new
 	// version of its pages, or 0 when it is not known.
@@ -91,7 +91,7 @@
 	Answer struct {
 		Tag      any
 		Status   int
-		Body     wire.ReportAnswer
+		Body     wire.HeartbeatResponse
 		Redirect wire.Redirect
 	}
 	// Orders is a direct command.
@@ -99,7 +99,7 @@
 		Block   int
 		Machine string
 		Address string
-		Body    wire.Orders
+		Body    wire.CommandBatch
 	}
 	// Inspect asks a worker for its report.
 	Inspect struct {
@@ -142,14 +142,14 @@
 // Txn writes the pages, guarded on the block's key and on the version of each page:
 // a copy that is applied late must not put an older page over a newer one.
 func (r Record) Txn() (wire.Txn, error) {
-	t := wire.Txn{If: []wire.Guard{{Key: Key(r.Block), Version: r.Stamp}}}
+	t := wire.Txn{Conditions: []wire.Condition{{Key: Key(r.Block), Version: r.Stamp}}}
 	for _, p := range r.Pages {
 		raw, err := json.Marshal(p.Page)
 		if err != nil {
 			return wire.Txn{}, fmt.Errorf("start records %s: %w", p.Key, err)
 		}
-		t.If = append(t.If, wire.Guard{Key: p.Key, Version: p.Version})
-		t.Then = append(t.Then, wire.Write{Put: p.Key, Value: raw})
+		t.Conditions = append(t.Conditions, wire.Condition{Key: p.Key, Version: p.Version})
+		t.Writes = append(t.Writes, wire.Write{Put: p.Key, Value: raw})
 	}
 	return t, nil
 }
@@ -186,9 +186,9 @@
 
 // Txn removes the records, guarded on the block's key.
 func (e Erase) Txn() wire.Txn {
-	t := wire.Txn{If: []wire.Guard{{Key: Key(e.Block), Version: e.Stamp}}}
+	t := wire.Txn{Conditions: []wire.Condition{{Key: Key(e.Block), Version: e.Stamp}}}
 	for _, k := range e.Keys {
-		t.Then = append(t.Then, wire.Write{Delete: k})
+		t.Writes = append(t.Writes, wire.Write{Delete: k})
 	}
 	return t
 }
--- a/internal/block/observe.go
+++ b/internal/block/observe.go
@@ -12,12 +12,12 @@
 
 // observe takes in a worker's report and gives the commands to answer it with.
 // beat tells a report of the worker's own from the answer to a direct command.
-func (h *Holder) observe(now clock.Micros, b *heldBlock, m *machine, r *wire.Report, beat bool) []wire.Command {
-	if r.Session < m.session || (r.Session == m.session && r.Seq <= m.seq) {
+func (h *Holder) observe(now clock.Micros, b *heldBlock, m *machine, r *wire.Heartbeat, beat bool) []wire.Command {
+	if r.AgentEpoch < m.session || (r.AgentEpoch == m.session && r.Seq <= m.seq) {
 		return []wire.Command{} // older than what is known: it proves nothing
 	}
 	h.noteReport(now, b, m, r)
-	if r.Token != b.token {
+	if r.FencingToken != b.token {
 		// Not fenced yet: an older holder's commands may still be carried out, so it proves
 		// nothing. But the answer renews the lease, so it ends what is to be stopped.
 		return m.stops(r)
@@ -46,27 +46,27 @@
 }
 
 // noteReport takes in what a report newer than all before says of the machine itself.
-func (h *Holder) noteReport(now clock.Micros, b *heldBlock, m *machine, r *wire.Report) {
-	if m.typ != r.Type || m.notice != (r.NoticeS != nil) || m.lost || m.silent && m.deaf == 0 {
+func (h *Holder) noteReport(now clock.Micros, b *heldBlock, m *machine, r *wire.Heartbeat) {
+	if m.typ != r.Type || m.notice != (r.PreemptionNoticeS != nil) || m.lost || m.silent && m.deaf == 0 {
 		b.mark(m)
 		m.silent = m.silent && m.deaf > 0
 	}
-	if r.Session > m.session {
+	if r.AgentEpoch > m.session {
 		m.began = now
 	}
 	h.heard = now
-	m.session, m.seq = r.Session, r.Seq
+	m.session, m.seq = r.AgentEpoch, r.Seq
 	m.address, m.typ, m.zone, m.spot = r.Address, r.Type, r.Zone, r.Spot
-	m.notice = r.NoticeS != nil
+	m.notice = r.PreemptionNoticeS != nil
 	m.heard = now
 	m.lost = false
 }
 
 // stops are the commands that end what is to be stopped of the tasks that a report lists.
-func (m *machine) stops(r *wire.Report) []wire.Command {
+func (m *machine) stops(r *wire.Heartbeat) []wire.Command {
 	cmds := []wire.Command{}
 	for _, t := range r.Tasks {
-		if rc := m.find(t.Attempt); rc != nil && rc.stop != goOn && t.State != wire.Exited {
+		if rc := m.find(t.Attempt); rc != nil && rc.stop != goOn && t.State != wire.TaskExited {
 			cmds = append(cmds, rc.kill())
 		}
 	}
@@ -76,7 +76,7 @@
 // listedTasks takes in the tasks that a report lists. It says which of the attempts that were known
 // before are among them, and gives the commands that follow. What a report says of an attempt in
 // contradiction to itself proves nothing: the attempt counts as running.
-func (h *Holder) listedTasks(now clock.Micros, b *heldBlock, m *machine, r *wire.Report, had []*taskAttempt) ([]bool, []wire.Command) {
+func (h *Holder) listedTasks(now clock.Micros, b *heldBlock, m *machine, r *wire.Heartbeat, had []*taskAttempt) ([]bool, []wire.Command) {
 	cmds := []wire.Command{}
 	listed := make([]bool, len(had))
 	next := 0
@@ -107,9 +107,9 @@
 
 // contradiction says what speaks against the end of an attempt that a report lists at a place, if
 // anything does. Nothing is read into a task that goes on.
-func contradiction(tasks []wire.TaskReport, at int, rc *taskAttempt) string {
+func contradiction(tasks []wire.TaskStatus, at int, rc *taskAttempt) string {
 	t := &tasks[at]
-	if t.State != wire.Exited || rc.state == exited {
+	if t.State != wire.TaskExited || rc.state == exited {
 		return ""
 	}
 	if t.Task != TaskName(rc.task) {
@@ -118,10 +118,10 @@
 	for i := range tasks {
 		o := &tasks[i]
 		switch {
-		case i == at || o.Task != t.Task || o.State == wire.Exited:
+		case i == at || o.Task != t.Task || o.State == wire.TaskExited:
 		case o.Attempt == t.Attempt:
 			return "an attempt that goes on and has ended"
-		case t.Cause == wire.CauseBusy:
+		case t.Cause == wire.ExitBusy:
 			return "a task that goes on as another attempt"
 		}
 	}
@@ -129,7 +129,7 @@
 }
 
 // complain logs a report that contradicts itself, once for each machine.
-func (h *Holder) complain(m *machine, t *wire.TaskReport, why string) {
+func (h *Holder) complain(m *machine, t *wire.TaskStatus, why string) {
 	if !m.complained {
 		m.complained = true
 		h.emit(Log{Text: "contradictory report", Args: []any{"machine", m.name, "task", t.Task, "attempt", t.Attempt, "why", why}})
@@ -149,12 +149,12 @@
 
 // cleanUp is the command for a task without a record: its end was proven and stored, and only what
 // is left of it shows.
-func cleanUp(t *wire.TaskReport) wire.Command {
-	if t.State == wire.Exited {
-		return wire.Command{Op: wire.Forget, Task: t.Task, Attempt: t.Attempt}
+func cleanUp(t *wire.TaskStatus) wire.Command {
+	if t.State == wire.TaskExited {
+		return wire.Command{Verb: wire.VerbForget, Task: t.Task, Attempt: t.Attempt}
 	}
 	atOnce := 0.0
-	return wire.Command{Op: wire.Kill, Task: t.Task, Attempt: t.Attempt, GraceS: &atOnce}
+	return wire.Command{Verb: wire.VerbKill, Task: t.Task, Attempt: t.Attempt, GraceS: &atOnce}
 }
 
 // needsHigherToken says whether only a higher token settles an attempt that a current report does not
@@ -188,8 +188,8 @@
 }
 
 // present takes in an attempt that a current report lists, and gives the commands that follow.
-func (h *Holder) present(now clock.Micros, b *heldBlock, m *machine, rc *taskAttempt, t *wire.TaskReport, cmds []wire.Command) []wire.Command {
-	if t.State != wire.Exited {
+func (h *Holder) present(now clock.Micros, b *heldBlock, m *machine, rc *taskAttempt, t *wire.TaskStatus, cmds []wire.Command) []wire.Command {
+	if t.State != wire.TaskExited {
 		h.goesOn(now, b, m, rc, t)
 		if rc.stop != goOn {
 			cmds = append(cmds, rc.kill())
@@ -208,13 +208,13 @@
 		}
 	}
 	if rc.forgettable() {
-		cmds = append(cmds, wire.Command{Op: wire.Forget, Task: t.Task, Attempt: t.Attempt})
+		cmds = append(cmds, wire.Command{Verb: wire.VerbForget, Task: t.Task, Attempt: t.Attempt})
 	}
 	return cmds
 }
 
 // goesOn takes in an attempt that fetches, runs or saves.
-func (h *Holder) goesOn(now clock.Micros, b *heldBlock, m *machine, rc *taskAttempt, t *wire.TaskReport) {
+func (h *Holder) goesOn(now clock.Micros, b *heldBlock, m *machine, rc *taskAttempt, t *wire.TaskStatus) {
 	if rc.state != shown {
 		rc.state = shown
 		b.mark(m)
@@ -242,7 +242,7 @@
 
 // trace makes spans of an attempt that has exited, as this controller has seen it: from its order on, or from when it
 // was first seen to run, if it was ordered under an earlier grant.
-func (h *Holder) trace(now clock.Micros, rc *taskAttempt, t *wire.TaskReport) {
+func (h *Holder) trace(now clock.Micros, rc *taskAttempt, t *wire.TaskStatus) {
 	if !h.p.Traces {
 		return
 	}
@@ -266,16 +266,16 @@
 
 // end is what the leader is told of an attempt that has exited. What a completion proves has yet to be
 // stored; nothing is to be stored of any other end.
-func (r *taskAttempt) end(now clock.Micros, t *wire.TaskReport) peer.Event {
+func (r *taskAttempt) end(now clock.Micros, t *wire.TaskStatus) peer.Event {
 	e := peer.Event{Task: r.task, Machine: r.m.name}
 	switch t.Cause {
-	case wire.CauseDone:
+	case wire.ExitDone:
 		e.Kind = peer.Done
 		r.done = true
 		if r.startedAt > 0 {
 			e.Secs = (now - r.startedAt).Seconds()
 		}
-	case wire.CauseError, wire.CauseUnknown:
+	case wire.ExitError, wire.ExitUnknown:
 		e.Kind = peer.Errored
 		r.stored = true
 		r.m.noteFailure(r.task.Job)
--- a/internal/block/overload_test.go
+++ b/internal/block/overload_test.go
@@ -69,7 +69,7 @@
 		}
 		runs := 0
 		for _, cmd := range answerOf(t, h.Step(at, beat("m1", 3, 50, running(1)))).Body.Commands {
-			if cmd.Op == wire.Run {
+			if cmd.Verb == wire.VerbRun {
 				runs++
 			}
 		}
--- a/internal/block/pauses_test.go
+++ b/internal/block/pauses_test.go
@@ -53,7 +53,7 @@
 		m := b.machine(name)
 		m.known, m.shown = true, true
 		m.heard, m.answered = clock.Minute, clock.Minute
-		h.noteReport(clock.Minute, b, m, &wire.Report{Machine: name, Session: 1, Seq: 1, Token: 1, Type: "small"})
+		h.noteReport(clock.Minute, b, m, &wire.Heartbeat{Machine: name, AgentEpoch: 1, Seq: 1, FencingToken: 1, Type: "small"})
 	}
 	return h, b
 }
--- a/internal/block/proofs_test.go
+++ b/internal/block/proofs_test.go
@@ -15,8 +15,8 @@
 func TestAnEndIsToldOnce(t *testing.T) {
 	h := holding(t)
 	h.Step(now, beat("m1", 1, 50)) // the other attempt's record is stale
-	first := eventsOf(h.Step(later(1), beat("m2", 1, 50, exitedAs(2, wire.CauseStopped))))
-	again := eventsOf(h.Step(later(2), beat("m2", 2, 50, exitedAs(2, wire.CauseStopped))))
+	first := eventsOf(h.Step(later(1), beat("m2", 1, 50, exitedAs(2, wire.ExitStopped))))
+	again := eventsOf(h.Step(later(2), beat("m2", 2, 50, exitedAs(2, wire.ExitStopped))))
 	if !slices.Equal(first, []string{peer.Back}) || len(again) != 0 {
 		t.Errorf("events %v, then %v", first, again)
 	}
@@ -28,7 +28,7 @@
 	h := holding(t)
 	b := h.blocks[0]
 	h.Step(now, beat("m1", 1, 50))
-	h.Step(later(1), beat("m2", 1, 50, exitedAs(2, wire.CauseStopped)))
+	h.Step(later(1), beat("m2", 1, 50, exitedAs(2, wire.ExitStopped)))
 	b.add(&taskAttempt{task: task, attempt: 50<<peer.AttemptBits | 1, m: b.machines["m1"], group: &peer.RecordGroup{Job: task.Job}, state: shown, session: 1})
 	if ev := eventsOf(h.Step(later(2), beat("m2", 2, 50))); len(ev) != 0 {
 		t.Errorf("events %v as the former attempt is forgotten", ev)
@@ -40,9 +40,9 @@
 func TestAttemptThatGoesOnAfterItsEndIsKilled(t *testing.T) {
 	h := holding(t)
 	h.Step(now, beat("m1", 1, 50))
-	h.Step(later(1), beat("m2", 1, 50, exitedAs(2, wire.CauseStopped)))
+	h.Step(later(1), beat("m2", 1, 50, exitedAs(2, wire.ExitStopped)))
 	cmds := answerOf(t, h.Step(later(2), beat("m2", 2, 50, running(2)))).Body.Commands
-	if len(cmds) != 1 || cmds[0].Op != wire.Kill || *cmds[0].GraceS != 0 {
+	if len(cmds) != 1 || cmds[0].Verb != wire.VerbKill || *cmds[0].GraceS != 0 {
 		t.Errorf("commands %v, want kill at once", cmds)
 	}
 }
@@ -139,11 +139,11 @@
 func TestOrderNamesItsSession(t *testing.T) {
 	h := holding(t)
 	third := beat("m1", 1, 50)
-	third.R.Session = 3
+	third.R.AgentEpoch = 3
 	h.Step(now, third)
 	for _, e := range started(t, h, later(1)) {
-		if o, ok := e.(Orders); ok && o.Machine == "m1" && o.Body.Session != 3 {
-			t.Errorf("an order for session %d, want 3", o.Body.Session)
+		if o, ok := e.(Orders); ok && o.Machine == "m1" && o.Body.AgentEpoch != 3 {
+			t.Errorf("an order for session %d, want 3", o.Body.AgentEpoch)
 		}
 	}
 }
--- a/internal/block/reach_test.go
+++ b/internal/block/reach_test.go
@@ -15,8 +15,8 @@
 	h := holding(t)
 	in := func(s clock.Micros) clock.Micros { return now + s*clock.Second }
 	r := beat("m2", 1, 50).R
-	r.Session = 2
-	h.Step(in(35), Ordered{Orders: Orders{Block: 0, Machine: "m2", Body: wire.Orders{Token: 50, Session: 2}}, Status: 200, R: r})
+	r.AgentEpoch = 2
+	h.Step(in(35), Ordered{Orders: Orders{Block: 0, Machine: "m2", Body: wire.CommandBatch{FencingToken: 50, AgentEpoch: 2}}, Status: 200, R: r})
 	m := h.blocks[0].machines["m2"]
 	h.blocks[0].add(&taskAttempt{task: task, attempt: 50<<peer.AttemptBits | 1, m: m, group: &peer.RecordGroup{Job: task.Job}, state: shown, session: 2})
 	if h.Step(in(54), Tick{}); len(m.recs) != 1 {
@@ -39,7 +39,7 @@
 	if !fitNow(h, now, "m1") {
 		t.Fatal("not fit after it showed our token")
 	}
-	lost := Ordered{Orders: Orders{Block: 0, Machine: "m1", Body: wire.Orders{Token: 50, Session: 1}}}
+	lost := Ordered{Orders: Orders{Block: 0, Machine: "m1", Body: wire.CommandBatch{FencingToken: 50, AgentEpoch: 1}}}
 	for range deafAfter {
 		h.Step(now, lost)
 	}
@@ -54,7 +54,7 @@
 	}
 	// Its lease runs out although its reports are answered.
 	next := beat("m1", 4, 50)
-	next.R.Session = 2
+	next.R.AgentEpoch = 2
 	if h.Step(now, next); fitNow(h, now, "m1") {
 		t.Error("fit although our answers do not keep its lease")
 	}
@@ -75,7 +75,7 @@
 		t.Error("copies count as being heard or answered")
 	}
 	// One that a newer answer to a command has overtaken is no copy: the worker waits.
-	h.Step(at, Ordered{Orders: Orders{Block: 0, Machine: "m1", Body: wire.Orders{Token: 50, Session: 1}}, Status: 200, R: beat("m1", 7, 50).R})
+	h.Step(at, Ordered{Orders: Orders{Block: 0, Machine: "m1", Body: wire.CommandBatch{FencingToken: 50, AgentEpoch: 1}}, Status: 200, R: beat("m1", 7, 50).R})
 	if a := answerOf(t, h.Step(at, beat("m1", 6, 50))); a.Status != 200 {
 		t.Errorf("status %d for a report that was only overtaken", a.Status)
 	}
@@ -90,7 +90,7 @@
 	in := func(s clock.Micros) clock.Micros { return now + s*clock.Second }
 	for s := clock.Micros(2); s <= 12; s += 2 {
 		seq++
-		h.Step(in(s), Ordered{Orders: Orders{Block: 0, Machine: "m1", Body: wire.Orders{Token: 50, Session: 1}}, Status: 200, R: beat("m1", seq, 50).R})
+		h.Step(in(s), Ordered{Orders: Orders{Block: 0, Machine: "m1", Body: wire.CommandBatch{FencingToken: 50, AgentEpoch: 1}}, Status: 200, R: beat("m1", seq, 50).R})
 	}
 	if fitNow(h, in(12), "m1") {
 		t.Error("fit although none of its reports has come for four report times")
--- a/internal/block/record_test.go
+++ b/internal/block/record_test.go
@@ -12,7 +12,7 @@
 
 // runOrders counts the run orders among the effects, direct or in answers.
 func runOrders(fx []any) (n int) {
-	isRun := func(c wire.Command) bool { return c.Op == wire.Run }
+	isRun := func(c wire.Command) bool { return c.Verb == wire.VerbRun }
 	for _, e := range fx {
 		switch x := e.(type) {
 		case Orders:
@@ -56,7 +56,7 @@
 	}
 	next := func(machine string) Report {
 		r := beat(machine, 2, 50)
-		r.R.Session = 2
+		r.R.AgentEpoch = 2
 		return r
 	}
 	for _, c := range []struct {
@@ -152,7 +152,7 @@
 	m := b.machines["m1"]
 	r := &taskAttempt{task: peer.Task{Job: "j-000009"}, attempt: 50<<peer.AttemptBits | 1, m: m, group: &peer.RecordGroup{Job: "j-000009"}, state: ordered, session: 1, stop: stopAtOnce}
 	b.add(r)
-	answer := Ordered{Orders: Orders{Block: 0, Machine: "m1", Body: wire.Orders{Token: 50, Session: 1}}, Status: 200}
+	answer := Ordered{Orders: Orders{Block: 0, Machine: "m1", Body: wire.CommandBatch{FencingToken: 50, AgentEpoch: 1}}, Status: 200}
 	answer.R = beat("m1", 2, 50).R
 	if h.Step(now, answer); m.find(r.attempt) == nil {
 		t.Error("taken for gone by the answer to a direct command")
--- a/internal/block/tokens_test.go
+++ b/internal/block/tokens_test.go
@@ -16,7 +16,7 @@
 	fx := h.Step(now, Inspected{Inspect: Inspect{Block: 0, Token: 50, Machine: "m1"}, R: r})
 	sent := false
 	for _, e := range fx {
-		if o, ok := e.(Orders); ok && o.Body.Token == 50 && o.Body.Session == 1 && len(o.Body.Commands) == 0 {
+		if o, ok := e.(Orders); ok && o.Body.FencingToken == 50 && o.Body.AgentEpoch == 1 && len(o.Body.Commands) == 0 {
 			sent = true
 		}
 	}
@@ -24,7 +24,7 @@
 		t.Fatalf("effects %+v, want our token sent to m1", fx)
 	}
 	after := beat("m1", 2, 50, running(1)).R
-	h.Step(now, Ordered{Orders: Orders{Block: 0, Machine: "m1", Body: wire.Orders{Token: 50, Session: 1}}, Status: 200, R: after})
+	h.Step(now, Ordered{Orders: Orders{Block: 0, Machine: "m1", Body: wire.CommandBatch{FencingToken: 50, AgentEpoch: 1}}, Status: 200, R: after})
 	if !h.blocks[0].machines["m1"].shown {
 		t.Error("m1 is not taken as fenced after it showed our token")
 	}
@@ -42,13 +42,13 @@
 	attempt := uint64(50<<peer.AttemptBits | 1)
 	other := peer.Task{Job: "j-000002"}
 	b.add(&taskAttempt{task: other, attempt: attempt, m: b.machines["m1"], group: &peer.RecordGroup{Job: other.Job}, state: ordered, session: 1, direct: true, stop: 2})
-	exit := wire.TaskReport{Task: TaskName(other), Attempt: attempt, State: wire.Exited, Cause: wire.CauseStopped}
+	exit := wire.TaskStatus{Task: TaskName(other), Attempt: attempt, State: wire.TaskExited, Cause: wire.ExitStopped}
 	if a := answerOf(t, h.Step(now, beat("m1", 2, 50, exit))); len(a.Body.Commands) != 0 {
 		t.Errorf("commands %v while a copy of its order would be obeyed", a.Body.Commands)
 	}
 	h.Step(now, &peer.Down{Epoch: 9, Grants: []peer.Grant{{Block: 0, Token: 60, Stamp: 8, Machines: []peer.RosterMachine{{Name: "m1", Address: "a1"}}}}})
 	h.Step(now, &peer.Down{Epoch: 9, Renewed: h.renew, Tokens: map[int]uint64{0: 60}})
-	if a := answerOf(t, h.Step(now, beat("m1", 3, 60, exit))); len(a.Body.Commands) != 1 || a.Body.Commands[0].Op != wire.Forget {
+	if a := answerOf(t, h.Step(now, beat("m1", 3, 60, exit))); len(a.Body.Commands) != 1 || a.Body.Commands[0].Verb != wire.VerbForget {
 		t.Errorf("commands %v under the higher token, want forget", a.Body.Commands)
 	}
 }
@@ -83,8 +83,8 @@
 func TestAnswerToAnUnfencedMachineEndsCancelledTasks(t *testing.T) {
 	h := holding(t)
 	h.Step(now, &peer.Down{Epoch: 9, Orders: []peer.BlockOrders{{Block: 0, Token: 50, Stop: []peer.StopTask{{Task: task}}}}})
-	a := answerOf(t, h.Step(now, beat("m1", 1, 41, wire.TaskReport{Task: TaskName(task), Attempt: 1, State: wire.Running})))
-	if len(a.Body.Commands) != 1 || a.Body.Commands[0].Op != wire.Kill || a.Body.Commands[0].Attempt != 1 {
+	a := answerOf(t, h.Step(now, beat("m1", 1, 41, wire.TaskStatus{Task: TaskName(task), Attempt: 1, State: wire.Running})))
+	if len(a.Body.Commands) != 1 || a.Body.Commands[0].Verb != wire.VerbKill || a.Body.Commands[0].Attempt != 1 {
 		t.Errorf("status %d with %+v, want the task ended", a.Status, a.Body.Commands)
 	}
 	if len(h.blocks[0].machines["m1"].recs) != 1 {
@@ -130,7 +130,7 @@
 	started(t, h, later(1))
 	one := peer.Task{Job: "j-000009"}
 	m := b.byTask[one][0].m
-	rest := []wire.TaskReport{}
+	rest := []wire.TaskStatus{}
 	if m.name == "m2" {
 		rest = append(rest, running(2))
 	}
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -59,7 +59,7 @@
 		return fmt.Errorf("cloud %s: %w", uri, err)
 	}
 	if res.StatusCode() == 503 {
-		var p wire.Problem
+		var p wire.ErrorResponse
 		if json.Unmarshal(res.Body(), &p) == nil && p.Error == "no capacity" {
 			return fmt.Errorf("cloud %s: %w", uri, ErrNoCapacity)
 		}
@@ -83,15 +83,15 @@
 }
 
 // Rent asks for machines; the same request name gives the same machines.
-func (c *Client) Rent(r wire.Rental) ([]string, error) {
-	var out wire.Machines
+func (c *Client) Rent(r wire.ProvisionRequest) ([]string, error) {
+	var out wire.MachineNames
 	err := c.call("POST", "/hosts", r, &out)
-	return out.Machines, err
+	return out.Names, err
 }
 
 // Delete returns machines; when it succeeds they are gone.
 func (c *Client) Delete(names []string) error {
-	return c.call("POST", "/hosts/delete", wire.Machines{Machines: names}, nil)
+	return c.call("POST", "/hosts/delete", wire.MachineNames{Names: names}, nil)
 }
 
 // List reads one page of the machine list.
--- a/internal/compat/compat_test.go
+++ b/internal/compat/compat_test.go
@@ -121,7 +121,7 @@
 // A service needs no form of its own: an older reader takes it for a batch whose tasks
 // never complete, which is what going back would mean.
 func TestProductionReadsAService(t *testing.T) {
-	service := wire.Job{Ref: "j-000413", Team: "vision", Shape: wire.Service, Priority: wire.Production, Tasks: 3, CPUs: 2}
+	service := wire.Job{Ref: "j-000413", Team: "vision", Shape: wire.ShapeService, Priority: wire.PriorityProduction, Tasks: 3, CPUs: 2}
 	raw, err := goccy.Marshal(leader.JobRecord{Spec: service})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/compat/exact_test.go
+++ b/internal/compat/exact_test.go
@@ -34,7 +34,7 @@
 
 var (
 	notice   = 12.5
-	leeway   = 4.0
+	grace    = 4.0
 	rawValue = json.RawMessage(`{"node":"n1","run":77}`)
 )
 
@@ -43,27 +43,27 @@
 	return []exactForm{
 		{"Job", batch}, {"Job/empty", wire.Job{}},
 		{"JobStatus", wire.JobStatus{Ref: "j-000412", State: wire.Running, Done: 3, Running: 13}}, {"JobStatus/empty", wire.JobStatus{}},
-		{"Problem", wire.Problem{Error: "no <such> job"}},
-		{"Report", wire.Report{Machine: "host-000001", Address: "10.1.0.1:9000", Type: "g8", Zone: "a", Spot: true, Session: 5, Seq: 6, Token: 7<<12 | 3,
-			NoticeS: &notice, Tasks: []wire.TaskReport{{Task: "j-000412/3", Attempt: 9, State: wire.Exited, Cause: wire.CauseDone, Stored: true}}}},
-		{"Report/empty", wire.Report{Tasks: []wire.TaskReport{{}}}},
-		{"ReportAnswer", wire.ReportAnswer{Token: 7<<12 | 3, Commands: []wire.Command{{Op: wire.Kill, Task: "j-000412/3", Attempt: 9, GraceS: &leeway}}}},
-		{"ReportAnswer/empty", wire.ReportAnswer{}},
-		{"Redirect", wire.Redirect{ReportTo: "10.1.0.2:8000"}}, {"Redirect/empty", wire.Redirect{}},
-		{"Orders", wire.Orders{Token: 7<<12 | 3, Session: 5, Commands: []wire.Command{{Op: wire.Run, Task: "j-000412/3", Attempt: 9}}}}, {"Orders/empty", wire.Orders{}},
+		{"Problem", wire.ErrorResponse{Error: "no <such> job"}},
+		{"Report", wire.Heartbeat{Machine: "host-000001", Address: "10.1.0.1:9000", Type: "g8", Zone: "a", Spot: true, AgentEpoch: 5, Seq: 6, FencingToken: 7<<12 | 3,
+			PreemptionNoticeS: &notice, Tasks: []wire.TaskStatus{{Task: "j-000412/3", Attempt: 9, State: wire.TaskExited, Cause: wire.ExitDone, Checkpointed: true}}}},
+		{"Report/empty", wire.Heartbeat{Tasks: []wire.TaskStatus{{}}}},
+		{"ReportAnswer", wire.HeartbeatResponse{FencingToken: 7<<12 | 3, Commands: []wire.Command{{Verb: wire.VerbKill, Task: "j-000412/3", Attempt: 9, GraceS: &grace}}}},
+		{"ReportAnswer/empty", wire.HeartbeatResponse{}},
+		{"Redirect", wire.Redirect{Controller: "10.1.0.2:8000"}}, {"Redirect/empty", wire.Redirect{}},
+		{"Orders", wire.CommandBatch{FencingToken: 7<<12 | 3, AgentEpoch: 5, Commands: []wire.Command{{Verb: wire.VerbRun, Task: "j-000412/3", Attempt: 9}}}}, {"Orders/empty", wire.CommandBatch{}},
 		{"Catalog", wire.Catalog{Types: []wire.MachineType{g8}}}, {"Catalog/empty", wire.Catalog{Types: []wire.MachineType{{}}}},
-		{"Rental", wire.Rental{Request: "r-7-1", Type: "g8", Zone: "a", Spot: true, Count: 2}}, {"Rental/empty", wire.Rental{}},
-		{"Machines", wire.Machines{Machines: []string{"host-000001"}}}, {"Machines/empty", wire.Machines{}},
-		{"MachineList", wire.MachineList{More: true, Machines: []wire.Machine{{Name: "host-000001", Address: "10.1.0.1:9000", Type: "g8", Zone: "a", Spot: true, State: wire.Starting, AgeS: 1.5}}}},
+		{"Rental", wire.ProvisionRequest{RequestID: "r-7-1", Type: "g8", Zone: "a", Spot: true, Count: 2}}, {"Rental/empty", wire.ProvisionRequest{}},
+		{"Machines", wire.MachineNames{Names: []string{"host-000001"}}}, {"Machines/empty", wire.MachineNames{}},
+		{"MachineList", wire.MachineList{More: true, Machines: []wire.Machine{{Name: "host-000001", Address: "10.1.0.1:9000", Type: "g8", Zone: "a", Spot: true, State: wire.MachineStarting, AgeS: 1.5}}}},
 		{"MachineList/empty", wire.MachineList{Machines: []wire.Machine{{}}}},
 		{"ItemList", wire.ItemList{Items: []wire.Item{{Key: "leader", Value: rawValue, Version: 8, Lease: 9}}, More: true, Revision: 10}},
 		{"ItemList/empty", wire.ItemList{Items: []wire.Item{{Value: rawValue}}}},
-		{"Txn", wire.Txn{If: []wire.Guard{{Key: "leader", Version: 8}}, Then: []wire.Write{{Put: "leader", Value: rawValue, Lease: 9}, {Delete: "layout"}}}},
+		{"Txn", wire.Txn{Conditions: []wire.Condition{{Key: "leader", Version: 8}}, Writes: []wire.Write{{Put: "leader", Value: rawValue, Lease: 9}, {Delete: "layout"}}}},
 		{"Txn/empty", wire.Txn{}},
-		{"TxnAnswer", wire.TxnAnswer{Revision: 10, Failed: []string{"leader"}, Error: "guards"}}, {"TxnAnswer/empty", wire.TxnAnswer{}},
-		{"LeaseForm", wire.LeaseForm{TTLMs: 3000}}, {"LeaseAnswer", wire.LeaseAnswer{Lease: 9}},
-		{"WatchAnswer", wire.WatchAnswer{Revision: 10, Events: []wire.Event{{Put: "leader", Value: rawValue, Version: 8}, {Version: 9, Delete: "layout"}}}},
-		{"WatchAnswer/empty", wire.WatchAnswer{}},
+		{"TxnAnswer", wire.TxnResponse{Revision: 10, Failed: []string{"leader"}, Error: "guards"}}, {"TxnAnswer/empty", wire.TxnResponse{}},
+		{"LeaseForm", wire.LeaseRequest{TTLMs: 3000}}, {"LeaseAnswer", wire.LeaseResponse{Lease: 9}},
+		{"WatchAnswer", wire.WatchResponse{Revision: 10, Events: []wire.Event{{Put: "leader", Value: rawValue, Version: 8}, {Version: 9, Delete: "layout"}}}},
+		{"WatchAnswer/empty", wire.WatchResponse{}},
 		{"Settings", platformSettings()}, {"Settings/empty", config.Settings{}},
 	}
 }
--- a/internal/compat/samples_test.go
+++ b/internal/compat/samples_test.go
@@ -48,7 +48,7 @@
 		{"prog", leader.ProgRecord{Units: []leader.ProgUnit{{Job: "j-000412", Chunk: 1, Bits: []byte{5, 255}}, {Job: "j-000413", Bits: []byte{1}}}}},
 		{"block", leader.BlockRecord{Token: 7<<12 | 3, Holder: "n2", Run: 78}},
 		{"run", page},
-		{"fleet", leader.FleetRecord{Rental: wire.Rental{Request: "r-7-1", Type: "g8", Zone: "a", Spot: true, Count: 2}, Machines: []string{"host-000001"}, Asked: true}},
+		{"fleet", leader.FleetRecord{Rental: wire.ProvisionRequest{RequestID: "r-7-1", Type: "g8", Zone: "a", Spot: true, Count: 2}, Machines: []string{"host-000001"}, Asked: true}},
 	}
 }
 
--- a/internal/compat/written_test.go
+++ b/internal/compat/written_test.go
@@ -26,7 +26,7 @@
 }
 
 func (s frameStore) Once(_ context.Context, _ int, t wire.Txn) (store.Outcome, error) {
-	s.written <- t.Then[0]
+	s.written <- t.Writes[0]
 	return store.Outcome{OK: true, Revision: 1}, nil
 }
 
@@ -34,9 +34,9 @@
 	return nil, 0, nil
 }
 
-func (s frameStore) Watch(ctx context.Context, _ string, _ uint64, _ clock.Micros) (wire.WatchAnswer, error) {
+func (s frameStore) Watch(ctx context.Context, _ string, _ uint64, _ clock.Micros) (wire.WatchResponse, error) {
 	<-ctx.Done()
-	return wire.WatchAnswer{}, ctx.Err()
+	return wire.WatchResponse{}, ctx.Err()
 }
 
 // Frames through the state service have these keys and these bytes, but for the connection's number.
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -90,7 +90,7 @@
 	if err != nil {
 		return wire.Txn{}, fmt.Errorf("leader record: %w", err)
 	}
-	return wire.Txn{If: []wire.Guard{{Key: Key}}, Then: []wire.Write{{Put: Key, Value: raw, Lease: c.Lease}}}, nil
+	return wire.Txn{Conditions: []wire.Condition{{Key: Key}}, Writes: []wire.Write{{Put: Key, Value: raw, Lease: c.Lease}}}, nil
 }
 
 // SeenKey is Seen for the leader key as it was at a revision; it.Version 0: absent.
@@ -137,7 +137,7 @@
 	fx       []any
 }
 
-// New makes an elector. me.Run differs with each start of the process, so that
+// New makes an elector. me.VerbRun differs with each start of the process, so that
 // nothing from before a restart is taken for ours.
 func New(me Record, ttl clock.Micros) *Elector { return &Elector{me: me, ttl: ttl} }
 
--- a/internal/leader/assign_test.go
+++ b/internal/leader/assign_test.go
@@ -66,7 +66,7 @@
 		if !ok {
 			continue
 		}
-		for _, w := range c.Txn.Then {
+		for _, w := range c.Txn.Writes {
 			if !strings.HasPrefix(w.Put, block.KeyPrefix) {
 				continue
 			}
--- a/internal/leader/failures.go
+++ b/internal/leader/failures.go
@@ -16,7 +16,7 @@
 	if h == nil {
 		return
 	}
-	standing := j.record.Spec.Standing()
+	standing := j.record.Spec.IsService()
 	if standing && l.runsWell(now, j) {
 		j.failures.MarkSound()
 	}
--- a/internal/leader/fleet.go
+++ b/internal/leader/fleet.go
@@ -135,14 +135,14 @@
 	if len(l.found) == 0 {
 		return
 	}
-	byKind := map[wire.Rental][]string{}
+	byKind := map[wire.ProvisionRequest][]string{}
 	for _, name := range slices.Sorted(maps.Keys(l.found)) {
 		w := l.found[name]
-		k := wire.Rental{Type: w.Type, Zone: w.Zone, Spot: w.Spot}
+		k := wire.ProvisionRequest{Type: w.Type, Zone: w.Zone, Spot: w.Spot}
 		byKind[k] = append(byKind[k], name)
 	}
 	clear(l.found)
-	kinds := slices.SortedFunc(maps.Keys(byKind), func(a, c wire.Rental) int { return strings.Compare(byKind[a][0], byKind[c][0]) })
+	kinds := slices.SortedFunc(maps.Keys(byKind), func(a, c wire.ProvisionRequest) int { return strings.Compare(byKind[a][0], byKind[c][0]) })
 	for _, k := range kinds {
 		names := byKind[k]
 		// As many as a rental has at most: more might not fit into a value.
@@ -286,7 +286,7 @@
 	for _, o := range d.Rent {
 		l.rentSeq++
 		req := fmt.Sprintf("r-%d-%d", l.epoch, l.rentSeq)
-		rt := &rental{key: FleetPrefix + req, since: now, record: FleetRecord{Rental: wire.Rental{Request: req, Type: o.Type.Name, Zone: o.Zone, Spot: o.Spot, Count: o.Count}}}
+		rt := &rental{key: FleetPrefix + req, since: now, record: FleetRecord{Rental: wire.ProvisionRequest{RequestID: req, Type: o.Type.Name, Zone: o.Zone, Spot: o.Spot, Count: o.Count}}}
 		l.rentals[rt.key] = rt
 		l.writeRental(rt)
 	}
--- a/internal/leader/fleet_test.go
+++ b/internal/leader/fleet_test.go
@@ -70,7 +70,7 @@
 		t.Errorf("room kept for an awaited class: %+v", w)
 	}
 	s := spec
-	s.Ref, s.Class, s.Shape, s.Tasks = "j-300000", "web", wire.Service, 6
+	s.Ref, s.Class, s.Shape, s.Tasks = "j-300000", "web", wire.ShapeService, 6
 	j := l.addJob(JobRecord{Spec: s, At: began}, 3)
 	if l.warm() != nil {
 		t.Error("room is kept for a class that has come")
@@ -118,8 +118,8 @@
 	for _, e := range l.fx {
 		if c, ok := e.(Commit); ok {
 			n++
-			if len(c.Txn.Then[0].Value) > l.valueBytes {
-				t.Errorf("a record of %d bytes", len(c.Txn.Then[0].Value))
+			if len(c.Txn.Writes[0].Value) > l.valueBytes {
+				t.Errorf("a record of %d bytes", len(c.Txn.Writes[0].Value))
 			}
 		}
 	}
@@ -144,12 +144,12 @@
 // under its name, which gives the same machines: they may be up already and have shown themselves.
 func TestRentalOfAFormerLeaderIsAskedAgain(t *testing.T) {
 	l := leading(t)
-	rental := wire.Rental{Request: "r-3-1", Type: "small", Zone: "a", Spot: true, Count: 2}
+	rental := wire.ProvisionRequest{RequestID: "r-3-1", Type: "small", Zone: "a", Spot: true, Count: 2}
 	l.Step(began, Deposed{})
 	l.Step(began, Elected{Epoch: 7})
 	l.Step(began, Authority{Until: began + 100*clock.Second})
 	fx := l.Step(began, Loaded{Epoch: 7, Asked: began, Items: []wire.Item{item(t, LayoutKey, 1, LayoutRecord{Blocks: 2}),
-		item(t, FleetPrefix+rental.Request, 3, FleetRecord{Rental: rental})}})
+		item(t, FleetPrefix+rental.RequestID, 3, FleetRecord{Rental: rental})}})
 	asked := 0
 	for _, e := range fx {
 		if r, ok := e.(Rent); ok && r.Rental == rental {
@@ -160,11 +160,11 @@
 		t.Errorf("asked %d times for what a former leader has rented", asked)
 	}
 	// Its machines are in the roster once they are written there, and not before.
-	l.Step(began, Rented{Epoch: 7, Request: rental.Request, Machines: names[:2]})
+	l.Step(began, Rented{Epoch: 7, Request: rental.RequestID, Machines: names[:2]})
 	if l.machines[names[0]] != nil {
 		t.Error("used before the roster has it")
 	}
-	l.Step(began, Committed{Epoch: 7, Tag: fleetTag{FleetPrefix + rental.Request}, Outcome: store.Outcome{OK: true, Revision: 9}})
+	l.Step(began, Committed{Epoch: 7, Tag: fleetTag{FleetPrefix + rental.RequestID}, Outcome: store.Outcome{OK: true, Revision: 9}})
 	if l.machines[names[0]] == nil || l.machines[names[1]] == nil {
 		t.Error("not in the roster once that is written")
 	}
--- a/internal/leader/grants.go
+++ b/internal/leader/grants.go
@@ -146,7 +146,7 @@
 
 func (l *Leader) writeBlocks(bs []*leasedBlock) {
 	tag := blocksTag{map[int]uint64{}}
-	var guards []wire.Guard
+	var guards []wire.Condition
 	var writes []wire.Write
 	if !l.tokensLeft(len(bs)) {
 		l.emit(Resign{"no token is left that a later leader's are surely higher than"})
@@ -162,7 +162,7 @@
 			b.link, run = n.link, n.run
 		}
 		tag.tokens[b.id] = b.token
-		guards = append(guards, wire.Guard{Key: block.Key(b.id), Version: b.stamp})
+		guards = append(guards, wire.Condition{Key: block.Key(b.id), Version: b.stamp})
 		writes = append(writes, put(block.Key(b.id), BlockRecord{Token: b.token, Holder: b.holder, Run: run}))
 	}
 	l.commit(store.Urgent, tag, guards, writes)
--- a/internal/leader/holders.go
+++ b/internal/leader/holders.go
@@ -86,7 +86,7 @@
 			l.noteRunning(now, e.Task, h)
 			if j != nil {
 				j.running++
-				if j.record.Spec.Standing() {
+				if j.record.Spec.IsService() {
 					l.rose(now, j, e.Task, h)
 				}
 			}
@@ -96,7 +96,7 @@
 			h.remains = true
 		}
 	case peer.Unplaced, peer.Back, peer.Errored, peer.Done:
-		if j != nil && j.record.Spec.Standing() {
+		if j != nil && j.record.Spec.IsService() {
 			l.replicaEnded(now, b, j, e)
 		} else {
 			l.taskEnded(now, b, j, e)
--- a/internal/leader/job.go
+++ b/internal/leader/job.go
@@ -188,7 +188,7 @@
 	ref := j.record.Spec.Ref
 	j.cancelled = true
 	j.failures.Withdraw()
-	l.jobOver(now, j, wire.Cancelled)
+	l.jobOver(now, j, wire.JobCancelled)
 	delete(l.jobs, ref)
 	delete(l.counts, ref)
 	for _, b := range l.blocks {
@@ -239,7 +239,7 @@
 	}
 	ref := j.record.Spec.Ref
 	j.ending = true
-	l.commit(store.Starts, endTag{ref}, []wire.Guard{{Key: JobPrefix + ref, Version: j.stamp}},
+	l.commit(store.Starts, endTag{ref}, []wire.Condition{{Key: JobPrefix + ref, Version: j.stamp}},
 		[]wire.Write{put(EndPrefix+ref, EndRecord{State: wire.Done, Tasks: j.nDone}), {Delete: JobPrefix + ref}})
 }
 
@@ -342,7 +342,7 @@
 // barred says whether a service had better wait than try a machine again.
 func (j *job) barred(now clock.Micros, m *machine) bool {
 	at, failed := j.failures.FailedOn(m.name)
-	return failed && j.record.Spec.Standing() && now-at < barredFor
+	return failed && j.record.Spec.IsService() && now-at < barredFor
 }
 
 // delay has a task wait before it is tried again.
--- a/internal/leader/keys_test.go
+++ b/internal/leader/keys_test.go
@@ -34,10 +34,10 @@
 }
 
 // putKeys are the first keys that the effects' transactions put.
-func putKeys(fx []any) (keys []string) {
-	for _, e := range fx {
-		if c, ok := e.(Commit); ok && c.Txn.Then[0].Put != "" {
-			keys = append(keys, c.Txn.Then[0].Put)
+func putKeys(effects []any) (keys []string) {
+	for _, e := range effects {
+		if c, ok := e.(Commit); ok && c.Txn.Writes[0].Put != "" {
+			keys = append(keys, c.Txn.Writes[0].Put)
 		}
 	}
 	return keys
@@ -51,21 +51,21 @@
 	l.Step(began, Authority{Until: began + 100*clock.Second})
 	l.Step(began, Joined{Node: "n0", Link: "link"})
 	types := wire.Catalog{Types: []wire.MachineType{{Name: "small", CPUs: 4, MemoryGB: 8, Price: 1, SpotPrice: 0.5, BootS: 10, ZoneNames: []string{"a"}}}}
-	fx := l.Step(began, Loaded{Epoch: 7, Asked: began, Items: []wire.Item{item(t, CatalogKey, 1, types), item(t, JobPrefix+spec.Ref, 2, JobRecord{Spec: spec})}})
+	effects := l.Step(began, Loaded{Epoch: 7, Asked: began, Items: []wire.Item{item(t, CatalogKey, 1, types), item(t, JobPrefix+spec.Ref, 2, JobRecord{Spec: spec})}})
 	var keys []string
 	revision := uint64(10)
 	for at := began; at < began+5*clock.Second; at += clock.Second / 4 {
-		for len(fx) > 0 {
-			e := fx[0]
-			fx = fx[1:]
+		for len(effects) > 0 {
+			e := effects[0]
+			effects = effects[1:]
 			if c, ok := e.(Commit); ok {
 				keys = append(keys, putKeys([]any{c})...)
 				revision++
-				fx = append(fx, l.Step(at, Committed{Epoch: 7, Tag: c.Tag, Outcome: store.Outcome{OK: true, Revision: revision}})...)
+				effects = append(effects, l.Step(at, Committed{Epoch: 7, Tag: c.Tag, Outcome: store.Outcome{OK: true, Revision: revision}})...)
 			}
 		}
 		l.Step(at, Authority{Until: at + 100*clock.Second})
-		fx = l.Step(at, Tick{})
+		effects = l.Step(at, Tick{})
 	}
 	if want := []string{"layout", "block/000", "fleet/r-7-1"}; !slices.Equal(keys, want) {
 		t.Errorf("the keys are %v, want %v", keys, want)
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -278,9 +278,9 @@
 func (l *Leader) info(text string, args ...any) { l.emit(Log{Text: text, Args: args}) }
 
 // commit guards a transaction on the epoch, so that one of an older leader fails however late it is applied.
-func (l *Leader) commit(prio int, tag any, guards []wire.Guard, writes []wire.Write) {
-	guards = append([]wire.Guard{{Key: Key, Version: l.epoch}}, guards...)
-	l.emit(Commit{Epoch: l.epoch, Prio: prio, Txn: wire.Txn{If: guards, Then: writes}, Tag: tag})
+func (l *Leader) commit(prio int, tag any, guards []wire.Condition, writes []wire.Write) {
+	guards = append([]wire.Condition{{Key: Key, Version: l.epoch}}, guards...)
+	l.emit(Commit{Epoch: l.epoch, Prio: prio, Txn: wire.Txn{Conditions: guards, Writes: writes}, Tag: tag})
 }
 
 func put(key string, v any) wire.Write {
--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -44,7 +44,7 @@
 const began = 10 * clock.Second
 
 var (
-	spec  = wire.Job{Ref: "j-000001", Team: "red", Priority: wire.Standard, Tasks: 2, CPUs: 1, MemoryGB: 1, EstimateS: 10, Spot: true}
+	spec  = wire.Job{Ref: "j-000001", Team: "red", Priority: wire.PriorityStandard, Tasks: 2, CPUs: 1, MemoryGB: 1, EstimateS: 10, Spot: true}
 	names = []string{"host-000000", "host-000001", "host-000002", "host-000003", "host-000004", "host-000005"}
 )
 
@@ -72,7 +72,7 @@
 		item(t, LayoutKey, 1, LayoutRecord{Blocks: 2}),
 		item(t, CatalogKey, 1, wire.Catalog{Types: []wire.MachineType{{Name: "small", CPUs: 4, MemoryGB: 8, ZoneNames: []string{"a"}}}}),
 		item(t, JobPrefix+spec.Ref, 2, JobRecord{Spec: spec}),
-		item(t, FleetPrefix+"r1", 3, FleetRecord{Rental: wire.Rental{Type: "small", Zone: "a"}, Machines: names, Asked: true}),
+		item(t, FleetPrefix+"r1", 3, FleetRecord{Rental: wire.ProvisionRequest{Type: "small", Zone: "a"}, Machines: names, Asked: true}),
 	}})
 	fx := l.Step(now, Tick{})
 	for _, e := range fx {
@@ -122,7 +122,7 @@
 		Events: []peer.Event{{Task: peer.Task{Job: spec.Ref, Index: 0}, Kind: peer.Done, Machine: names[0]}}}}}})
 	writes := 0
 	for _, e := range append(fx, l.Step(began+progressEvery, Tick{})...) {
-		if c, ok := e.(Commit); ok && strings.HasPrefix(c.Txn.Then[0].Put, ProgPrefix) {
+		if c, ok := e.(Commit); ok && strings.HasPrefix(c.Txn.Writes[0].Put, ProgPrefix) {
 			writes++
 		}
 	}
@@ -218,19 +218,19 @@
 	for round := 1; round <= 3; round++ {
 		for _, e := range l.Step(began+clock.Micros(round)*progressEvery, Tick{}) {
 			c, ok := e.(Commit)
-			if !ok || c.Tag == nil && c.Txn.Then[0].Delete == "" {
+			if !ok || c.Tag == nil && c.Txn.Writes[0].Delete == "" {
 				continue
 			}
-			if c.Txn.Then[0].Delete == old.key && len(left) > 0 {
+			if c.Txn.Writes[0].Delete == old.key && len(left) > 0 {
 				t.Fatal("the old progress page is deleted before its chunks are stored elsewhere")
 			}
 			if tag, ok := c.Tag.(progTag); ok {
-				if len(c.Txn.Then[0].Value) > l.valueBytes || c.Txn.Then[0].Put == old.key {
-					t.Errorf("%s is written with %d bytes", c.Txn.Then[0].Put, len(c.Txn.Then[0].Value))
+				if len(c.Txn.Writes[0].Value) > l.valueBytes || c.Txn.Writes[0].Put == old.key {
+					t.Errorf("%s is written with %d bytes", c.Txn.Writes[0].Put, len(c.Txn.Writes[0].Value))
 				}
 				left[tag.progressPage] = c
 			}
-			if c.Txn.Then[0].Delete == old.key {
+			if c.Txn.Writes[0].Delete == old.key {
 				left[nil] = c
 			}
 		}
--- a/internal/leader/limits_test.go
+++ b/internal/leader/limits_test.go
@@ -66,7 +66,7 @@
 		l := leading(t)
 		l.cfg.Facts.Cloud.RPS = 2
 		for i := len(l.machines); i < machines; i++ {
-			l.addMachine(began, "extra-"+string(rune('a'+i%26))+string(rune(0x4e00+i)), &rental{record: FleetRecord{Rental: wire.Rental{Type: "small", Zone: "a"}}})
+			l.addMachine(began, "extra-"+string(rune('a'+i%26))+string(rune(0x4e00+i)), &rental{record: FleetRecord{Rental: wire.ProvisionRequest{Type: "small", Zone: "a"}}})
 		}
 		lists, spell := 0, 60*clock.Second
 		for now := began; now < began+spell; now += clock.Second / 4 {
--- a/internal/leader/load.go
+++ b/internal/leader/load.go
@@ -67,7 +67,7 @@
 		l.blocks = append(l.blocks, &leasedBlock{id: i, stamp: stamps[key], holder: holders[key].Holder, tasks: map[peer.Task]*grantedTask{}})
 	}
 	if !haveLayout {
-		l.commit(store.Urgent, nil, []wire.Guard{{Key: LayoutKey}}, []wire.Write{put(LayoutKey, LayoutRecord{n})})
+		l.commit(store.Urgent, nil, []wire.Condition{{Key: LayoutKey}}, []wire.Write{put(LayoutKey, LayoutRecord{n})})
 	}
 }
 
--- a/internal/leader/machines.go
+++ b/internal/leader/machines.go
@@ -103,7 +103,7 @@
 		h, j := b.tasks[t], l.jobs[t.Job]
 		// A replica moves at once if there is room for it; else it runs to the end here.
 		moves := false
-		if j.record.Spec.Standing() && m.state.Notice {
+		if j.record.Spec.IsService() && m.state.Notice {
 			if room == nil {
 				room = l.freeRoom(now)
 			}
@@ -113,7 +113,7 @@
 		if moves {
 			h.stopped, h.stoppedAt = "notice", now
 		}
-		if moves || j.record.Spec.CheckpointS > 0 && !j.record.Spec.Standing() {
+		if moves || j.record.Spec.CheckpointS > 0 && !j.record.Spec.IsService() {
 			b.orders.Stop = append(b.orders.Stop, peer.StopTask{Task: t, Save: true})
 		}
 	}
@@ -142,13 +142,13 @@
 			m.born = min(m.born, now-clock.FromSeconds(w.AgeS))
 		}
 		m.listed, m.missing, m.address = now, 0, w.Address
-		m.booting = w.State == wire.Starting
+		m.booting = w.State == wire.MachineStarting
 		if w.State != wire.Running {
 			m.running = 0
 		} else if m.running == 0 {
 			m.running = now
 		}
-		m.failed = w.State == wire.Failed
+		m.failed = w.State == wire.MachineFailed
 	}
 	for _, m := range l.machines {
 		if m.listed > 0 && !seen[m.name] {
--- a/internal/leader/messages.go
+++ b/internal/leader/messages.go
@@ -64,9 +64,9 @@
 
 // FleetRecord is a rental, or machines that were found: the durable roster.
 type FleetRecord struct {
-	Rental   wire.Rental `json:"rental"`
-	Machines []string    `json:"machines"`
-	Asked    bool        `json:"asked"` // the answer is known
+	Rental   wire.ProvisionRequest `json:"rental"`
+	Machines []string              `json:"machines"`
+	Asked    bool                  `json:"asked"` // the answer is known
 }
 
 // Messages to a Leader.
@@ -189,7 +189,7 @@
 	// Rent asks the cloud for machines.
 	Rent struct {
 		Epoch  uint64
-		Rental wire.Rental
+		Rental wire.ProvisionRequest
 	}
 	// Delete returns machines.
 	Delete struct {
--- a/internal/leader/needs.go
+++ b/internal/leader/needs.go
@@ -26,7 +26,7 @@
 
 func (n *needs) of(j *job, zone string) *fleet.Need {
 	s := &j.record.Spec
-	key := needKey{j.shape, s.Standing(), zone}
+	key := needKey{j.shape, s.IsService(), zone}
 	need := n.byKey[key]
 	if need == nil {
 		need = &fleet.Need{CPUs: s.CPUs, GPUs: s.GPUs, Memory: s.MemoryGB, Types: s.Types, Zone: zone, Spot: s.Spot}
@@ -49,7 +49,7 @@
 			j := l.jobs[ref]
 			s := &j.record.Spec
 			left := s.Tasks - j.nDone
-			if s.Standing() != standing || left <= 0 || j.failures.Waits(now) {
+			if s.IsService() != standing || left <= 0 || j.failures.Waits(now) {
 				continue
 			}
 			if j.failures.Suspect() {
@@ -147,7 +147,7 @@
 	for _, ref := range slices.Sorted(maps.Keys(l.jobs)) {
 		j := l.jobs[ref]
 		age := (now + l.wall - j.record.At).Seconds()
-		if !j.record.Spec.Standing() || age > arrivals {
+		if !j.record.Spec.IsService() || age > arrivals {
 			continue
 		}
 		oldest = max(oldest, age)
--- a/internal/leader/progress.go
+++ b/internal/leader/progress.go
@@ -96,7 +96,7 @@
 	for _, u := range r.Units {
 		j := l.jobs[u.Job]
 		// A service that an older version held for a batch has no progress either.
-		if j == nil || j.record.Spec.Standing() || u.Chunk < 0 || u.Chunk >= len(j.chunks) {
+		if j == nil || j.record.Spec.IsService() || u.Chunk < 0 || u.Chunk >= len(j.chunks) {
 			s.dirty = true // of a job that is over
 			continue
 		}
@@ -179,7 +179,7 @@
 			r.Units = append(r.Units, ProgUnit{Job: u.j.record.Spec.Ref, Chunk: u.chunk, Bits: bits})
 		}
 		// A late copy of an older write must not take back what was said to be stored.
-		l.commit(store.Lazy, tag, []wire.Guard{{Key: s.key, Version: s.stamp}}, []wire.Write{put(s.key, r)})
+		l.commit(store.Lazy, tag, []wire.Condition{{Key: s.key, Version: s.stamp}}, []wire.Write{put(s.key, r)})
 	}
 }
 
--- a/internal/leader/progress_test.go
+++ b/internal/leader/progress_test.go
@@ -21,12 +21,12 @@
 	due := p.late
 	p.late = nil
 	for _, e := range fx {
-		if c, ok := e.(Commit); ok && strings.HasPrefix(c.Txn.Then[0].Put+c.Txn.Then[0].Delete, ProgPrefix) {
+		if c, ok := e.(Commit); ok && strings.HasPrefix(c.Txn.Writes[0].Put+c.Txn.Writes[0].Delete, ProgPrefix) {
 			due = append(due, c)
 		}
 	}
 	for _, c := range due {
-		w := c.Txn.Then[0]
+		w := c.Txn.Writes[0]
 		if w.Delete != "" {
 			delete(p.pages, w.Delete)
 			continue
--- a/internal/leader/proofs_test.go
+++ b/internal/leader/proofs_test.go
@@ -127,7 +127,7 @@
 	l.Step(began+clock.Second, Deleted{Epoch: 5, Machines: names[:1], Err: errors.New("no answer")})
 	l.Step(began+clock.Second, Deleted{Epoch: 4, Machines: names[:1]})
 	both := []wire.Machine{{Name: names[1]}, {Name: names[0]}}
-	failed := []wire.Machine{{Name: names[1]}, {Name: names[0], State: wire.Failed}}
+	failed := []wire.Machine{{Name: names[1]}, {Name: names[0], State: wire.MachineFailed}}
 	l.machines[names[0]].state.Silent = true
 	for i, list := range [][]wire.Machine{both, both[:1], both[:1], both[:1], both[:1], failed, failed} {
 		at := began + clock.Micros(i+2)*clock.Second
@@ -170,9 +170,9 @@
 			}
 		}
 	}
-	page := write.Txn.Then[0].Put
-	for _, guard := range []wire.Guard{{Key: Key, Version: 5}, {Key: page}} {
-		if !slices.Contains(write.Txn.If, guard) {
+	page := write.Txn.Writes[0].Put
+	for _, guard := range []wire.Condition{{Key: Key, Version: 5}, {Key: page}} {
+		if !slices.Contains(write.Txn.Conditions, guard) {
 			t.Errorf("the write is not guarded on %v", guard)
 		}
 	}
--- a/internal/leader/queue.go
+++ b/internal/leader/queue.go
@@ -42,12 +42,12 @@
 	if most := l.teams[s.Team].CPUsMax; most > 0 {
 		need = max(need, float64(s.Tasks-j.nDone)*s.CPUs*need/most)
 	}
-	rank := wire.Rank(s.Priority)
+	rank := wire.PriorityRank(s.Priority)
 	slack := due - age - need
 	if s.DeadlineS == nil {
 		slack = need
 	}
-	return jobOrder{late: rank >= wire.Rank(wire.Standard) && age+need > due, rank: rank, slack: slack, age: age}
+	return jobOrder{late: rank >= wire.PriorityRank(wire.PriorityStandard) && age+need > due, rank: rank, slack: slack, age: age}
 }
 
 // teamOrder is a team's place among the others.
@@ -159,7 +159,7 @@
 }
 
 func (t *teamQueue) mayStand(s *wire.Job, standing, floor float64) bool {
-	return !s.Standing() || !t.mixed || standing+s.CPUs <= t.team.CPULimit()*(1-floor)+1e-9
+	return !s.IsService() || !t.mixed || standing+s.CPUs <= t.team.CPULimit()*(1-floor)+1e-9
 }
 
 // queues sorts the jobs that wait by team.
@@ -177,7 +177,7 @@
 		age := (now + l.wall - j.record.At).Seconds()
 		cpus := float64(len(j.out)) * s.CPUs
 		t.use[s.Class] += cpus
-		if s.Standing() {
+		if s.IsService() {
 			t.standing += cpus
 		} else {
 			t.mixed = true
--- a/internal/leader/rentals.go
+++ b/internal/leader/rentals.go
@@ -41,7 +41,7 @@
 	}
 }
 
-func (l *Leader) option(r wire.Rental) fleet.Option {
+func (l *Leader) option(r wire.ProvisionRequest) fleet.Option {
 	t, ok := l.types[r.Type]
 	if !ok {
 		t = wire.MachineType{Name: r.Type}
@@ -51,7 +51,7 @@
 
 func (l *Leader) writeRental(rt *rental) {
 	rt.busy = true
-	l.commit(store.Starts, fleetTag{rt.key}, []wire.Guard{{Key: rt.key, Version: rt.stamp}}, []wire.Write{put(rt.key, rt.record)})
+	l.commit(store.Starts, fleetTag{rt.key}, []wire.Condition{{Key: rt.key, Version: rt.stamp}}, []wire.Write{put(rt.key, rt.record)})
 }
 
 // pruneEvery is how long machines that are gone may stay in the roster: there they do
--- a/internal/leader/room.go
+++ b/internal/leader/room.go
@@ -35,7 +35,7 @@
 	on := r.apart[s.Ref]
 	if on == nil {
 		on = map[string]int{}
-		if s.Standing() {
+		if s.IsService() {
 			l.eachHeld(j, func(_ peer.Task, h *grantedTask) { on[h.machine] = sibling })
 		}
 		for _, name := range j.failures.Machines() {
@@ -127,7 +127,7 @@
 // What waits for long does not wait for a better one.
 func (m *machine) allowed(now clock.Micros, j *job) bool {
 	s := &j.record.Spec
-	return (!m.cordoned || s.Standing() || j.unserved(now)) && (s.Spot || !m.opt.Spot) && (s.Zone == "" || s.Zone == m.opt.Zone) &&
+	return (!m.cordoned || s.IsService() || j.unserved(now)) && (s.Spot || !m.opt.Spot) && (s.Zone == "" || s.Zone == m.opt.Zone) &&
 		(len(s.Types) == 0 || slices.Contains(s.Types, m.opt.Type.Name))
 }
 
@@ -207,7 +207,7 @@
 // zone that the task is bound to, if any.
 func (l *Leader) roomFor(j *job, room *freeRoom) (*machine, string) {
 	s := &j.record.Spec
-	if s.OneZone || s.Spread || s.Standing() {
+	if s.OneZone || s.Spread || s.IsService() {
 		return l.roomInZone(j, room)
 	}
 	withImage := roomKey{shape: j.shape, image: s.Image, unserved: j.unserved(room.now)}
--- a/internal/leader/roster_test.go
+++ b/internal/leader/roster_test.go
@@ -15,7 +15,7 @@
 func rosterWrite(t *testing.T, fx []any, key string) Commit {
 	t.Helper()
 	for _, e := range fx {
-		if c, ok := e.(Commit); ok && c.Txn.Then[0].Put == key {
+		if c, ok := e.(Commit); ok && c.Txn.Writes[0].Put == key {
 			return c
 		}
 	}
@@ -26,7 +26,7 @@
 // rosterGuard is the version that a write of a rental's record expects of it.
 func rosterGuard(t *testing.T, c Commit, key string) uint64 {
 	t.Helper()
-	for _, g := range c.Txn.If {
+	for _, g := range c.Txn.Conditions {
 		if g.Key == key {
 			return g.Version
 		}
@@ -41,8 +41,8 @@
 // did not know them, took their tasks for gone, and started these on other machines.
 func TestMachinesAreNotUsedBeforeTheirRecordIsStored(t *testing.T) {
 	l := leading(t)
-	asked := wire.Rental{Request: "r-5-1", Type: "small", Zone: "a", Spot: true, Count: 1}
-	key := FleetPrefix + asked.Request
+	asked := wire.ProvisionRequest{RequestID: "r-5-1", Type: "small", Zone: "a", Spot: true, Count: 1}
+	key := FleetPrefix + asked.RequestID
 	l.rentals[key] = &rental{key: key, record: FleetRecord{Rental: asked}, busy: true}
 	machine := "host-000009"
 
@@ -50,7 +50,7 @@
 	lost := store.Outcome{Failed: []string{key}, Unsure: true}
 	l.Step(began, Committed{Epoch: 5, Tag: fleetTag{key}, Outcome: lost})
 	l.Step(began, Read{Epoch: 5, Tag: fleetTag{key}, Found: true, Item: item(t, key, 20, FleetRecord{Rental: asked})})
-	second := rosterWrite(t, l.Step(began, Rented{Epoch: 5, Request: asked.Request, Machines: []string{machine}}), key)
+	second := rosterWrite(t, l.Step(began, Rented{Epoch: 5, Request: asked.RequestID, Machines: []string{machine}}), key)
 	if got := rosterGuard(t, second, key); got != 20 {
 		t.Errorf("the second write expects version %d of the record, which is at 20", got)
 	}
@@ -104,8 +104,8 @@
 		gone     bool
 	}{{[]string{unknown}, false}, {[]string{"host-000010"}, true}} {
 		l := leading(t)
-		asked := wire.Rental{Request: "r-3-1", Type: "small", Zone: "a", Spot: true, Count: 1}
-		key := FleetPrefix + asked.Request
+		asked := wire.ProvisionRequest{RequestID: "r-3-1", Type: "small", Zone: "a", Spot: true, Count: 1}
+		key := FleetPrefix + asked.RequestID
 		l.loadRental(began, item(t, key, 3, FleetRecord{Rental: asked}), FleetRecord{Rental: asked})
 		b := block.Of(unknown, 2)
 		fx := l.Step(began, Records{Epoch: 5, Block: b, Token: l.blocks[b].token, Pages: recordsOf(unknown, 0)})
@@ -113,7 +113,7 @@
 		if !slices.Contains(roster, unknown) || !slices.Contains(drained, unknown) {
 			t.Errorf("granted %v, drained %v: %s is missing", roster, drained, unknown)
 		}
-		fx = l.Step(began, Rented{Epoch: 5, Request: asked.Request, Machines: answer.machines})
+		fx = l.Step(began, Rented{Epoch: 5, Request: asked.RequestID, Machines: answer.machines})
 		fx = append(fx, l.Step(began, Committed{Epoch: 5, Tag: fleetTag{key}, Outcome: store.Outcome{OK: true, Revision: 9}})...)
 		drained, gone, _ := orderedOf(fx, b)
 		if slices.Contains(gone, unknown) != answer.gone || slices.Contains(drained, unknown) == answer.gone {
--- a/internal/leader/schedule.go
+++ b/internal/leader/schedule.go
@@ -68,7 +68,7 @@
 			continue
 		}
 		cpus := float64(given) * job.j.record.Spec.CPUs
-		if job.j.record.Spec.Standing() {
+		if job.j.record.Spec.IsService() {
 			best.standing += cpus
 		}
 		best.use[job.j.record.Spec.Class] += cpus
@@ -95,10 +95,10 @@
 	} else if m, zone = l.roomFor(j, room); m == nil {
 		return 0
 	}
-	if s.Standing() {
+	if s.IsService() {
 		room.taken(l, j)[m.name] = sibling
 	}
-	if s.OneZone || s.Spread || s.Standing() {
+	if s.OneZone || s.Spread || s.IsService() {
 		n = 1 // each task changes where the next may be
 	}
 	if j.failures.Suspect() {
--- a/internal/leader/service_test.go
+++ b/internal/leader/service_test.go
@@ -15,7 +15,7 @@
 func TestReplicaWaitsForItsLastAttempt(t *testing.T) {
 	page := peer.RecordPage{Machines: names[:1], Groups: []peer.RecordGroup{{Job: spec.Ref, Team: "red", CPUs: 1, Starts: []int{0, 1, 0, 0, 2, 0, 1, 3, 0}}}}
 	l := granting(t, map[string]peer.RecordPage{"p": page})
-	l.jobs[spec.Ref].record.Spec.Shape = wire.Service
+	l.jobs[spec.Ref].record.Spec.Shape = wire.ShapeService
 	b := l.blocks[block.Of(names[0], 2)]
 	one := peer.Task{Job: spec.Ref, Index: 0}
 	say := func(kinds ...string) []any {
@@ -44,7 +44,7 @@
 	page := peer.RecordPage{Machines: names[:1], Groups: []peer.RecordGroup{{Job: spec.Ref, Team: "red", CPUs: 1, Starts: []int{0, 1, 0, 1, 2, 0}}}}
 	l := granting(t, map[string]peer.RecordPage{"p": page})
 	j := l.jobs[spec.Ref]
-	j.record.Spec.Shape = wire.Service
+	j.record.Spec.Shape = wire.ShapeService
 	b := l.blocks[block.Of(names[0], 2)]
 	one := peer.Task{Job: spec.Ref, Index: 0}
 	fx := l.Step(began+clock.Second, Said{Node: "n0", Link: "link", Up: &peer.Up{Epoch: 5, Updates: []peer.BlockUpdate{{Block: b.id, Token: b.token,
@@ -67,7 +67,7 @@
 func TestServiceHasNoProgress(t *testing.T) {
 	l := leading(t)
 	s := spec
-	s.Ref, s.Shape = "j-400000", wire.Service
+	s.Ref, s.Shape = "j-400000", wire.ShapeService
 	j := l.addJob(JobRecord{Spec: s}, 3)
 	r := ProgRecord{Units: []ProgUnit{{Job: s.Ref, Bits: []byte{3}}}}
 	l.loadProgressPage(item(t, ProgPrefix+"1-1", 7, r), r)
@@ -81,7 +81,7 @@
 	page := peer.RecordPage{Machines: names[:1], Groups: []peer.RecordGroup{{Job: spec.Ref, Team: "red", CPUs: 1, Starts: []int{0, 1, 0}}}}
 	l := granting(t, map[string]peer.RecordPage{"p": page})
 	j := l.jobs[spec.Ref]
-	j.record.Spec.Shape = wire.Service
+	j.record.Spec.Shape = wire.ShapeService
 	b := l.blocks[block.Of(names[0], 2)]
 	l.Step(began, Said{Node: "n0", Link: "link", Up: &peer.Up{Epoch: 5, Updates: []peer.BlockUpdate{{Block: b.id, Token: b.token,
 		Events: []peer.Event{{Task: peer.Task{Job: spec.Ref, Index: 0}, Kind: peer.Running, Machine: names[0]}}}}}})
--- a/internal/leader/spread.go
+++ b/internal/leader/spread.go
@@ -285,7 +285,7 @@
 	s := &j.record.Spec
 	out := balance.Task{
 		ID: taskID(t), Team: s.Team, Takes: takes(s), Image: s.Image, ImageGB: s.ImageGB, SaveS: s.SaveS, Saves: s.CheckpointS > 0,
-		Gang: s.OneZone || s.Spread, Standing: s.Standing(), Stopping: h.stopped != "" || j.cancelled, AtLimit: atLimit,
+		Gang: s.OneZone || s.Spread, Standing: s.IsService(), Stopping: h.stopped != "" || j.cancelled, AtLimit: atLimit,
 		Allows: func(m *balance.Machine) bool {
 			to := l.machines[m.Name]
 			_, failedThere := j.failures.FailedOn(m.Name)
--- a/internal/leader/spread_test.go
+++ b/internal/leader/spread_test.go
@@ -13,7 +13,7 @@
 )
 
 // savable is a job of four tasks that save their progress.
-var savable = wire.Job{Ref: "j-000002", Team: "red", Priority: wire.Standard, Tasks: 4, CPUs: 1, MemoryGB: 1, EstimateS: 1000, Spot: true,
+var savable = wire.Job{Ref: "j-000002", Team: "red", Priority: wire.PriorityStandard, Tasks: 4, CPUs: 1, MemoryGB: 1, EstimateS: 1000, Spot: true,
 	CheckpointS: 5, SaveS: 1, Image: "img", ImageGB: 1}
 
 // unevenFleet leads six machines of four processors, of which the first holds all four tasks of savable.
@@ -110,7 +110,7 @@
 
 // A move never puts a task aside for other work: while any waits that could take its room, nothing moves.
 func TestNothingIsMovedWhileWorkWaits(t *testing.T) {
-	waiting := wire.Job{Ref: "j-000003", Team: "red", Priority: wire.BestEffort, Tasks: 1, CPUs: 1, MemoryGB: 1, Types: []string{"not to be had"}, Spot: true, EstimateS: 10}
+	waiting := wire.Job{Ref: "j-000003", Team: "red", Priority: wire.PriorityBestEffort, Tasks: 1, CPUs: 1, MemoryGB: 1, Types: []string{"not to be had"}, Spot: true, EstimateS: 10}
 	l := unevenFleet(t, true)
 	l.addJob(JobRecord{Spec: waiting}, 31).fillWaiting()
 	if got, _ := stops(l); len(got) != 0 || l.spread.Refusals()[0].Reason != balance.WorkWaits {
@@ -198,7 +198,7 @@
 
 // offersOf submits a job of one task and gives what holders are told at once.
 func offersOf(l *Leader, now clock.Micros, j wire.Job) []peer.BlockOrders {
-	j.Ref, j.Team, j.Priority, j.Tasks, j.Spot = "j-000003", "red", wire.Standard, 1, true
+	j.Ref, j.Team, j.Priority, j.Tasks, j.Spot = "j-000003", "red", wire.PriorityStandard, 1, true
 	l.addJob(JobRecord{Spec: j}, 31).fillWaiting()
 	return schedules(l, now)
 }
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -147,7 +147,7 @@
 	blocked := 0
 	for _, j := range l.jobs {
 		waiting += j.nWant
-		if j.record.Spec.Standing() {
+		if j.record.Spec.IsService() {
 			standing += j.running
 		}
 		team := l.teams[j.record.Spec.Team]
--- a/internal/loopback/loopback_test.go
+++ b/internal/loopback/loopback_test.go
@@ -46,7 +46,7 @@
 func submitAll(t *testing.T, c *Cluster, from, n, tasks int, runS float64) (refs []string) {
 	t.Helper()
 	for i := from; i < from+n; i++ {
-		j := wire.Job{Ref: fmt.Sprintf("j-%06d", i), Class: "l", Team: c.site.shape.Teams[i%2], Shape: wire.Batch, Priority: wire.Standard, Tasks: tasks,
+		j := wire.Job{Ref: fmt.Sprintf("j-%06d", i), Class: "l", Team: c.site.shape.Teams[i%2], Shape: wire.ShapeBatch, Priority: wire.PriorityStandard, Tasks: tasks,
 			CPUs: 0.5, MemoryGB: 0.5, Image: fmt.Sprint("img-", i%2), ImageGB: 1, Spot: true, EstimateS: 60, CheckpointS: 1, SaveS: 0.5}
 		eventually(t, "accepted", func() bool { return c.Submit(c.Controllers[i%len(c.Controllers)], j, runS) == nil })
 		refs = append(refs, j.Ref)
@@ -258,7 +258,7 @@
 	}
 	defer c.Stop()
 	eventually(t, "somebody leads", func() bool { k, _ := c.Leader(); return k != nil })
-	mistaken := wire.Job{Ref: "j-900001", Class: "l", Team: c.site.shape.Teams[0], Shape: wire.Batch, Priority: wire.Standard, Tasks: 12,
+	mistaken := wire.Job{Ref: "j-900001", Class: "l", Team: c.site.shape.Teams[0], Shape: wire.ShapeBatch, Priority: wire.PriorityStandard, Tasks: 12,
 		CPUs: 0.5, MemoryGB: 0.5, Image: "img-9", ImageGB: 1, Spot: true, EstimateS: 10}
 	eventually(t, "the mistaken job is accepted", func() bool { return c.SubmitMistaken(c.Controllers[0], mistaken) == nil })
 	eventually(t, "the mistaken job is suspect", func() bool {
--- a/internal/loopback/services.go
+++ b/internal/loopback/services.go
@@ -103,21 +103,21 @@
 	})
 	switch {
 	case problem != "":
-		return c.Status(400).JSON(wire.TxnAnswer{Error: problem})
+		return c.Status(400).JSON(wire.TxnResponse{Error: problem})
 	case !o.OK:
-		return c.Status(409).JSON(wire.TxnAnswer{Revision: o.Revision, Failed: o.Failed})
+		return c.Status(409).JSON(wire.TxnResponse{Revision: o.Revision, Failed: o.Failed})
 	}
-	return c.JSON(wire.TxnAnswer{Revision: o.Revision})
+	return c.JSON(wire.TxnResponse{Revision: o.Revision})
 }
 
 func (s *site) grantLease(c fiber.Ctx) error {
-	f, err := body[wire.LeaseForm](c)
+	f, err := body[wire.LeaseRequest](c)
 	if err != nil {
 		return err
 	}
 	var id uint64
 	s.do(func() { id = s.store.Grant(s.clock.Now(), clock.Micros(f.TTLMs)*clock.Millisecond) })
-	return c.JSON(wire.LeaseAnswer{Lease: id})
+	return c.JSON(wire.LeaseResponse{Lease: id})
 }
 
 func (s *site) touchLease(c fiber.Ctx) error {
@@ -127,7 +127,7 @@
 	if !found {
 		return c.SendStatus(404)
 	}
-	return c.JSON(wire.LeaseAnswer{Lease: id})
+	return c.JSON(wire.LeaseResponse{Lease: id})
 }
 
 func (s *site) endLease(c fiber.Ctx) error {
@@ -153,7 +153,7 @@
 	over := time.NewTimer(time.Duration(block) * time.Millisecond)
 	defer over.Stop()
 	for {
-		var a wire.WatchAnswer
+		var a wire.WatchResponse
 		var changed chan struct{}
 		if !s.do(func() { a, changed = s.store.Since(prefix, since), s.changed }) || len(a.Events) > 0 {
 			return c.JSON(a)
@@ -187,7 +187,7 @@
 }
 
 func (s *site) rent(c fiber.Ctx) error {
-	r, err := body[wire.Rental](c)
+	r, err := body[wire.ProvisionRequest](c)
 	if err != nil {
 		return err
 	}
@@ -195,16 +195,16 @@
 	ok := false
 	s.do(func() { names, ok = s.cloud.Rent(s.clock.Now(), r) })
 	if !ok {
-		return c.Status(503).JSON(wire.Problem{Error: "no capacity"})
+		return c.Status(503).JSON(wire.ErrorResponse{Error: "no capacity"})
 	}
-	return c.JSON(wire.Machines{Machines: names})
+	return c.JSON(wire.MachineNames{Names: names})
 }
 
 func (s *site) deleteMachines(c fiber.Ctx) error {
-	m, err := body[wire.Machines](c)
+	m, err := body[wire.MachineNames](c)
 	if err != nil {
 		return err
 	}
-	s.do(func() { s.cloud.Delete(m.Machines) })
+	s.do(func() { s.cloud.Delete(m.Names) })
 	return c.JSON(m)
 }
--- a/internal/loopback/surge.go
+++ b/internal/loopback/surge.go
@@ -141,7 +141,7 @@
 func surgeJob(n int, team string) (wire.Job, float64) {
 	const images, leastRunS, spreadS = 4, 20, 100
 	runS := float64(leastRunS + n*37%spreadS)
-	return wire.Job{Ref: fmt.Sprintf("j-%06d", n+1), Class: "results", Team: team, Shape: wire.Batch, Priority: wire.Standard, Tasks: 2, CPUs: 0.5,
+	return wire.Job{Ref: fmt.Sprintf("j-%06d", n+1), Class: "results", Team: team, Shape: wire.ShapeBatch, Priority: wire.PriorityStandard, Tasks: 2, CPUs: 0.5,
 		MemoryGB: 0.5, Image: fmt.Sprint("img-", n%images), ImageGB: 1, Spot: true, EstimateS: runS, CheckpointS: 5, SaveS: 1}, runS
 }
 
--- a/internal/loopback/worker.go
+++ b/internal/loopback/worker.go
@@ -55,7 +55,7 @@
 			}
 		},
 		Ended: func(t *standin.Task) {
-			if t.Cause == wire.CauseDone {
+			if t.Cause == wire.ExitDone {
 				s.jobs[t.Job.Ref].ran[t.Index]++
 			}
 		},
@@ -67,11 +67,11 @@
 // routes answers direct commands.
 func (w *worker) routes(app *fiber.App) {
 	app.Post("/orders", func(c fiber.Ctx) error {
-		var o wire.Orders
+		var o wire.CommandBatch
 		if err := json.Unmarshal(c.Body(), &o); err != nil {
 			return fiber.NewError(400, err.Error())
 		}
-		status, report := 0, (*wire.Report)(nil)
+		status, report := 0, (*wire.Heartbeat)(nil)
 		w.site.do(func() {
 			if w.dead {
 				return
@@ -88,7 +88,7 @@
 		return c.Status(status).JSON(report)
 	})
 	app.Get("/inspect", func(c fiber.Ctx) error {
-		var report *wire.Report
+		var report *wire.Heartbeat
 		w.site.do(func() { report = w.Report() })
 		return c.JSON(report)
 	})
@@ -130,7 +130,7 @@
 }
 
 // post sends a report; status 0 is no answer.
-func (w *worker) post(link *Link, r *wire.Report) (status int, a wire.ReportAnswer, to wire.Redirect) {
+func (w *worker) post(link *Link, r *wire.Heartbeat) (status int, a wire.HeartbeatResponse, to wire.Redirect) {
 	req, res := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(res)
@@ -153,7 +153,7 @@
 }
 
 // answered goes on after a report: the actor calls it.
-func (w *worker) answered(sent clock.Micros, session uint64, status int, a wire.ReportAnswer, to wire.Redirect) {
+func (w *worker) answered(sent clock.Micros, session uint64, status int, a wire.HeartbeatResponse, to wire.Redirect) {
 	now := w.site.clock.Now()
 	w.busy = false
 	switch {
@@ -161,7 +161,7 @@
 		if w.Answered(now, sent, session, a) {
 			w.hasChanged()
 		}
-	case status == 421 && w.redirected(to.ReportTo):
+	case status == 421 && w.redirected(to.Controller):
 		w.next = now
 	default:
 		w.target = (w.target + 1) % len(w.links)
--- a/internal/naming/naming_test.go
+++ b/internal/naming/naming_test.go
@@ -41,7 +41,6 @@
 	"internal/node":     8,
 	"internal/peer":     4,
 	"internal/scenario": 16,
-	"wire":              1,
 }
 
 // TestDeclaredNames counts the refused names by directory and compares them with the ceilings.
--- a/internal/node/holder.go
+++ b/internal/node/holder.go
@@ -119,7 +119,7 @@
 		done.Status = block.NotSent
 	case err == nil:
 		done.Status = res.StatusCode()
-		var r wire.Report
+		var r wire.Heartbeat
 		if (done.Status == 200 || done.Status == 409) && json.Unmarshal(res.Body(), &r) == nil && r.Machine == o.Machine {
 			done.R = &r
 		}
@@ -133,7 +133,7 @@
 	defer func() { <-n.directs }()
 	done := block.Inspected{Inspect: x}
 	status, body, err := n.workers.GetTimeout(nil, "http://"+x.Address+"/inspect", 2*time.Second)
-	var r wire.Report
+	var r wire.Heartbeat
 	if err == nil && status == 200 && json.Unmarshal(body, &r) == nil && r.Machine == x.Machine {
 		done.R = &r
 	}
--- a/internal/node/leader.go
+++ b/internal/node/leader.go
@@ -108,7 +108,7 @@
 	case leader.Rent:
 		n.toCloud(func() {
 			names, err := n.cloud.Rent(x.Rental)
-			n.leader <- leader.Rented{Epoch: x.Epoch, Request: x.Rental.Request, Machines: names,
+			n.leader <- leader.Rented{Epoch: x.Epoch, Request: x.Rental.RequestID, Machines: names,
 				NoCapacity: errors.Is(err, cloud.ErrNoCapacity), Err: err}
 		})
 	case leader.Delete:
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -141,7 +141,7 @@
 }
 
 // report hands a worker's report to the holder and waits for its answer.
-func (n *Node) report(r *wire.Report) block.Answer {
+func (n *Node) report(r *wire.Heartbeat) block.Answer {
 	ch := make(chan block.Answer, 1)
 	n.holder <- block.Report{Tag: ch, R: r}
 	return <-ch
--- a/internal/peer/relay.go
+++ b/internal/peer/relay.go
@@ -21,7 +21,7 @@
 	Get(ctx context.Context, prio int, key string) (wire.Item, error)
 	Once(ctx context.Context, prio int, t wire.Txn) (store.Outcome, error)
 	List(ctx context.Context, prio int, prefix string) ([]wire.Item, uint64, error)
-	Watch(ctx context.Context, prefix string, since uint64, block clock.Micros) (wire.WatchAnswer, error)
+	Watch(ctx context.Context, prefix string, since uint64, block clock.Micros) (wire.WatchResponse, error)
 }
 
 // frame is the value of mail/<to>/<from>: a piece of a connection's bytes, written
@@ -141,7 +141,7 @@
 	for n := 0; ctx.Err() == nil; n++ {
 		_, rev, err := o.mail.List(ctx, store.Normal, prefix)
 		for err == nil && ctx.Err() == nil {
-			var a wire.WatchAnswer
+			var a wire.WatchResponse
 			if a, err = o.mail.Watch(ctx, prefix, rev, 20*clock.Second); err != nil {
 				break
 			}
--- a/internal/peer/relay_test.go
+++ b/internal/peer/relay_test.go
@@ -47,13 +47,13 @@
 	if luck == 0 {
 		return store.Outcome{}, store.ErrRefused
 	}
-	for _, g := range t.If {
+	for _, g := range t.Conditions {
 		if b.items[g.Key].Version != g.Version {
 			return store.Outcome{Failed: []string{g.Key}}, nil
 		}
 	}
 	b.rev++
-	for _, w := range t.Then {
+	for _, w := range t.Writes {
 		b.most = max(b.most, len(w.Value))
 		b.items[w.Put] = wire.Item{Key: w.Put, Value: w.Value, Version: b.rev}
 	}
@@ -65,10 +65,10 @@
 	return store.Outcome{OK: true, Revision: b.rev}, nil
 }
 
-func (b *box) Watch(ctx context.Context, prefix string, since uint64, _ clock.Micros) (wire.WatchAnswer, error) {
+func (b *box) Watch(ctx context.Context, prefix string, since uint64, _ clock.Micros) (wire.WatchResponse, error) {
 	for {
 		b.mu.Lock()
-		a := wire.WatchAnswer{Revision: b.rev}
+		a := wire.WatchResponse{Revision: b.rev}
 		for k, it := range b.items {
 			if it.Version > since && len(k) > len(prefix) && k[:len(prefix)] == prefix {
 				a.Events = append(a.Events, wire.Event{Put: k, Value: it.Value, Version: it.Version})
--- a/internal/peer/transfer.go
+++ b/internal/peer/transfer.go
@@ -176,7 +176,7 @@
 	if err != nil {
 		return false
 	}
-	out, err := w.store.Once(ctx, store.Starts, wire.Txn{If: []wire.Guard{{Key: w.key, Version: w.version}}, Then: []wire.Write{{Put: w.key, Value: raw}}})
+	out, err := w.store.Once(ctx, store.Starts, wire.Txn{Conditions: []wire.Condition{{Key: w.key, Version: w.version}}, Writes: []wire.Write{{Put: w.key, Value: raw}}})
 	if err != nil || !out.OK {
 		w.known = false
 		return false
--- a/internal/scenario/commands_users_test.go
+++ b/internal/scenario/commands_users_test.go
@@ -60,7 +60,7 @@
 	ref := arg(t, d, "ref", "")
 	for i, end := 0, w.now+span(t, d, "within"); w.now < end; i++ {
 		if n := w.nodes[i%len(w.nodes)]; n.alive {
-			if state := w.callOff(n, ref); state == wire.Cancelled || state == wire.Done {
+			if state := w.callOff(n, ref); state == wire.JobCancelled || state == wire.Done {
 				return state
 			}
 		}
--- a/internal/scenario/history_checks_test.go
+++ b/internal/scenario/history_checks_test.go
@@ -16,7 +16,7 @@
 	t.Helper()
 	raw, err := json.Marshal(v)
 	must(err)
-	if o, problem := w.store.Txn(wire.Txn{Then: []wire.Write{{Put: key, Value: raw}}}); !o.OK {
+	if o, problem := w.store.Txn(wire.Txn{Writes: []wire.Write{{Put: key, Value: raw}}}); !o.OK {
 		t.Fatal(problem)
 	}
 }
@@ -25,7 +25,7 @@
 func TestHistoryNotices(t *testing.T) {
 	const token, machine = 7, "host-000001"
 	attempt := func(n uint64) *standin.Task {
-		return &standin.Task{TaskReport: wire.TaskReport{Task: "j-000001/3", Attempt: token<<peer.AttemptBits | n}, Job: wire.Job{Ref: "j-000001", Tasks: 8}, Index: 3}
+		return &standin.Task{TaskStatus: wire.TaskStatus{Task: "j-000001/3", Attempt: token<<peer.AttemptBits | n}, Job: wire.Job{Ref: "j-000001", Tasks: 8}, Index: 3}
 	}
 	page := peer.RecordPage{Token: token, Prefix: "host-", Machines: []string{"000001"}, Groups: []peer.RecordGroup{{Job: "j-000001", Starts: []int{3, 1, 0}}}}
 	roster := leader.FleetRecord{Machines: []string{machine}, Asked: true}
--- a/internal/scenario/node_test.go
+++ b/internal/scenario/node_test.go
@@ -238,8 +238,8 @@
 func (n *simNode) keep(txn func() (wire.Txn, error), settled func(store.Outcome) any) {
 	t, err := txn()
 	must(err)
-	for _, put := range t.Then {
-		if put.Put != "" && !slices.ContainsFunc(t.If, func(g wire.Guard) bool { return g.Key == put.Put }) {
+	for _, put := range t.Writes {
+		if put.Put != "" && !slices.ContainsFunc(t.Conditions, func(g wire.Condition) bool { return g.Key == put.Put }) {
 			n.w.breaks("unguarded: a late copy could put back %s", put.Put)
 		}
 	}
@@ -250,7 +250,7 @@
 	n.sends(toWorker(x.Machine), "GET /inspect")
 	s := n.w.worker(x.Machine)
 	settled := false
-	settle := func(r *wire.Report) {
+	settle := func(r *wire.Heartbeat) {
 		if !settled {
 			settled = true
 			n.holderStep(block.Inspected{Inspect: x, R: r})
@@ -315,7 +315,7 @@
 }
 
 // report brings a worker's report to the controller.
-func (n *simNode) report(r *wire.Report, answer func(block.Answer)) {
+func (n *simNode) report(r *wire.Heartbeat, answer func(block.Answer)) {
 	n.holderStep(block.Report{R: r, Tag: func(a block.Answer) {
 		n.answersReport(r.Machine, a)
 		answer(a)
@@ -394,7 +394,7 @@
 	case leader.LoadRecords:
 		n.loadRecords(x)
 	case leader.Commit:
-		if !slices.Contains(x.Txn.If, wire.Guard{Key: leader.Key, Version: x.Epoch}) {
+		if !slices.Contains(x.Txn.Conditions, wire.Condition{Key: leader.Key, Version: x.Epoch}) {
 			w.breaks("unguarded: a leader's write is not bound to its epoch")
 		}
 		n.commit(x.Txn, false, during(x.Epoch), func(o store.Outcome, err error) {
@@ -406,14 +406,14 @@
 		n.sendsJSON(toCloud, "POST /hosts", x.Rental)
 		cloud(func() any {
 			names, ok := w.cloud.Rent(w.now, x.Rental)
-			m := leader.Rented{Epoch: x.Epoch, Request: x.Rental.Request, Machines: names, NoCapacity: !ok}
+			m := leader.Rented{Epoch: x.Epoch, Request: x.Rental.RequestID, Machines: names, NoCapacity: !ok}
 			if !ok {
 				m.Err = errors.New("no capacity")
 			}
 			return m
-		}, leader.Rented{Epoch: x.Epoch, Request: x.Rental.Request, Err: errTrouble})
+		}, leader.Rented{Epoch: x.Epoch, Request: x.Rental.RequestID, Err: errTrouble})
 	case leader.Delete:
-		n.sendsJSON(toCloud, "POST /hosts/delete", wire.Machines{Machines: x.Machines})
+		n.sendsJSON(toCloud, "POST /hosts/delete", wire.MachineNames{Names: x.Machines})
 		cloud(func() any {
 			w.cloud.Delete(x.Machines)
 			return leader.Deleted{Epoch: x.Epoch, Machines: x.Machines}
--- a/internal/scenario/random_faults_test.go
+++ b/internal/scenario/random_faults_test.go
@@ -220,16 +220,16 @@
 // submitRandom has a user submit a job to whichever controller takes it.
 func (w *world) submitRandom(i, tasks, run int) {
 	w.submitted++
-	j := wire.Job{Ref: fmt.Sprintf("j-%06d", w.submitted), Class: "l", Team: []string{"red", "blue"}[i%2], Shape: wire.Batch,
-		Priority: []string{wire.Standard, wire.High}[i/2%2], Tasks: tasks, CPUs: 1, MemoryGB: 1,
+	j := wire.Job{Ref: fmt.Sprintf("j-%06d", w.submitted), Class: "l", Team: []string{"red", "blue"}[i%2], Shape: wire.ShapeBatch,
+		Priority: []string{wire.PriorityStandard, wire.PriorityHigh}[i/2%2], Tasks: tasks, CPUs: 1, MemoryGB: 1,
 		Image: fmt.Sprint("img", i%4), ImageGB: 1, Spot: true, EstimateS: float64(run)}
 	if i%5 == 4 {
-		j.Shape, j.Priority, j.Tasks, j.EstimateS, j.Spot = wire.Service, wire.Production, 2+tasks%6, 0, false
+		j.Shape, j.Priority, j.Tasks, j.EstimateS, j.Spot = wire.ShapeService, wire.PriorityProduction, 2+tasks%6, 0, false
 	}
 	if i%7 == 3 {
 		j.CheckpointS, j.SaveS = 4, 2
 	}
-	if w.cfg.Tuning.Spread.Enabled && !j.Standing() {
+	if w.cfg.Tuning.Spread.Enabled && !j.IsService() {
 		j.CheckpointS, j.SaveS = 2, 1
 	}
 	w.runS[j.Ref] = float64(run)
@@ -239,8 +239,8 @@
 // submitMistaken has a user submit a job that fails on every machine.
 func (w *world) submitMistaken(i, tasks int) string {
 	w.submitted++
-	j := wire.Job{Ref: fmt.Sprintf("j-%06d", w.submitted), Class: "l", Team: []string{"red", "blue"}[i%2], Shape: wire.Batch,
-		Priority: wire.Standard, Tasks: tasks, CPUs: 1, MemoryGB: 1, Image: "img9", ImageGB: 1, Spot: true, EstimateS: 10}
+	j := wire.Job{Ref: fmt.Sprintf("j-%06d", w.submitted), Class: "l", Team: []string{"red", "blue"}[i%2], Shape: wire.ShapeBatch,
+		Priority: wire.PriorityStandard, Tasks: tasks, CPUs: 1, MemoryGB: 1, Image: "img9", ImageGB: 1, Spot: true, EstimateS: 10}
 	w.runS[j.Ref], w.mistaken[j.Ref] = 10, 1
 	w.submitAgain(j, i)
 	return j.Ref
@@ -253,7 +253,7 @@
 // submitGuest has a team without a guarantee and without a limit submit long tasks of low priority.
 func (w *world) submitGuest(i, tasks int) {
 	w.submitted++
-	j := wire.Job{Ref: fmt.Sprintf("j-%06d", w.submitted), Class: "g", Team: "guest", Shape: wire.Batch, Priority: wire.BestEffort,
+	j := wire.Job{Ref: fmt.Sprintf("j-%06d", w.submitted), Class: "g", Team: "guest", Shape: wire.ShapeBatch, Priority: wire.PriorityBestEffort,
 		Tasks: tasks, CPUs: 1, MemoryGB: 1, Image: "img8", ImageGB: 1, Spot: true, EstimateS: guestRunS, CheckpointS: 5, SaveS: 1}
 	w.runS[j.Ref] = guestRunS
 	w.submitAgain(j, i)
@@ -263,7 +263,7 @@
 func (w *world) callOffAgain(ref string, i int) {
 	n := w.nodes[i%len(w.nodes)]
 	_, accepted := w.jobs[ref]
-	if accepted && n.alive && n.frozenUntil <= w.now && w.callOff(n, ref) == wire.Cancelled {
+	if accepted && n.alive && n.frozenUntil <= w.now && w.callOff(n, ref) == wire.JobCancelled {
 		return
 	}
 	w.after(clock.Second, func() { w.callOffAgain(ref, i+1) })
@@ -427,7 +427,7 @@
 		switch {
 		case r.Code != 200:
 			w.breaks("forgotten: %s is answered %d", ref, r.Code)
-		case !j.Standing() && r.Status.State != wire.Done && r.Status.State != wire.Cancelled:
+		case !j.IsService() && r.Status.State != wire.Done && r.Status.State != wire.JobCancelled:
 			w.breaks("unfinished: %s is %s", ref, r.Status.State)
 		}
 		if _, over := w.store.Get(leader.EndPrefix + ref); !over {
--- a/internal/scenario/rules_test.go
+++ b/internal/scenario/rules_test.go
@@ -50,7 +50,7 @@
 		}
 		r := room{s.CPUs, s.Memory}
 		for _, t := range s.Tasks {
-			if t.State != wire.Exited {
+			if t.State != wire.TaskExited {
 				r.cpus -= t.Job.CPUs
 				r.mem -= t.Job.MemoryGB
 				use[t.Job.Team] += t.Job.CPUs
@@ -66,7 +66,7 @@
 	for ref, j := range w.jobs {
 		team, _ := w.cfg.Team(j.Team)
 		_, over := w.store.Get(leader.EndPrefix + ref)
-		waits := !over && !j.Standing() && !j.OneZone && !j.Spread && at[ref]+on[ref] < j.Tasks && use[j.Team]+j.CPUs <= team.CPULimit()
+		waits := !over && !j.IsService() && !j.OneZone && !j.Spread && at[ref]+on[ref] < j.Tasks && use[j.Team]+j.CPUs <= team.CPULimit()
 		// What fails wherever it runs waits as long as it is not tried.
 		if w.mistaken[ref] > 0 && w.now-w.tried[ref] < mostPause {
 			waits = false
@@ -106,14 +106,14 @@
 		return r
 	}
 	before := w.told[ref]
-	final := before == wire.Done || before == wire.Cancelled
+	final := before == wire.Done || before == wire.JobCancelled
 	if state == "unknown" || final && state != before {
 		w.breaks("went_back: %s is %s after %s", ref, state, before)
 	}
 	if !final {
 		w.told[ref] = state
 	}
-	if w.looks && (before == "" || !final && w.told[ref] != before && (state == wire.Done || state == wire.Cancelled)) {
+	if w.looks && (before == "" || !final && w.told[ref] != before && (state == wire.Done || state == wire.JobCancelled)) {
 		w.lookClosely(ref)
 	}
 	return r
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -145,7 +145,7 @@
 	w.bodies[ref] = body
 	w.mistaken[ref] = arg(t, d, "mistaken", 0)
 	w.runS[ref] = float64(arg(t, d, "run", 10))
-	if arg(t, d, "shape", wire.Batch) == wire.Service {
+	if arg(t, d, "shape", wire.ShapeBatch) == wire.ShapeService {
 		w.runS[ref] = float64(arg(t, d, "ends", 0))
 	}
 	return body
@@ -157,7 +157,7 @@
 	if r.Code != 200 {
 		return fmt.Sprint(r.Code)
 	}
-	if _, ok := w.aborted[ref]; !ok && r.Status.State == wire.Cancelled {
+	if _, ok := w.aborted[ref]; !ok && r.Status.State == wire.JobCancelled {
 		w.aborted[ref] = w.now
 	}
 	return r.Status.State
--- a/internal/scenario/size_test.go
+++ b/internal/scenario/size_test.go
@@ -78,7 +78,7 @@
 	t.Helper()
 	ref := fmt.Sprintf("j-%06d", i)
 	w.runS[ref] = z.runS
-	w.accepted(t, i, wire.Job{Ref: ref, Class: "l", Team: fmt.Sprint("t", i%z.teams), Shape: wire.Batch, Priority: wire.Standard, Tasks: n,
+	w.accepted(t, i, wire.Job{Ref: ref, Class: "l", Team: fmt.Sprint("t", i%z.teams), Shape: wire.ShapeBatch, Priority: wire.PriorityStandard, Tasks: n,
 		CPUs: z.taskCPUs, MemoryGB: z.taskMem, Image: fmt.Sprint("img", i%6), ImageGB: 1.5, Spot: true, EstimateS: z.runS})
 }
 
@@ -204,7 +204,7 @@
 	up := func() (n int) {
 		for _, s := range w.workers {
 			for _, t := range s.Tasks {
-				if t.Job.Standing() && t.Holds() && !s.dead {
+				if t.Job.IsService() && t.Holds() && !s.dead {
 					n++
 				}
 			}
@@ -215,8 +215,8 @@
 		if i%5 == 0 {
 			w.submitTo(t, &z, i, 300)
 		}
-		w.accepted(t, i, wire.Job{Ref: fmt.Sprintf("j-%06d", 5000+i), Class: "s", Team: fmt.Sprint("t", i%z.teams), Shape: wire.Service,
-			Priority: wire.Production, Tasks: replicas, CPUs: 1, MemoryGB: 1.6, Image: fmt.Sprint("img", i%3), ImageGB: 2})
+		w.accepted(t, i, wire.Job{Ref: fmt.Sprintf("j-%06d", 5000+i), Class: "s", Team: fmt.Sprint("t", i%z.teams), Shape: wire.ShapeService,
+			Priority: wire.PriorityProduction, Tasks: replicas, CPUs: 1, MemoryGB: 1.6, Image: fmt.Sprint("img", i%3), ImageGB: 2})
 		w.run(clock.Second)
 	}
 	w.run(120 * clock.Second)
--- a/internal/scenario/transcript_test.go
+++ b/internal/scenario/transcript_test.go
@@ -166,8 +166,8 @@
 
 // sendsTxn records a transaction, in the form that the state service's client gives it.
 func (n *simNode) sendsTxn(t wire.Txn) {
-	if t.If == nil {
-		t.If = []wire.Guard{}
+	if t.Conditions == nil {
+		t.Conditions = []wire.Condition{}
 	}
 	n.sendsJSON(toStore, "POST /multi", t)
 }
@@ -195,7 +195,7 @@
 
 // sendsGrant records the request for a lease of the state service.
 func (n *simNode) sendsGrant(ttl clock.Micros) {
-	n.sendsJSON(toStore, "POST /grants", wire.LeaseForm{TTLMs: int64(ttl / clock.Millisecond)})
+	n.sendsJSON(toStore, "POST /grants", wire.LeaseRequest{TTLMs: int64(ttl / clock.Millisecond)})
 }
 
 // sendsTouch records the renewal of a lease.
@@ -225,7 +225,7 @@
 func (n *simNode) answersUser(request string, r api.Result) api.Result {
 	var body any = r.Status
 	if r.Code >= 400 {
-		body = wire.Problem{Error: r.Why}
+		body = wire.ErrorResponse{Error: r.Why}
 	}
 	n.sendsJSON(toUser, request+": "+strconv.Itoa(r.Code), body)
 	return r
--- a/internal/scenario/worker_test.go
+++ b/internal/scenario/worker_test.go
@@ -24,7 +24,7 @@
 	mute      bool         // its reports reach nobody, while commands reach it
 	hungUntil clock.Micros // it does nothing until then, and goes on
 	keeps     bool         // copies of its reports are kept for the next leader
-	kept      []*wire.Report
+	kept      []*wire.Heartbeat
 	copies    clock.Micros // reports and commands come once more, up to this much later
 }
 
@@ -47,7 +47,7 @@
 	s.Started = func(t *standin.Task) { w.started(s, t) }
 	s.Restarted = w.history.restart
 	s.Ended = func(t *standin.Task) {
-		if t.Cause == wire.CauseDone {
+		if t.Cause == wire.ExitDone {
 			w.ran[t.Task]++
 			w.history.complete(t)
 		}
@@ -135,9 +135,9 @@
 						if s.Answered(w.now, sent, session, a.Body) {
 							s.changed(w)
 						}
-					case a.Status == 421 && a.Redirect.ReportTo != "":
+					case a.Status == 421 && a.Redirect.Controller != "":
 						for i, o := range w.nodes {
-							if o.name == a.Redirect.ReportTo && i != s.target {
+							if o.name == a.Redirect.Controller && i != s.target {
 								next(i, 100*clock.Millisecond)
 								return
 							}
--- a/internal/scenario/world_test.go
+++ b/internal/scenario/world_test.go
@@ -131,7 +131,7 @@
 	w.watchWaiting()
 	if w.looks {
 		for i, ref := range sortedKeys(w.jobs) {
-			if n := w.nodes[(int(w.now/step)+i)%len(w.nodes)]; n.alive && n.frozenUntil <= w.now && w.told[ref] != wire.Done && w.told[ref] != wire.Cancelled {
+			if n := w.nodes[(int(w.now/step)+i)%len(w.nodes)]; n.alive && n.frozenUntil <= w.now && w.told[ref] != wire.Done && w.told[ref] != wire.JobCancelled {
 				w.hear(ref, n.lookUp(ref))
 			}
 		}
--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -48,8 +48,8 @@
 }
 
 // Rent carries out a request, once for each name; false: no capacity.
-func (c *Cloud) Rent(now clock.Micros, r wire.Rental) ([]string, bool) {
-	if names, ok := c.requests[r.Request]; ok {
+func (c *Cloud) Rent(now clock.Micros, r wire.ProvisionRequest) ([]string, bool) {
+	if names, ok := c.requests[r.RequestID]; ok {
 		return names, true
 	}
 	left := r.Count
@@ -70,7 +70,7 @@
 		m := c.Add(now, r.Type, r.Zone, r.Spot)
 		names = append(names, m.Name)
 	}
-	c.requests[r.Request] = names
+	c.requests[r.RequestID] = names
 	return names, true
 }
 
@@ -78,7 +78,7 @@
 func (c *Cloud) Add(now clock.Micros, typ, zone string, spot bool) *Rented {
 	t := c.typ(typ)
 	m := &Rented{Machine: wire.Machine{Name: fmt.Sprintf("host-%06d", c.n), Address: fmt.Sprintf("10.1.0.%d:9000", c.n),
-		Type: typ, Zone: zone, Spot: spot, State: wire.Starting},
+		Type: typ, Zone: zone, Spot: spot, State: wire.MachineStarting},
 		Since: now, UpAt: now + clock.FromSeconds(t.BootS), Listed: now + c.Lag}
 	c.n++
 	if c.NoBoot > 0 {
@@ -116,7 +116,7 @@
 		w.AgeS = (now - m.Since).Seconds()
 		switch {
 		case m.Dead:
-			w.State = wire.Failed
+			w.State = wire.MachineFailed
 		case !m.Never && now >= m.UpAt:
 			w.State = "running"
 		}
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -126,11 +126,11 @@
 
 // Txn carries out a transaction; problem tells of one that is malformed.
 func (s *Store) Txn(t wire.Txn) (o store.Outcome, problem string) {
-	s.Puts += len(t.Then)
-	if len(t.Then) > s.TxnOps || len(t.If) > 4*s.TxnOps {
+	s.Puts += len(t.Writes)
+	if len(t.Writes) > s.TxnOps || len(t.Conditions) > 4*s.TxnOps {
 		return o, "too many operations"
 	}
-	for _, w := range t.Then {
+	for _, w := range t.Writes {
 		if len(w.Value) > s.ValueMax {
 			return o, "value of " + w.Put + " is too large"
 		}
@@ -141,18 +141,18 @@
 			return store.Outcome{NoLease: true}, "no such lease"
 		}
 	}
-	for _, g := range t.If {
+	for _, g := range t.Conditions {
 		if s.items[g.Key].Version != g.Version {
 			o.Failed = append(o.Failed, g.Key)
 		}
 	}
 	o.Revision = s.rev
-	if len(o.Failed) > 0 || len(t.Then) == 0 {
+	if len(o.Failed) > 0 || len(t.Writes) == 0 {
 		o.OK = len(o.Failed) == 0
 		return o, ""
 	}
 	s.rev++
-	for _, w := range t.Then {
+	for _, w := range t.Writes {
 		if w.Put != "" {
 			s.items[w.Put] = wire.Item{Key: w.Put, Value: slices.Clone(w.Value), Version: s.rev, Lease: w.Lease}
 			s.log = append(s.log, change{s.rev, wire.Event{Put: w.Put, Value: slices.Clone(w.Value), Version: s.rev}})
@@ -172,8 +172,8 @@
 func (s *Store) Known(rev uint64) bool { return rev >= s.oldest }
 
 // Since gives the changes under a prefix after a revision.
-func (s *Store) Since(prefix string, rev uint64) wire.WatchAnswer {
-	a := wire.WatchAnswer{Revision: s.rev}
+func (s *Store) Since(prefix string, rev uint64) wire.WatchResponse {
+	a := wire.WatchResponse{Revision: s.rev}
 	i, _ := slices.BinarySearchFunc(s.log, rev+1, func(c change, r uint64) int { return int(c.rev) - int(r) })
 	for _, c := range s.log[i:] {
 		if strings.HasPrefix(c.ev.Put+c.ev.Delete, prefix) {
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -12,7 +12,7 @@
 
 // Task is one attempt on a worker.
 type Task struct {
-	wire.TaskReport
+	wire.TaskStatus
 	Job   wire.Job
 	Index int
 	until clock.Micros // of fetching, running or saving
@@ -20,7 +20,7 @@
 }
 
 // Holds says whether the task counts as on the machine: it has its image and has not exited.
-func (t *Task) Holds() bool { return t.State == wire.Running || t.State == wire.Saving }
+func (t *Task) Holds() bool { return t.State == wire.Running || t.State == wire.TaskSaving }
 
 // Worker runs tasks as its protocol page says.
 type Worker struct {
@@ -79,7 +79,7 @@
 func (w *Worker) Load() float64 {
 	var used balance.Resources
 	for _, t := range w.Tasks {
-		if t.State != wire.Exited {
+		if t.State != wire.TaskExited {
 			used = used.Plus(balance.Resources{CPUs: t.Job.CPUs, Memory: t.Job.MemoryGB})
 		}
 	}
@@ -99,24 +99,24 @@
 		changed = true
 	}
 	for _, t := range w.Tasks {
-		if t.until == 0 || now < t.until || t.State == wire.Exited {
+		if t.until == 0 || now < t.until || t.State == wire.TaskExited {
 			continue
 		}
 		changed = true
 		switch t.State {
-		case wire.Fetching:
+		case wire.TaskFetching:
 			if !w.images[t.Job.Image] {
 				w.images[t.Job.Image] = true
 				w.Fetched++
 			}
 			if w.Kept[w.result(t)] {
 				w.Restarted(t)
-				w.end(now, t, wire.CauseDone)
+				w.end(now, t, wire.ExitDone)
 				continue
 			}
 			t.State, t.began = wire.Running, now
 			t.until = now + clock.FromSeconds(max(0, w.RunS(&t.Job, t.Index)-w.Progress[t.Task]))
-			if t.Job.Standing() && t.until == now {
+			if t.Job.IsService() && t.until == now {
 				t.until = 0 // until it is stopped
 			}
 			if w.fails(t) {
@@ -125,15 +125,15 @@
 			w.Started(t)
 		case wire.Running:
 			if w.fails(t) {
-				w.end(now, t, wire.CauseError)
+				w.end(now, t, wire.ExitError)
 			} else {
 				w.Kept[w.result(t)] = true
-				w.end(now, t, wire.CauseDone)
+				w.end(now, t, wire.ExitDone)
 			}
-		case wire.Saving:
-			t.Stored = true
+		case wire.TaskSaving:
+			t.Checkpointed = true
 			w.Progress[t.Task] += (t.until - t.began).Seconds() - t.Job.SaveS
-			w.end(now, t, wire.CauseStopped)
+			w.end(now, t, wire.ExitStopped)
 		}
 	}
 	return changed
@@ -144,7 +144,7 @@
 
 // result is where a task's result is kept. A replica of a service may run again elsewhere.
 func (w *Worker) result(t *Task) string {
-	if t.Job.Standing() {
+	if t.Job.IsService() {
 		return t.Task + " on " + w.Name
 	}
 	return t.Task
@@ -153,11 +153,11 @@
 // end ends a task. Of one that neither completed nor saved, what it saved by itself every interval is kept,
 // and the rest has to be done again.
 func (w *Worker) end(now clock.Micros, t *Task, cause string) {
-	if t.State == wire.Exited {
+	if t.State == wire.TaskExited {
 		return
 	}
 	held := t.Holds()
-	if held && cause != wire.CauseDone && !t.Stored {
+	if held && cause != wire.ExitDone && !t.Checkpointed {
 		ran, kept := (now - t.began).Seconds(), 0.0
 		if t.Job.CheckpointS > 0 {
 			kept = math.Floor(ran/t.Job.CheckpointS) * t.Job.CheckpointS
@@ -165,41 +165,41 @@
 		}
 		w.Redone += ran - kept
 	}
-	t.State, t.Cause, t.until = wire.Exited, cause, 0
+	t.State, t.Cause, t.until = wire.TaskExited, cause, 0
 	if held {
 		w.Ended(t)
 	}
 }
 
 // Report is the worker's report as of now.
-func (w *Worker) Report() *wire.Report {
+func (w *Worker) Report() *wire.Heartbeat {
 	w.Seq++
-	r := &wire.Report{Machine: w.Name, Address: w.Address, Type: w.Type, Zone: w.Zone, Spot: w.Spot,
-		Session: w.Session, Seq: w.Seq, Token: w.Token, NoticeS: w.NoticeS}
+	r := &wire.Heartbeat{Machine: w.Name, Address: w.Address, Type: w.Type, Zone: w.Zone, Spot: w.Spot,
+		AgentEpoch: w.Session, Seq: w.Seq, FencingToken: w.Token, PreemptionNoticeS: w.NoticeS}
 	for _, t := range w.Tasks {
-		r.Tasks = append(r.Tasks, t.TaskReport)
+		r.Tasks = append(r.Tasks, t.TaskStatus)
 	}
 	return r
 }
 
 // Answered takes a 200 to the report that was sent at the given time in the given session.
-func (w *Worker) Answered(now, sent clock.Micros, session uint64, a wire.ReportAnswer) (changed bool) {
-	if session != w.Session || a.Token < w.Token || now-sent > 4*clock.Second {
+func (w *Worker) Answered(now, sent clock.Micros, session uint64, a wire.HeartbeatResponse) (changed bool) {
+	if session != w.Session || a.FencingToken < w.Token || now-sent > 4*clock.Second {
 		return false
 	}
-	changed = a.Token > w.Token
-	w.Token = a.Token
+	changed = a.FencingToken > w.Token
+	w.Token = a.FencingToken
 	w.renewed = max(w.renewed, sent)
 	return w.execute(now, a.Commands) || changed
 }
 
 // Orders takes a direct command and answers 200 or 409.
-func (w *Worker) Orders(now clock.Micros, o wire.Orders) (int, *wire.Report, bool) {
-	if o.Token < w.Token || o.Session != w.Session {
+func (w *Worker) Orders(now clock.Micros, o wire.CommandBatch) (int, *wire.Heartbeat, bool) {
+	if o.FencingToken < w.Token || o.AgentEpoch != w.Session {
 		return 409, w.Report(), false
 	}
-	changed := o.Token > w.Token
-	w.Token = o.Token
+	changed := o.FencingToken > w.Token
+	w.Token = o.FencingToken
 	changed = w.execute(now, o.Commands) || changed
 	return 200, w.Report(), changed
 }
@@ -215,22 +215,22 @@
 			}
 		}
 		switch {
-		case c.Op == wire.Run && at == nil:
+		case c.Verb == wire.VerbRun && at == nil:
 			w.start(now, c)
 			changed = true
-		case c.Op == wire.Forget && at != nil && at.State == wire.Exited:
+		case c.Verb == wire.VerbForget && at != nil && at.State == wire.TaskExited:
 			w.Tasks = append(w.Tasks[:i:i], w.Tasks[i+1:]...)
-		case c.Op == wire.Kill && at != nil && at.State != wire.Exited:
+		case c.Verb == wire.VerbKill && at != nil && at.State != wire.TaskExited:
 			grace := 0.0
 			if c.GraceS != nil {
 				grace = *c.GraceS
 			}
 			switch {
 			case at.State == wire.Running && at.Job.CheckpointS > 0 && grace >= at.Job.SaveS:
-				at.State, at.until = wire.Saving, now+clock.FromSeconds(at.Job.SaveS)
-			case at.State == wire.Saving && grace > 0:
+				at.State, at.until = wire.TaskSaving, now+clock.FromSeconds(at.Job.SaveS)
+			case at.State == wire.TaskSaving && grace > 0:
 			default:
-				w.end(now, at, wire.CauseStopped)
+				w.end(now, at, wire.ExitStopped)
 			}
 			changed = true
 		}
@@ -239,7 +239,7 @@
 }
 
 func (w *Worker) start(now clock.Micros, c wire.Command) {
-	t := &Task{TaskReport: wire.TaskReport{Task: c.Task, Attempt: c.Attempt, State: wire.Fetching}}
+	t := &Task{TaskStatus: wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskFetching}}
 	w.Tasks = append(w.Tasks, t)
 	ref, idx, _ := strings.Cut(c.Task, "/")
 	w.Tried[ref]++
@@ -247,23 +247,23 @@
 	n, err := strconv.Atoi(idx)
 	job, ok := w.Find(ref)
 	if err != nil || !ok || n >= job.Tasks {
-		t.State, t.Cause = wire.Exited, wire.CauseUnknown
+		t.State, t.Cause = wire.TaskExited, wire.ExitUnknown
 		return
 	}
 	t.Job, t.Index = job, n
 	cpus, mem := w.CPUs, w.Memory
 	for _, o := range w.Tasks {
-		if o != t && o.State != wire.Exited {
+		if o != t && o.State != wire.TaskExited {
 			cpus -= o.Job.CPUs
 			mem -= o.Job.MemoryGB
 			if o.Task == t.Task {
-				t.State, t.Cause = wire.Exited, wire.CauseBusy
+				t.State, t.Cause = wire.TaskExited, wire.ExitBusy
 				return
 			}
 		}
 	}
 	if job.CPUs > cpus+1e-9 || job.MemoryGB > mem+1e-9 {
-		t.State, t.Cause = wire.Exited, wire.CauseFull
+		t.State, t.Cause = wire.TaskExited, wire.ExitFull
 		return
 	}
 	t.until = now + 1
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -201,13 +201,13 @@
 
 // Once tries a transaction one time.
 func (c *Client) Once(ctx context.Context, prio int, t wire.Txn) (Outcome, error) {
-	if err := c.admit(ctx, prio, len(t.Then)); err != nil {
+	if err := c.admit(ctx, prio, len(t.Writes)); err != nil {
 		return Outcome{}, err
 	}
-	if t.If == nil {
-		t.If = []wire.Guard{}
+	if t.Conditions == nil {
+		t.Conditions = []wire.Condition{}
 	}
-	var a wire.TxnAnswer
+	var a wire.TxnResponse
 	code, err := c.do(c.http, "POST", "/multi", t, &a, timeout)
 	switch {
 	case err != nil:
@@ -263,8 +263,8 @@
 	if err := c.admit(ctx, Urgent, 0); err != nil {
 		return 0, err
 	}
-	var a wire.LeaseAnswer
-	code, err := c.do(c.http, "POST", "/grants", wire.LeaseForm{TTLMs: int64(ttl / clock.Millisecond)}, &a, timeout)
+	var a wire.LeaseResponse
+	code, err := c.do(c.http, "POST", "/grants", wire.LeaseRequest{TTLMs: int64(ttl / clock.Millisecond)}, &a, timeout)
 	if err == nil && code != 200 {
 		err = fmt.Errorf("%w: %d", ErrRefused, code)
 	}
@@ -303,8 +303,8 @@
 
 // Watch waits for changes under prefix after revision since. Users' questions must not hold
 // it up: what is done on a view of the jobs waits for a fresh one.
-func (c *Client) Watch(ctx context.Context, prefix string, since uint64, block clock.Micros) (wire.WatchAnswer, error) {
-	var a wire.WatchAnswer
+func (c *Client) Watch(ctx context.Context, prefix string, since uint64, block clock.Micros) (wire.WatchResponse, error) {
+	var a wire.WatchResponse
 	if err := c.admit(ctx, Urgent, 0); err != nil {
 		return a, err
 	}
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -27,7 +27,7 @@
 	go srv.Serve(l)
 	defer srv.Close()
 	c := New(l.Addr().String(), Budget{RPS: 100, Puts: 100}, func(bool) {})
-	o, err := c.Commit(t.Context(), Urgent, wire.Txn{Then: []wire.Write{{Put: "a", Value: []byte("1")}}})
+	o, err := c.Commit(t.Context(), Urgent, wire.Txn{Writes: []wire.Write{{Put: "a", Value: []byte("1")}}})
 	if err == nil || errors.Is(err, ErrRefused) || errors.Is(err, ErrUnknown) {
 		t.Errorf("error %v, want one that ends the tries", err)
 	}
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -7,22 +7,22 @@
 
 // Priorities, highest first.
 const (
-	Production = "production"
-	High       = "high"
-	Standard   = "standard"
-	BestEffort = "best_effort"
+	PriorityProduction = "production"
+	PriorityHigh       = "high"
+	PriorityStandard   = "standard"
+	PriorityBestEffort = "best_effort"
 )
 
-// Rank orders priorities: 0 is the most important, -1 is unknown.
-func Rank(priority string) int {
+// PriorityRank orders priorities: 0 is the most important, -1 is unknown.
+func PriorityRank(priority string) int {
 	switch priority {
-	case Production:
+	case PriorityProduction:
 		return 0
-	case High:
+	case PriorityHigh:
 		return 1
-	case Standard:
+	case PriorityStandard:
 		return 2
-	case BestEffort:
+	case PriorityBestEffort:
 		return 3
 	}
 	return -1
@@ -31,43 +31,43 @@
 // Shapes of jobs: a batch's tasks each run to completion, a service's replicas run
 // until its user cancels it.
 const (
-	Batch   = "batch"
-	Service = "service"
+	ShapeBatch   = "batch"
+	ShapeService = "service"
 )
 
 // Job states as users see them.
 const (
-	Queued    = "queued"
-	Running   = "running"
-	Done      = "done"
-	Cancelled = "cancelled"
+	JobQueued    = "queued"
+	Running      = "running"
+	Done         = "done"
+	JobCancelled = "cancelled"
 )
 
 // Task states in a worker's report, and the causes of an exit.
 const (
-	Fetching = "fetching"
-	Saving   = "saving"
-	Exited   = "exited"
-
-	CauseDone    = "done"
-	CauseStopped = "stopped"
-	CauseError   = "error"
-	CauseFull    = "full"
-	CauseBusy    = "busy"
-	CauseUnknown = "unknown"
+	TaskFetching = "fetching"
+	TaskSaving   = "saving"
+	TaskExited   = "exited"
+
+	ExitDone    = "done"
+	ExitStopped = "stopped"
+	ExitError   = "error"
+	ExitFull    = "full"
+	ExitBusy    = "busy"
+	ExitUnknown = "unknown"
 )
 
 // Command verbs.
 const (
-	Run    = "run"
-	Kill   = "kill"
-	Forget = "forget"
+	VerbRun    = "run"
+	VerbKill   = "kill"
+	VerbForget = "forget"
 )
 
 // Machine states in the cloud's list.
 const (
-	Starting = "starting"
-	Failed   = "failed"
+	MachineStarting = "starting"
+	MachineFailed   = "failed"
 )
 
 // Job is what a user submits.
@@ -97,11 +97,11 @@
 	FleetLoad float64 `json:"-" msgpack:",omitempty"`
 }
 
-// Standing says whether the job's tasks run until it is cancelled.
-func (j *Job) Standing() bool { return j.Shape == Service }
+// IsService says whether the job's tasks run until it is cancelled.
+func (j *Job) IsService() bool { return j.Shape == ShapeService }
 
-// JobForm is a submission as received: pointers tell a missing field from zero.
-type JobForm struct {
+// JobSubmission is a submission as received: pointers tell a missing field from zero.
+type JobSubmission struct {
 	Ref         *string   `json:"ref" validate:"required,jobref"`
 	Class       *string   `json:"lane" validate:"required"`
 	Team        *string   `json:"owner" validate:"required"`
@@ -125,7 +125,7 @@
 }
 
 // Job makes the job of a form that has passed validation.
-func (f *JobForm) Job() Job {
+func (f *JobSubmission) Job() Job {
 	j := Job{Ref: *f.Ref, Class: *f.Class, Team: *f.Team, Shape: *f.Shape, Priority: *f.Priority, Tasks: *f.Tasks,
 		CPUs: *f.CPUs, GPUs: *f.GPUs, MemoryGB: *f.MemoryGB, Image: *f.Image, ImageGB: *f.ImageGB,
 		OneZone: *f.OneZone, Spread: *f.Spread, Spot: *f.Spot, EstimateS: *f.EstimateS,
@@ -147,58 +147,58 @@
 	Running int    `json:"running"`
 }
 
-// Problem is the body of a refusal.
-type Problem struct {
+// ErrorResponse is the body of a refusal.
+type ErrorResponse struct {
 	Error string `json:"error"`
 }
 
-// TaskReport is one task in a worker's report.
-type TaskReport struct {
-	Task    string `json:"lot"`
-	Attempt uint64 `json:"try"`
-	State   string `json:"status"`
-	Cause   string `json:"cause,omitempty"`
-	Stored  bool   `json:"stored,omitempty"`
+// TaskStatus is one task in a worker's report.
+type TaskStatus struct {
+	Task         string `json:"lot"`
+	Attempt      uint64 `json:"try"`
+	State        string `json:"status"`
+	Cause        string `json:"cause,omitempty"`
+	Checkpointed bool   `json:"stored,omitempty"`
 }
 
-// Report is what a worker says of itself.
-type Report struct {
-	Machine string       `json:"rig"`
-	Address string       `json:"address"`
-	Type    string       `json:"breed"`
-	Zone    string       `json:"paddock"`
-	Spot    bool         `json:"stray"`
-	Session uint64       `json:"stint"`
-	Seq     uint64       `json:"tally"`
-	Token   uint64       `json:"baton"`
-	NoticeS *float64     `json:"warningS"`
-	Tasks   []TaskReport `json:"lots"`
+// Heartbeat is what a worker says of itself.
+type Heartbeat struct {
+	Machine           string       `json:"rig"`
+	Address           string       `json:"address"`
+	Type              string       `json:"breed"`
+	Zone              string       `json:"paddock"`
+	Spot              bool         `json:"stray"`
+	AgentEpoch        uint64       `json:"stint"`
+	Seq               uint64       `json:"tally"`
+	FencingToken      uint64       `json:"baton"`
+	PreemptionNoticeS *float64     `json:"warningS"`
+	Tasks             []TaskStatus `json:"lots"`
 }
 
 // Command is one order to a worker.
 type Command struct {
-	Op      string   `json:"verb"`
+	Verb    string   `json:"verb"`
 	Task    string   `json:"lot"`
 	Attempt uint64   `json:"try"`
 	GraceS  *float64 `json:"leewayS,omitempty"`
 }
 
-// ReportAnswer answers a report with 200.
-type ReportAnswer struct {
-	Token    uint64    `json:"baton"`
-	Commands []Command `json:"orders"`
+// HeartbeatResponse answers a report with 200.
+type HeartbeatResponse struct {
+	FencingToken uint64    `json:"baton"`
+	Commands     []Command `json:"orders"`
 }
 
 // Redirect answers a report with 421.
 type Redirect struct {
-	ReportTo string `json:"foreman,omitempty"`
+	Controller string `json:"foreman,omitempty"`
 }
 
-// Orders is a direct command to a worker.
-type Orders struct {
-	Token    uint64    `json:"baton"`
-	Session  uint64    `json:"stint"`
-	Commands []Command `json:"orders"`
+// CommandBatch is a direct command to a worker.
+type CommandBatch struct {
+	FencingToken uint64    `json:"baton"`
+	AgentEpoch   uint64    `json:"stint"`
+	Commands     []Command `json:"orders"`
 }
 
 // MachineType is one row of the cloud's catalog.
@@ -220,18 +220,18 @@
 	Types []MachineType `json:"breeds"`
 }
 
-// Rental asks the cloud for machines; Request makes it idempotent.
-type Rental struct {
-	Request string `json:"hire"`
-	Type    string `json:"breed"`
-	Zone    string `json:"paddock"`
-	Spot    bool   `json:"stray"`
-	Count   int    `json:"count"`
+// ProvisionRequest asks the cloud for machines; Request makes it idempotent.
+type ProvisionRequest struct {
+	RequestID string `json:"hire"`
+	Type      string `json:"breed"`
+	Zone      string `json:"paddock"`
+	Spot      bool   `json:"stray"`
+	Count     int    `json:"count"`
 }
 
-// Machines names machines: a rental's answer and a deletion's body.
-type Machines struct {
-	Machines []string `json:"rigs"`
+// MachineNames names machines: a rental's answer and a deletion's body.
+type MachineNames struct {
+	Names []string `json:"rigs"`
 }
 
 // Machine is one row of the cloud's list.
@@ -266,8 +266,8 @@
 	Revision uint64 `json:"ledger"`
 }
 
-// Guard is a transaction's condition: version 0 says that the key is absent.
-type Guard struct {
+// Condition is a transaction's condition: version 0 says that the key is absent.
+type Condition struct {
 	Key     string `json:"path"`
 	Version uint64 `json:"stamp"`
 }
@@ -282,24 +282,24 @@
 
 // Txn is a transaction.
 type Txn struct {
-	If   []Guard `json:"guards"`
-	Then []Write `json:"writes"`
+	Conditions []Condition `json:"guards"`
+	Writes     []Write     `json:"writes"`
 }
 
-// TxnAnswer answers 200 and 409.
-type TxnAnswer struct {
+// TxnResponse answers 200 and 409.
+type TxnResponse struct {
 	Revision uint64   `json:"ledger"`
 	Failed   []string `json:"failed,omitempty"`
 	Error    string   `json:"error,omitempty"`
 }
 
-// LeaseForm asks for a store lease.
-type LeaseForm struct {
+// LeaseRequest asks for a store lease.
+type LeaseRequest struct {
 	TTLMs int64 `json:"ttlMs"`
 }
 
-// LeaseAnswer names the lease.
-type LeaseAnswer struct {
+// LeaseResponse names the lease.
+type LeaseResponse struct {
 	Lease uint64 `json:"tenure"`
 }
 
@@ -311,8 +311,8 @@
 	Delete  string          `json:"delete,omitempty"`
 }
 
-// WatchAnswer holds the changes since the given revision.
-type WatchAnswer struct {
+// WatchResponse holds the changes since the given revision.
+type WatchResponse struct {
 	Revision uint64  `json:"ledger"`
 	Events   []Event `json:"news"`
 }
