--- a/internal/api/answers_test.go
+++ b/internal/api/answers_test.go
@@ -38,17 +38,17 @@
 	if ok {
 		return it, nil
 	}
-	return wire.Item{}, store.ErrMissing
+	return wire.Item{}, store.ErrNotFound
 }
 
-func (b *between) Once(_ context.Context, _ int, t wire.Txn) (store.Outcome, error) {
+func (b *between) TryCommit(_ context.Context, _ int, t wire.Txn) (store.TxnResult, error) {
 	o, _ := b.Store.Txn(t)
 	if b.lost > 0 {
 		b.lost--
 		if b.then != nil {
 			b.then()
 		}
-		return store.Outcome{}, store.ErrUnknown
+		return store.TxnResult{}, store.ErrOutcomeUnknown
 	}
 	return o, nil
 }
@@ -62,7 +62,7 @@
 	}
 	it, _ := b.Store.Get(leader.JobPrefix + ref)
 	if o, problem := b.Txn(wire.Txn{Conditions: []wire.Condition{{Key: leader.JobPrefix + ref, Version: it.Version}},
-		Writes: []wire.Write{{Put: leader.EndPrefix + ref, Value: raw}, {Delete: leader.JobPrefix + ref}}}); !o.OK {
+		Writes: []wire.Write{{Put: leader.EndPrefix + ref, Value: raw}, {Delete: leader.JobPrefix + ref}}}); !o.Committed {
 		t.Fatal("the job does not end: ", problem)
 	}
 }
@@ -148,7 +148,7 @@
 func (r *refusing) Get(ctx context.Context, prio int, key string) (wire.Item, error) {
 	r.priorities = append(r.priorities, prio)
 	if r.refuse {
-		return wire.Item{}, store.ErrRefused
+		return wire.Item{}, store.ErrNotExecuted
 	}
 	return r.between.Get(ctx, prio, key)
 }
@@ -167,16 +167,16 @@
 		return st.priorities[0]
 	}
 	for _, at := range []clock.Micros{0, starvedAfter / 2, starvedAfter - 1} {
-		if prio := ask(clock.Second + at); prio != store.Normal {
-			t.Errorf("after %g s of refusals: priority %d, want %d", at.Seconds(), prio, store.Normal)
+		if prio := ask(clock.Second + at); prio != store.PriorityReads {
+			t.Errorf("after %g s of refusals: priority %d, want %d", at.Seconds(), prio, store.PriorityReads)
 		}
 	}
 	st.refuse = false
-	if prio := ask(clock.Second + starvedAfter + 1); prio != store.Starved {
-		t.Errorf("a job that has waited: priority %d, want %d", prio, store.Starved)
+	if prio := ask(clock.Second + starvedAfter + 1); prio != store.PriorityStarvedReads {
+		t.Errorf("a job that has waited: priority %d, want %d", prio, store.PriorityStarvedReads)
 	}
-	if prio := ask(clock.Second + 2*starvedAfter); prio != store.Normal {
-		t.Errorf("after an answer: priority %d, want %d", prio, store.Normal)
+	if prio := ask(clock.Second + 2*starvedAfter); prio != store.PriorityReads {
+		t.Errorf("after an answer: priority %d, want %d", prio, store.PriorityReads)
 	}
 }
 
@@ -193,8 +193,8 @@
 	now = starvedAfter + 1
 	st.priorities = nil
 	s.Look("j-000001")
-	if prio := st.priorities[0]; prio != store.Starved {
-		t.Errorf("priority %d, want %d", prio, store.Starved)
+	if prio := st.priorities[0]; prio != store.PriorityStarvedReads {
+		t.Errorf("priority %d, want %d", prio, store.PriorityStarvedReads)
 	}
 }
 
--- a/internal/api/directory.go
+++ b/internal/api/directory.go
@@ -87,7 +87,7 @@
 	return &Directory{cfg: cfg, now: now, box: make(chan stamped, 1024)}
 }
 
-// Post takes *peer.Down, Following and PeerReached.
+// Post takes *peer.FromLeader, Following and PeerReached.
 func (d *Directory) Post(msg any) { d.box <- stamped{d.now(), msg} }
 
 // Look asks for a View.
@@ -121,14 +121,14 @@
 		case Following:
 			v.Epoch, v.Leader = m.Epoch, m.Node
 			leaderAt = 0
-		case *peer.Down:
+		case *peer.FromLeader:
 			if len(m.Types) > 0 {
 				v.Types = m.Types
 			}
-			if m.Renewed > 0 && m.StoreOK && m.Epoch == v.Epoch {
+			if m.RenewedSeq > 0 && m.StoreOK && m.Term == v.Epoch {
 				leaderAt = s.at
 			}
-			for _, c := range m.Counts {
+			for _, c := range m.TaskCounts {
 				counts.put(c.Job, c)
 			}
 		case typesRead:
--- a/internal/api/jobs.go
+++ b/internal/api/jobs.go
@@ -30,14 +30,14 @@
 // Store is what the users' requests need of the state service.
 type Store interface {
 	Get(ctx context.Context, prio int, key string) (wire.Item, error)
-	Once(ctx context.Context, prio int, t wire.Txn) (store.Outcome, error)
+	TryCommit(ctx context.Context, prio int, t wire.Txn) (store.TxnResult, error)
 }
 
 // again says whether try n+1 of a request is worth the user's wait: after a
 // moment when only the limits were in the way, once when no answer came. Else the
 // state service is away, and the user is told at once when to come back.
 func again(err error, n int) bool {
-	return errors.Is(err, store.ErrBusy) && n < 4 || errors.Is(err, store.ErrUnknown) && n < 1
+	return errors.Is(err, store.ErrRateLimited) && n < 4 || errors.Is(err, store.ErrOutcomeUnknown) && n < 1
 }
 
 // What a user waits for at most.
@@ -115,9 +115,9 @@
 	t := wire.Txn{Conditions: []wire.Condition{{Key: leader.JobPrefix + job.Ref}, {Key: leader.EndPrefix + job.Ref}},
 		Writes: []wire.Write{{Put: leader.JobPrefix + job.Ref, Value: raw}}}
 	for n := 0; ; n++ {
-		o, err := s.store.Once(ctx, store.Urgent, t)
+		o, err := s.store.TryCommit(ctx, store.PriorityUrgent, t)
 		switch {
-		case err == nil && o.OK:
+		case err == nil && o.Committed:
 			return Result{Code: 201, Status: wire.JobStatus{Ref: job.Ref, State: wire.JobQueued}}
 		case err == nil:
 			r := s.Look(job.Ref)
@@ -147,7 +147,7 @@
 func (s *Service) storedTypes() []wire.MachineType {
 	ctx, cancel := context.WithTimeout(context.Background(), pollWithin)
 	defer cancel()
-	it, err := s.store.Get(ctx, store.Normal, leader.CatalogKey)
+	it, err := s.store.Get(ctx, store.PriorityReads, leader.CatalogKey)
 	var c wire.Catalog
 	if err != nil || json.Unmarshal(it.Value, &c) != nil {
 		return nil
@@ -219,9 +219,9 @@
 // chance would leave some jobs without an answer for minutes: those that have waited go first.
 func readPriority(v View) int {
 	if v.RefusedFor > starvedAfter {
-		return store.Starved
+		return store.PriorityStarvedReads
 	}
-	return store.Normal
+	return store.PriorityReads
 }
 
 func (s *Service) read(ctx context.Context, ref string, v View) (Result, error) {
@@ -235,11 +235,11 @@
 		}
 		return Result{Code: 200, Status: st}, nil
 	}
-	if !errors.Is(err, store.ErrMissing) {
+	if !errors.Is(err, store.ErrNotFound) {
 		return Result{}, err
 	}
 	it, err := s.store.Get(ctx, prio, leader.EndPrefix+ref)
-	if errors.Is(err, store.ErrMissing) {
+	if errors.Is(err, store.ErrNotFound) {
 		return refuse(404, "no such job"), nil
 	}
 	if err != nil {
@@ -274,8 +274,8 @@
 
 // tryCancel gives code 0 when the job changed meanwhile.
 func (s *Service) tryCancel(ctx context.Context, ref string) (Result, error) {
-	it, err := s.store.Get(ctx, store.Urgent, leader.JobPrefix+ref)
-	if errors.Is(err, store.ErrMissing) {
+	it, err := s.store.Get(ctx, store.PriorityUrgent, leader.JobPrefix+ref)
+	if errors.Is(err, store.ErrNotFound) {
 		return s.read(ctx, ref, View{})
 	}
 	if err != nil {
@@ -286,9 +286,9 @@
 	if err != nil {
 		return Result{}, err
 	}
-	o, err := s.store.Once(ctx, store.Urgent, wire.Txn{Conditions: []wire.Condition{{Key: leader.JobPrefix + ref, Version: it.Version}},
+	o, err := s.store.TryCommit(ctx, store.PriorityUrgent, wire.Txn{Conditions: []wire.Condition{{Key: leader.JobPrefix + ref, Version: it.Version}},
 		Writes: []wire.Write{{Put: leader.EndPrefix + ref, Value: raw}, {Delete: leader.JobPrefix + ref}}})
-	if err != nil || !o.OK {
+	if err != nil || !o.Committed {
 		return Result{}, err
 	}
 	s.directory.Post(ended{ref, end})
--- a/internal/api/report_test.go
+++ b/internal/api/report_test.go
@@ -65,8 +65,8 @@
 	h := block.New(block.Params{Node: "n0", GrantTime: 20 * clock.Second, LongestGrant: 20 * clock.Second, Lease: 20 * clock.Second,
 		ReportTime: 3 * clock.Second, ValueBytes: 4000, TxnOps: 8}, placement.Params{K: 0.001, Eta: 0.05, Epsilon: 0.01, Small: 0.5}, func() bool { return true })
 	h.Step(0, block.Linked{Epoch: 9})
-	h.Step(0, &peer.Down{Epoch: 9, Holders: []string{"n0"}, Grants: []peer.Grant{{Block: 0, Token: 50, Stamp: 7}}})
-	h.Step(0, &peer.Down{Epoch: 9, Renewed: 2, Tokens: map[int]uint64{0: 50}})
+	h.Step(0, &peer.FromLeader{Term: 9, Holders: []string{"n0"}, Grants: []peer.ShardGrant{{Shard: 0, FencingToken: 50, KeyVersion: 7}}})
+	h.Step(0, &peer.FromLeader{Term: 9, RenewedSeq: 2, FencingTokens: map[int]uint64{0: 50}})
 	box := make(chan block.Report)
 	go func() {
 		for r := range box {
--- a/internal/block/compact.go
+++ b/internal/block/compact.go
@@ -48,7 +48,7 @@
 }
 
 // Settled is what the outcome of the transaction means; see Record.Settled.
-func (c Compact) Settled(o store.Outcome) Compacted {
+func (c Compact) Settled(o store.TxnResult) Compacted {
 	r := Record{Block: c.Block, Token: c.Token}.Settled(o)
 	return Compacted{Block: c.Block, Token: c.Token, OK: r.OK, Fenced: r.Fenced, Revision: r.Revision}
 }
@@ -75,7 +75,7 @@
 	}
 	slices.SortStableFunc(pages, func(a, c *page) int { return cmp.Compare(c.waste(), a.waste()) })
 	token := pages[0].token
-	pager := peer.NewPager(token, h.p.ValueBytes)
+	pager := peer.NewAttemptPager(token, h.p.ValueBytes)
 	var from []*page
 	var recs []*taskAttempt
 	var gone []string
@@ -96,7 +96,7 @@
 		return
 	}
 	to := b.newPage(token)
-	to.stored, to.also, to.busy = pager.Count(), gone, true
+	to.stored, to.also, to.busy = pager.Len(), gone, true
 	for _, r := range recs {
 		to.add(r)
 	}
--- a/internal/block/cycle.go
+++ b/internal/block/cycle.go
@@ -33,7 +33,7 @@
 }
 
 // fits adds what the page holds to a pager; false when not all of it fits.
-func (p *page) fits(pager *peer.Pager) bool {
+func (p *page) fits(pager *peer.AttemptPager) bool {
 	for _, r := range p.recs {
 		if !pager.Add(r.group, r.task.Index, r.attempt, r.m.name) {
 			return false
@@ -64,7 +64,7 @@
 // cycle places offered tasks by auctions, and writes the start records of what
 // found a place. One write at a time: what comes meanwhile gathers with the
 // leader, so the state service's limit sets the length of the cycles.
-func (h *Holder) cycle(now clock.Micros, b *heldBlock, offers []peer.Offer) {
+func (h *Holder) cycle(now clock.Micros, b *heldBlock, offers []peer.TaskOffer) {
 	tuning := h.tuning
 	if h.p.Bound != nil {
 		tuning.Spread = &placement.Spread{Bound: *h.p.Bound, Fetch: h.fetches, Fleet: fleetLoad(offers)}
@@ -74,7 +74,7 @@
 		ms = h.candidates(now, b, tuning.Spread)
 	}
 	var groups []*placement.Group
-	specs := map[*placement.Group]*peer.RecordGroup{}
+	specs := map[*placement.Group]*peer.AttemptGroup{}
 	for i := range offers {
 		o := &offers[i]
 		j := &o.Job
@@ -82,14 +82,14 @@
 		if o.Zone != "" {
 			zone = o.Zone
 		}
-		g := &placement.Group{Key: j.Ref, Indexes: o.Indexes, Image: j.Image, Zone: zone, Types: j.Types, Spot: j.Spot,
+		g := &placement.Group{Key: j.Ref, Indexes: o.TaskIndexes, Image: j.Image, Zone: zone, Types: j.Types, Spot: j.Spot,
 			CPUs: j.CPUs, GPUs: j.GPUs, Memory: j.MemoryGB, ImageGB: j.ImageGB}
 		if j.IsService() {
 			g.Avoid = b.avoided(j.Ref)
 		}
 		groups = append(groups, g)
-		specs[g] = &peer.RecordGroup{Job: j.Ref, Team: j.Team, CPUs: j.CPUs, GPUs: j.GPUs, Memory: j.MemoryGB,
-			SaveS: j.SaveS, Ckpt: j.CheckpointS, Image: j.Image, ImageGB: j.ImageGB}
+		specs[g] = &peer.AttemptGroup{Job: j.Ref, Team: j.Team, CPUs: j.CPUs, GPUs: j.GPUs, MemoryGB: j.MemoryGB,
+			SaveS: j.SaveS, CheckpointS: j.CheckpointS, Image: j.Image, ImageGB: j.ImageGB}
 	}
 	matches := placement.Cycle(groups, ms, h.book, tuning, now)
 	placed := map[peer.Task]bool{}
@@ -105,20 +105,20 @@
 		b.counter++
 		placed[r.task] = true
 		b.add(r)
-		b.events = append(b.events, peer.Event{Task: r.task, Kind: peer.Started, Machine: m.name})
+		b.events = append(b.events, peer.TaskEvent{Task: r.task, Kind: peer.EventAssigned, Machine: m.name})
 	}
 	w.write()
 	for _, g := range groups {
 		for _, i := range g.Indexes {
 			if t := (peer.Task{Job: g.Key, Index: i}); !placed[t] {
-				b.events = append(b.events, peer.Event{Task: t, Kind: peer.Unplaced})
+				b.events = append(b.events, peer.TaskEvent{Task: t, Kind: peer.EventUnplaced})
 			}
 		}
 	}
 }
 
 // fleetLoad is the mean load that a leader names with its offers; 0 if none does, or it makes no sense.
-func fleetLoad(offers []peer.Offer) (load float64) {
+func fleetLoad(offers []peer.TaskOffer) (load float64) {
 	for i := range offers {
 		if l := offers[i].Job.FleetLoad; l > 0 && l <= 1 {
 			load = max(load, l)
@@ -173,7 +173,7 @@
 	usable []*page // emptiest first
 	cw     *cycleWrite
 	out    []PageWrite
-	pager  *peer.Pager
+	pager  *peer.AttemptPager
 	added  int // to the page that is open
 }
 
@@ -220,14 +220,14 @@
 	if len(w.usable) > 0 {
 		p := w.usable[0]
 		w.usable = w.usable[1:]
-		w.pager = peer.NewPager(w.b.token, w.h.p.ValueBytes)
+		w.pager = peer.NewAttemptPager(w.b.token, w.h.p.ValueBytes)
 		if p.fits(w.pager) {
 			w.cw.pages = append(w.cw.pages, p)
 			return
 		}
 		w.usable = nil
 	}
-	w.pager = peer.NewPager(w.b.token, w.h.p.ValueBytes)
+	w.pager = peer.NewAttemptPager(w.b.token, w.h.p.ValueBytes)
 	p := w.b.newPage(w.b.token)
 	w.b.pages = append(w.b.pages, p)
 	w.cw.pages = append(w.cw.pages, p)
@@ -238,7 +238,7 @@
 		return
 	}
 	p := w.cw.pages[len(w.cw.pages)-1]
-	p.stored = w.pager.Count()
+	p.stored = w.pager.Len()
 	w.out = append(w.out, PageWrite{Key: p.key, Version: p.version, Page: w.pager.Page()})
 	w.pager = nil
 }
@@ -276,7 +276,7 @@
 	b.seq, b.tell = b.taken, true
 	if m.TooLarge {
 		// Limits fell below what the settings say.
-		h.p.ValueBytes, h.p.TxnOps = store.Smaller(h.p.ValueBytes, h.p.TxnOps)
+		h.p.ValueBytes, h.p.TxnOps = store.ReducedLimits(h.p.ValueBytes, h.p.TxnOps)
 	}
 	for _, p := range w.pages {
 		// Without the new version no guard would protect the next write: what the
@@ -293,7 +293,7 @@
 		mc := r.m
 		if !m.OK || r.stop != goOn || now >= b.expires || mc.gone || mc.lost || mc.session != r.session {
 			// Never ordered: it can run nowhere.
-			b.lose(r, peer.Back)
+			b.lose(r, peer.EventReleased)
 			continue
 		}
 		r.state, r.orderedAt = ordered, now
--- a/internal/block/cycle_test.go
+++ b/internal/block/cycle_test.go
@@ -17,11 +17,11 @@
 	h.Step(now, beat("m2", 1, 50, running(2)))
 	offer := func(seq uint64, ref string, n int) Record {
 		t.Helper()
-		o := peer.Offer{Job: wire.Job{Ref: ref, Team: "red", CPUs: 0.01, Image: "img"}}
+		o := peer.TaskOffer{Job: wire.Job{Ref: ref, Team: "red", CPUs: 0.01, Image: "img"}}
 		for i := range n {
-			o.Indexes = append(o.Indexes, i)
+			o.TaskIndexes = append(o.TaskIndexes, i)
 		}
-		for _, e := range h.Step(now, &peer.Down{Epoch: 9, Orders: []peer.BlockOrders{{Block: 0, Token: 50, Seq: seq, Offers: []peer.Offer{o}}}}) {
+		for _, e := range h.Step(now, &peer.FromLeader{Term: 9, Orders: []peer.ShardOrders{{Shard: 0, FencingToken: 50, OfferSeq: seq, Offers: []peer.TaskOffer{o}}}}) {
 			if r, ok := e.(Record); ok {
 				return r
 			}
@@ -33,7 +33,7 @@
 	if len(first.Pages) != 1 || first.Pages[0].Version != 0 {
 		t.Fatalf("%d pages for one cycle, want one that is new", len(first.Pages))
 	}
-	h.Step(now, first.Settled(store.Outcome{OK: true, Revision: 33}))
+	h.Step(now, first.Settled(store.TxnResult{Committed: true, Revision: 33}))
 	second := offer(2, "j-000008", 20)
 	if len(second.Pages) != 1 || second.Pages[0].Key != first.Pages[0].Key || second.Pages[0].Version != 33 {
 		t.Fatalf("second cycle writes %+v, want the first one's page again, guarded on its version", second.Pages)
@@ -54,7 +54,7 @@
 		t.Errorf("transaction of %d puts, %v", len(txn.Writes), err)
 	}
 	// No answer: a copy may be carried out yet, so the page is not written again.
-	h.Step(now, second.Settled(store.Outcome{Unsure: true}))
+	h.Step(now, second.Settled(store.TxnResult{Ambiguous: true}))
 	if third := offer(3, "j-000009", 5); third.Pages[0].Key == second.Pages[0].Key {
 		t.Error("writes over a page whose last write is uncertain")
 	}
@@ -64,7 +64,7 @@
 // many of them as it holds, nothing could start until some task ended.
 func TestFullPagesDoNotHoldBackStarts(t *testing.T) {
 	h := holding(t)
-	h.Step(now, &peer.Down{Epoch: 9, Types: []wire.MachineType{{Name: "small", CPUs: 4000, MemoryGB: 8000}}})
+	h.Step(now, &peer.FromLeader{Term: 9, Types: []wire.MachineType{{Name: "small", CPUs: 4000, MemoryGB: 8000}}})
 	h.Step(now, beat("m1", 1, 50))
 	job := 100000
 	for seq := uint64(1); seq <= 15; seq++ {
@@ -73,8 +73,8 @@
 		for i := range idx {
 			idx[i] = i
 		}
-		fx := h.Step(now, &peer.Down{Epoch: 9, Orders: []peer.BlockOrders{{Block: 0, Token: 50, Seq: seq,
-			Offers: []peer.Offer{{Job: wire.Job{Ref: "j-" + strconv.Itoa(job), Team: "red", CPUs: 1, Spot: true, Tasks: 250}, Indexes: idx}}}}})
+		fx := h.Step(now, &peer.FromLeader{Term: 9, Orders: []peer.ShardOrders{{Shard: 0, FencingToken: 50, OfferSeq: seq,
+			Offers: []peer.TaskOffer{{Job: wire.Job{Ref: "j-" + strconv.Itoa(job), Team: "red", CPUs: 1, Spot: true, Tasks: 250}, TaskIndexes: idx}}}}})
 		started := 0
 		for _, e := range fx {
 			r, ok := e.(Record)
@@ -86,7 +86,7 @@
 				t.Fatalf("cycle %d: %d puts in a transaction, %v", seq, len(txn.Writes), err)
 			}
 			started = len(h.blocks[0].writing.recs)
-			h.Step(now, r.Settled(store.Outcome{OK: true, Revision: 30 + seq}))
+			h.Step(now, r.Settled(store.TxnResult{Committed: true, Revision: 30 + seq}))
 		}
 		if started != 250 {
 			t.Fatalf("cycle %d starts %d of 250 tasks, with %d pages in use", seq, started, len(h.blocks[0].pages))
@@ -99,26 +99,26 @@
 func TestPagesOfStandingTasksAreCompacted(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		outcome store.Outcome
+		outcome store.TxnResult
 		erased  int
 	}{
-		{"answered", store.Outcome{OK: true, Revision: 40}, 1},
-		{"no answer", store.Outcome{Unsure: true}, 3},
+		{"answered", store.TxnResult{Committed: true, Revision: 40}, 1},
+		{"no answer", store.TxnResult{Ambiguous: true}, 3},
 	} {
 		h := holding(t)
 		h.Step(now, Linked{Epoch: 10})
-		pages := map[string]peer.RecordPage{}
+		pages := map[string]peer.AttemptPage{}
 		var run []wire.TaskStatus
 		for p := range 2 {
-			g := peer.RecordGroup{Job: task.Job, Team: "red", CPUs: 0.01}
+			g := peer.AttemptGroup{Job: task.Job, Team: "red", CPUs: 0.01}
 			for i := range 30 {
-				g.Starts = append(g.Starts, 100*p+i, 100*p+i+1, 0)
+				g.Attempts = append(g.Attempts, 100*p+i, 100*p+i+1, 0)
 			}
-			pages["run/000/1-"+strconv.Itoa(p)] = peer.RecordPage{Token: 40, Machines: []string{"m1"}, Groups: []peer.RecordGroup{g}}
+			pages["run/000/1-"+strconv.Itoa(p)] = peer.AttemptPage{FencingToken: 40, Machines: []string{"m1"}, Groups: []peer.AttemptGroup{g}}
 			run = append(run, wire.TaskStatus{Task: TaskName(peer.Task{Job: task.Job, Index: 100 * p}), Attempt: 40<<peer.AttemptBits | uint64(100*p+1), State: wire.Running})
 		}
-		h.Step(now, &peer.Down{Epoch: 10, Grants: []peer.Grant{{Block: 0, Token: 60, Stamp: 8, Machines: []peer.RosterMachine{{Name: "m1", Address: "a1"}}, Pages: pages}}})
-		h.Step(now, &peer.Down{Epoch: 10, Renewed: h.renew, Tokens: map[int]uint64{0: 60}})
+		h.Step(now, &peer.FromLeader{Term: 10, Grants: []peer.ShardGrant{{Shard: 0, FencingToken: 60, KeyVersion: 8, Machines: []peer.InventoryMachine{{Name: "m1", Address: "a1"}}, Pages: pages}}})
+		h.Step(now, &peer.FromLeader{Term: 10, RenewedSeq: h.renew, FencingTokens: map[int]uint64{0: 60}})
 		h.Step(later(10), beat("m1", 1, 60, run...))
 		var got *Compact
 		for _, e := range h.Step(later(11), Tick{}) {
@@ -152,7 +152,7 @@
 					}
 				}
 			}
-			h.Step(later(20+10*i), &peer.Down{Epoch: 10, Renewed: h.renew, Tokens: map[int]uint64{0: 60}})
+			h.Step(later(20+10*i), &peer.FromLeader{Term: 10, RenewedSeq: h.renew, FencingTokens: map[int]uint64{0: 60}})
 		}
 		if !keys[got.Put.Key] || len(keys) != c.erased {
 			t.Errorf("%s: erased %v, want %d keys", c.name, keys, c.erased)
@@ -164,12 +164,12 @@
 func TestTooLargeWritesGetSmaller(t *testing.T) {
 	h := holding(t)
 	h.Step(now, beat("m1", 1, 50))
-	fx := h.Step(now, &peer.Down{Epoch: 9, Orders: []peer.BlockOrders{{Block: 0, Token: 50, Seq: 1,
-		Offers: []peer.Offer{{Job: wire.Job{Ref: "j-000009", Team: "red", CPUs: 1, Spot: true, Tasks: 1}, Indexes: []int{0}}}}}})
+	fx := h.Step(now, &peer.FromLeader{Term: 9, Orders: []peer.ShardOrders{{Shard: 0, FencingToken: 50, OfferSeq: 1,
+		Offers: []peer.TaskOffer{{Job: wire.Job{Ref: "j-000009", Team: "red", CPUs: 1, Spot: true, Tasks: 1}, TaskIndexes: []int{0}}}}}})
 	was := h.p
 	for _, e := range fx {
 		if r, ok := e.(Record); ok {
-			h.Step(now, r.Settled(store.Outcome{Malformed: true}))
+			h.Step(now, r.Settled(store.TxnResult{Rejected: true}))
 		}
 	}
 	if h.p.ValueBytes != was.ValueBytes/2 || h.p.TxnOps != was.TxnOps/2 {
@@ -185,11 +185,11 @@
 	h.Step(now, beat("m1", 1, 50, failed))
 	h.Step(now, beat("m2", 1, 50, running(2)))
 	where := func(seq uint64, index int) string {
-		for _, e := range h.Step(now, &peer.Down{Epoch: 9, Orders: []peer.BlockOrders{{Block: 0, Token: 50, Seq: seq,
-			Offers: []peer.Offer{{Job: wire.Job{Ref: task.Job, Shape: wire.ShapeService, Team: "red", CPUs: 1, Tasks: 9}, Indexes: []int{index}}}}}}) {
+		for _, e := range h.Step(now, &peer.FromLeader{Term: 9, Orders: []peer.ShardOrders{{Shard: 0, FencingToken: 50, OfferSeq: seq,
+			Offers: []peer.TaskOffer{{Job: wire.Job{Ref: task.Job, Shape: wire.ShapeService, Team: "red", CPUs: 1, Tasks: 9}, TaskIndexes: []int{index}}}}}}) {
 			if r, ok := e.(Record); ok {
 				at := h.blocks[0].writing.recs[0].m.name
-				h.Step(now, r.Settled(store.Outcome{OK: true, Revision: 30 + seq}))
+				h.Step(now, r.Settled(store.TxnResult{Committed: true, Revision: 30 + seq}))
 				return at
 			}
 		}
@@ -198,7 +198,7 @@
 	if m := where(1, 4); m != "m2" {
 		t.Errorf("a replica goes to %q, where one failed, want m2", m)
 	}
-	h.Step(now, &peer.Down{Epoch: 9, Orders: []peer.BlockOrders{{Block: 0, Token: 50, Use: []string{"m3"}}}})
+	h.Step(now, &peer.FromLeader{Term: 9, Orders: []peer.ShardOrders{{Shard: 0, FencingToken: 50, Added: []string{"m3"}}}})
 	h.Step(now, beat("m3", 1, 50))
 	if m := where(2, 5); m != "m3" {
 		t.Errorf("a replica goes to %q, want m3, which has none", m)
--- a/internal/block/flush.go
+++ b/internal/block/flush.go
@@ -22,13 +22,13 @@
 		every = clock.Second
 	}
 	due := now-h.flushed >= every
-	var ups []peer.BlockUpdate
+	var ups []peer.ShardUpdate
 	for _, id := range slices.Sorted(maps.Keys(h.blocks)) {
 		b := h.blocks[id]
 		if !b.tell && !(due && len(b.events)+len(b.changed) > 0) {
 			continue
 		}
-		u := peer.BlockUpdate{Block: id, Token: b.token, Seq: b.seq, Events: b.events}
+		u := peer.ShardUpdate{Shard: id, FencingToken: b.token, SettledOfferSeq: b.seq, Events: b.events}
 		for _, m := range b.changed {
 			m.dirty, m.wasFit = false, h.fit(now, b, m)
 			u.Machines = append(u.Machines, h.state(m))
@@ -38,14 +38,14 @@
 	}
 	if len(ups) > 0 {
 		h.flushed = now
-		h.emit(Send{peer.Up{Epoch: h.epoch, StoreOK: h.storeOK(), Updates: ups}})
+		h.emit(Send{peer.ToLeader{Term: h.epoch, StoreOK: h.storeOK(), Updates: ups}})
 	}
 }
 
 func (h *Holder) state(m *machine) peer.MachineState {
 	pm := h.room(m)
-	s := peer.MachineState{Name: m.name, Type: m.typ, Zone: m.zone, Address: m.address, Spot: m.spot, Fit: m.wasFit,
-		Silent: m.silent, Notice: m.notice, Gone: m.gone, Shown: m.shown, CPUs: pm.CPUs, GPUs: pm.GPUs, Memory: pm.Memory}
+	s := peer.MachineState{Name: m.name, Type: m.typ, Zone: m.zone, Address: m.address, Spot: m.spot, Schedulable: m.wasFit,
+		Silent: m.silent, PreemptionNotice: m.notice, Terminated: m.gone, TokenConfirmed: m.shown, CPUs: pm.CPUs, GPUs: pm.GPUs, MemoryGB: pm.Memory}
 	for _, r := range m.recs {
 		if r.state != exited {
 			s.Tasks++
--- a/internal/block/grant.go
+++ b/internal/block/grant.go
@@ -9,12 +9,12 @@
 )
 
 // grant takes a block over. What may run there is read from its start records alone.
-func (h *Holder) grant(now clock.Micros, g peer.Grant) {
-	old := h.blocks[g.Block]
-	if old != nil && old.token >= g.Token {
+func (h *Holder) grant(now clock.Micros, g peer.ShardGrant) {
+	old := h.blocks[g.Shard]
+	if old != nil && old.token >= g.FencingToken {
 		return
 	}
-	b := &heldBlock{id: g.Block, token: g.Token, stamp: g.Stamp, since: now, machines: map[string]*machine{},
+	b := &heldBlock{id: g.Shard, token: g.FencingToken, stamp: g.KeyVersion, since: now, machines: map[string]*machine{},
 		byTask: map[peer.Task][]*taskAttempt{}, attempts: map[peer.Task]int{}}
 	if old != nil {
 		b.inheritMachines(old)
@@ -27,7 +27,7 @@
 		}
 	}
 	b.readPages(g.Pages)
-	h.blocks[g.Block] = b
+	h.blocks[g.Shard] = b
 	b.tell = true
 	h.fenceFirst(now, b, g.Machines)
 }
@@ -47,11 +47,11 @@
 }
 
 // readPages takes in the start records of a block.
-func (b *heldBlock) readPages(pages map[string]peer.RecordPage) {
+func (b *heldBlock) readPages(pages map[string]peer.AttemptPage) {
 	var over []*taskAttempt
 	for _, key := range slices.Sorted(maps.Keys(pages)) {
 		source := pages[key]
-		pg := &page{key: key, fixed: true, token: source.Token}
+		pg := &page{key: key, fixed: true, token: source.FencingToken}
 		for i := range source.Groups {
 			group := &source.Groups[i]
 			// The leader hands out no page that cannot be read in full.
@@ -75,14 +75,14 @@
 		b.pages = append(b.pages, pg)
 	}
 	for _, a := range over {
-		b.lose(a, peer.Back)
+		b.lose(a, peer.EventReleased)
 	}
 }
 
 // fenceFirst shows some machines the new token directly. Most report here within moments, which
 // shows it to them; a direct command to each of hundreds would cost more than all else in a
 // takeover. Those that do not come are fenced by tick.
-func (h *Holder) fenceFirst(now clock.Micros, b *heldBlock, roster []peer.RosterMachine) {
+func (h *Holder) fenceFirst(now clock.Micros, b *heldBlock, roster []peer.InventoryMachine) {
 	for i, r := range roster {
 		if m := b.machines[r.Name]; i < fenceAtOnce && !h.overloaded(now) {
 			h.fence(now, b, m)
--- a/internal/block/holder.go
+++ b/internal/block/holder.go
@@ -74,7 +74,7 @@
 		if m.Epoch == h.epoch {
 			h.linked = false
 		}
-	case *peer.Down:
+	case *peer.FromLeader:
 		h.down(now, m)
 	case Report:
 		h.report(now, m)
@@ -111,12 +111,12 @@
 	h.renewed = now
 	h.sentAt[h.renew] = now
 	delete(h.sentAt, h.renew-16)
-	h.emit(Send{peer.Up{Epoch: h.epoch, Renew: h.renew, StoreOK: h.storeOK(), Blind: h.blind(now)}})
+	h.emit(Send{peer.ToLeader{Term: h.epoch, RenewSeq: h.renew, StoreOK: h.storeOK(), NoAgentContact: h.blind(now)}})
 }
 
-func (h *Holder) down(now clock.Micros, d *peer.Down) {
+func (h *Holder) down(now clock.Micros, d *peer.FromLeader) {
 	// An older leader's word, late or from a link that outlived its epoch.
-	if d.Epoch != h.epoch || !h.linked {
+	if d.Term != h.epoch || !h.linked {
 		return
 	}
 	if d.Holders != nil {
@@ -139,23 +139,23 @@
 		h.sendRenew(now)
 	}
 	// The time runs from when we asked, not from when the answer came.
-	if at, ok := h.sentAt[d.Renewed]; ok && d.Renewed > 0 {
-		for id, token := range d.Tokens {
+	if at, ok := h.sentAt[d.RenewedSeq]; ok && d.RenewedSeq > 0 {
+		for id, token := range d.FencingTokens {
 			if b := h.blocks[id]; b != nil && b.token == token {
 				b.expires = max(b.expires, at+h.p.GrantTime.Shorter())
 			}
 		}
 	}
 	for _, o := range d.Orders {
-		if b := h.blocks[o.Block]; b != nil && b.token == o.Token {
+		if b := h.blocks[o.Shard]; b != nil && b.token == o.FencingToken {
 			h.orders(now, b, o)
 		}
 	}
 }
 
 // orders carries out what the leader says of a block.
-func (h *Holder) orders(now clock.Micros, b *heldBlock, o peer.BlockOrders) {
-	for _, name := range o.Use {
+func (h *Holder) orders(now clock.Micros, b *heldBlock, o peer.ShardOrders) {
+	for _, name := range o.Added {
 		m := b.machine(name)
 		m.known = true
 		b.mark(m)
@@ -165,10 +165,10 @@
 		m.drain = true
 		b.mark(m)
 	}
-	for _, name := range o.Gone {
+	for _, name := range o.Terminated {
 		h.removeMachine(b, b.machine(name))
 	}
-	for _, t := range o.Stored {
+	for _, t := range o.Persisted {
 		for _, r := range b.byTask[t] {
 			if r.state == exited {
 				r.stored = true
@@ -176,18 +176,18 @@
 			}
 		}
 	}
-	for _, name := range o.Rest {
+	for _, name := range o.Exclude {
 		b.machine(name).rest = true
 	}
-	for _, name := range o.Wake {
+	for _, name := range o.Include {
 		b.machine(name).rest = false
 	}
 	h.stopTasks(now, b, o.Stop)
 	if len(o.Offers) > 0 {
 		h.cycle(now, b, o.Offers)
-		b.taken = o.Seq
+		b.taken = o.OfferSeq
 		if b.writing == nil {
-			b.seq, b.tell = o.Seq, true
+			b.seq, b.tell = o.OfferSeq, true
 		}
 	}
 }
@@ -200,7 +200,7 @@
 		if r.state == recording {
 			r.stop = stopAtOnce
 		} else {
-			b.lose(r, peer.Back)
+			b.lose(r, peer.EventReleased)
 		}
 	}
 	h.book.Drop(m.name)
@@ -212,7 +212,7 @@
 	kills := map[*machine][]wire.Command{}
 	for _, s := range tasks {
 		for _, r := range b.byTask[s.Task] {
-			if !r.toStop(now, s.Save) {
+			if !r.toStop(now, s.Checkpoint) {
 				continue
 			}
 			if kills[r.m] == nil {
@@ -229,7 +229,7 @@
 // toStop notes that an attempt is to end, and says whether its worker is to be told now.
 func (r *taskAttempt) toStop(now clock.Micros, save bool) bool {
 	how := stopAtOnce
-	if save && r.group.Ckpt > 0 {
+	if save && r.group.CheckpointS > 0 {
 		how = stopWithSave
 	}
 	if r.stop >= how {
@@ -264,7 +264,7 @@
 		}
 		pm.CPUs -= r.group.CPUs
 		pm.GPUs -= r.group.GPUs
-		pm.Memory -= r.group.Memory
+		pm.Memory -= r.group.MemoryGB
 		if !r.running {
 			pm.Unstarted++
 			pm.Fetches = append(pm.Fetches, r.group.Image)
@@ -276,7 +276,7 @@
 
 // askAnew tells the leader that the block needs a new grant.
 func (h *Holder) askAnew(b *heldBlock) {
-	h.emit(Send{peer.Up{Epoch: h.epoch, Updates: []peer.BlockUpdate{{Block: b.id, Token: b.token, Lost: true}}}})
+	h.emit(Send{peer.ToLeader{Term: h.epoch, Updates: []peer.ShardUpdate{{Shard: b.id, FencingToken: b.token, NeedsRegrant: true}}}})
 }
 
 // void gives up a block whose machines or key show a newer token.
--- a/internal/block/holder_test.go
+++ b/internal/block/holder_test.go
@@ -22,10 +22,10 @@
 	h := New(Params{Node: "n0", GrantTime: 20 * clock.Second, LongestGrant: 20 * clock.Second, Lease: 20 * clock.Second, ReportTime: 3 * clock.Second, ValueBytes: 4000, TxnOps: 8},
 		placement.Params{K: 0.001, Eta: 0.05, Epsilon: 0.01, Small: 0.5}, func() bool { return true })
 	h.Step(now, Linked{Epoch: 9})
-	page := peer.RecordPage{Machines: []string{"m1", "m2"}, Groups: []peer.RecordGroup{{Job: task.Job, Team: "red", CPUs: 1, Starts: []int{3, 1, 0, 3, 2, 1}}}}
-	h.Step(now, &peer.Down{Epoch: 9, Holders: []string{"n0"}, Types: []wire.MachineType{{Name: "small", CPUs: 4, MemoryGB: 8}},
-		Grants: []peer.Grant{{Block: 0, Token: 50, Stamp: 7, Machines: []peer.RosterMachine{{Name: "m1", Address: "a1"}, {Name: "m2"}}, Pages: map[string]peer.RecordPage{"run/000/1-1": page}}}})
-	h.Step(now, &peer.Down{Epoch: 9, Renewed: h.renew, Tokens: map[int]uint64{0: 50}})
+	page := peer.AttemptPage{Machines: []string{"m1", "m2"}, Groups: []peer.AttemptGroup{{Job: task.Job, Team: "red", CPUs: 1, Attempts: []int{3, 1, 0, 3, 2, 1}}}}
+	h.Step(now, &peer.FromLeader{Term: 9, Holders: []string{"n0"}, Types: []wire.MachineType{{Name: "small", CPUs: 4, MemoryGB: 8}},
+		Grants: []peer.ShardGrant{{Shard: 0, FencingToken: 50, KeyVersion: 7, Machines: []peer.InventoryMachine{{Name: "m1", Address: "a1"}, {Name: "m2"}}, Pages: map[string]peer.AttemptPage{"run/000/1-1": page}}}})
+	h.Step(now, &peer.FromLeader{Term: 9, RenewedSeq: h.renew, FencingTokens: map[int]uint64{0: 50}})
 	return h
 }
 
@@ -75,7 +75,7 @@
 	if ev := eventsOf(h.Step(later(1), beat("m1", 1, 50))); len(ev) != 0 {
 		t.Errorf("events %v when a stale attempt is proven gone beside a live one", ev)
 	}
-	if ev := eventsOf(h.Step(later(2), beat("m2", 1, 50, running(2)))); len(ev) != 1 || ev[0] != peer.Running {
+	if ev := eventsOf(h.Step(later(2), beat("m2", 1, 50, running(2)))); len(ev) != 1 || ev[0] != peer.EventRunning {
 		t.Errorf("events %v, want running", ev)
 	}
 	if ev := eventsOf(h.Step(later(3), beat("m2", 2, 50))); len(ev) != 0 {
@@ -83,7 +83,7 @@
 	}
 	two := beat("m2", 3, 50)
 	two.R.AgentEpoch = 2
-	if ev := eventsOf(h.Step(later(4), two)); len(ev) != 1 || ev[0] != peer.Back {
+	if ev := eventsOf(h.Step(later(4), two)); len(ev) != 1 || ev[0] != peer.EventReleased {
 		t.Errorf("events %v after the worker's lease ran out, want back", ev)
 	}
 }
@@ -123,13 +123,13 @@
 	h := holding(t)
 	exit := wire.TaskStatus{Task: TaskName(task), Attempt: 2, State: wire.TaskExited, Cause: wire.ExitDone}
 	fx := h.Step(later(1), beat("m2", 1, 50, exit))
-	if ev := eventsOf(fx); !slices.Equal(ev, []string{peer.Remains, peer.Done}) {
+	if ev := eventsOf(fx); !slices.Equal(ev, []string{peer.EventAttemptRemains, peer.EventCompleted}) {
 		t.Errorf("events %v, want done beside the record of another attempt", ev)
 	}
 	if a := answerOf(t, fx); len(a.Body.Commands) != 0 {
 		t.Errorf("commands %v before the completion is stored", a.Body.Commands)
 	}
-	h.Step(now, &peer.Down{Epoch: 9, Orders: []peer.BlockOrders{{Block: 0, Token: 50, Stored: []peer.Task{task}}}})
+	h.Step(now, &peer.FromLeader{Term: 9, Orders: []peer.ShardOrders{{Shard: 0, FencingToken: 50, Persisted: []peer.Task{task}}}})
 	if a := answerOf(t, h.Step(now, beat("m2", 2, 50, exit))); len(a.Body.Commands) != 1 || a.Body.Commands[0].Verb != wire.VerbForget {
 		t.Errorf("commands %v, want forget", a.Body.Commands)
 	}
@@ -139,12 +139,12 @@
 // with start records on it. The holder knows better: they are over, and the leader hears.
 func TestDeletedMachineIsNotWaitedFor(t *testing.T) {
 	h := holding(t)
-	h.Step(now, &peer.Down{Epoch: 9, Orders: []peer.BlockOrders{{Block: 0, Token: 50, Gone: []string{"m1"}}}})
+	h.Step(now, &peer.FromLeader{Term: 9, Orders: []peer.ShardOrders{{Shard: 0, FencingToken: 50, Terminated: []string{"m1"}}}})
 	h.Step(now, Linked{Epoch: 10})
-	page := peer.RecordPage{Machines: []string{"m1"}, Groups: []peer.RecordGroup{{Job: task.Job, Team: "red", CPUs: 1, Starts: []int{3, 1, 0}}}}
-	fx := h.Step(later(2), &peer.Down{Epoch: 10, Grants: []peer.Grant{{Block: 0, Token: 60, Stamp: 8,
-		Machines: []peer.RosterMachine{{Name: "m1", Address: "a1"}, {Name: "m2"}}, Pages: map[string]peer.RecordPage{"run/000/1-1": page}}}})
-	if ev := eventsOf(fx); len(ev) != 1 || ev[0] != peer.Back {
+	page := peer.AttemptPage{Machines: []string{"m1"}, Groups: []peer.AttemptGroup{{Job: task.Job, Team: "red", CPUs: 1, Attempts: []int{3, 1, 0}}}}
+	fx := h.Step(later(2), &peer.FromLeader{Term: 10, Grants: []peer.ShardGrant{{Shard: 0, FencingToken: 60, KeyVersion: 8,
+		Machines: []peer.InventoryMachine{{Name: "m1", Address: "a1"}, {Name: "m2"}}, Pages: map[string]peer.AttemptPage{"run/000/1-1": page}}}})
+	if ev := eventsOf(fx); len(ev) != 1 || ev[0] != peer.EventReleased {
 		t.Errorf("events %v, want the task back", ev)
 	}
 	told := false
@@ -152,7 +152,7 @@
 		if s, ok := e.(Send); ok {
 			for _, u := range s.Up.Updates {
 				for _, m := range u.Machines {
-					told = told || m.Name == "m1" && m.Gone
+					told = told || m.Name == "m1" && m.Terminated
 				}
 			}
 		}
@@ -183,7 +183,7 @@
 	b := h.blocks[0]
 	m := b.machines["m1"]
 	order := Orders{Block: 0, Machine: "m1", Body: wire.CommandBatch{FencingToken: 50, AgentEpoch: 1}}
-	r := &taskAttempt{task: peer.Task{Job: "j-000007"}, attempt: 50<<peer.AttemptBits | 9, m: m, group: &peer.RecordGroup{Job: "j-000007"}, state: ordered, session: 1, direct: true, inflight: 1, stop: 2}
+	r := &taskAttempt{task: peer.Task{Job: "j-000007"}, attempt: 50<<peer.AttemptBits | 9, m: m, group: &peer.AttemptGroup{Job: "j-000007"}, state: ordered, session: 1, direct: true, inflight: 1, stop: 2}
 	b.add(r)
 	order.Body.Commands = []wire.Command{r.run()}
 	h.Step(now, Ordered{Orders: order})
@@ -215,8 +215,8 @@
 
 // offerOne offers one task to a holder and gives the effects.
 func offerOne(h *Holder, at clock.Micros) []any {
-	offer := peer.Offer{Job: wire.Job{Ref: "j-000009", Team: "red", Tasks: 1, CPUs: 1, MemoryGB: 1, Spot: true}, Indexes: []int{0}}
-	return h.Step(at, &peer.Down{Epoch: 9, Orders: []peer.BlockOrders{{Block: 0, Token: 50, Seq: 1, Offers: []peer.Offer{offer}}}})
+	offer := peer.TaskOffer{Job: wire.Job{Ref: "j-000009", Team: "red", Tasks: 1, CPUs: 1, MemoryGB: 1, Spot: true}, TaskIndexes: []int{0}}
+	return h.Step(at, &peer.FromLeader{Term: 9, Orders: []peer.ShardOrders{{Shard: 0, FencingToken: 50, OfferSeq: 1, Offers: []peer.TaskOffer{offer}}}})
 }
 
 // recordOf is the write of start records among the effects.
@@ -235,7 +235,7 @@
 func started(t *testing.T, h *Holder, at clock.Micros) []any {
 	t.Helper()
 	record := recordOf(t, offerOne(h, at))
-	return h.Step(at, record.Settled(store.Outcome{OK: true, Revision: 8}))
+	return h.Step(at, record.Settled(store.TxnResult{Committed: true, Revision: 8}))
 }
 
 // The end of one attempt is told as the completion of its task, but with the word that another may
@@ -243,11 +243,11 @@
 func TestCompletionBesideAnotherAttemptSaysSo(t *testing.T) {
 	h := holding(t)
 	ev := eventsOf(h.Step(later(1), beat("m1", 1, 50, exitedAs(1, wire.ExitDone))))
-	if !slices.Equal(ev, []string{peer.Remains, peer.Done}) {
+	if !slices.Equal(ev, []string{peer.EventAttemptRemains, peer.EventCompleted}) {
 		t.Errorf("events %v when one of two attempts completed", ev)
 	}
 	ev = eventsOf(h.Step(later(2), beat("m2", 1, 50, exitedAs(2, wire.ExitDone))))
-	if !slices.Equal(ev, []string{peer.Done}) {
+	if !slices.Equal(ev, []string{peer.EventCompleted}) {
 		t.Errorf("events %v when the last attempt completed", ev)
 	}
 }
@@ -270,12 +270,12 @@
 				logged++
 			}
 		}
-		ev := slices.DeleteFunc(eventsOf(fx), func(kind string) bool { return kind == peer.Running })
+		ev := slices.DeleteFunc(eventsOf(fx), func(kind string) bool { return kind == peer.EventRunning })
 		if len(ev) != 0 || logged != 1 {
 			t.Errorf("%s: events %v, logged %d times", name, ev, logged)
 		}
 		// Without the contradiction the end counts.
-		if ev := eventsOf(h.Step(later(3), beat("m2", 3, 50, exitedAs(2, wire.ExitDone)))); !slices.Contains(ev, peer.Done) {
+		if ev := eventsOf(h.Step(later(3), beat("m2", 3, 50, exitedAs(2, wire.ExitDone)))); !slices.Contains(ev, peer.EventCompleted) {
 			t.Errorf("%s: events %v after a report that does not contradict itself", name, ev)
 		}
 	}
@@ -293,7 +293,7 @@
 	events = append(events, eventsOf(h.Step(later(4), beat("m2", 4, 50, exitedAs(2, wire.ExitError), exitedAs(77, wire.ExitError))))...)
 	failed := 0
 	for _, kind := range events {
-		if kind == peer.Errored {
+		if kind == peer.EventFailed {
 			failed++
 		}
 	}
--- a/internal/block/limits_test.go
+++ b/internal/block/limits_test.go
@@ -12,11 +12,11 @@
 
 // offerTo offers tasks of one job to a holder's block.
 func offerTo(h *Holder, n int) []any {
-	o := peer.Offer{Job: wire.Job{Ref: "j-000009", Team: "red", CPUs: 0.001, Spot: true}}
+	o := peer.TaskOffer{Job: wire.Job{Ref: "j-000009", Team: "red", CPUs: 0.001, Spot: true}}
 	for i := range n {
-		o.Indexes = append(o.Indexes, i)
+		o.TaskIndexes = append(o.TaskIndexes, i)
 	}
-	return h.Step(now, &peer.Down{Epoch: 9, Orders: []peer.BlockOrders{{Block: 0, Token: 50, Seq: 1, Offers: []peer.Offer{o}}}})
+	return h.Step(now, &peer.FromLeader{Term: 9, Orders: []peer.ShardOrders{{Shard: 0, FencingToken: 50, OfferSeq: 1, Offers: []peer.TaskOffer{o}}}})
 }
 
 // The attempts of a grant are as many as their bits; one more would be an attempt of the next token. A
@@ -36,7 +36,7 @@
 			if r, ok := e.(Record); ok {
 				for _, p := range r.Pages {
 					for _, g := range p.Page.Groups {
-						placed += len(g.Starts) / 3
+						placed += len(g.Attempts) / 3
 					}
 				}
 			}
@@ -45,7 +45,7 @@
 		for _, e := range h.Step(now, Tick{}) {
 			if s, ok := e.(Send); ok {
 				for _, u := range s.Up.Updates {
-					asked = asked || u.Lost
+					asked = asked || u.NeedsRegrant
 				}
 			}
 		}
@@ -70,7 +70,7 @@
 	for i := range tasks {
 		task := peer.Task{Job: "j-000002", Index: i}
 		attempt := 50<<peer.AttemptBits | uint64(i+1)
-		b.add(&taskAttempt{task: task, attempt: attempt, m: b.machines["m1"], group: &peer.RecordGroup{Job: task.Job}, state: shown, session: 1})
+		b.add(&taskAttempt{task: task, attempt: attempt, m: b.machines["m1"], group: &peer.AttemptGroup{Job: task.Job}, state: shown, session: 1})
 		listed = append(listed, wire.TaskStatus{Task: TaskName(task), Attempt: attempt, State: wire.Running})
 		if i >= 2*mostCommands {
 			stop = append(stop, peer.StopTask{Task: task})
@@ -78,7 +78,7 @@
 	}
 	const most = 64 << 10
 	killed := 0
-	for _, e := range h.Step(now, &peer.Down{Epoch: 9, Orders: []peer.BlockOrders{{Block: 0, Token: 50, Stop: append(stop, peer.StopTask{Task: task})}}}) {
+	for _, e := range h.Step(now, &peer.FromLeader{Term: 9, Orders: []peer.ShardOrders{{Shard: 0, FencingToken: 50, Stop: append(stop, peer.StopTask{Task: task})}}}) {
 		if o, ok := e.(Orders); ok {
 			raw, _ := json.Marshal(o.Body)
 			if len(raw) > most {
@@ -133,7 +133,7 @@
 // A leader that names a mean load which makes no sense is taken for one that names none.
 func TestMeanLoadThatMakesNoSenseIsLeftOut(t *testing.T) {
 	for _, c := range []struct{ told, want float64 }{{0.4, 0.4}, {0, 0}, {-1, 0}, {1.5, 0}, {math.NaN(), 0}, {math.Inf(1), 0}} {
-		if got := fleetLoad([]peer.Offer{{Job: wire.Job{FleetLoad: c.told}}, {}}); got != c.want {
+		if got := fleetLoad([]peer.TaskOffer{{Job: wire.Job{FleetLoad: c.told}}, {}}); got != c.want {
 			t.Errorf("%g is told, %g is used, want %g", c.told, got, c.want)
 		}
 	}
--- a/internal/block/messages.go
+++ b/internal/block/messages.go
@@ -86,7 +86,7 @@
 // Effects of a Holder.
 type (
 	// Send goes to the leader.
-	Send struct{ Up peer.Up }
+	Send struct{ Up peer.ToLeader }
 	// Answer goes to the worker that waits under Tag. Status is 200, 421 or 503.
 	Answer struct {
 		Tag      any
@@ -120,7 +120,7 @@
 	PageWrite struct {
 		Key     string
 		Version uint64
-		Page    peer.RecordPage
+		Page    peer.AttemptPage
 	}
 	// Trace is a span to be written.
 	Trace struct{ Span trace.Span }
@@ -157,24 +157,24 @@
 // Settled is what the outcome of the transaction means. Only this grant's holder
 // writes its pages, one write at a time: when a page's guard fails, an earlier try
 // of the same write got no answer, but went through.
-func (r Record) Settled(o store.Outcome) Recorded {
-	done := Recorded{Block: r.Block, Token: r.Token, Seq: r.Seq, OK: o.OK, Fenced: o.FailedOn(Key(r.Block)), TooLarge: o.Malformed}
-	if o.OK {
+func (r Record) Settled(o store.TxnResult) Recorded {
+	done := Recorded{Block: r.Block, Token: r.Token, Seq: r.Seq, OK: o.Committed, Fenced: o.FailedOn(Key(r.Block)), TooLarge: o.Rejected}
+	if o.Committed {
 		done.Revision = o.Revision
 	}
-	done.Never = !o.OK && !o.Unsure && len(o.Failed) == 0
-	done.OK = o.OK || !done.Fenced && o.Unsure && len(o.Failed) > 0
+	done.Never = !o.Committed && !o.Ambiguous && len(o.FailedKeys) == 0
+	done.OK = o.Committed || !done.Fenced && o.Ambiguous && len(o.FailedKeys) > 0
 	return done
 }
 
 // Pages reads start records; all of them, or it fails.
-func Pages(items []wire.Item) (map[string]peer.RecordPage, error) {
-	pages := make(map[string]peer.RecordPage, len(items))
+func Pages(items []wire.Item) (map[string]peer.AttemptPage, error) {
+	pages := make(map[string]peer.AttemptPage, len(items))
 	for _, it := range items {
-		var p peer.RecordPage
+		var p peer.AttemptPage
 		err := json.Unmarshal(it.Value, &p)
 		if err == nil {
-			err = p.Check()
+			err = p.Validate()
 		}
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", it.Key, err)
--- a/internal/block/observe.go
+++ b/internal/block/observe.go
@@ -36,7 +36,7 @@
 			b.stuck = true
 		}
 		if h.absent(m, rc, beat) {
-			b.lose(rc, peer.Back)
+			b.lose(rc, peer.EventReleased)
 		} else if rc.state == ordered && rc.stop == goOn {
 			// The direct order has not been seen: the same one again does no harm.
 			cmds = append(cmds, rc.run())
@@ -233,7 +233,7 @@
 		// The image is there now: the report adds it to the machine's cached ones.
 		h.book.Seen(rc.group.Image, m.name, now)
 		m.images.Use(rc.group.Image, rc.group.ImageGB, h.types[m.typ].CacheGB)
-		b.events = append(b.events, peer.Event{Task: rc.task, Kind: peer.Running, Machine: m.name})
+		b.events = append(b.events, peer.TaskEvent{Task: rc.task, Kind: peer.EventRunning, Machine: m.name})
 	}
 	if rc.stop == stopWithSave && now > rc.stopAt+clock.FromSeconds(graceFor(rc.group.SaveS)) {
 		rc.stop = stopAtOnce
@@ -266,21 +266,21 @@
 
 // end is what the leader is told of an attempt that has exited. What a completion proves has yet to be
 // stored; nothing is to be stored of any other end.
-func (r *taskAttempt) end(now clock.Micros, t *wire.TaskStatus) peer.Event {
-	e := peer.Event{Task: r.task, Machine: r.m.name}
+func (r *taskAttempt) end(now clock.Micros, t *wire.TaskStatus) peer.TaskEvent {
+	e := peer.TaskEvent{Task: r.task, Machine: r.m.name}
 	switch t.Cause {
 	case wire.ExitDone:
-		e.Kind = peer.Done
+		e.Kind = peer.EventCompleted
 		r.done = true
 		if r.startedAt > 0 {
-			e.Secs = (now - r.startedAt).Seconds()
+			e.RunSeconds = (now - r.startedAt).Seconds()
 		}
 	case wire.ExitError, wire.ExitUnknown:
-		e.Kind = peer.Errored
+		e.Kind = peer.EventFailed
 		r.stored = true
 		r.m.noteFailure(r.task.Job)
 	default:
-		e.Kind = peer.Back
+		e.Kind = peer.EventReleased
 		r.stored = true
 	}
 	return e
--- a/internal/block/overload_test.go
+++ b/internal/block/overload_test.go
@@ -90,8 +90,8 @@
 			at += 2 * lateTick
 		}
 		h.Step(at, Tick{})
-		fx := h.Step(at, &peer.Down{Epoch: 9, Grants: []peer.Grant{{Block: 0, Token: 51, Stamp: 8,
-			Machines: []peer.RosterMachine{{Name: "m1", Address: "a1"}, {Name: "m2", Address: "a2"}}}}})
+		fx := h.Step(at, &peer.FromLeader{Term: 9, Grants: []peer.ShardGrant{{Shard: 0, FencingToken: 51, KeyVersion: 8,
+			Machines: []peer.InventoryMachine{{Name: "m1", Address: "a1"}, {Name: "m2", Address: "a2"}}}}})
 		if n := directCommands(fx); (n == 0) != overloaded {
 			t.Errorf("overloaded %v: %d direct commands", overloaded, n)
 		}
--- a/internal/block/proofs_test.go
+++ b/internal/block/proofs_test.go
@@ -17,7 +17,7 @@
 	h.Step(now, beat("m1", 1, 50)) // the other attempt's record is stale
 	first := eventsOf(h.Step(later(1), beat("m2", 1, 50, exitedAs(2, wire.ExitStopped))))
 	again := eventsOf(h.Step(later(2), beat("m2", 2, 50, exitedAs(2, wire.ExitStopped))))
-	if !slices.Equal(first, []string{peer.Back}) || len(again) != 0 {
+	if !slices.Equal(first, []string{peer.EventReleased}) || len(again) != 0 {
 		t.Errorf("events %v, then %v", first, again)
 	}
 }
@@ -29,7 +29,7 @@
 	b := h.blocks[0]
 	h.Step(now, beat("m1", 1, 50))
 	h.Step(later(1), beat("m2", 1, 50, exitedAs(2, wire.ExitStopped)))
-	b.add(&taskAttempt{task: task, attempt: 50<<peer.AttemptBits | 1, m: b.machines["m1"], group: &peer.RecordGroup{Job: task.Job}, state: shown, session: 1})
+	b.add(&taskAttempt{task: task, attempt: 50<<peer.AttemptBits | 1, m: b.machines["m1"], group: &peer.AttemptGroup{Job: task.Job}, state: shown, session: 1})
 	if ev := eventsOf(h.Step(later(2), beat("m2", 2, 50))); len(ev) != 0 {
 		t.Errorf("events %v as the former attempt is forgotten", ev)
 	}
@@ -89,7 +89,7 @@
 	h := holding(t)
 	b := h.blocks[0]
 	for _, token := range []uint64{50, 49} {
-		h.Step(now, &peer.Down{Epoch: 9, Grants: []peer.Grant{{Block: 0, Token: token, Stamp: 7}}})
+		h.Step(now, &peer.FromLeader{Term: 9, Grants: []peer.ShardGrant{{Shard: 0, FencingToken: token, KeyVersion: 7}}})
 		if h.blocks[0] != b {
 			t.Errorf("token %d begins a grant after 50", token)
 		}
@@ -111,14 +111,14 @@
 
 // What an older leader says, or what was said of an older grant, changes nothing.
 func TestOlderWordsChangeNothing(t *testing.T) {
-	gone := func(token uint64) []peer.BlockOrders {
-		return []peer.BlockOrders{{Block: 0, Token: token, Gone: []string{"m1"}}}
+	gone := func(token uint64) []peer.ShardOrders {
+		return []peer.ShardOrders{{Shard: 0, FencingToken: token, Terminated: []string{"m1"}}}
 	}
-	for name, d := range map[string]*peer.Down{
-		"an older leader's orders":  {Epoch: 8, Orders: gone(50)},
-		"orders of an older grant":  {Epoch: 9, Orders: gone(49)},
-		"an older leader's grant":   {Epoch: 8, Grants: []peer.Grant{{Block: 0, Token: 60, Stamp: 9}}},
-		"an older leader's holders": {Epoch: 8, Holders: []string{"n1"}},
+	for name, d := range map[string]*peer.FromLeader{
+		"an older leader's orders":  {Term: 8, Orders: gone(50)},
+		"orders of an older grant":  {Term: 9, Orders: gone(49)},
+		"an older leader's grant":   {Term: 8, Grants: []peer.ShardGrant{{Shard: 0, FencingToken: 60, KeyVersion: 9}}},
+		"an older leader's holders": {Term: 8, Holders: []string{"n1"}},
 	} {
 		h := holding(t)
 		h.Step(now, d)
@@ -129,7 +129,7 @@
 	h := holding(t)
 	expires := h.blocks[0].expires
 	h.Step(now+2*clock.Second, Tick{})
-	h.Step(now+2*clock.Second, &peer.Down{Epoch: 9, Renewed: h.renew, Tokens: map[int]uint64{0: 49}})
+	h.Step(now+2*clock.Second, &peer.FromLeader{Term: 9, RenewedSeq: h.renew, FencingTokens: map[int]uint64{0: 49}})
 	if h.blocks[0].expires != expires {
 		t.Error("the renewal of an older grant prolongs this one")
 	}
@@ -153,14 +153,14 @@
 	r := Record{Block: 0, Token: 50}
 	for _, c := range []struct {
 		name   string
-		o      store.Outcome
+		o      store.TxnResult
 		ok     bool
 		fenced bool
 	}{
-		{"the page's, after a try without an answer", store.Outcome{Unsure: true, Failed: []string{"run/000/50-1"}}, true, false},
-		{"the page's, at once", store.Outcome{Failed: []string{"run/000/50-1"}}, false, false},
-		{"both, after a try without an answer", store.Outcome{Unsure: true, Failed: []string{Key(0), "run/000/50-1"}}, false, true},
-		{"the block's", store.Outcome{Failed: []string{Key(0)}}, false, true},
+		{"the page's, after a try without an answer", store.TxnResult{Ambiguous: true, FailedKeys: []string{"run/000/50-1"}}, true, false},
+		{"the page's, at once", store.TxnResult{FailedKeys: []string{"run/000/50-1"}}, false, false},
+		{"both, after a try without an answer", store.TxnResult{Ambiguous: true, FailedKeys: []string{Key(0), "run/000/50-1"}}, false, true},
+		{"the block's", store.TxnResult{FailedKeys: []string{Key(0)}}, false, true},
 	} {
 		if got := r.Settled(c.o); got.OK != c.ok || got.Fenced != c.fenced || got.Never || got.Revision != 0 {
 			t.Errorf("%s: %+v", c.name, got)
--- a/internal/block/reach_test.go
+++ b/internal/block/reach_test.go
@@ -18,7 +18,7 @@
 	r.AgentEpoch = 2
 	h.Step(in(35), Ordered{Orders: Orders{Block: 0, Machine: "m2", Body: wire.CommandBatch{FencingToken: 50, AgentEpoch: 2}}, Status: 200, R: r})
 	m := h.blocks[0].machines["m2"]
-	h.blocks[0].add(&taskAttempt{task: task, attempt: 50<<peer.AttemptBits | 1, m: m, group: &peer.RecordGroup{Job: task.Job}, state: shown, session: 2})
+	h.blocks[0].add(&taskAttempt{task: task, attempt: 50<<peer.AttemptBits | 1, m: m, group: &peer.AttemptGroup{Job: task.Job}, state: shown, session: 2})
 	if h.Step(in(54), Tick{}); len(m.recs) != 1 {
 		t.Error("taken for gone while the new session's lease may hold")
 	}
--- a/internal/block/record_test.go
+++ b/internal/block/record_test.go
@@ -36,7 +36,7 @@
 		if s, ok := e.(Send); ok {
 			for _, u := range s.Up.Updates {
 				for _, ev := range u.Events {
-					if ev.Job == "j-000009" && ev.Kind == peer.Back {
+					if ev.Job == "j-000009" && ev.Kind == peer.EventReleased {
 						n++
 					}
 				}
@@ -49,10 +49,10 @@
 // While the start record of a task is being written, anything may happen to its machine or its grant.
 // Whatever it is: the task is given back or ordered, never both, and not before the write's end.
 func TestWhatHappensWhileAStartIsRecorded(t *testing.T) {
-	good := store.Outcome{OK: true, Revision: 8}
-	orders := func(o peer.BlockOrders) *peer.Down {
-		o.Token = 50
-		return &peer.Down{Epoch: 9, Orders: []peer.BlockOrders{o}}
+	good := store.TxnResult{Committed: true, Revision: 8}
+	orders := func(o peer.ShardOrders) *peer.FromLeader {
+		o.FencingToken = 50
+		return &peer.FromLeader{Term: 9, Orders: []peer.ShardOrders{o}}
 	}
 	next := func(machine string) Report {
 		r := beat(machine, 2, 50)
@@ -63,20 +63,20 @@
 		name    string
 		mean    []any
 		wait    clock.Micros
-		outcome store.Outcome
+		outcome store.TxnResult
 		ordered bool
 	}{
 		{"nothing", nil, 0, good, true},
 		{"the worker's next session", []any{next("m1"), next("m2")}, 0, good, false},
-		{"the machine is deleted", []any{orders(peer.BlockOrders{Gone: []string{"m1", "m2"}})}, 0, good, false},
-		{"the task is called off", []any{orders(peer.BlockOrders{Stop: []peer.StopTask{{Task: peer.Task{Job: "j-000009"}}}})}, 0, good, false},
+		{"the machine is deleted", []any{orders(peer.ShardOrders{Terminated: []string{"m1", "m2"}})}, 0, good, false},
+		{"the task is called off", []any{orders(peer.ShardOrders{Stop: []peer.StopTask{{Task: peer.Task{Job: "j-000009"}}}})}, 0, good, false},
 		{"the grant ends", nil, 25 * clock.Second, good, false},
 		{"the machine's lease ends", []any{}, 45 * clock.Second, good, false},
-		{"the write is refused", nil, 0, store.Outcome{}, false},
-		{"the write gets no answer", nil, 0, store.Outcome{Unsure: true}, false},
-		{"a repeat shows that the write went through", nil, 0, store.Outcome{Unsure: true, Failed: []string{"run/000/50-1"}}, true},
-		{"a page's guard fails at once", nil, 0, store.Outcome{Failed: []string{"run/000/50-1"}}, false},
-		{"the block is another's", nil, 0, store.Outcome{Unsure: true, Failed: []string{Key(0), "run/000/50-1"}}, false},
+		{"the write is refused", nil, 0, store.TxnResult{}, false},
+		{"the write gets no answer", nil, 0, store.TxnResult{Ambiguous: true}, false},
+		{"a repeat shows that the write went through", nil, 0, store.TxnResult{Ambiguous: true, FailedKeys: []string{"run/000/50-1"}}, true},
+		{"a page's guard fails at once", nil, 0, store.TxnResult{FailedKeys: []string{"run/000/50-1"}}, false},
+		{"the block is another's", nil, 0, store.TxnResult{Ambiguous: true, FailedKeys: []string{Key(0), "run/000/50-1"}}, false},
 	} {
 		h := holding(t)
 		h.Step(now, beat("m1", 1, 50))
@@ -123,7 +123,7 @@
 	h = holding(t)
 	h.Step(now, beat("m1", 1, 50))
 	offerOne(h, later(1))
-	h.Step(later(1), &peer.Down{Epoch: 9, Orders: []peer.BlockOrders{{Token: 50, Gone: []string{"m1"}}}})
+	h.Step(later(1), &peer.FromLeader{Term: 9, Orders: []peer.ShardOrders{{FencingToken: 50, Terminated: []string{"m1"}}}})
 	if len(h.blocks[0].byTask[peer.Task{Job: "j-000009"}]) != 1 {
 		t.Error("given back while its start is being recorded")
 	}
@@ -136,7 +136,7 @@
 	h.Step(now, beat("m1", 1, 50))
 	record := recordOf(t, offerOne(h, later(1)))
 	h.blocks[0].machines["m1"].lost = true
-	fx := h.Step(later(2), record.Settled(store.Outcome{OK: true, Revision: 8}))
+	fx := h.Step(later(2), record.Settled(store.TxnResult{Committed: true, Revision: 8}))
 	fx = append(fx, h.Step(later(3), Tick{})...)
 	if runOrders(fx) != 0 || given(fx) != 1 {
 		t.Errorf("%d run orders, given back %d times", runOrders(fx), given(fx))
@@ -150,7 +150,7 @@
 	h.Step(now, beat("m1", 1, 50))
 	b := h.blocks[0]
 	m := b.machines["m1"]
-	r := &taskAttempt{task: peer.Task{Job: "j-000009"}, attempt: 50<<peer.AttemptBits | 1, m: m, group: &peer.RecordGroup{Job: "j-000009"}, state: ordered, session: 1, stop: stopAtOnce}
+	r := &taskAttempt{task: peer.Task{Job: "j-000009"}, attempt: 50<<peer.AttemptBits | 1, m: m, group: &peer.AttemptGroup{Job: "j-000009"}, state: ordered, session: 1, stop: stopAtOnce}
 	b.add(r)
 	answer := Ordered{Orders: Orders{Block: 0, Machine: "m1", Body: wire.CommandBatch{FencingToken: 50, AgentEpoch: 1}}, Status: 200}
 	answer.R = beat("m1", 2, 50).R
--- a/internal/block/state.go
+++ b/internal/block/state.go
@@ -32,9 +32,9 @@
 	task      peer.Task
 	attempt   uint64
 	m         *machine
-	group     *peer.RecordGroup // what the task takes; Starts unused
-	page      *page             // where its record is; nil once it needs none
-	place     int               // in page.recs
+	group     *peer.AttemptGroup // what the task takes; Starts unused
+	page      *page              // where its record is; nil once it needs none
+	place     int                // in page.recs
 	state     attemptState
 	inherited bool
 	session   uint64 // in which it was ordered
@@ -101,7 +101,7 @@
 	tell     bool
 	raise    bool // the leader was asked for a new token
 	stuck    bool // there are attempts that only a higher token settles
-	events   []peer.Event
+	events   []peer.TaskEvent
 }
 
 // attemptReserve is how many attempts are left of a grant when a new one is asked for: more than one
@@ -151,7 +151,7 @@
 }
 
 // tellEnd says how an attempt ended, once; a task comes back only with its last attempt.
-func (b *heldBlock) tellEnd(r *taskAttempt, e peer.Event) {
+func (b *heldBlock) tellEnd(r *taskAttempt, e peer.TaskEvent) {
 	if r.told {
 		return
 	}
@@ -161,10 +161,10 @@
 	if last {
 		delete(b.attempts, r.task)
 	}
-	if !last && e.Kind == peer.Done {
-		b.events = append(b.events, peer.Event{Task: r.task, Kind: peer.Remains, Machine: r.m.name})
+	if !last && e.Kind == peer.EventCompleted {
+		b.events = append(b.events, peer.TaskEvent{Task: r.task, Kind: peer.EventAttemptRemains, Machine: r.m.name})
 	}
-	if last || e.Kind == peer.Done {
+	if last || e.Kind == peer.EventCompleted {
 		b.events = append(b.events, e)
 	}
 }
@@ -178,7 +178,7 @@
 
 // lose takes off the books an attempt that is proven to be on the machine no more.
 func (b *heldBlock) lose(r *taskAttempt, kind string) {
-	b.tellEnd(r, peer.Event{Task: r.task, Kind: kind, Machine: r.m.name})
+	b.tellEnd(r, peer.TaskEvent{Task: r.task, Kind: kind, Machine: r.m.name})
 	b.settle(r)
 	r.m.recs = slices.DeleteFunc(r.m.recs, func(o *taskAttempt) bool { return o == r })
 	if left := slices.DeleteFunc(b.byTask[r.task], func(o *taskAttempt) bool { return o == r }); len(left) > 0 {
--- a/internal/block/tick.go
+++ b/internal/block/tick.go
@@ -83,7 +83,7 @@
 		b.mark(m)
 		for _, r := range slices.Clone(m.recs) {
 			if r.state != recording {
-				b.lose(r, peer.Back)
+				b.lose(r, peer.EventReleased)
 			}
 		}
 	}
--- a/internal/block/tokens_test.go
+++ b/internal/block/tokens_test.go
@@ -41,13 +41,13 @@
 	b := h.blocks[0]
 	attempt := uint64(50<<peer.AttemptBits | 1)
 	other := peer.Task{Job: "j-000002"}
-	b.add(&taskAttempt{task: other, attempt: attempt, m: b.machines["m1"], group: &peer.RecordGroup{Job: other.Job}, state: ordered, session: 1, direct: true, stop: 2})
+	b.add(&taskAttempt{task: other, attempt: attempt, m: b.machines["m1"], group: &peer.AttemptGroup{Job: other.Job}, state: ordered, session: 1, direct: true, stop: 2})
 	exit := wire.TaskStatus{Task: TaskName(other), Attempt: attempt, State: wire.TaskExited, Cause: wire.ExitStopped}
 	if a := answerOf(t, h.Step(now, beat("m1", 2, 50, exit))); len(a.Body.Commands) != 0 {
 		t.Errorf("commands %v while a copy of its order would be obeyed", a.Body.Commands)
 	}
-	h.Step(now, &peer.Down{Epoch: 9, Grants: []peer.Grant{{Block: 0, Token: 60, Stamp: 8, Machines: []peer.RosterMachine{{Name: "m1", Address: "a1"}}}}})
-	h.Step(now, &peer.Down{Epoch: 9, Renewed: h.renew, Tokens: map[int]uint64{0: 60}})
+	h.Step(now, &peer.FromLeader{Term: 9, Grants: []peer.ShardGrant{{Shard: 0, FencingToken: 60, KeyVersion: 8, Machines: []peer.InventoryMachine{{Name: "m1", Address: "a1"}}}}})
+	h.Step(now, &peer.FromLeader{Term: 9, RenewedSeq: h.renew, FencingTokens: map[int]uint64{0: 60}})
 	if a := answerOf(t, h.Step(now, beat("m1", 3, 60, exit))); len(a.Body.Commands) != 1 || a.Body.Commands[0].Verb != wire.VerbForget {
 		t.Errorf("commands %v under the higher token, want forget", a.Body.Commands)
 	}
@@ -59,14 +59,14 @@
 	b := h.blocks[0]
 	for i := range leastLingering + 1 {
 		b.add(&taskAttempt{task: peer.Task{Job: "j-000002", Index: i}, attempt: 50<<peer.AttemptBits | uint64(i+1), m: b.machines["m1"],
-			group: &peer.RecordGroup{Job: "j-000002"}, state: exited, direct: true, told: true, stored: true})
+			group: &peer.AttemptGroup{Job: "j-000002"}, state: exited, direct: true, told: true, stored: true})
 	}
 	asked := 0
 	for i := range 2 {
 		for _, e := range h.Step(later(i), Tick{}) {
 			if s, ok := e.(Send); ok {
 				for _, u := range s.Up.Updates {
-					if u.Lost && u.Token == 50 {
+					if u.NeedsRegrant && u.FencingToken == 50 {
 						asked++
 					}
 				}
@@ -82,7 +82,7 @@
 // answer ends the tasks of cancelled jobs, or they would go on for a lease more.
 func TestAnswerToAnUnfencedMachineEndsCancelledTasks(t *testing.T) {
 	h := holding(t)
-	h.Step(now, &peer.Down{Epoch: 9, Orders: []peer.BlockOrders{{Block: 0, Token: 50, Stop: []peer.StopTask{{Task: task}}}}})
+	h.Step(now, &peer.FromLeader{Term: 9, Orders: []peer.ShardOrders{{Shard: 0, FencingToken: 50, Stop: []peer.StopTask{{Task: task}}}}})
 	a := answerOf(t, h.Step(now, beat("m1", 1, 41, wire.TaskStatus{Task: TaskName(task), Attempt: 1, State: wire.Running})))
 	if len(a.Body.Commands) != 1 || a.Body.Commands[0].Verb != wire.VerbKill || a.Body.Commands[0].Attempt != 1 {
 		t.Errorf("status %d with %+v, want the task ended", a.Status, a.Body.Commands)
@@ -112,7 +112,7 @@
 // asksForToken says whether a tick has the leader asked for a new grant.
 func asksForToken(h *Holder, at clock.Micros) bool {
 	for _, e := range h.Step(at, Tick{}) {
-		if s, ok := e.(Send); ok && len(s.Up.Updates) > 0 && s.Up.Updates[0].Lost {
+		if s, ok := e.(Send); ok && len(s.Up.Updates) > 0 && s.Up.Updates[0].NeedsRegrant {
 			return true
 		}
 	}
@@ -134,13 +134,13 @@
 	if m.name == "m2" {
 		rest = append(rest, running(2))
 	}
-	h.Step(later(2), &peer.Down{Epoch: 9, Orders: []peer.BlockOrders{{Block: 0, Token: 50, Stop: []peer.StopTask{{Task: one}}}}})
+	h.Step(later(2), &peer.FromLeader{Term: 9, Orders: []peer.ShardOrders{{Shard: 0, FencingToken: 50, Stop: []peer.StopTask{{Task: one}}}}})
 	h.Step(later(3), beat(m.name, 2, 50, rest...))
 	if asksForToken(h, now+h.p.Lease+clock.Second) {
 		t.Error("asked for a token while the answer may come")
 	}
 	at := now + h.p.Lease + 2*clock.Second
-	h.Step(at-clock.Second, &peer.Down{Epoch: 9, Renewed: h.renew, Tokens: map[int]uint64{0: 50}})
+	h.Step(at-clock.Second, &peer.FromLeader{Term: 9, RenewedSeq: h.renew, FencingTokens: map[int]uint64{0: 50}})
 	h.Step(at, beat(m.name, 3, 50, rest...))
 	if len(b.byTask[one]) != 1 {
 		t.Fatal("taken for gone while its order may be carried out")
--- a/internal/compat/compat_test.go
+++ b/internal/compat/compat_test.go
@@ -130,7 +130,7 @@
 	if err := goccy.Unmarshal(raw, &r); err != nil || r.Spec.Tasks != 3 || r.Spec.EstimateS != 0 {
 		t.Errorf("a service's record is read as %+v, %v", r, err)
 	}
-	raw, err = msgpack.Marshal(peer.Down{Orders: []peer.BlockOrders{{Offers: []peer.Offer{{Job: service, Indexes: []int{0}}}}}})
+	raw, err = msgpack.Marshal(peer.FromLeader{Orders: []peer.ShardOrders{{Offers: []peer.TaskOffer{{Job: service, TaskIndexes: []int{0}}}}}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/compat/exact_test.go
+++ b/internal/compat/exact_test.go
@@ -86,16 +86,16 @@
 
 // fullStatus has every field that a status may tell.
 func fullStatus() peer.Status {
-	return peer.Status{Node: "c0", Leader: "c1", Epoch: 7, Leads: true, Pauses: 4,
-		LastPause: &peer.PauseStatus{At: 1234567, AgoS: 61, LengthS: 12.5, Expired: []string{"grant of block 1"}},
-		Spread:    true, MeanLoad: 0.5,
-		Blocks:   []peer.BlockStatus{{Block: 1, Holder: "c1", Granted: true, Machines: 9, TakeWork: 8, MeanLoad: 0.25, MostLoad: 0.75, Tasks: 31, Unstarted: 2}},
-		Machines: []peer.MachineStatus{{Name: "host-000001", Block: 1, Type: "g8", Zone: "a", Load: 0.75, OverMean: 1.5, Tasks: 5, TakesWork: true, WhyNot: "not needed"}},
-		Teams:    []peer.TeamStatus{{Team: "vision", CPUs: 64, Limit: 128, Waiting: 12, AtLimit: 3}},
-		Moves:    []peer.MoveStatus{{Task: "j-000412/3", Team: "vision", From: "host-000001", To: "host-000002", Stage: "stopping", AgeS: 1.5, GainS: 20, CostS: 6}},
-		Refusals: []peer.RefusalStatus{{Machine: "host-000003", Reason: "cannot save", Task: "j-000413/0", Tasks: 4}},
-		Ended:    peer.MovesEnded{Begun: 15, Arrived: 5, Elsewhere: 4, Cancelled: 3, GivenUp: 2},
-		Suspects: []peer.SuspectStatus{{Job: "j-000414", Team: "vision", Machines: 3, Probes: 2, NextS: 7.5}}}
+	return peer.Status{Controller: "c0", Leader: "c1", Term: 7, Leading: true, Pauses: 4,
+		LastPause:   &peer.PauseStatus{EndedAt: 1234567, AgoS: 61, LengthS: 12.5, Expired: []string{"grant of block 1"}},
+		Rebalancing: true, MeanLoad: 0.5,
+		Shards:            []peer.ShardStatus{{Shard: 1, Holder: "c1", Granted: true, Machines: 9, TakeWork: 8, MeanLoad: 0.25, MostLoad: 0.75, Tasks: 31, Unstarted: 2}},
+		Machines:          []peer.MachineStatus{{Name: "host-000001", Shard: 1, Type: "g8", Zone: "a", Load: 0.75, OverMean: 1.5, Tasks: 5, TakesWork: true, WhyNot: "not needed"}},
+		Teams:             []peer.TeamStatus{{Team: "vision", CPUs: 64, Limit: 128, Waiting: 12, AtLimit: 3}},
+		Migrations:        []peer.MigrationStatus{{Task: "j-000412/3", Team: "vision", From: "host-000001", To: "host-000002", Stage: "stopping", AgeS: 1.5, GainS: 20, CostS: 6}},
+		Refusals:          []peer.RefusalStatus{{Machine: "host-000003", Reason: "cannot save", Task: "j-000413/0", Tasks: 4}},
+		MigrationOutcomes: peer.MigrationOutcomes{Begun: 15, Arrived: 5, Elsewhere: 4, Cancelled: 3, GivenUp: 2},
+		Suspects:          []peer.SuspectStatus{{Job: "j-000414", Team: "vision", Machines: 3, Probes: 2, NextS: 7.5}}}
 }
 
 // messagePackForms travel between controllers and have no sample of the version in production.
@@ -103,12 +103,12 @@
 	spread := batch
 	spread.FleetLoad = 0.5
 	return []exactForm{
-		{"Offer/spread", peer.Offer{Job: spread, Zone: "a", Indexes: []int{3, 4}}}, {"Offer/empty", peer.Offer{}},
+		{"Offer/spread", peer.TaskOffer{Job: spread, Zone: "a", TaskIndexes: []int{3, 4}}}, {"Offer/empty", peer.TaskOffer{}},
 		{"MachineType/empty", wire.MachineType{}},
-		{"Hello/empty", peer.Hello{}}, {"Up/empty", peer.Up{Updates: []peer.BlockUpdate{{Events: []peer.Event{{}}, Machines: []peer.MachineState{{}}}}}},
-		{"Down/empty", peer.Down{Grants: []peer.Grant{{Pages: map[string]peer.RecordPage{"": {Groups: []peer.RecordGroup{{}}}}, Machines: []peer.RosterMachine{{}}}},
-			Orders: []peer.BlockOrders{{Stop: []peer.StopTask{{}}, Stored: []peer.Task{{}}}}, Counts: []peer.TaskCount{{}}}},
-		{"Hello/status", peer.Hello{Epoch: 1<<64 - 1}},
+		{"Hello/empty", peer.Hello{}}, {"Up/empty", peer.ToLeader{Updates: []peer.ShardUpdate{{Events: []peer.TaskEvent{{}}, Machines: []peer.MachineState{{}}}}}},
+		{"Down/empty", peer.FromLeader{Grants: []peer.ShardGrant{{Pages: map[string]peer.AttemptPage{"": {Groups: []peer.AttemptGroup{{}}}}, Machines: []peer.InventoryMachine{{}}}},
+			Orders: []peer.ShardOrders{{Stop: []peer.StopTask{{}}, Persisted: []peer.Task{{}}}}, TaskCounts: []peer.TaskCount{{}}}},
+		{"Hello/status", peer.Hello{Term: 1<<64 - 1}},
 		{"Status", fullStatus()}, {"Status/empty", peer.Status{}},
 	}
 }
--- a/internal/compat/samples_test.go
+++ b/internal/compat/samples_test.go
@@ -32,15 +32,15 @@
 var batch = wire.Job{Ref: "j-000412", Class: "train", Team: "vision", Shape: "batch", Priority: "high", Tasks: 16, CPUs: 8, GPUs: 1, MemoryGB: 64,
 	Image: "img-07", ImageGB: 6.2, Types: []string{"g8"}, Zone: "a", OneZone: true, Spread: true, Spot: true, EstimateS: 240, CheckpointS: 30, SaveS: 4, DeadlineS: &due}
 
-var page = peer.RecordPage{Token: 7<<12 | 3, Prefix: "host-0000", Machines: []string{"01", "02"}, Groups: []peer.RecordGroup{
-	{Job: "j-000412", Team: "vision", CPUs: 8, GPUs: 1, Memory: 64, SaveS: 4, Ckpt: 30, Image: "img-07", ImageGB: 6.2, Starts: []int{3, 1, 0, 4, 2, 1}}}}
+var page = peer.AttemptPage{FencingToken: 7<<12 | 3, Prefix: "host-0000", Machines: []string{"01", "02"}, Groups: []peer.AttemptGroup{
+	{Job: "j-000412", Team: "vision", CPUs: 8, GPUs: 1, MemoryGB: 64, SaveS: 4, CheckpointS: 30, Image: "img-07", ImageGB: 6.2, Attempts: []int{3, 1, 0, 4, 2, 1}}}}
 
 var g8 = wire.MachineType{Name: "g8", CPUs: 96, GPUs: 8, MemoryGB: 768, CacheGB: 200, FetchGBPS: 1, Price: 12, SpotPrice: 4.5, BootS: 45, ZoneNames: []string{"a", "b"}}
 
 // jsonForms are the values in the state service.
 func jsonForms() []form {
 	return []form{
-		{"leader", election.Record{Node: "n1", Run: 77}},
+		{"leader", election.Record{Controller: "n1", Incarnation: 77}},
 		{"layout", leader.LayoutRecord{Blocks: 6}},
 		{"catalog", wire.Catalog{Types: []wire.MachineType{g8}}},
 		{"job", leader.JobRecord{Spec: batch, At: 1234567}},
@@ -56,15 +56,15 @@
 func messageForms() []form {
 	task := peer.Task{Job: "j-000412", Index: 3}
 	return []form{
-		{"hello", peer.Hello{Node: "n1", Run: 77, Epoch: 7}},
-		{"up", peer.Up{Epoch: 7, Renew: 9, StoreOK: true, Blind: true, Updates: []peer.BlockUpdate{{Block: 2, Token: 7<<12 | 3, Seq: 4, Lost: true,
-			Events:   []peer.Event{{Task: task, Kind: peer.Done, Machine: "host-000001", Secs: 12.5}},
-			Machines: []peer.MachineState{{Name: "host-000001", Type: "g8", Zone: "a", Address: "10.1.0.1:9000", Spot: true, Fit: true, Silent: true, Notice: true, Gone: true, Shown: true, CPUs: 1.5, GPUs: 2, Memory: 3, Tasks: 4, Images: []string{"img-07"}}}}}}},
-		{"down", peer.Down{Epoch: 7, Renewed: 9, Tokens: map[int]uint64{2: 7<<12 | 3}, Holders: []string{"n1", "n2"},
-			Counts: []peer.TaskCount{{Job: "j-000412", Done: 3, Running: 13}}, Types: []wire.MachineType{g8}, StoreOK: true,
-			Grants: []peer.Grant{{Block: 2, Token: 7<<12 | 3, Stamp: 99, Pages: map[string]peer.RecordPage{"run/002/28675-1": page}, Machines: []peer.RosterMachine{{Name: "host-000001", Address: "10.1.0.1:9000"}}}},
-			Orders: []peer.BlockOrders{{Block: 2, Token: 7<<12 | 3, Seq: 4, Offers: []peer.Offer{{Job: batch, Zone: "a", Indexes: []int{3, 4}}}, Stop: []peer.StopTask{{Task: task, Save: true}},
-				Stored: []peer.Task{task}, Use: []string{"host-000002"}, Drain: []string{"host-000003"}, Gone: []string{"host-000004"}, Rest: []string{"host-000005"}, Wake: []string{"host-000006"}}}}},
+		{"hello", peer.Hello{Controller: "n1", Incarnation: 77, Term: 7}},
+		{"up", peer.ToLeader{Term: 7, RenewSeq: 9, StoreOK: true, NoAgentContact: true, Updates: []peer.ShardUpdate{{Shard: 2, FencingToken: 7<<12 | 3, SettledOfferSeq: 4, NeedsRegrant: true,
+			Events:   []peer.TaskEvent{{Task: task, Kind: peer.EventCompleted, Machine: "host-000001", RunSeconds: 12.5}},
+			Machines: []peer.MachineState{{Name: "host-000001", Type: "g8", Zone: "a", Address: "10.1.0.1:9000", Spot: true, Schedulable: true, Silent: true, PreemptionNotice: true, Terminated: true, TokenConfirmed: true, CPUs: 1.5, GPUs: 2, MemoryGB: 3, Tasks: 4, Images: []string{"img-07"}}}}}}},
+		{"down", peer.FromLeader{Term: 7, RenewedSeq: 9, FencingTokens: map[int]uint64{2: 7<<12 | 3}, Holders: []string{"n1", "n2"},
+			TaskCounts: []peer.TaskCount{{Job: "j-000412", Done: 3, Running: 13}}, Types: []wire.MachineType{g8}, StoreOK: true,
+			Grants: []peer.ShardGrant{{Shard: 2, FencingToken: 7<<12 | 3, KeyVersion: 99, Pages: map[string]peer.AttemptPage{"run/002/28675-1": page}, Machines: []peer.InventoryMachine{{Name: "host-000001", Address: "10.1.0.1:9000"}}}},
+			Orders: []peer.ShardOrders{{Shard: 2, FencingToken: 7<<12 | 3, OfferSeq: 4, Offers: []peer.TaskOffer{{Job: batch, Zone: "a", TaskIndexes: []int{3, 4}}}, Stop: []peer.StopTask{{Task: task, Checkpoint: true}},
+				Persisted: []peer.Task{task}, Added: []string{"host-000002"}, Drain: []string{"host-000003"}, Terminated: []string{"host-000004"}, Exclude: []string{"host-000005"}, Include: []string{"host-000006"}}}}},
 	}
 }
 
--- a/internal/compat/written_test.go
+++ b/internal/compat/written_test.go
@@ -22,12 +22,12 @@
 type frameStore struct{ written chan wire.Write }
 
 func (s frameStore) Get(context.Context, int, string) (wire.Item, error) {
-	return wire.Item{}, store.ErrMissing
+	return wire.Item{}, store.ErrNotFound
 }
 
-func (s frameStore) Once(_ context.Context, _ int, t wire.Txn) (store.Outcome, error) {
+func (s frameStore) TryCommit(_ context.Context, _ int, t wire.Txn) (store.TxnResult, error) {
 	s.written <- t.Writes[0]
-	return store.Outcome{OK: true, Revision: 1}, nil
+	return store.TxnResult{Committed: true, Revision: 1}, nil
 }
 
 func (s frameStore) List(context.Context, int, string) ([]wire.Item, uint64, error) {
@@ -42,7 +42,7 @@
 // Frames through the state service have these keys and these bytes, but for the connection's number.
 func TestFrameBytes(t *testing.T) {
 	written := make(chan wire.Write, 16)
-	relay := peer.NewRelay("c0", frameStore{written}, 4096, 1<<20, time.Millisecond)
+	relay := peer.NewStoreTransport("c0", frameStore{written}, 4096, 1<<20, time.Millisecond)
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	go relay.Run(ctx, nil)
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -14,70 +14,70 @@
 
 // Record is the value of the leader key.
 type Record struct {
-	Node string `json:"node"`
-	Run  uint64 `json:"run"`
+	Controller  string `json:"node"`
+	Incarnation uint64 `json:"run"`
 }
 
 // Messages to an Elector.
 type (
-	// Seen is the leader key as the store has it now; Version 0: there is none.
-	Seen struct {
+	// LeaderKeyObserved is the leader key as the store has it now; Version 0: there is none.
+	LeaderKeyObserved struct {
 		Version  uint64
 		Record   Record
 		Revision uint64 // of the store, when it was so
 	}
-	// Leased answers GetLease; Sent is when it was asked.
-	Leased struct {
+	// LeaseGranted answers RequestLease; Sent is when it was asked.
+	LeaseGranted struct {
 		Lease uint64
 		Sent  clock.Micros
 		Err   error
 	}
-	// Claimed answers Claim.
-	Claimed struct {
-		Lease   uint64
-		Outcome store.Outcome
-		Err     error
+	// CampaignResult answers Claim.
+	CampaignResult struct {
+		Lease  uint64
+		Result store.TxnResult
+		Err    error
 	}
-	// Renewed answers Renew; Sent is when it was asked.
-	Renewed struct {
+	// LeaseRenewed answers Renew; Sent is when it was asked.
+	LeaseRenewed struct {
 		Lease uint64
 		Sent  clock.Micros
 		Err   error
 	}
 	// Resign gives the epoch up.
-	Resign struct{ Epoch uint64 }
+	Resign struct{ Term uint64 }
 	// Tick lets time pass.
 	Tick struct{}
 )
 
 // Effects of an Elector.
 type (
-	// GetLease asks for a store lease.
-	GetLease struct{ TTL clock.Micros }
-	// Claim asks to create the leader key under a lease.
-	Claim struct {
+	// RequestLease asks for a store lease.
+	RequestLease struct{ TTL clock.Micros }
+	// Campaign asks to create the leader key under a lease.
+	Campaign struct {
 		Lease  uint64
 		Record Record
 	}
-	// Renew renews the lease.
-	Renew struct{ Lease uint64 }
-	// Drop ends a lease at once.
-	Drop struct{ Lease uint64 }
-	// Look asks for Seen.
-	Look struct{}
-	// Lead begins an epoch of ours.
-	Lead struct {
-		Epoch uint64
+	// RenewLease renews the lease.
+	RenewLease struct{ Lease uint64 }
+	// RevokeLease ends a lease at once.
+	RevokeLease struct{ Lease uint64 }
+	// ReadLeaderKey asks for Seen.
+	ReadLeaderKey struct{}
+	// AcquireLeadership begins an epoch of ours.
+	AcquireLeadership struct {
+		Term  uint64
 		Until clock.Micros
 	}
-	// Extend says until when we may act.
-	Extend struct{ Until clock.Micros }
-	// Depose ends our epoch.
-	Depose struct{ Epoch uint64 }
-	// Follow names the leader; Epoch 0: nobody leads.
-	Follow struct {
-		Epoch uint64
-		Node  string
+	// ExtendLeadership says until when we may act.
+	ExtendLeadership struct{ Until clock.Micros }
+	// LoseLeadership ends our epoch.
+	LoseLeadership struct{ Term uint64 }
+	// FollowLeader names the leader; Epoch 0: nobody leads.
+	FollowLeader struct {
+		Term       uint64
+		Controller string
 	}
 )
 
@@ -85,7 +85,7 @@
 const Key = "leader"
 
 // Txn creates the leader key under the lease.
-func (c Claim) Txn() (wire.Txn, error) {
+func (c Campaign) Txn() (wire.Txn, error) {
 	raw, err := json.Marshal(c.Record)
 	if err != nil {
 		return wire.Txn{}, fmt.Errorf("leader record: %w", err)
@@ -93,9 +93,9 @@
 	return wire.Txn{Conditions: []wire.Condition{{Key: Key}}, Writes: []wire.Write{{Put: Key, Value: raw, Lease: c.Lease}}}, nil
 }
 
-// SeenKey is Seen for the leader key as it was at a revision; it.Version 0: absent.
-func SeenKey(it wire.Item, revision uint64) (Seen, error) {
-	s := Seen{Version: it.Version, Revision: revision}
+// ObserveKey is Seen for the leader key as it was at a revision; it.Version 0: absent.
+func ObserveKey(it wire.Item, revision uint64) (LeaderKeyObserved, error) {
+	s := LeaderKeyObserved{Version: it.Version, Revision: revision}
 	if it.Version == 0 {
 		return s, nil
 	}
@@ -105,179 +105,179 @@
 	return s, nil
 }
 
-// SeenEvent is Seen for a change of the leader key; false for one of another key.
-func SeenEvent(e wire.Event) (Seen, bool, error) {
+// ObserveEvent is Seen for a change of the leader key; false for one of another key.
+func ObserveEvent(e wire.Event) (LeaderKeyObserved, bool, error) {
 	switch Key {
 	case e.Put:
-		s, err := SeenKey(wire.Item{Value: e.Value, Version: e.Version}, e.Version)
+		s, err := ObserveKey(wire.Item{Value: e.Value, Version: e.Version}, e.Version)
 		return s, true, err
 	case e.Delete:
-		return Seen{Revision: e.Version}, true, nil
+		return LeaderKeyObserved{Revision: e.Version}, true, nil
 	}
-	return Seen{}, false, nil
+	return LeaderKeyObserved{}, false, nil
 }
 
 // Elector is the actor's state.
 type Elector struct {
-	me       Record
-	ttl      clock.Micros
-	known    bool // the leader key's state is known
-	seen     Seen
-	lease    uint64
-	leaseAt  clock.Micros
-	asking   bool
-	claiming bool
-	lost     bool   // a claim under the present lease got no answer
-	doubt    bool   // so did one under an earlier lease: a key of ours may hang on that one
-	epoch    uint64 // ours; 0: we do not lead
-	until    clock.Micros
-	told     Follow // what was last said of who leads
-	renewAt  clock.Micros
-	retryAt  clock.Micros
-	fx       []any
+	self                     Record
+	ttl                      clock.Micros
+	leaderKeyKnown           bool // the leader key's state is known
+	leaderKey                LeaderKeyObserved
+	lease                    uint64
+	leaseAt                  clock.Micros
+	requestingLease          bool
+	campaigning              bool
+	campaignUnanswered       bool   // a claim under the present lease got no answer
+	formerCampaignUnanswered bool   // so did one under an earlier lease: a key of ours may hang on that one
+	term                     uint64 // ours; 0: we do not lead
+	until                    clock.Micros
+	followed                 FollowLeader // what was last said of who leads
+	renewAt                  clock.Micros
+	retryAt                  clock.Micros
+	effects                  []any
 }
 
 // New makes an elector. me.VerbRun differs with each start of the process, so that
 // nothing from before a restart is taken for ours.
-func New(me Record, ttl clock.Micros) *Elector { return &Elector{me: me, ttl: ttl} }
+func New(me Record, ttl clock.Micros) *Elector { return &Elector{self: me, ttl: ttl} }
 
-// Epoch is ours while we lead, else 0.
-func (e *Elector) Epoch() uint64 { return e.epoch }
+// Term is ours while we lead, else 0.
+func (e *Elector) Term() uint64 { return e.term }
 
 // Step takes one message at a time.
 func (e *Elector) Step(now clock.Micros, msg any) []any {
-	e.fx = nil
-	if e.epoch > 0 && now >= e.until {
-		e.depose()
+	e.effects = nil
+	if e.term > 0 && now >= e.until {
+		e.loseLeadership()
 	}
 	switch m := msg.(type) {
-	case Seen:
-		e.onSeen(now, m)
-	case Leased:
-		e.asking = false
+	case LeaderKeyObserved:
+		e.onLeaderKeyObserved(now, m)
+	case LeaseGranted:
+		e.requestingLease = false
 		if m.Err != nil {
 			e.retryAt = now + e.ttl/10
 			break
 		}
 		e.lease, e.leaseAt = m.Lease, m.Sent
-	case Claimed:
-		e.onClaimed(now, m)
-	case Renewed:
-		e.onRenewed(now, m)
+	case CampaignResult:
+		e.onCampaignResult(now, m)
+	case LeaseRenewed:
+		e.onLeaseRenewed(now, m)
 	case Resign:
-		if e.epoch == m.Epoch && e.epoch > 0 {
-			e.depose()
+		if e.term == m.Term && e.term > 0 {
+			e.loseLeadership()
 		}
 	}
 	e.advance(now)
-	return e.fx
+	return e.effects
 }
 
-func (e *Elector) emit(x any) { e.fx = append(e.fx, x) }
+func (e *Elector) emit(x any) { e.effects = append(e.effects, x) }
 
-func (e *Elector) depose() {
-	e.emit(Depose{e.epoch})
-	e.epoch = 0
-	e.drop()
-	e.look()
+func (e *Elector) loseLeadership() {
+	e.emit(LoseLeadership{e.term})
+	e.term = 0
+	e.revokeLease()
+	e.readLeaderKey()
 }
 
-// drop gives the lease up. A claim under it that got no answer may be carried out as long as
+// revokeLease gives the lease up. A claim under it that got no answer may be carried out as long as
 // the lease lasts, also after newer ones.
-func (e *Elector) drop() {
-	e.emit(Drop{e.lease})
-	e.doubt = e.doubt || e.lost
-	e.lease, e.lost = 0, false
+func (e *Elector) revokeLease() {
+	e.emit(RevokeLease{e.lease})
+	e.formerCampaignUnanswered = e.formerCampaignUnanswered || e.campaignUnanswered
+	e.lease, e.campaignUnanswered = 0, false
 }
 
-// look asks anew who leads; nothing is claimed until the answer is there.
-func (e *Elector) look() {
-	e.known = false
-	e.emit(Look{})
+// readLeaderKey asks anew who leads; nothing is claimed until the answer is there.
+func (e *Elector) readLeaderKey() {
+	e.leaderKeyKnown = false
+	e.emit(ReadLeaderKey{})
 }
 
-func (e *Elector) onSeen(now clock.Micros, m Seen) {
-	if m.Revision < e.seen.Revision {
+func (e *Elector) onLeaderKeyObserved(now clock.Micros, m LeaderKeyObserved) {
+	if m.Revision < e.leaderKey.Revision {
 		return // what the watch saw before a later read
 	}
-	e.known, e.seen = true, m
-	if e.epoch > 0 && m.Version != e.epoch {
-		e.depose() // the key has gone with its lease, or is another's
+	e.leaderKeyKnown, e.leaderKey = true, m
+	if e.term > 0 && m.Version != e.term {
+		e.loseLeadership() // the key has gone with its lease, or is another's
 	}
 	// A claim whose answer was lost.
-	if e.epoch == 0 && m.Version > 0 && m.Record == e.me && e.lease > 0 {
-		if !e.doubt {
-			e.win(now, m.Version)
+	if e.term == 0 && m.Version > 0 && m.Record == e.self && e.lease > 0 {
+		if !e.formerCampaignUnanswered {
+			e.acquireLeadership(now, m.Version)
 			return
 		}
 		// Renewed under the wrong lease, the key would go while we lead. So none is, and it goes now.
-		e.drop()
+		e.revokeLease()
 	}
-	if e.epoch == 0 {
-		e.follow(m.Version, m.Record.Node)
+	if e.term == 0 {
+		e.follow(m.Version, m.Record.Controller)
 	}
 }
 
 // follow says who leads, once: a second link to the same leader would cut the first.
 func (e *Elector) follow(epoch uint64, node string) {
-	if f := (Follow{epoch, node}); f != e.told {
-		e.told = f
+	if f := (FollowLeader{epoch, node}); f != e.followed {
+		e.followed = f
 		e.emit(f)
 	}
 }
 
-func (e *Elector) win(now clock.Micros, epoch uint64) {
+func (e *Elector) acquireLeadership(now clock.Micros, epoch uint64) {
 	until := e.leaseAt + e.ttl.Shorter()
 	if now >= until {
 		// Too slow: the lease may be over already.
-		e.drop()
+		e.revokeLease()
 		return
 	}
-	e.epoch, e.until = epoch, until
+	e.term, e.until = epoch, until
 	e.renewAt = now
-	e.emit(Lead{epoch, until})
-	e.follow(epoch, e.me.Node)
+	e.emit(AcquireLeadership{epoch, until})
+	e.follow(epoch, e.self.Controller)
 }
 
-func (e *Elector) onClaimed(now clock.Micros, m Claimed) {
-	e.claiming = false
-	if m.Lease != e.lease || e.epoch > 0 {
+func (e *Elector) onCampaignResult(now clock.Micros, m CampaignResult) {
+	e.campaigning = false
+	if m.Lease != e.lease || e.term > 0 {
 		return
 	}
 	switch {
-	case m.Err == nil && m.Outcome.OK:
-		e.seen = Seen{m.Outcome.Revision, e.me, m.Outcome.Revision}
-		e.win(now, m.Outcome.Revision)
-	case m.Outcome.NoLease:
-		e.lease, e.lost = 0, false
-	case errors.Is(m.Err, store.ErrUnknown):
-		e.lost = true
+	case m.Err == nil && m.Result.Committed:
+		e.leaderKey = LeaderKeyObserved{m.Result.Revision, e.self, m.Result.Revision}
+		e.acquireLeadership(now, m.Result.Revision)
+	case m.Result.LeaseExpired:
+		e.lease, e.campaignUnanswered = 0, false
+	case errors.Is(m.Err, store.ErrOutcomeUnknown):
+		e.campaignUnanswered = true
 		e.retryAt = now + e.ttl/10
-		e.look() // it may have been carried out
+		e.readLeaderKey() // it may have been carried out
 	case m.Err == nil:
-		e.look()
+		e.readLeaderKey()
 	default:
 		e.retryAt = now + e.ttl/10
 	}
 }
 
-func (e *Elector) onRenewed(now clock.Micros, m Renewed) {
+func (e *Elector) onLeaseRenewed(now clock.Micros, m LeaseRenewed) {
 	if m.Lease != e.lease {
 		return
 	}
 	switch {
 	case m.Err == nil:
 		e.leaseAt = max(e.leaseAt, m.Sent)
-		if e.epoch > 0 {
+		if e.term > 0 {
 			// Our time runs from when the renewal was sent, not from its answer.
 			e.until = max(e.until, m.Sent+e.ttl.Shorter())
-			e.emit(Extend{e.until})
+			e.emit(ExtendLeadership{e.until})
 		}
-	case errors.Is(m.Err, store.ErrMissing):
-		if e.epoch > 0 {
-			e.depose()
+	case errors.Is(m.Err, store.ErrNotFound):
+		if e.term > 0 {
+			e.loseLeadership()
 		}
-		e.lease, e.lost = 0, false
+		e.lease, e.campaignUnanswered = 0, false
 	default:
 		e.renewAt = now + e.ttl/20
 	}
@@ -285,26 +285,26 @@
 
 // advance starts what is due: a lease is kept ready so that a claim needs one call.
 func (e *Elector) advance(now clock.Micros) {
-	if e.epoch > 0 {
+	if e.term > 0 {
 		// Renewals may overlap: one whose answer is late must not hold up the next, or a
 		// controller that is behind with its work would lose a lease that it could keep.
 		if now >= e.renewAt {
 			e.renewAt = now + e.ttl/4
-			e.emit(Renew{e.lease})
+			e.emit(RenewLease{e.lease})
 		}
 		return
 	}
-	if !e.known || e.seen.Version > 0 || e.claiming || e.asking || now < e.retryAt {
+	if !e.leaderKeyKnown || e.leaderKey.Version > 0 || e.campaigning || e.requestingLease || now < e.retryAt {
 		return
 	}
 	if e.lease == 0 || now-e.leaseAt > e.ttl/4 {
 		if e.lease != 0 {
-			e.drop()
+			e.revokeLease()
 		}
-		e.asking = true
-		e.emit(GetLease{e.ttl})
+		e.requestingLease = true
+		e.emit(RequestLease{e.ttl})
 		return
 	}
-	e.claiming = true
-	e.emit(Claim{e.lease, e.me})
+	e.campaigning = true
+	e.emit(Campaign{e.lease, e.self})
 }
--- a/internal/leader/assign_test.go
+++ b/internal/leader/assign_test.go
@@ -18,11 +18,11 @@
 		l := granting(t, nil)
 		l.cfg.Facts.Quota.CPU, l.cfg.Facts.Workers.ReportS = 0.1, 3
 		l.Step(began+clock.Second, Joined{Node: "n1", Link: "other", Slow: slow})
-		said := Said{Node: "n1", Link: "other", Up: &peer.Up{Epoch: 5, StoreOK: true}}
+		said := Said{Node: "n1", Link: "other", Up: &peer.ToLeader{Term: 5, StoreOK: true}}
 		for i := range 20 {
 			now := began + clock.Second + clock.Micros(i)*clock.Second/4
 			l.Step(now, said)
-			l.Step(now, Said{Node: "n0", Link: "link", Up: &peer.Up{Epoch: 5, StoreOK: true}})
+			l.Step(now, Said{Node: "n0", Link: "link", Up: &peer.ToLeader{Term: 5, StoreOK: true}})
 			l.Step(now, Tick{})
 		}
 		return l.blocks[0].holder == "n1" || l.blocks[1].holder == "n1"
--- a/internal/leader/failures.go
+++ b/internal/leader/failures.go
@@ -12,7 +12,7 @@
 
 // errored takes in that a task failed: its job may be at fault for it, its machine, or the task alone. A failure of
 // a task that is in no grant is no evidence.
-func (l *Leader) errored(now clock.Micros, j *job, e peer.Event, h *grantedTask) {
+func (l *Leader) errored(now clock.Micros, j *job, e peer.TaskEvent, h *grantedTask) {
 	if h == nil {
 		return
 	}
@@ -41,7 +41,7 @@
 
 // completed takes in that a task completed: its job is sound, and what failed of it before counts against the
 // machines where it did.
-func (l *Leader) completed(now clock.Micros, j *job, e peer.Event) {
+func (l *Leader) completed(now clock.Micros, j *job, e peer.TaskEvent) {
 	was := j.failures.Sound()
 	j.failures.Completed(e.Index, e.Machine, l.machineFailures(e.Machine))
 	if was {
--- a/internal/leader/failures_test.go
+++ b/internal/leader/failures_test.go
@@ -24,7 +24,7 @@
 		j.takeOut(i)
 	}
 	for i, name := range names[:2] {
-		l.errored(began, j, peer.Event{Task: peer.Task{Job: s.Ref, Index: 4 + i}, Machine: name}, &grantedTask{})
+		l.errored(began, j, peer.TaskEvent{Task: peer.Task{Job: s.Ref, Index: 4 + i}, Machine: name}, &grantedTask{})
 	}
 	if want := (decisions{failed: 1, failedSuspect: 1}); l.decisions != want {
 		t.Errorf("counted %+v, want %+v", l.decisions, want)
@@ -49,7 +49,7 @@
 	l := granting(t, nil)
 	j := l.jobs[spec.Ref]
 	fail := func() {
-		l.errored(began, j, peer.Event{Task: peer.Task{Job: spec.Ref, Index: 0}, Machine: names[1]}, &grantedTask{})
+		l.errored(began, j, peer.TaskEvent{Task: peer.Task{Job: spec.Ref, Index: 0}, Machine: names[1]}, &grantedTask{})
 	}
 	if fail(); l.machines[names[1]].drain {
 		t.Error("drained for a job of which nothing is known")
@@ -57,7 +57,7 @@
 	if fail(); l.machines[names[1]].drain {
 		t.Error("drained for a job of which nothing is known")
 	}
-	if l.completed(began, j, peer.Event{Task: peer.Task{Job: spec.Ref, Index: 1}, Machine: names[2]}); !l.machines[names[1]].drain {
+	if l.completed(began, j, peer.TaskEvent{Task: peer.Task{Job: spec.Ref, Index: 1}, Machine: names[2]}); !l.machines[names[1]].drain {
 		t.Error("not drained when its job has completed elsewhere")
 	}
 }
@@ -69,7 +69,7 @@
 		s := spec
 		s.Ref = []string{"j-000401", "j-000402", "j-000403"}[i]
 		j := l.addJob(JobRecord{Spec: s}, 5)
-		l.errored(began, j, peer.Event{Task: peer.Task{Job: s.Ref}, Machine: names[1]}, &grantedTask{})
+		l.errored(began, j, peer.TaskEvent{Task: peer.Task{Job: s.Ref}, Machine: names[1]}, &grantedTask{})
 		if i == 0 {
 			l.cancel(began, j)
 		}
@@ -91,7 +91,7 @@
 		l.listedMachines(at, []wire.Machine{{Name: silent.name, State: wire.Running}, {Name: booting.name, State: wire.MachineStarting}, {Name: healthy.name, State: wire.Running}})
 	}
 	list(began)
-	l.machineState(began+clock.Second, peer.MachineState{Name: healthy.name, Type: "small", Fit: true})
+	l.machineState(began+clock.Second, peer.MachineState{Name: healthy.name, Type: "small", Schedulable: true})
 	late := clock.FromSeconds(20 * l.cfg.Tuning.Fleet.LateFactor)
 	for _, c := range []struct {
 		at   clock.Micros
@@ -111,7 +111,7 @@
 	if late := l.expected(booting.opt).LateS; late != 20 {
 		t.Errorf("expected %g s late after one that did not come up", late)
 	}
-	l.machineState(began+late+2*clock.Second, peer.MachineState{Name: booting.name, Type: "small", Fit: true})
+	l.machineState(began+late+2*clock.Second, peer.MachineState{Name: booting.name, Type: "small", Schedulable: true})
 	if late := l.expected(booting.opt).LateS; late != 0 {
 		t.Errorf("expected %g s late after one came up", late)
 	}
--- a/internal/leader/fleet.go
+++ b/internal/leader/fleet.go
@@ -163,7 +163,7 @@
 	for _, m := range l.machines {
 		b := m.block
 		// Those that gave notice are expected to fall silent, many at once too.
-		if m.up && !m.state.Notice {
+		if m.up && !m.state.PreemptionNotice {
 			up[b]++
 			if m.state.Silent {
 				silent[b]++
@@ -216,7 +216,7 @@
 	case m.missing >= 3 && (m.state.Silent || !m.up || m.state.Tasks == 0 && now-m.listed > 3*lag+10*clock.Second):
 		// Lists alone cost no machine that runs work: whatever they say, one that is gone falls silent.
 		return "no longer listed"
-	case m.state.Silent && (m.state.Notice || alone):
+	case m.state.Silent && (m.state.PreemptionNotice || alone):
 		return "silent"
 	case m.drain && m.up && m.state.Tasks == 0 && !m.block.offered:
 		return "drained"
@@ -246,7 +246,7 @@
 	targets := l.moveTargets()
 	for _, name := range slices.Sorted(maps.Keys(l.machines)) {
 		m := l.machines[name]
-		if m.deleting || m.drain || m.state.Notice || m.state.Silent {
+		if m.deleting || m.drain || m.state.PreemptionNotice || m.state.Silent {
 			continue
 		}
 		idle := m.up && m.state.Tasks == 0 && !m.block.offered
@@ -316,9 +316,9 @@
 		if out := m.cordoned || m.rest; out != m.out && m.block.state == granted {
 			m.out = out
 			if out {
-				m.block.orders.Rest = append(m.block.orders.Rest, name)
+				m.block.orders.Exclude = append(m.block.orders.Exclude, name)
 			} else {
-				m.block.orders.Wake = append(m.block.orders.Wake, name)
+				m.block.orders.Include = append(m.block.orders.Include, name)
 			}
 		}
 	}
--- a/internal/leader/fleet_test.go
+++ b/internal/leader/fleet_test.go
@@ -20,7 +20,7 @@
 	if l.machineState(began, s); len(l.found) != 0 {
 		t.Error("a machine that no token reached counts as found")
 	}
-	s.Shown = true
+	s.TokenConfirmed = true
 	if l.machineState(began, s); len(l.found) != 1 {
 		t.Error("a machine that has shown its holder's token is not found")
 	}
@@ -29,7 +29,7 @@
 // What a former leader has deleted leaves the roster on its holder's word.
 func TestHolderTellsOfDeletedMachine(t *testing.T) {
 	l := leading(t)
-	l.machineState(began, peer.MachineState{Name: names[0], Gone: true})
+	l.machineState(began, peer.MachineState{Name: names[0], Terminated: true})
 	if l.machines[names[0]] != nil || !l.gone[names[0]] || l.machines[names[1]] == nil {
 		t.Error("the deleted machine, and no other, must leave the books")
 	}
@@ -164,7 +164,7 @@
 	if l.machines[names[0]] != nil {
 		t.Error("used before the roster has it")
 	}
-	l.Step(began, Committed{Epoch: 7, Tag: fleetTag{FleetPrefix + rental.RequestID}, Outcome: store.Outcome{OK: true, Revision: 9}})
+	l.Step(began, Committed{Epoch: 7, Tag: fleetTag{FleetPrefix + rental.RequestID}, Outcome: store.TxnResult{Committed: true, Revision: 9}})
 	if l.machines[names[0]] == nil || l.machines[names[1]] == nil {
 		t.Error("not in the roster once that is written")
 	}
--- a/internal/leader/grants.go
+++ b/internal/leader/grants.go
@@ -48,7 +48,7 @@
 	offered  bool         // an offer is not settled yet
 	known    bool         // its start records were read in this epoch
 	homeless clock.Micros // since when it has no holder in touch; 0: it has
-	orders   peer.BlockOrders
+	orders   peer.ShardOrders
 	unstored []peer.Task // told done, not stored yet
 }
 
@@ -165,16 +165,16 @@
 		guards = append(guards, wire.Condition{Key: block.Key(b.id), Version: b.stamp})
 		writes = append(writes, put(block.Key(b.id), BlockRecord{Token: b.token, Holder: b.holder, Run: run}))
 	}
-	l.commit(store.Urgent, tag, guards, writes)
+	l.commit(store.PriorityUrgent, tag, guards, writes)
 }
 
-func (l *Leader) blocksWritten(now clock.Micros, tag blocksTag, o store.Outcome) {
+func (l *Leader) blocksWritten(now clock.Micros, tag blocksTag, o store.TxnResult) {
 	for _, id := range slices.Sorted(maps.Keys(tag.tokens)) {
 		b, token := l.blocks[id], tag.tokens[id]
 		if b.state != writing || b.token != token {
 			continue
 		}
-		if o.OK {
+		if o.Committed {
 			b.stamp = o.Revision
 			b.state = reading
 			l.emit(LoadRecords{l.epoch, id, token})
@@ -204,12 +204,12 @@
 }
 
 // chargeRecords replaces what counts as running in a block by what its start records name.
-func (l *Leader) chargeRecords(b *leasedBlock, pages map[string]peer.RecordPage) {
+func (l *Leader) chargeRecords(b *leasedBlock, pages map[string]peer.AttemptPage) {
 	old := b.tasks
 	b.tasks = map[peer.Task]*grantedTask{}
 	b.unstored = nil
 	b.offered = false
-	b.orders = peer.BlockOrders{Block: b.id, Token: b.token}
+	b.orders = peer.ShardOrders{Shard: b.id, FencingToken: b.token}
 	for _, h := range old {
 		l.charge(h, -1)
 	}
@@ -235,7 +235,7 @@
 }
 
 // chargeRecord counts one start record. A task of a job that is over or unknown is to be stopped.
-func (l *Leader) chargeRecord(b *leasedBlock, group *peer.RecordGroup, r peer.Record, old map[peer.Task]*grantedTask) {
+func (l *Leader) chargeRecord(b *leasedBlock, group *peer.AttemptGroup, r peer.AttemptRecord, old map[peer.Task]*grantedTask) {
 	t := peer.Task{Job: group.Job, Index: r.Index}
 	if b.tasks[t] != nil {
 		return
@@ -256,8 +256,8 @@
 }
 
 // tellGrant sends a block's grant to its holder and the new list of holders to all.
-func (l *Leader) tellGrant(b *leasedBlock, pages map[string]peer.RecordPage) {
-	var roster []peer.RosterMachine
+func (l *Leader) tellGrant(b *leasedBlock, pages map[string]peer.AttemptPage) {
+	var roster []peer.InventoryMachine
 	for _, name := range slices.Sorted(maps.Keys(l.machines)) {
 		m := l.machines[name]
 		if m.block != b {
@@ -266,18 +266,18 @@
 		if m.drain {
 			b.orders.Drain = append(b.orders.Drain, name)
 		}
-		m.state.Fit, m.out = false, false
-		roster = append(roster, peer.RosterMachine{Name: name, Address: m.address})
+		m.state.Schedulable, m.out = false, false
+		roster = append(roster, peer.InventoryMachine{Name: name, Address: m.address})
 	}
 	roster = append(roster, l.listUnlisted(b, pages)...)
 	// A controller that linked up before the epoch was loaded knows no types yet.
 	// What is to be stopped comes with the grant: no report may be answered between the two.
-	l.emit(Tell{b.link, peer.Down{Epoch: l.epoch, Holders: l.holders(), Types: l.typeList, Orders: []peer.BlockOrders{b.orders},
-		Grants: []peer.Grant{{Block: b.id, Token: b.token, Stamp: b.stamp, Pages: pages, Machines: roster}}}})
-	b.orders = peer.BlockOrders{}
+	l.emit(Tell{b.link, peer.FromLeader{Term: l.epoch, Holders: l.holders(), Types: l.typeList, Orders: []peer.ShardOrders{b.orders},
+		Grants: []peer.ShardGrant{{Shard: b.id, FencingToken: b.token, KeyVersion: b.stamp, Pages: pages, Machines: roster}}}})
+	b.orders = peer.ShardOrders{}
 	for _, n := range l.byName() {
 		if n.link != b.link {
-			l.emit(Tell{n.link, peer.Down{Epoch: l.epoch, Holders: l.holders(), Types: l.typeList}})
+			l.emit(Tell{n.link, peer.FromLeader{Term: l.epoch, Holders: l.holders(), Types: l.typeList}})
 		}
 	}
 }
--- a/internal/leader/holders.go
+++ b/internal/leader/holders.go
@@ -10,11 +10,11 @@
 
 func (l *Leader) said(now clock.Micros, m Said) {
 	n := l.nodes[m.Node]
-	if n == nil || n.link != m.Link || m.Up.Epoch != l.epoch {
+	if n == nil || n.link != m.Link || m.Up.Term != l.epoch {
 		return
 	}
 	n.heard = now
-	if m.Up.Blind {
+	if m.Up.NoAgentContact {
 		n.blindAt = now
 	}
 	if m.Up.StoreOK {
@@ -22,24 +22,24 @@
 	} else if n.refusedSince == 0 {
 		n.refusedSince = now
 	}
-	if m.Up.Renew > 0 && l.loaded && l.authorised(now) && l.current(now) {
-		d := peer.Down{Epoch: l.epoch, Renewed: m.Up.Renew, Tokens: map[int]uint64{}, StoreOK: l.storeOK()}
+	if m.Up.RenewSeq > 0 && l.loaded && l.authorised(now) && l.current(now) {
+		d := peer.FromLeader{Term: l.epoch, RenewedSeq: m.Up.RenewSeq, FencingTokens: map[int]uint64{}, StoreOK: l.storeOK()}
 		for _, b := range l.blocks {
 			if b.state == granted && b.link == m.Link {
-				d.Tokens[b.id] = b.token
+				d.FencingTokens[b.id] = b.token
 			}
 		}
 		l.emit(Tell{m.Link, d})
 	}
 	for _, u := range m.Up.Updates {
-		if u.Block < 0 || u.Block >= len(l.blocks) {
+		if u.Shard < 0 || u.Shard >= len(l.blocks) {
 			continue
 		}
-		b := l.blocks[u.Block]
-		if b.state != granted || b.token != u.Token || b.link != m.Link {
+		b := l.blocks[u.Shard]
+		if b.state != granted || b.token != u.FencingToken || b.link != m.Link {
 			continue
 		}
-		if u.Lost {
+		if u.NeedsRegrant {
 			b.state = loose
 			continue
 		}
@@ -47,14 +47,14 @@
 	}
 }
 
-func (l *Leader) update(now clock.Micros, b *leasedBlock, u peer.BlockUpdate) {
+func (l *Leader) update(now clock.Micros, b *leasedBlock, u peer.ShardUpdate) {
 	for _, e := range u.Events {
 		l.event(now, b, e)
 	}
 	for _, s := range u.Machines {
 		l.machineState(now, s)
 	}
-	if u.Seq == b.offerSeq {
+	if u.SettledOfferSeq == b.offerSeq {
 		b.offered = false
 	}
 	l.stirred = true
@@ -69,10 +69,10 @@
 	return j
 }
 
-func (l *Leader) event(now clock.Micros, b *leasedBlock, e peer.Event) {
+func (l *Leader) event(now clock.Micros, b *leasedBlock, e peer.TaskEvent) {
 	j := l.jobOf(e.Task)
 	switch e.Kind {
-	case peer.Started:
+	case peer.EventAssigned:
 		if h := b.tasks[e.Task]; h != nil {
 			h.machine = e.Machine
 			if m := l.machines[e.Machine]; m != nil {
@@ -80,7 +80,7 @@
 			}
 			l.noteStarted(now, e.Task, h)
 		}
-	case peer.Running:
+	case peer.EventRunning:
 		if h := b.tasks[e.Task]; h != nil && !h.running {
 			h.running, h.since, h.machine = true, now, e.Machine
 			l.noteRunning(now, e.Task, h)
@@ -91,11 +91,11 @@
 				}
 			}
 		}
-	case peer.Remains:
+	case peer.EventAttemptRemains:
 		if h := b.tasks[e.Task]; h != nil {
 			h.remains = true
 		}
-	case peer.Unplaced, peer.Back, peer.Errored, peer.Done:
+	case peer.EventUnplaced, peer.EventReleased, peer.EventFailed, peer.EventCompleted:
 		if j != nil && j.record.Spec.IsService() {
 			l.replicaEnded(now, b, j, e)
 		} else {
@@ -105,14 +105,14 @@
 }
 
 // taskEnded takes in the end of a batch's task, or of one whose job is not known any more.
-func (l *Leader) taskEnded(now clock.Micros, b *leasedBlock, j *job, e peer.Event) {
+func (l *Leader) taskEnded(now clock.Micros, b *leasedBlock, j *job, e peer.TaskEvent) {
 	h := l.release(b, e.Task)
 	if h != nil && h.running && j != nil {
 		j.running--
 	}
 	l.noteEnded(now, e, h)
 	switch {
-	case e.Kind == peer.Done:
+	case e.Kind == peer.EventCompleted:
 		l.done(now, b, j, e)
 		if h != nil && j != nil {
 			j.gone(e.Index)
@@ -120,15 +120,15 @@
 	case h != nil && j != nil:
 		j.giveBack(e.Index)
 	}
-	if e.Kind == peer.Errored && j != nil {
+	if e.Kind == peer.EventFailed && j != nil {
 		l.errored(now, j, e, h)
 	}
 }
 
 // replicaEnded takes in the end of a service's task. None is its last, so the task waits again, but
 // only when none of its attempts may run.
-func (l *Leader) replicaEnded(now clock.Micros, b *leasedBlock, j *job, e peer.Event) {
-	if h := b.tasks[e.Task]; h != nil && h.remains && e.Kind == peer.Done {
+func (l *Leader) replicaEnded(now clock.Micros, b *leasedBlock, j *job, e peer.TaskEvent) {
+	if h := b.tasks[e.Task]; h != nil && h.remains && e.Kind == peer.EventCompleted {
 		h.remains = false
 		return
 	}
@@ -136,62 +136,62 @@
 	if h != nil && h.running {
 		j.running--
 	}
-	if e.Kind == peer.Done {
+	if e.Kind == peer.EventCompleted {
 		// It stays listed until its machine has shown a higher token: a late copy of its order would
 		// start it anew.
 		b.orders.Stop = append(b.orders.Stop, peer.StopTask{Task: e.Task})
-		b.orders.Stored = append(b.orders.Stored, e.Task)
+		b.orders.Persisted = append(b.orders.Persisted, e.Task)
 	}
 	if h != nil {
 		j.giveBack(e.Index)
-		if e.Kind != peer.Unplaced {
+		if e.Kind != peer.EventUnplaced {
 			l.fell(now, j, e, h)
 		}
 	}
-	if e.Kind == peer.Errored {
+	if e.Kind == peer.EventFailed {
 		l.errored(now, j, e, h)
 	}
 }
 
-func (l *Leader) done(now clock.Micros, b *leasedBlock, j *job, e peer.Event) {
+func (l *Leader) done(now clock.Micros, b *leasedBlock, j *job, e peer.TaskEvent) {
 	if j != nil {
 		l.completed(now, j, e)
 	}
 	if j == nil || j.cancelled || j.stored(e.Index) {
-		b.orders.Stored = append(b.orders.Stored, e.Task)
+		b.orders.Persisted = append(b.orders.Persisted, e.Task)
 		return
 	}
 	b.unstored = append(b.unstored, e.Task)
-	if j.markDone(e.Index) && e.Secs > 1 && j.record.Spec.EstimateS > 0 {
+	if j.markDone(e.Index) && e.RunSeconds > 1 && j.record.Spec.EstimateS > 0 {
 		c := l.classes[j.record.Spec.Class]
 		if c == nil {
 			c = &classStat{ratio: 1}
 			l.classes[j.record.Spec.Class] = c
 		}
 		c.n++
-		c.ratio += (e.Secs/j.record.Spec.EstimateS - c.ratio) / float64(min(c.n, 50))
+		c.ratio += (e.RunSeconds/j.record.Spec.EstimateS - c.ratio) / float64(min(c.n, 50))
 	}
 	l.end(j)
 }
 
 // flush sends what has gathered for the holders.
 func (l *Leader) flush() {
-	byLink := map[any]*peer.Down{}
+	byLink := map[any]*peer.FromLeader{}
 	var links []any
 	for _, b := range l.blocks {
 		o := &b.orders
-		if b.state != granted || len(o.Offers)+len(o.Stop)+len(o.Stored)+len(o.Use)+len(o.Drain)+len(o.Gone)+len(o.Rest)+len(o.Wake) == 0 {
+		if b.state != granted || len(o.Offers)+len(o.Stop)+len(o.Persisted)+len(o.Added)+len(o.Drain)+len(o.Terminated)+len(o.Exclude)+len(o.Include) == 0 {
 			continue
 		}
-		o.Block, o.Token = b.id, b.token
+		o.Shard, o.FencingToken = b.id, b.token
 		d := byLink[b.link]
 		if d == nil {
-			d = &peer.Down{Epoch: l.epoch}
+			d = &peer.FromLeader{Term: l.epoch}
 			byLink[b.link] = d
 			links = append(links, b.link)
 		}
 		d.Orders = append(d.Orders, *o)
-		b.orders = peer.BlockOrders{}
+		b.orders = peer.ShardOrders{}
 	}
 	for _, link := range links {
 		l.emit(Tell{link, *byLink[link]})
@@ -212,6 +212,6 @@
 		return
 	}
 	for _, n := range l.byName() {
-		l.emit(Tell{n.link, peer.Down{Epoch: l.epoch, Counts: out}})
+		l.emit(Tell{n.link, peer.FromLeader{Term: l.epoch, TaskCounts: out}})
 	}
 }
--- a/internal/leader/job.go
+++ b/internal/leader/job.go
@@ -223,7 +223,7 @@
 func (b *leasedBlock) ack(stored func(peer.Task) bool) {
 	b.unstored = slices.DeleteFunc(b.unstored, func(t peer.Task) bool {
 		if stored(t) {
-			b.orders.Stored = append(b.orders.Stored, t)
+			b.orders.Persisted = append(b.orders.Persisted, t)
 			return true
 		}
 		return false
@@ -239,7 +239,7 @@
 	}
 	ref := j.record.Spec.Ref
 	j.ending = true
-	l.commit(store.Starts, endTag{ref}, []wire.Condition{{Key: JobPrefix + ref, Version: j.stamp}},
+	l.commit(store.PriorityAttempts, endTag{ref}, []wire.Condition{{Key: JobPrefix + ref, Version: j.stamp}},
 		[]wire.Write{put(EndPrefix+ref, EndRecord{State: wire.Done, Tasks: j.nDone}), {Delete: JobPrefix + ref}})
 }
 
@@ -249,9 +249,9 @@
 		return
 	}
 	switch {
-	case m.Outcome.OK:
+	case m.Outcome.Committed:
 		l.finish(now, j)
-	case len(m.Outcome.Failed) > 0:
+	case len(m.Outcome.FailedKeys) > 0:
 		// A user's abort came first, or an earlier copy of this write did.
 		l.emit(ReadKey{l.epoch, EndPrefix + tag.ref, tag})
 	default:
@@ -293,7 +293,7 @@
 
 // fell notes that a replica has ended and is to run again elsewhere; one that keeps
 // ending by itself waits longer each time.
-func (l *Leader) fell(now clock.Micros, j *job, e peer.Event, h *grantedTask) {
+func (l *Leader) fell(now clock.Micros, j *job, e peer.TaskEvent, h *grantedTask) {
 	r := j.replicas[e.Index]
 	if r == nil {
 		r = &replica{}
@@ -305,13 +305,13 @@
 			up = (now - h.since).Seconds()
 		}
 		r.since, r.cause = now, e.Kind
-		if e.Kind == peer.Back && h.stopped != "" {
+		if e.Kind == peer.EventReleased && h.stopped != "" {
 			r.cause = h.stopped
 		}
 		l.info("replica ended", "task", block.TaskName(e.Task), "machine", h.machine, "cause", r.cause, "ran_s", up)
 	}
 	l.urgent = true
-	if e.Kind == peer.Back {
+	if e.Kind == peer.EventReleased {
 		return
 	}
 	if h.running && now-h.since > 6*steady {
--- a/internal/leader/keys_test.go
+++ b/internal/leader/keys_test.go
@@ -61,7 +61,7 @@
 			if c, ok := e.(Commit); ok {
 				keys = append(keys, putKeys([]any{c})...)
 				revision++
-				effects = append(effects, l.Step(at, Committed{Epoch: 7, Tag: c.Tag, Outcome: store.Outcome{OK: true, Revision: revision}})...)
+				effects = append(effects, l.Step(at, Committed{Epoch: 7, Tag: c.Tag, Outcome: store.TxnResult{Committed: true, Revision: revision}})...)
 			}
 		}
 		l.Step(at, Authority{Until: at + 100*clock.Second})
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -265,7 +265,7 @@
 			b.state = loose
 		}
 	}
-	l.emit(Tell{m.Link, peer.Down{Epoch: l.epoch, Types: l.typeList, Holders: l.holders()}})
+	l.emit(Tell{m.Link, peer.FromLeader{Term: l.epoch, Types: l.typeList, Holders: l.holders()}})
 }
 
 // byName are the controllers in touch in a fixed order: the same state gives the same effects.
@@ -342,11 +342,11 @@
 		l.emit(Resign{"the leader key has changed"})
 		return
 	}
-	if m.Outcome.Malformed {
+	if m.Outcome.Rejected {
 		// Limits fell below what the settings say.
-		l.valueBytes, l.txnOps = store.Smaller(l.valueBytes, l.txnOps)
+		l.valueBytes, l.txnOps = store.ReducedLimits(l.valueBytes, l.txnOps)
 	}
-	if m.Outcome.OK {
+	if m.Outcome.Committed {
 		l.written = max(l.written, m.Outcome.Revision)
 	}
 	switch tag := m.Tag.(type) {
--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -23,7 +23,7 @@
 }
 
 // toldOf gathers the orders that the effects send to holders.
-func toldOf(fx []any) (orders []peer.BlockOrders) {
+func toldOf(fx []any) (orders []peer.ShardOrders) {
 	for _, e := range fx {
 		if x, ok := e.(Tell); ok {
 			orders = append(orders, x.Down.Orders...)
@@ -35,7 +35,7 @@
 func offers(fx []any) (n int) {
 	for _, o := range toldOf(fx) {
 		for _, of := range o.Offers {
-			n += len(of.Indexes)
+			n += len(of.TaskIndexes)
 		}
 	}
 	return n
@@ -78,7 +78,7 @@
 	for _, e := range fx {
 		if c, ok := e.(Commit); ok {
 			if tag, ok := c.Tag.(blocksTag); ok {
-				l.Step(now, Committed{Epoch: 5, Tag: tag, Outcome: store.Outcome{OK: true, Revision: 9}})
+				l.Step(now, Committed{Epoch: 5, Tag: tag, Outcome: store.TxnResult{Committed: true, Revision: 9}})
 			}
 		}
 	}
@@ -91,21 +91,21 @@
 	l := leading(t)
 	now := began
 	up := func(b int) []any {
-		u := peer.BlockUpdate{Block: b, Token: l.blocks[b].token}
+		u := peer.ShardUpdate{Shard: b, FencingToken: l.blocks[b].token}
 		for _, n := range names {
 			if block.Of(n, 2) == b {
-				u.Machines = append(u.Machines, peer.MachineState{Name: n, Type: "small", Zone: "a", Fit: true, CPUs: 4, Memory: 8})
+				u.Machines = append(u.Machines, peer.MachineState{Name: n, Type: "small", Zone: "a", Schedulable: true, CPUs: 4, MemoryGB: 8})
 			}
 		}
 		now += clock.Second
-		return l.Step(now, Said{Node: "n0", Link: "link", Up: &peer.Up{Epoch: 5, StoreOK: true, Updates: []peer.BlockUpdate{u}}})
+		return l.Step(now, Said{Node: "n0", Link: "link", Up: &peer.ToLeader{Term: 5, StoreOK: true, Updates: []peer.ShardUpdate{u}}})
 	}
 	l.Step(now, Records{Epoch: 5, Block: 0, Token: l.blocks[0].token})
 	if n := offers(up(0)); n != 0 {
 		t.Fatalf("%d tasks offered while block 1 is not read", n)
 	}
-	fx := l.Step(now, Records{Epoch: 5, Block: 1, Token: l.blocks[1].token, Pages: map[string]peer.RecordPage{"run/001/1-1": {Machines: names[:1],
-		Groups: []peer.RecordGroup{{Job: spec.Ref, Team: "red", CPUs: 1, Starts: []int{0, 1, 0}}}}}})
+	fx := l.Step(now, Records{Epoch: 5, Block: 1, Token: l.blocks[1].token, Pages: map[string]peer.AttemptPage{"run/001/1-1": {Machines: names[:1],
+		Groups: []peer.AttemptGroup{{Job: spec.Ref, Team: "red", CPUs: 1, Attempts: []int{0, 1, 0}}}}}})
 	if n := offers(fx); n != 1 {
 		t.Errorf("%d tasks offered, want the one that no record names", n)
 	}
@@ -114,12 +114,12 @@
 // An abort that is seen while a progress write is under way stops the tasks.
 func TestAbortDuringProgressWrite(t *testing.T) {
 	l := leading(t)
-	page := peer.RecordPage{Machines: names[:1], Groups: []peer.RecordGroup{{Job: spec.Ref, Team: "red", CPUs: 1, Starts: []int{0, 1, 0, 1, 2, 0}}}}
+	page := peer.AttemptPage{Machines: names[:1], Groups: []peer.AttemptGroup{{Job: spec.Ref, Team: "red", CPUs: 1, Attempts: []int{0, 1, 0, 1, 2, 0}}}}
 	b := block.Of(names[0], 2)
-	l.Step(began, Records{Epoch: 5, Block: b, Token: l.blocks[b].token, Pages: map[string]peer.RecordPage{"p": page}})
+	l.Step(began, Records{Epoch: 5, Block: b, Token: l.blocks[b].token, Pages: map[string]peer.AttemptPage{"p": page}})
 	l.Step(began, Records{Epoch: 5, Block: 1 - b, Token: l.blocks[1-b].token})
-	fx := l.Step(began, Said{Node: "n0", Link: "link", Up: &peer.Up{Epoch: 5, Updates: []peer.BlockUpdate{{Block: b, Token: l.blocks[b].token,
-		Events: []peer.Event{{Task: peer.Task{Job: spec.Ref, Index: 0}, Kind: peer.Done, Machine: names[0]}}}}}})
+	fx := l.Step(began, Said{Node: "n0", Link: "link", Up: &peer.ToLeader{Term: 5, Updates: []peer.ShardUpdate{{Shard: b, FencingToken: l.blocks[b].token,
+		Events: []peer.TaskEvent{{Task: peer.Task{Job: spec.Ref, Index: 0}, Kind: peer.EventCompleted, Machine: names[0]}}}}}})
 	writes := 0
 	for _, e := range append(fx, l.Step(began+progressEvery, Tick{})...) {
 		if c, ok := e.(Commit); ok && strings.HasPrefix(c.Txn.Writes[0].Put, ProgPrefix) {
@@ -174,7 +174,7 @@
 }
 
 // granting makes a leader whose blocks are granted, all machines up and empty.
-func granting(t *testing.T, pages map[string]peer.RecordPage) *Leader {
+func granting(t *testing.T, pages map[string]peer.AttemptPage) *Leader {
 	t.Helper()
 	l := leading(t)
 	for b := range l.blocks {
@@ -185,13 +185,13 @@
 		l.Step(began, m)
 	}
 	for b := range l.blocks {
-		u := peer.BlockUpdate{Block: b, Token: l.blocks[b].token}
+		u := peer.ShardUpdate{Shard: b, FencingToken: l.blocks[b].token}
 		for _, n := range names {
 			if block.Of(n, 2) == b {
-				u.Machines = append(u.Machines, peer.MachineState{Name: n, Type: "small", Zone: "a", Fit: true, Shown: true, CPUs: 4, Memory: 8})
+				u.Machines = append(u.Machines, peer.MachineState{Name: n, Type: "small", Zone: "a", Schedulable: true, TokenConfirmed: true, CPUs: 4, MemoryGB: 8})
 			}
 		}
-		l.Step(began, Said{Node: "n0", Link: "link", Up: &peer.Up{Epoch: 5, StoreOK: true, Updates: []peer.BlockUpdate{u}}})
+		l.Step(began, Said{Node: "n0", Link: "link", Up: &peer.ToLeader{Term: 5, StoreOK: true, Updates: []peer.ShardUpdate{u}}})
 	}
 	return l
 }
@@ -237,7 +237,7 @@
 		if round == 1 {
 			for s, c := range left {
 				delete(left, s)
-				l.Step(began+progressEvery, Committed{Epoch: 5, Tag: c.Tag, Outcome: store.Outcome{OK: true, Revision: 20}})
+				l.Step(began+progressEvery, Committed{Epoch: 5, Tag: c.Tag, Outcome: store.TxnResult{Committed: true, Revision: 20}})
 			}
 		}
 	}
@@ -255,7 +255,7 @@
 func TestLeaderWritesSmallerAfterARefusal(t *testing.T) {
 	l := granting(t, nil)
 	l.valueBytes, l.txnOps = 3600, 8
-	l.Step(began, Committed{Epoch: 5, Tag: endTag{"j-999999"}, Outcome: store.Outcome{Malformed: true}})
+	l.Step(began, Committed{Epoch: 5, Tag: endTag{"j-999999"}, Outcome: store.TxnResult{Rejected: true}})
 	if l.valueBytes != 1800 || l.txnOps != 4 {
 		t.Errorf("values of %d bytes, %d operations", l.valueBytes, l.txnOps)
 	}
@@ -266,13 +266,13 @@
 func TestStopsComeWithTheGrant(t *testing.T) {
 	l := leading(t)
 	over := peer.Task{Job: "j-000009", Index: 4}
-	fx := l.Step(began, Records{Epoch: 5, Block: 0, Token: l.blocks[0].token, Pages: map[string]peer.RecordPage{"run/000/1-1": {Machines: names[:1],
-		Groups: []peer.RecordGroup{{Job: over.Job, Team: "red", CPUs: 3, Starts: []int{over.Index, 1, 0}}}}}})
+	fx := l.Step(began, Records{Epoch: 5, Block: 0, Token: l.blocks[0].token, Pages: map[string]peer.AttemptPage{"run/000/1-1": {Machines: names[:1],
+		Groups: []peer.AttemptGroup{{Job: over.Job, Team: "red", CPUs: 3, Attempts: []int{over.Index, 1, 0}}}}}})
 	found := false
 	for _, e := range fx {
 		if x, ok := e.(Tell); ok && len(x.Down.Grants) > 0 {
 			for _, o := range x.Down.Orders {
-				found = found || o.Block == 0 && o.Token == l.blocks[0].token && len(o.Stop) == 1 && o.Stop[0].Task == over
+				found = found || o.Shard == 0 && o.FencingToken == l.blocks[0].token && len(o.Stop) == 1 && o.Stop[0].Task == over
 			}
 		}
 	}
--- a/internal/leader/limits_test.go
+++ b/internal/leader/limits_test.go
@@ -18,7 +18,7 @@
 			return 0, false
 		case Commit:
 			if tag, ok := x.Tag.(blocksTag); ok {
-				l.Step(now, Committed{Epoch: l.epoch, Tag: tag, Outcome: store.Outcome{OK: true, Revision: revision}})
+				l.Step(now, Committed{Epoch: l.epoch, Tag: tag, Outcome: store.TxnResult{Committed: true, Revision: revision}})
 				l.Step(now, Records{Epoch: l.epoch, Block: 0, Token: tag.tokens[0]})
 				return tag.tokens[0], true
 			}
--- a/internal/leader/load.go
+++ b/internal/leader/load.go
@@ -67,7 +67,7 @@
 		l.blocks = append(l.blocks, &leasedBlock{id: i, stamp: stamps[key], holder: holders[key].Holder, tasks: map[peer.Task]*grantedTask{}})
 	}
 	if !haveLayout {
-		l.commit(store.Urgent, nil, []wire.Condition{{Key: LayoutKey}}, []wire.Write{put(LayoutKey, LayoutRecord{n})})
+		l.commit(store.PriorityUrgent, nil, []wire.Condition{{Key: LayoutKey}}, []wire.Write{put(LayoutKey, LayoutRecord{n})})
 	}
 }
 
@@ -113,9 +113,9 @@
 	l.setTypes(ts)
 	if !same {
 		// Kept in the store so that submissions can be judged while the cloud is away.
-		l.commit(store.Normal, nil, nil, []wire.Write{put(CatalogKey, wire.Catalog{Types: ts})})
+		l.commit(store.PriorityReads, nil, nil, []wire.Write{put(CatalogKey, wire.Catalog{Types: ts})})
 		for _, n := range l.byName() {
-			l.emit(Tell{n.link, peer.Down{Epoch: l.epoch, Types: ts}})
+			l.emit(Tell{n.link, peer.FromLeader{Term: l.epoch, Types: ts}})
 		}
 	}
 }
--- a/internal/leader/machines.go
+++ b/internal/leader/machines.go
@@ -45,7 +45,7 @@
 	l.machines[name] = &machine{name: name, rental: rt.key, opt: l.option(rt.record.Rental), block: l.blockOf(name), born: now, idle: now}
 	delete(l.found, name)
 	if b := l.blockOf(name); b.state == granted {
-		b.orders.Use = append(b.orders.Use, name)
+		b.orders.Added = append(b.orders.Added, name)
 	}
 }
 
@@ -55,15 +55,15 @@
 	if m == nil {
 		if l.gone[s.Name] {
 			b := l.blockOf(s.Name)
-			b.orders.Gone = append(b.orders.Gone, s.Name)
-		} else if s.Type != "" && s.Shown {
+			b.orders.Terminated = append(b.orders.Terminated, s.Name)
+		} else if s.Type != "" && s.TokenConfirmed {
 			// What is only heard of may be a late copy of a report of a machine long
 			// deleted; one that has seen our token is there, and so is one that is listed.
 			l.found[s.Name] = wire.Machine{Name: s.Name, Type: s.Type, Zone: s.Zone, Spot: s.Spot}
 		}
 		return
 	}
-	if s.Gone {
+	if s.Terminated {
 		l.markDeleted(s.Name)
 		return
 	}
@@ -81,7 +81,7 @@
 	if s.Tasks > 0 || m.state.Tasks > 0 {
 		m.idle = now
 	}
-	noticed := s.Notice && !m.state.Notice
+	noticed := s.PreemptionNotice && !m.state.PreemptionNotice
 	m.state = s
 	if noticed {
 		l.saveTasks(now, m)
@@ -103,7 +103,7 @@
 		h, j := b.tasks[t], l.jobs[t.Job]
 		// A replica moves at once if there is room for it; else it runs to the end here.
 		moves := false
-		if j.record.Spec.IsService() && m.state.Notice {
+		if j.record.Spec.IsService() && m.state.PreemptionNotice {
 			if room == nil {
 				room = l.freeRoom(now)
 			}
@@ -114,7 +114,7 @@
 			h.stopped, h.stoppedAt = "notice", now
 		}
 		if moves || j.record.Spec.CheckpointS > 0 && !j.record.Spec.IsService() {
-			b.orders.Stop = append(b.orders.Stop, peer.StopTask{Task: t, Save: true})
+			b.orders.Stop = append(b.orders.Stop, peer.StopTask{Task: t, Checkpoint: true})
 		}
 	}
 }
@@ -177,6 +177,6 @@
 	delete(l.machines, name)
 	l.gone[name] = true
 	if b := l.blockOf(name); b.state == granted {
-		b.orders.Gone = append(b.orders.Gone, name)
+		b.orders.Terminated = append(b.orders.Terminated, name)
 	}
 }
--- a/internal/leader/messages.go
+++ b/internal/leader/messages.go
@@ -104,7 +104,7 @@
 	Said struct {
 		Node string
 		Link any
-		Up   *peer.Up
+		Up   *peer.ToLeader
 	}
 	// Watched are changes of jobs, maybe none: all that there were until Asked, when they
 	// were asked for.
@@ -117,7 +117,7 @@
 	Committed struct {
 		Epoch   uint64
 		Tag     any
-		Outcome store.Outcome
+		Outcome store.TxnResult
 		Err     error
 	}
 	// Records are a block's start records, read after its key was written.
@@ -125,7 +125,7 @@
 		Epoch uint64
 		Block int
 		Token uint64
-		Pages map[string]peer.RecordPage
+		Pages map[string]peer.AttemptPage
 	}
 	// Read is one key that was asked for.
 	Read struct {
@@ -163,7 +163,7 @@
 	// Tell goes to a holder.
 	Tell struct {
 		Link any
-		Down peer.Down
+		Down peer.FromLeader
 	}
 	// Load asks for all that the store holds of ours, and a watch of the jobs from there on.
 	Load struct{ Epoch uint64 }
--- a/internal/leader/preempt.go
+++ b/internal/leader/preempt.go
@@ -132,7 +132,7 @@
 	p.leaving = uses{}
 	for _, m := range l.machines {
 		if m.serves() {
-			on[m.name] = &space{machine: m, cpus: m.state.CPUs, memory: m.state.Memory}
+			on[m.name] = &space{machine: m, cpus: m.state.CPUs, memory: m.state.MemoryGB}
 		}
 	}
 	for _, b := range l.blocks {
--- a/internal/leader/preempt_test.go
+++ b/internal/leader/preempt_test.go
@@ -29,7 +29,7 @@
 		m.state = peer.MachineState{}
 	}
 	m := l.machines[names[0]]
-	m.state = peer.MachineState{Name: names[0], Type: "small", Zone: "a", Fit: true, Memory: 4}
+	m.state = peer.MachineState{Name: names[0], Type: "small", Zone: "a", Schedulable: true, MemoryGB: 4}
 	for i := range 4 {
 		task := peer.Task{Job: long.Ref, Index: i}
 		held := &grantedTask{team: long.Team, cpus: 1, running: true, since: began - clock.Micros(20+i)*clock.Second, machine: m.name}
@@ -105,7 +105,7 @@
 	high := wire.Job{Ref: "j-000200", Team: "blue", Priority: wire.PriorityHigh, Tasks: 9, CPUs: 1, MemoryGB: 1, EstimateS: 10, Spot: true}
 	j := l.addJob(JobRecord{Spec: high}, 4)
 	for i := range 2 {
-		l.errored(began, j, peer.Event{Task: peer.Task{Job: high.Ref, Index: i}, Machine: names[1+i]}, &grantedTask{})
+		l.errored(began, j, peer.TaskEvent{Task: peer.Task{Job: high.Ref, Index: i}, Machine: names[1+i]}, &grantedTask{})
 	}
 	if !j.failures.Suspect() {
 		t.Fatal("not suspect")
@@ -125,7 +125,7 @@
 	j := l.jobs[spec.Ref]
 	for _, name := range names[:3] {
 		b := l.blocks[block.Of(name, 2)]
-		l.event(began, b, peer.Event{Task: peer.Task{Job: spec.Ref, Index: 0}, Kind: peer.Errored, Machine: name})
+		l.event(began, b, peer.TaskEvent{Task: peer.Task{Job: spec.Ref, Index: 0}, Kind: peer.EventFailed, Machine: name})
 	}
 	if j.failures.Suspect() || len(j.failures.Machines()) > 0 {
 		t.Error("counted")
--- a/internal/leader/progress.go
+++ b/internal/leader/progress.go
@@ -160,7 +160,7 @@
 			return false
 		}
 		if s.stamp > 0 {
-			l.commit(store.Lazy, nil, nil, []wire.Write{{Delete: s.key}})
+			l.commit(store.PriorityBackground, nil, nil, []wire.Write{{Delete: s.key}})
 		}
 		return true
 	})
@@ -179,13 +179,13 @@
 			r.Units = append(r.Units, ProgUnit{Job: u.j.record.Spec.Ref, Chunk: u.chunk, Bits: bits})
 		}
 		// A late copy of an older write must not take back what was said to be stored.
-		l.commit(store.Lazy, tag, []wire.Condition{{Key: s.key, Version: s.stamp}}, []wire.Write{put(s.key, r)})
+		l.commit(store.PriorityBackground, tag, []wire.Condition{{Key: s.key, Version: s.stamp}}, []wire.Write{put(s.key, r)})
 	}
 }
 
 func (l *Leader) progressed(tag progTag, m Committed) {
 	s := tag.progressPage
-	if m.Outcome.OK {
+	if m.Outcome.Committed {
 		s.busy, s.stamp = false, m.Outcome.Revision
 		saved := map[string]*job{}
 		for i, u := range tag.units {
@@ -207,12 +207,12 @@
 		u.j.chunks[u.chunk].dirty = true
 	}
 	s.dirty = true
-	if m.Outcome.Malformed && !m.Outcome.Unsure && s.size > l.valueBytes {
+	if m.Outcome.Rejected && !m.Outcome.Ambiguous && s.size > l.valueBytes {
 		s.busy = false
 		s.split()
 		return
 	}
-	if len(m.Outcome.Failed) > 0 {
+	if len(m.Outcome.FailedKeys) > 0 {
 		l.emit(ReadKey{l.epoch, s.key, tag})
 		return
 	}
--- a/internal/leader/progress_test.go
+++ b/internal/leader/progress_test.go
@@ -40,7 +40,7 @@
 			continue
 		}
 		p.pages[w.Put] = r
-		l.Step(began, Committed{Epoch: 5, Tag: c.Tag, Outcome: store.Outcome{OK: true, Revision: 30}})
+		l.Step(began, Committed{Epoch: 5, Tag: c.Tag, Outcome: store.TxnResult{Committed: true, Revision: 30}})
 	}
 }
 
--- a/internal/leader/proofs_test.go
+++ b/internal/leader/proofs_test.go
@@ -13,35 +13,35 @@
 )
 
 // recordsOf is a page whose records name tasks of the job on a machine.
-func recordsOf(machine string, indexes ...int) map[string]peer.RecordPage {
-	g := peer.RecordGroup{Job: spec.Ref, Team: "red", CPUs: 1}
+func recordsOf(machine string, indexes ...int) map[string]peer.AttemptPage {
+	g := peer.AttemptGroup{Job: spec.Ref, Team: "red", CPUs: 1}
 	for i, index := range indexes {
-		g.Starts = append(g.Starts, index, i+1, 0)
+		g.Attempts = append(g.Attempts, index, i+1, 0)
 	}
-	return map[string]peer.RecordPage{"run/" + machine: {Machines: []string{machine}, Groups: []peer.RecordGroup{g}}}
+	return map[string]peer.AttemptPage{"run/" + machine: {Machines: []string{machine}, Groups: []peer.AttemptGroup{g}}}
 }
 
 // saying is what a holder says of a block under a token.
-func saying(b *leasedBlock, token uint64, events ...peer.Event) Said {
-	return Said{Node: "n0", Link: "link", Up: &peer.Up{Epoch: 5, Updates: []peer.BlockUpdate{{Block: b.id, Token: token, Events: events}}}}
+func saying(b *leasedBlock, token uint64, events ...peer.TaskEvent) Said {
+	return Said{Node: "n0", Link: "link", Up: &peer.ToLeader{Term: 5, Updates: []peer.ShardUpdate{{Shard: b.id, FencingToken: token, Events: events}}}}
 }
 
-func eventOf(index int, kind string) peer.Event {
-	return peer.Event{Task: peer.Task{Job: spec.Ref, Index: index}, Kind: kind, Machine: names[0]}
+func eventOf(index int, kind string) peer.TaskEvent {
+	return peer.TaskEvent{Task: peer.Task{Job: spec.Ref, Index: index}, Kind: kind, Machine: names[0]}
 }
 
 // What a holder said of an earlier grant, or over an earlier link, gives nothing back.
 func TestEventsOfAnEarlierGrantChangeNothing(t *testing.T) {
 	l := granting(t, recordsOf(names[0], 0, 1))
 	b := l.blocks[block.Of(names[0], 2)]
-	l.Step(began+clock.Second, saying(b, b.token-1, eventOf(0, peer.Back)))
-	other := saying(b, b.token, eventOf(0, peer.Back))
+	l.Step(began+clock.Second, saying(b, b.token-1, eventOf(0, peer.EventReleased)))
+	other := saying(b, b.token, eventOf(0, peer.EventReleased))
 	other.Link = "an earlier link"
 	l.Step(began+clock.Second, other)
 	if h := b.tasks[peer.Task{Job: spec.Ref}]; h == nil || !h.inherited {
 		t.Error("given back by the word on an earlier grant")
 	}
-	l.Step(began+clock.Second, saying(b, b.token, eventOf(0, peer.Back)))
+	l.Step(began+clock.Second, saying(b, b.token, eventOf(0, peer.EventReleased)))
 	if h := b.tasks[peer.Task{Job: spec.Ref}]; h != nil && h.inherited {
 		t.Error("not given back by the word on this grant")
 	}
@@ -56,11 +56,11 @@
 		l.Step(began, Records{Epoch: 5, Block: b.id, Token: b.token, Pages: recordsOf(machine, 0)})
 	}
 	j := l.jobs[spec.Ref]
-	l.Step(began, saying(l.blocks[0], l.blocks[0].token, eventOf(0, peer.Back)))
+	l.Step(began, saying(l.blocks[0], l.blocks[0].token, eventOf(0, peer.EventReleased)))
 	if j.out[0] != 1 || j.want[0]&1 != 0 {
 		t.Errorf("in %d grants, waits %v: want one, and not to wait", j.out[0], j.want[0]&1 != 0)
 	}
-	l.Step(began, saying(l.blocks[1], l.blocks[1].token, eventOf(0, peer.Back)))
+	l.Step(began, saying(l.blocks[1], l.blocks[1].token, eventOf(0, peer.EventReleased)))
 	if j.out[0] != 0 || j.want[0]&1 == 0 {
 		t.Errorf("in %d grants, waits %v: want none, and to wait", j.out[0], j.want[0]&1 != 0)
 	}
@@ -106,7 +106,7 @@
 		b.state = writing
 		tag := blocksTag{map[int]uint64{b.id: b.token}}
 		key := block.Key(b.id)
-		l.Step(began, Committed{Epoch: 5, Tag: tag, Outcome: store.Outcome{Unsure: true, Failed: []string{key}}})
+		l.Step(began, Committed{Epoch: 5, Tag: tag, Outcome: store.TxnResult{Ambiguous: true, FailedKeys: []string{key}}})
 		if b.state != writing {
 			t.Error("taken for written by a failed guard")
 		}
@@ -155,11 +155,11 @@
 	b := l.blocks[block.Of(names[0], 2)]
 	acknowledged := func(fx []any) (n int) {
 		for _, o := range toldOf(fx) {
-			n += len(o.Stored)
+			n += len(o.Persisted)
 		}
 		return n
 	}
-	if n := acknowledged(l.Step(began, saying(b, b.token, eventOf(0, peer.Done)))); n != 0 {
+	if n := acknowledged(l.Step(began, saying(b, b.token, eventOf(0, peer.EventCompleted)))); n != 0 {
 		t.Error("acknowledged before it is written")
 	}
 	var write Commit
@@ -176,10 +176,10 @@
 			t.Errorf("the write is not guarded on %v", guard)
 		}
 	}
-	if n := acknowledged(l.Step(began+progressEvery, Committed{Epoch: 5, Tag: write.Tag, Outcome: store.Outcome{Unsure: true, Failed: []string{page}}})); n != 0 {
+	if n := acknowledged(l.Step(began+progressEvery, Committed{Epoch: 5, Tag: write.Tag, Outcome: store.TxnResult{Ambiguous: true, FailedKeys: []string{page}}})); n != 0 {
 		t.Error("acknowledged by a failed guard")
 	}
-	if n := acknowledged(l.Step(began+progressEvery, Committed{Epoch: 5, Tag: write.Tag, Outcome: store.Outcome{OK: true, Revision: 9}})); n != 1 {
+	if n := acknowledged(l.Step(began+progressEvery, Committed{Epoch: 5, Tag: write.Tag, Outcome: store.TxnResult{Committed: true, Revision: 9}})); n != 1 {
 		t.Errorf("%d completions acknowledged, want one", n)
 	}
 }
--- a/internal/leader/rentals.go
+++ b/internal/leader/rentals.go
@@ -51,7 +51,7 @@
 
 func (l *Leader) writeRental(rt *rental) {
 	rt.busy = true
-	l.commit(store.Starts, fleetTag{rt.key}, []wire.Condition{{Key: rt.key, Version: rt.stamp}}, []wire.Write{put(rt.key, rt.record)})
+	l.commit(store.PriorityAttempts, fleetTag{rt.key}, []wire.Condition{{Key: rt.key, Version: rt.stamp}}, []wire.Write{put(rt.key, rt.record)})
 }
 
 // pruneEvery is how long machines that are gone may stay in the roster: there they do
@@ -74,7 +74,7 @@
 	rt.record.Machines = left
 	if len(left) == 0 {
 		delete(l.rentals, rt.key)
-		l.commit(store.Lazy, nil, nil, []wire.Write{{Delete: rt.key}})
+		l.commit(store.PriorityBackground, nil, nil, []wire.Write{{Delete: rt.key}})
 		l.settleFormer(now, rt)
 		return
 	}
@@ -88,7 +88,7 @@
 	rt := l.rentals[tag.key]
 	switch {
 	case rt == nil:
-	case m.Outcome.OK:
+	case m.Outcome.Committed:
 		rt.stamp = m.Outcome.Revision
 		l.rosterStored(now, rt)
 	case m.Outcome.FailedOn(tag.key):
--- a/internal/leader/room.go
+++ b/internal/leader/room.go
@@ -68,7 +68,7 @@
 	r := &freeRoom{now: now, byImage: map[string][]*machine{}, passed: map[roomKey]int{}, apart: map[string]map[string]int{},
 		even: l.evenness(), beyond: map[roomKey]beyondBound{}}
 	for _, m := range l.machines {
-		m.cpus, m.gpus, m.mem = m.state.CPUs, m.state.GPUs, m.state.Memory
+		m.cpus, m.gpus, m.mem = m.state.CPUs, m.state.GPUs, m.state.MemoryGB
 		if r.has(m) {
 			r.ms = append(r.ms, m)
 		} else if r.even != nil && m.takesWork() && m.state.CPUs > 0 {
@@ -103,7 +103,7 @@
 
 // serves says whether new tasks may run on the machine, if it has room.
 func (m *machine) serves() bool {
-	return m.state.Fit && !m.drain && !m.deleting && m.block.state == granted
+	return m.state.Schedulable && !m.drain && !m.deleting && m.block.state == granted
 }
 
 // holds says whether a task fits into what is left of the machine.
--- a/internal/leader/roster.go
+++ b/internal/leader/roster.go
@@ -20,7 +20,7 @@
 
 // unlisted names the machines of start records that no roster record names, although one of them
 // may have to.
-func (l *Leader) unlisted(pages map[string]peer.RecordPage) []string {
+func (l *Leader) unlisted(pages map[string]peer.AttemptPage) []string {
 	if len(l.unanswered) == 0 {
 		return nil
 	}
@@ -37,11 +37,11 @@
 }
 
 // listUnlisted adds such machines to a block's grant.
-func (l *Leader) listUnlisted(b *leasedBlock, pages map[string]peer.RecordPage) (roster []peer.RosterMachine) {
+func (l *Leader) listUnlisted(b *leasedBlock, pages map[string]peer.AttemptPage) (roster []peer.InventoryMachine) {
 	for _, name := range l.unlisted(pages) {
 		l.doubtful[name] = true
 		b.orders.Drain = append(b.orders.Drain, name)
-		roster = append(roster, peer.RosterMachine{Name: name})
+		roster = append(roster, peer.InventoryMachine{Name: name})
 	}
 	return roster
 }
--- a/internal/leader/roster_test.go
+++ b/internal/leader/roster_test.go
@@ -47,7 +47,7 @@
 	machine := "host-000009"
 
 	// The first write was carried out without an answer, as version 20: its repeat fails on the key.
-	lost := store.Outcome{Failed: []string{key}, Unsure: true}
+	lost := store.TxnResult{FailedKeys: []string{key}, Ambiguous: true}
 	l.Step(began, Committed{Epoch: 5, Tag: fleetTag{key}, Outcome: lost})
 	l.Step(began, Read{Epoch: 5, Tag: fleetTag{key}, Found: true, Item: item(t, key, 20, FleetRecord{Rental: asked})})
 	second := rosterWrite(t, l.Step(began, Rented{Epoch: 5, Request: asked.RequestID, Machines: []string{machine}}), key)
@@ -65,7 +65,7 @@
 	if got := rosterGuard(t, third, key); got != 21 {
 		t.Errorf("the third write expects version %d of the record, which is at 21", got)
 	}
-	l.Step(began, Committed{Epoch: 5, Tag: fleetTag{key}, Outcome: store.Outcome{OK: true, Revision: 22}})
+	l.Step(began, Committed{Epoch: 5, Tag: fleetTag{key}, Outcome: store.TxnResult{Committed: true, Revision: 22}})
 	if l.machines[machine] == nil {
 		t.Error("not used although its record is stored")
 	}
@@ -74,8 +74,8 @@
 // orderedOf gathers what the effects tell the holder of a block.
 func orderedOf(fx []any, b int) (drained, gone, roster []string) {
 	for _, o := range toldOf(fx) {
-		if o.Block == b {
-			drained, gone = append(drained, o.Drain...), append(gone, o.Gone...)
+		if o.Shard == b {
+			drained, gone = append(drained, o.Drain...), append(gone, o.Terminated...)
 		}
 	}
 	for _, e := range fx {
@@ -85,7 +85,7 @@
 		}
 		for _, g := range x.Down.Grants {
 			for _, m := range g.Machines {
-				if g.Block == b {
+				if g.Shard == b {
 					roster = append(roster, m.Name)
 				}
 			}
@@ -114,7 +114,7 @@
 			t.Errorf("granted %v, drained %v: %s is missing", roster, drained, unknown)
 		}
 		fx = l.Step(began, Rented{Epoch: 5, Request: asked.RequestID, Machines: answer.machines})
-		fx = append(fx, l.Step(began, Committed{Epoch: 5, Tag: fleetTag{key}, Outcome: store.Outcome{OK: true, Revision: 9}})...)
+		fx = append(fx, l.Step(began, Committed{Epoch: 5, Tag: fleetTag{key}, Outcome: store.TxnResult{Committed: true, Revision: 9}})...)
 		drained, gone, _ := orderedOf(fx, b)
 		if slices.Contains(gone, unknown) != answer.gone || slices.Contains(drained, unknown) == answer.gone {
 			t.Errorf("the rental has %v: told that %v are gone and %v drained", answer.machines, gone, drained)
@@ -134,7 +134,7 @@
 	for _, e := range l.Step(began, Tick{}) {
 		if c, ok := e.(Commit); ok {
 			if tag, ok := c.Tag.(blocksTag); ok {
-				l.Step(began, Committed{Epoch: 7, Tag: tag, Outcome: store.Outcome{OK: true, Revision: 9}})
+				l.Step(began, Committed{Epoch: 7, Tag: tag, Outcome: store.TxnResult{Committed: true, Revision: 9}})
 			}
 		}
 	}
@@ -157,20 +157,20 @@
 
 // Records, events and updates that name what is not there are counted or left alone; the rest goes on.
 func TestTasksThatAreNotThere(t *testing.T) {
-	page := peer.RecordPage{Machines: names[:1], Groups: []peer.RecordGroup{{Job: spec.Ref, Team: "red", CPUs: 1, Starts: []int{900, 1, 0, -1, 2, 0, 1, 3, 0}}}}
-	l := granting(t, map[string]peer.RecordPage{"p": page})
+	page := peer.AttemptPage{Machines: names[:1], Groups: []peer.AttemptGroup{{Job: spec.Ref, Team: "red", CPUs: 1, Attempts: []int{900, 1, 0, -1, 2, 0, 1, 3, 0}}}}
+	l := granting(t, map[string]peer.AttemptPage{"p": page})
 	b := l.blocks[block.Of(names[0], 2)]
 	if len(b.tasks) != 3 || l.jobs[spec.Ref].out[1] != 1 || len(l.jobs[spec.Ref].out) != 1 {
 		t.Errorf("%d tasks counted, in grants %v: want all three, of which the job has one", len(b.tasks), l.jobs[spec.Ref].out)
 	}
-	var events []peer.Event
+	var events []peer.TaskEvent
 	for _, index := range []int{900, -1, 2, 64} {
-		for _, kind := range []string{peer.Started, peer.Running, peer.Remains, peer.Done, peer.Errored, peer.Back} {
-			events = append(events, peer.Event{Task: peer.Task{Job: spec.Ref, Index: index}, Kind: kind, Machine: names[0]})
+		for _, kind := range []string{peer.EventAssigned, peer.EventRunning, peer.EventAttemptRemains, peer.EventCompleted, peer.EventFailed, peer.EventReleased} {
+			events = append(events, peer.TaskEvent{Task: peer.Task{Job: spec.Ref, Index: index}, Kind: kind, Machine: names[0]})
 		}
 	}
-	l.Step(began+clock.Second, Said{Node: "n0", Link: "link", Up: &peer.Up{Epoch: 5, Updates: []peer.BlockUpdate{
-		{Block: -1, Token: b.token}, {Block: 99, Token: b.token}, {Block: b.id, Token: b.token, Events: events}}}})
+	l.Step(began+clock.Second, Said{Node: "n0", Link: "link", Up: &peer.ToLeader{Term: 5, Updates: []peer.ShardUpdate{
+		{Shard: -1, FencingToken: b.token}, {Shard: 99, FencingToken: b.token}, {Shard: b.id, FencingToken: b.token, Events: events}}}})
 	for task := range b.tasks {
 		if task.Index < 0 || task.Index >= spec.Tasks {
 			t.Errorf("task %d counts after its end", task.Index)
--- a/internal/leader/schedule.go
+++ b/internal/leader/schedule.go
@@ -80,7 +80,7 @@
 		if len(b.orders.Offers) > 0 {
 			room.even.tell(b.orders.Offers)
 			b.offerSeq++
-			b.orders.Seq = b.offerSeq
+			b.orders.OfferSeq = b.offerSeq
 			b.offered = true
 		}
 	}
@@ -111,7 +111,7 @@
 	b := m.block
 	if m.out {
 		m.rest, m.out = false, false
-		b.orders.Wake = append(b.orders.Wake, m.name)
+		b.orders.Include = append(b.orders.Include, m.name)
 	}
 	given := 0
 	for given < n && m.holds(s) && t.takes(s, l.cfg.Tuning.Queues.LeastShare) && (given == 0 || m.reserve() > 0 || room.even.within(m, s)) {
@@ -129,9 +129,9 @@
 		if !ok {
 			at = len(b.orders.Offers)
 			offers[k] = at
-			b.orders.Offers = append(b.orders.Offers, peer.Offer{Job: *s, Zone: zone})
+			b.orders.Offers = append(b.orders.Offers, peer.TaskOffer{Job: *s, Zone: zone})
 		}
-		b.orders.Offers[at].Indexes = append(b.orders.Offers[at].Indexes, i)
+		b.orders.Offers[at].TaskIndexes = append(b.orders.Offers[at].TaskIndexes, i)
 		given++
 		j.waits = now
 	}
--- a/internal/leader/service_test.go
+++ b/internal/leader/service_test.go
@@ -13,19 +13,19 @@
 // of them has completed is no end of the other: the replica is not offered again, and what runs of
 // it is not told to stop, before the holder says that the last attempt has ended.
 func TestReplicaWaitsForItsLastAttempt(t *testing.T) {
-	page := peer.RecordPage{Machines: names[:1], Groups: []peer.RecordGroup{{Job: spec.Ref, Team: "red", CPUs: 1, Starts: []int{0, 1, 0, 0, 2, 0, 1, 3, 0}}}}
-	l := granting(t, map[string]peer.RecordPage{"p": page})
+	page := peer.AttemptPage{Machines: names[:1], Groups: []peer.AttemptGroup{{Job: spec.Ref, Team: "red", CPUs: 1, Attempts: []int{0, 1, 0, 0, 2, 0, 1, 3, 0}}}}
+	l := granting(t, map[string]peer.AttemptPage{"p": page})
 	l.jobs[spec.Ref].record.Spec.Shape = wire.ShapeService
 	b := l.blocks[block.Of(names[0], 2)]
 	one := peer.Task{Job: spec.Ref, Index: 0}
 	say := func(kinds ...string) []any {
-		u := peer.BlockUpdate{Block: b.id, Token: b.token}
+		u := peer.ShardUpdate{Shard: b.id, FencingToken: b.token}
 		for _, kind := range kinds {
-			u.Events = append(u.Events, peer.Event{Task: one, Kind: kind, Machine: names[0]})
+			u.Events = append(u.Events, peer.TaskEvent{Task: one, Kind: kind, Machine: names[0]})
 		}
-		return l.Step(began+clock.Second, Said{Node: "n0", Link: "link", Up: &peer.Up{Epoch: 5, Updates: []peer.BlockUpdate{u}}})
+		return l.Step(began+clock.Second, Said{Node: "n0", Link: "link", Up: &peer.ToLeader{Term: 5, Updates: []peer.ShardUpdate{u}}})
 	}
-	fx := say(peer.Remains, peer.Done)
+	fx := say(peer.EventAttemptRemains, peer.EventCompleted)
 	stops := 0
 	for _, o := range toldOf(fx) {
 		stops += len(o.Stop)
@@ -33,7 +33,7 @@
 	if n := offers(fx); n != 0 || stops != 0 || b.tasks[one] == nil {
 		t.Errorf("%d tasks offered, %d stopped, counted %v while another attempt may run", n, stops, b.tasks[one] != nil)
 	}
-	if n := offers(say(peer.Back)); n != 1 {
+	if n := offers(say(peer.EventReleased)); n != 1 {
 		t.Errorf("%d tasks offered after the last attempt, want the replica", n)
 	}
 }
@@ -41,18 +41,18 @@
 // A replica that ends with done runs again, and its worker is told to forget it only after
 // a higher token: a late copy of its order would start it beside the new attempt.
 func TestDoneReplicaRunsAgain(t *testing.T) {
-	page := peer.RecordPage{Machines: names[:1], Groups: []peer.RecordGroup{{Job: spec.Ref, Team: "red", CPUs: 1, Starts: []int{0, 1, 0, 1, 2, 0}}}}
-	l := granting(t, map[string]peer.RecordPage{"p": page})
+	page := peer.AttemptPage{Machines: names[:1], Groups: []peer.AttemptGroup{{Job: spec.Ref, Team: "red", CPUs: 1, Attempts: []int{0, 1, 0, 1, 2, 0}}}}
+	l := granting(t, map[string]peer.AttemptPage{"p": page})
 	j := l.jobs[spec.Ref]
 	j.record.Spec.Shape = wire.ShapeService
 	b := l.blocks[block.Of(names[0], 2)]
 	one := peer.Task{Job: spec.Ref, Index: 0}
-	fx := l.Step(began+clock.Second, Said{Node: "n0", Link: "link", Up: &peer.Up{Epoch: 5, Updates: []peer.BlockUpdate{{Block: b.id, Token: b.token,
-		Events: []peer.Event{{Task: one, Kind: peer.Done, Machine: names[0]}}}}}})
+	fx := l.Step(began+clock.Second, Said{Node: "n0", Link: "link", Up: &peer.ToLeader{Term: 5, Updates: []peer.ShardUpdate{{Shard: b.id, FencingToken: b.token,
+		Events: []peer.TaskEvent{{Task: one, Kind: peer.EventCompleted, Machine: names[0]}}}}}})
 	stopped, stored := false, false
 	for _, o := range toldOf(fx) {
 		stopped = stopped || len(o.Stop) == 1 && o.Stop[0].Task == one
-		stored = stored || len(o.Stored) == 1 && o.Stored[0] == one
+		stored = stored || len(o.Persisted) == 1 && o.Persisted[0] == one
 	}
 	if !stopped || !stored || j.nDone != 0 {
 		t.Errorf("told to keep it listed %v, that it is settled %v, %d tasks done", stopped, stored, j.nDone)
@@ -78,18 +78,18 @@
 
 // A machine is faulty that fails replicas of a service which run well elsewhere.
 func TestMachineThatFailsReplicasIsDrained(t *testing.T) {
-	page := peer.RecordPage{Machines: names[:1], Groups: []peer.RecordGroup{{Job: spec.Ref, Team: "red", CPUs: 1, Starts: []int{0, 1, 0}}}}
-	l := granting(t, map[string]peer.RecordPage{"p": page})
+	page := peer.AttemptPage{Machines: names[:1], Groups: []peer.AttemptGroup{{Job: spec.Ref, Team: "red", CPUs: 1, Attempts: []int{0, 1, 0}}}}
+	l := granting(t, map[string]peer.AttemptPage{"p": page})
 	j := l.jobs[spec.Ref]
 	j.record.Spec.Shape = wire.ShapeService
 	b := l.blocks[block.Of(names[0], 2)]
-	l.Step(began, Said{Node: "n0", Link: "link", Up: &peer.Up{Epoch: 5, Updates: []peer.BlockUpdate{{Block: b.id, Token: b.token,
-		Events: []peer.Event{{Task: peer.Task{Job: spec.Ref, Index: 0}, Kind: peer.Running, Machine: names[0]}}}}}})
-	l.errored(began+2*steady, j, peer.Event{Task: peer.Task{Job: spec.Ref, Index: 1}, Machine: names[1]}, &grantedTask{})
+	l.Step(began, Said{Node: "n0", Link: "link", Up: &peer.ToLeader{Term: 5, Updates: []peer.ShardUpdate{{Shard: b.id, FencingToken: b.token,
+		Events: []peer.TaskEvent{{Task: peer.Task{Job: spec.Ref, Index: 0}, Kind: peer.EventRunning, Machine: names[0]}}}}}})
+	l.errored(began+2*steady, j, peer.TaskEvent{Task: peer.Task{Job: spec.Ref, Index: 1}, Machine: names[1]}, &grantedTask{})
 	if l.machines[names[1]].drain {
 		t.Error("drained after a single failure")
 	}
-	l.errored(began+2*steady, j, peer.Event{Task: peer.Task{Job: spec.Ref, Index: 1}, Machine: names[1]}, &grantedTask{})
+	l.errored(began+2*steady, j, peer.TaskEvent{Task: peer.Task{Job: spec.Ref, Index: 1}, Machine: names[1]}, &grantedTask{})
 	if !l.machines[names[1]].drain {
 		t.Error("not drained after two failures while another replica runs")
 	}
--- a/internal/leader/spread.go
+++ b/internal/leader/spread.go
@@ -54,7 +54,7 @@
 
 // used is what the holder says is taken of the machine, by what is ordered and runs.
 func (m *machine) used() balance.Resources {
-	return m.capacity().Minus(balance.Resources{CPUs: m.state.CPUs, GPUs: m.state.GPUs, Memory: m.state.Memory})
+	return m.capacity().Minus(balance.Resources{CPUs: m.state.CPUs, GPUs: m.state.GPUs, Memory: m.state.MemoryGB})
 }
 
 // takesWork says whether new tasks are to go to the machine: it serves, and fleet upkeep does not empty
@@ -121,7 +121,7 @@
 }
 
 // tell adds to offers the mean load that they lead to, which a holder of a few machines cannot know.
-func (e *evenness) tell(offers []peer.Offer) {
+func (e *evenness) tell(offers []peer.TaskOffer) {
 	if e == nil {
 		return
 	}
@@ -182,7 +182,7 @@
 	b := l.machines[m.From].block
 	h := b.tasks[t]
 	h.stopped, h.stoppedAt = moved, now
-	b.orders.Stop = append(b.orders.Stop, peer.StopTask{Task: t, Save: true})
+	b.orders.Stop = append(b.orders.Stop, peer.StopTask{Task: t, Checkpoint: true})
 	l.emit(Log{Debug: true, Text: "moving task", Args: []any{"task", block.TaskName(t), "from", m.From, "to", m.To, "gain_s", m.GainS, "cost_s", m.CostS}})
 }
 
@@ -193,7 +193,7 @@
 			l.spread.impossible[r.Machine] = true
 			m := l.machines[r.Machine]
 			l.info("machine gets no moves", "machine", r.Machine, "why", r.Reason, "type", m.state.Type, "rented", m.opt.Type.Name,
-				"cpus_free", m.state.CPUs, "ram_gb_free", m.state.Memory)
+				"cpus_free", m.state.CPUs, "ram_gb_free", m.state.MemoryGB)
 		}
 	}
 }
@@ -204,7 +204,7 @@
 	atLimit := l.waitingAtLimit(now, &v)
 	for _, name := range slices.Sorted(maps.Keys(l.machines)) {
 		m := l.machines[name]
-		if !m.up || m.state.Silent || m.state.Notice {
+		if !m.up || m.state.Silent || m.state.PreemptionNotice {
 			continue
 		}
 		bm := &balance.Machine{Name: name, Type: m.opt.Type.Name, Capacity: m.capacity(), Used: m.used(),
@@ -328,12 +328,12 @@
 }
 
 // noteEnded takes in that an attempt has ended: one that was moved may start elsewhere now.
-func (l *Leader) noteEnded(now clock.Micros, e peer.Event, h *grantedTask) {
+func (l *Leader) noteEnded(now clock.Micros, e peer.TaskEvent, h *grantedTask) {
 	if l.spread == nil {
 		return
 	}
 	switch {
-	case e.Kind == peer.Done:
+	case e.Kind == peer.EventCompleted:
 		if m, ok := l.spread.Ended(taskID(e.Task)); ok {
 			l.traceMove(now, m, "its task completed")
 		}
--- a/internal/leader/spread_test.go
+++ b/internal/leader/spread_test.go
@@ -34,32 +34,32 @@
 	for i := range savable.Tasks {
 		starts = append(starts, i, i+1, 0)
 	}
-	page := peer.RecordPage{Token: 1, Machines: names[:1], Groups: []peer.RecordGroup{{Job: savable.Ref, Team: "red", CPUs: 1, Memory: 1, Ckpt: 5, Starts: starts}}}
-	l.Step(began, Records{Epoch: 5, Block: first, Token: l.blocks[first].token, Pages: map[string]peer.RecordPage{"p": page}})
+	page := peer.AttemptPage{FencingToken: 1, Machines: names[:1], Groups: []peer.AttemptGroup{{Job: savable.Ref, Team: "red", CPUs: 1, MemoryGB: 1, CheckpointS: 5, Attempts: starts}}}
+	l.Step(began, Records{Epoch: 5, Block: first, Token: l.blocks[first].token, Pages: map[string]peer.AttemptPage{"p": page}})
 	l.Step(began, Records{Epoch: 5, Block: 1 - first, Token: l.blocks[1-first].token})
-	var events []peer.Event
+	var events []peer.TaskEvent
 	for i := range savable.Tasks {
-		events = append(events, peer.Event{Task: peer.Task{Job: savable.Ref, Index: i}, Kind: peer.Running, Machine: names[0]})
+		events = append(events, peer.TaskEvent{Task: peer.Task{Job: savable.Ref, Index: i}, Kind: peer.EventRunning, Machine: names[0]})
 	}
 	tell(l, began, events, func(s *peer.MachineState) {
 		if s.Name == names[0] {
-			s.CPUs, s.Memory, s.Tasks, s.Images = 0, 4, 4, []string{"img"}
+			s.CPUs, s.MemoryGB, s.Tasks, s.Images = 0, 4, 4, []string{"img"}
 		}
 	})
 	return l
 }
 
 // tell brings word of all machines, which are free but for what change says, and of events.
-func tell(l *Leader, now clock.Micros, events []peer.Event, change func(*peer.MachineState)) []any {
-	up := &peer.Up{Epoch: 5, StoreOK: true}
+func tell(l *Leader, now clock.Micros, events []peer.TaskEvent, change func(*peer.MachineState)) []any {
+	up := &peer.ToLeader{Term: 5, StoreOK: true}
 	for b := range l.blocks {
-		u := peer.BlockUpdate{Block: b, Token: l.blocks[b].token, Seq: l.blocks[b].offerSeq}
+		u := peer.ShardUpdate{Shard: b, FencingToken: l.blocks[b].token, SettledOfferSeq: l.blocks[b].offerSeq}
 		if b == block.Of(names[0], 2) {
 			u.Events = events
 		}
 		for _, n := range names {
 			if block.Of(n, 2) == b {
-				s := peer.MachineState{Name: n, Type: "small", Zone: "a", Fit: true, Shown: true, CPUs: 4, Memory: 8}
+				s := peer.MachineState{Name: n, Type: "small", Zone: "a", Schedulable: true, TokenConfirmed: true, CPUs: 4, MemoryGB: 8}
 				change(&s)
 				u.Machines = append(u.Machines, s)
 			}
@@ -85,7 +85,7 @@
 func TestTaskIsToldToSaveAndStop(t *testing.T) {
 	l := unevenFleet(t, true)
 	got, _ := stops(l)
-	if len(got) != 1 || !got[0].Save || got[0].Job != savable.Ref {
+	if len(got) != 1 || !got[0].Checkpoint || got[0].Job != savable.Ref {
 		t.Fatalf("stops %v, want one task with time to save", got)
 	}
 	// Nothing starts elsewhere before the old attempt is proven gone; then the task is offered to the block of
@@ -98,9 +98,9 @@
 	if n := offers(fx); n != 0 {
 		t.Errorf("%d tasks offered before the old attempt is gone", n)
 	}
-	fx = tell(l, now, []peer.Event{{Task: got[0].Task, Kind: peer.Back, Machine: names[0]}}, func(*peer.MachineState) {})
+	fx = tell(l, now, []peer.TaskEvent{{Task: got[0].Task, Kind: peer.EventReleased, Machine: names[0]}}, func(*peer.MachineState) {})
 	told := toldOf(fx)
-	if len(told) != 1 || told[0].Block != to.block.id || len(told[0].Offers) != 1 || told[0].Offers[0].Indexes[0] != id.Index {
+	if len(told) != 1 || told[0].Shard != to.block.id || len(told[0].Offers) != 1 || told[0].Offers[0].TaskIndexes[0] != id.Index {
 		t.Errorf("told %+v, want the task offered to block %d", told, to.block.id)
 	}
 	if told[0].Offers[0].Job.FleetLoad <= 0 {
@@ -130,7 +130,7 @@
 	if got, _ := stops(l); len(got) != 0 {
 		t.Errorf("stops %v", got)
 	}
-	if s := l.status(began); s.Spread || len(s.Machines) != len(names) || s.Machines[0].Load != 1 {
+	if s := l.status(began); s.Rebalancing || len(s.Machines) != len(names) || s.Machines[0].Load != 1 {
 		t.Errorf("status %+v", s)
 	}
 }
@@ -190,21 +190,21 @@
 	// One that is not at rest has room, but over the bound: it goes before those at rest all the same.
 	l.spread.bound.Relative = 1.05
 	m := l.machines[names[1]]
-	m.rest, m.state.CPUs, m.state.Memory = false, 1, 7
-	if told := offersOf(l, began+95*clock.Second, wire.Job{CPUs: 1, MemoryGB: 7}); len(told) != 1 || told[0].Block != m.block.id || len(told[0].Wake) != 0 {
+	m.rest, m.state.CPUs, m.state.MemoryGB = false, 1, 7
+	if told := offersOf(l, began+95*clock.Second, wire.Job{CPUs: 1, MemoryGB: 7}); len(told) != 1 || told[0].Shard != m.block.id || len(told[0].Include) != 0 {
 		t.Errorf("told %+v, want the task offered for the fuller machine that is not at rest", told)
 	}
 }
 
 // offersOf submits a job of one task and gives what holders are told at once.
-func offersOf(l *Leader, now clock.Micros, j wire.Job) []peer.BlockOrders {
+func offersOf(l *Leader, now clock.Micros, j wire.Job) []peer.ShardOrders {
 	j.Ref, j.Team, j.Priority, j.Tasks, j.Spot = "j-000003", "red", wire.PriorityStandard, 1, true
 	l.addJob(JobRecord{Spec: j}, 31).fillWaiting()
 	return schedules(l, now)
 }
 
 // schedules gives what holders are told when the leader looks for room.
-func schedules(l *Leader, now clock.Micros) []peer.BlockOrders {
+func schedules(l *Leader, now clock.Micros) []peer.ShardOrders {
 	l.stirred, l.until, l.viewed = true, now+clock.Minute, now
 	return toldOf(l.Step(now, Joined{Node: "n9", Link: "other"}))
 }
@@ -224,7 +224,7 @@
 	if told := offersOf(l, now, wire.Job{CPUs: 1, MemoryGB: 1}); len(told) != 0 {
 		t.Fatalf("told %+v while another block has room within the bound in a moment", told)
 	}
-	if told := schedules(l, now+soonPatience+clock.Millisecond); len(told) != 1 || told[0].Block != full.id {
+	if told := schedules(l, now+soonPatience+clock.Millisecond); len(told) != 1 || told[0].Shard != full.id {
 		t.Errorf("told %+v, want the task offered beyond the bound after %v", told, soonPatience)
 	}
 }
@@ -235,7 +235,7 @@
 		change func(*peer.MachineState)
 		logs   int
 	}{
-		"more free than there is":     {func(s *peer.MachineState) { s.Memory = 900 }, 1},
+		"more free than there is":     {func(s *peer.MachineState) { s.MemoryGB = 900 }, 1},
 		"not the type that was hired": {func(s *peer.MachineState) { s.Type = "other" }, 1},
 		// After a takeover stale records count beside live ones.
 		"more taken than there is": {func(s *peer.MachineState) { s.CPUs = -3 }, 0},
@@ -243,7 +243,7 @@
 		l := unevenFleet(t, true)
 		tell(l, began, nil, func(s *peer.MachineState) {
 			if s.Name == names[0] {
-				s.CPUs, s.Memory, s.Tasks = 0, 4, 4
+				s.CPUs, s.MemoryGB, s.Tasks = 0, 4, 4
 				c.change(s)
 			}
 		})
@@ -266,7 +266,7 @@
 	l.machines[names[5]].drain, l.machines[names[5]].state.Tasks = true, 1
 	stops(l)
 	s := l.status(began + 95*clock.Second)
-	if !s.Leads || !s.Spread || len(s.Blocks) != 2 || len(s.Machines) != len(names) || len(s.Moves) != 1 || s.Ended.Begun != 1 {
+	if !s.Leading || !s.Rebalancing || len(s.Shards) != 2 || len(s.Machines) != len(names) || len(s.Migrations) != 1 || s.MigrationOutcomes.Begun != 1 {
 		t.Fatalf("status %+v", s)
 	}
 	if m := s.Machines[0]; m.Load != 1 || m.OverMean < 2 || !m.TakesWork {
@@ -275,14 +275,14 @@
 	if m := s.Machines[5]; m.TakesWork || m.WhyNot != "drained" {
 		t.Errorf("the drained machine: %+v", m)
 	}
-	if s.Moves[0].From != names[0] || s.Moves[0].Stage != "stopping" || len(s.Refusals) == 0 {
-		t.Errorf("moves %+v, refusals %+v", s.Moves, s.Refusals)
+	if s.Migrations[0].From != names[0] || s.Migrations[0].Stage != "stopping" || len(s.Refusals) == 0 {
+		t.Errorf("moves %+v, refusals %+v", s.Migrations, s.Refusals)
 	}
 	if len(s.Teams) != 1 || s.Teams[0].CPUs != 4 {
 		t.Errorf("teams %+v", s.Teams)
 	}
 	l.Step(began+96*clock.Second, Deposed{})
-	if s := l.status(began + 96*clock.Second); s.Leads || len(s.Machines) > 0 {
+	if s := l.status(began + 96*clock.Second); s.Leading || len(s.Machines) > 0 {
 		t.Errorf("status %+v of a controller that does not lead", s)
 	}
 }
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -11,12 +11,12 @@
 
 // status tells an operator what the leader knows of loads, waiting work and moves.
 func (l *Leader) status(now clock.Micros) peer.Status {
-	s := peer.Status{Node: l.self, Epoch: l.epoch, Leads: l.leading && l.loaded, Spread: l.spread != nil}
-	if !s.Leads {
+	s := peer.Status{Controller: l.self, Term: l.epoch, Leading: l.leading && l.loaded, Rebalancing: l.spread != nil}
+	if !s.Leading {
 		return s
 	}
 	mean, blocks := l.blockLoads()
-	s.MeanLoad, s.Blocks = mean, blocks
+	s.MeanLoad, s.Shards = mean, blocks
 	for _, name := range slices.Sorted(maps.Keys(l.machines)) {
 		if m := l.machines[name]; m.up {
 			s.Machines = append(s.Machines, l.machineStatus(m, mean))
@@ -25,9 +25,9 @@
 	s.Teams = l.teamStatus()
 	s.Suspects = l.suspectStatus(now)
 	if l.spread != nil {
-		s.Moves, s.Refusals = moveStatus(now, l.spread.InFlight()), refusalStatus(l.spread.Refusals())
+		s.Migrations, s.Refusals = moveStatus(now, l.spread.InFlight()), refusalStatus(l.spread.Refusals())
 		o := l.spread.Outcomes()
-		s.Ended = peer.MovesEnded{Begun: o.Begun, Arrived: o.Arrived, Elsewhere: o.Elsewhere, Cancelled: o.Cancelled, GivenUp: o.GivenUp}
+		s.MigrationOutcomes = peer.MigrationOutcomes{Begun: o.Begun, Arrived: o.Arrived, Elsewhere: o.Elsewhere, Cancelled: o.Cancelled, GivenUp: o.GivenUp}
 	}
 	return s
 }
@@ -35,12 +35,12 @@
 func (m *machine) load() float64 { return m.used().DominantShare(m.capacity()) }
 
 // blockLoads sums up loads by block; the means are of the machines that take work.
-func (l *Leader) blockLoads() (float64, []peer.BlockStatus) {
+func (l *Leader) blockLoads() (float64, []peer.ShardStatus) {
 	var all balance.Mean
 	means := make([]balance.Mean, len(l.blocks))
-	out := make([]peer.BlockStatus, len(l.blocks))
+	out := make([]peer.ShardStatus, len(l.blocks))
 	for i, b := range l.blocks {
-		out[i] = peer.BlockStatus{Block: i, Holder: b.holder, Granted: b.state == granted, Tasks: len(b.tasks)}
+		out[i] = peer.ShardStatus{Shard: i, Holder: b.holder, Granted: b.state == granted, Tasks: len(b.tasks)}
 		for _, h := range b.tasks {
 			if !h.running {
 				out[i].Unstarted++
@@ -68,7 +68,7 @@
 }
 
 func (l *Leader) machineStatus(m *machine, mean float64) peer.MachineStatus {
-	s := peer.MachineStatus{Name: m.name, Block: m.block.id, Type: m.opt.Type.Name, Zone: m.opt.Zone, Load: m.load(), Tasks: m.state.Tasks,
+	s := peer.MachineStatus{Name: m.name, Shard: m.block.id, Type: m.opt.Type.Name, Zone: m.opt.Zone, Load: m.load(), Tasks: m.state.Tasks,
 		TakesWork: m.takesWork(), WhyNot: m.whyNoWork()}
 	if mean > 0 {
 		s.OverMean = s.Load / mean
@@ -85,9 +85,9 @@
 		return "being returned"
 	case m.drain:
 		return "drained"
-	case m.state.Notice:
+	case m.state.PreemptionNotice:
 		return "the cloud takes it back"
-	case !m.state.Fit:
+	case !m.state.Schedulable:
 		return "not in touch"
 	case m.cordoned:
 		return "not worth its price"
@@ -121,9 +121,9 @@
 	return out
 }
 
-func moveStatus(now clock.Micros, moves []balance.Move) (out []peer.MoveStatus) {
+func moveStatus(now clock.Micros, moves []balance.Move) (out []peer.MigrationStatus) {
 	for _, m := range moves {
-		out = append(out, peer.MoveStatus{Task: m.Task.String(), Team: m.Team, From: m.From, To: m.To, Stage: m.Stage.String(),
+		out = append(out, peer.MigrationStatus{Task: m.Task.String(), Team: m.Team, From: m.From, To: m.To, Stage: m.Stage.String(),
 			AgeS: (now - m.Since).Seconds(), GainS: m.GainS, CostS: m.CostS})
 	}
 	return out
@@ -162,7 +162,7 @@
 		if m.up && m.state.Tasks == 0 {
 			idle++
 		}
-		if m.state.Fit && !m.drain && !m.cordoned {
+		if m.state.Schedulable && !m.drain && !m.cordoned {
 			fit++
 			room += m.state.CPUs
 		}
--- a/internal/loopback/cluster.go
+++ b/internal/loopback/cluster.go
@@ -324,14 +324,14 @@
 // Leader is the controller that leads, with its status; nil while none does.
 func (c *Cluster) Leader() (*Controller, peer.Status) {
 	for i, row := range c.Status() {
-		if row.Status != nil && row.Status.Leads {
+		if row.Status != nil && row.Status.Leading {
 			return c.Controllers[i], *row.Status
 		}
 	}
 	return nil, peer.Status{}
 }
 
-// ErrRefused says that a submission was not accepted.
+// ErrNotExecuted says that a submission was not accepted.
 var ErrRefused = errors.New("not accepted")
 
 // Submit submits a job at a controller, as its user; runS is how long its tasks really run. The first
--- a/internal/loopback/loopback_test.go
+++ b/internal/loopback/loopback_test.go
@@ -85,7 +85,7 @@
 	allDone(t, c, short, 4)
 
 	first, s := c.Leader()
-	if first == nil || len(s.Machines) == 0 || len(s.Blocks) == 0 {
+	if first == nil || len(s.Machines) == 0 || len(s.Shards) == 0 {
 		t.Fatalf("the leader's status is %+v", s)
 	}
 	// With the leader ended and another controller cut off from the state service, the third one leads.
--- a/internal/loopback/services.go
+++ b/internal/loopback/services.go
@@ -94,7 +94,7 @@
 	if err != nil {
 		return err
 	}
-	var o store.Outcome
+	var o store.TxnResult
 	var problem string
 	s.do(func() {
 		_, before := s.store.List(" ")
@@ -104,8 +104,8 @@
 	switch {
 	case problem != "":
 		return c.Status(400).JSON(wire.TxnResponse{Error: problem})
-	case !o.OK:
-		return c.Status(409).JSON(wire.TxnResponse{Revision: o.Revision, Failed: o.Failed})
+	case !o.Committed:
+		return c.Status(409).JSON(wire.TxnResponse{Revision: o.Revision, Failed: o.FailedKeys})
 	}
 	return c.JSON(wire.TxnResponse{Revision: o.Revision})
 }
--- a/internal/loopback/surge.go
+++ b/internal/loopback/surge.go
@@ -58,15 +58,15 @@
 	Samples []Sample `json:"samples"`
 	// WorstSettled is the greatest load over the mean from two minutes after the surge began, and AboveTwice
 	// for how many seconds of that time it was above two.
-	WorstSettled float64         `json:"worst_settled"`
-	AboveTwice   int             `json:"seconds_above_twice"`
-	Moves        peer.MovesEnded `json:"moves"`
-	Fetches      int             `json:"image_fetches"`
-	RedoneS      float64         `json:"redone_s"`
-	CPUSeconds   float64         `json:"controllers_cpu_s"`
-	Refused      int             `json:"submissions_refused"`
-	Waits        []Wait          `json:"waits"`
-	Again        int             `json:"tasks_completed_twice"`
+	WorstSettled float64                `json:"worst_settled"`
+	AboveTwice   int                    `json:"seconds_above_twice"`
+	Moves        peer.MigrationOutcomes `json:"moves"`
+	Fetches      int                    `json:"image_fetches"`
+	RedoneS      float64                `json:"redone_s"`
+	CPUSeconds   float64                `json:"controllers_cpu_s"`
+	Refused      int                    `json:"submissions_refused"`
+	Waits        []Wait                 `json:"waits"`
+	Again        int                    `json:"tasks_completed_twice"`
 }
 
 // Play plays the surge on the cluster and measures it.
@@ -165,8 +165,8 @@
 
 // sumUp adds what is counted over the whole run.
 func (c *Cluster) sumUp(r *Result) {
-	if _, s := c.Leader(); s.Leads {
-		r.Moves = s.Ended
+	if _, s := c.Leader(); s.Leading {
+		r.Moves = s.MigrationOutcomes
 	}
 	for _, k := range c.Controllers {
 		r.CPUSeconds += k.CPUSeconds()
--- a/internal/naming/naming_test.go
+++ b/internal/naming/naming_test.go
@@ -35,11 +35,11 @@
 	"internal/balance":  1,
 	"internal/block":    38,
 	"internal/compat":   1,
-	"internal/election": 7,
+	"internal/election": 4,
 	"internal/fleet":    1,
 	"internal/leader":   64,
 	"internal/node":     8,
-	"internal/peer":     4,
+	"internal/peer":     2,
 	"internal/scenario": 16,
 }
 
--- a/internal/node/elector.go
+++ b/internal/node/elector.go
@@ -17,10 +17,10 @@
 type askEpoch struct{ answer chan uint64 }
 
 func (n *Node) runElector(ctx context.Context) {
-	e := election.New(election.Record{Node: n.cfg.Name, Run: n.run}, clock.FromSeconds(n.cfg.Tuning.Election.TTLS))
+	e := election.New(election.Record{Controller: n.cfg.Name, Incarnation: n.run}, clock.FromSeconds(n.cfg.Tuning.Election.TTLS))
 	for msg := range n.elector {
 		if q, ok := msg.(askEpoch); ok {
-			q.answer <- e.Epoch()
+			q.answer <- e.Term()
 			continue
 		}
 		for _, fx := range e.Step(n.clock.Now(), msg) {
@@ -31,47 +31,47 @@
 
 func (n *Node) electorEffect(ctx context.Context, fx any) {
 	switch x := fx.(type) {
-	case election.GetLease:
+	case election.RequestLease:
 		go func() {
 			sent := n.clock.Now()
-			id, err := n.store.Grant(short(ctx), x.TTL)
-			n.elector <- election.Leased{Lease: id, Sent: sent, Err: err}
+			id, err := n.store.GrantLease(short(ctx), x.TTL)
+			n.elector <- election.LeaseGranted{Lease: id, Sent: sent, Err: err}
 		}()
-	case election.Claim:
+	case election.Campaign:
 		go func() {
 			t, err := x.Txn()
 			if err != nil {
 				n.log.Error("claim", "error", err)
 				return
 			}
-			o, err := n.store.Once(short(ctx), store.Urgent, t)
-			n.elector <- election.Claimed{Lease: x.Lease, Outcome: o, Err: err}
+			o, err := n.store.TryCommit(short(ctx), store.PriorityUrgent, t)
+			n.elector <- election.CampaignResult{Lease: x.Lease, Result: o, Err: err}
 		}()
-	case election.Renew:
+	case election.RenewLease:
 		go func() {
 			sent := n.clock.Now()
-			err := n.store.Touch(short(ctx), x.Lease)
-			n.elector <- election.Renewed{Lease: x.Lease, Sent: sent, Err: err}
+			err := n.store.RenewLease(short(ctx), x.Lease)
+			n.elector <- election.LeaseRenewed{Lease: x.Lease, Sent: sent, Err: err}
 		}()
-	case election.Drop:
-		go n.store.Drop(short(ctx), x.Lease)
-	case election.Look:
+	case election.RevokeLease:
+		go n.store.RevokeLease(short(ctx), x.Lease)
+	case election.ReadLeaderKey:
 		go n.look(ctx)
-	case election.Lead:
+	case election.AcquireLeadership:
 		n.store.SetBudget(n.share(true))
-		n.leader <- leader.Elected{Epoch: x.Epoch, Run: n.run}
+		n.leader <- leader.Elected{Epoch: x.Term, Run: n.run}
 		n.leader <- leader.Authority{Until: x.Until}
-	case election.Extend:
+	case election.ExtendLeadership:
 		n.leader <- leader.Authority{Until: x.Until}
-	case election.Depose:
-		n.log.Info("no longer leading", "epoch", x.Epoch)
+	case election.LoseLeadership:
+		n.log.Info("no longer leading", "epoch", x.Term)
 		n.store.SetBudget(n.share(false))
 		n.leader <- leader.Deposed{}
-	case election.Follow:
-		n.log.Info("following", "leader", x.Node, "epoch", x.Epoch)
-		n.directory.Post(api.Following{Epoch: x.Epoch, Node: x.Node})
-		if x.Epoch > 0 {
-			go n.follow(ctx, x.Epoch, x.Node)
+	case election.FollowLeader:
+		n.log.Info("following", "leader", x.Controller, "epoch", x.Term)
+		n.directory.Post(api.Following{Epoch: x.Term, Node: x.Controller})
+		if x.Term > 0 {
+			go n.follow(ctx, x.Term, x.Controller)
 		}
 	}
 }
@@ -84,7 +84,7 @@
 }
 
 func (n *Node) look(ctx context.Context) (uint64, bool) {
-	items, rev, err := n.store.List(short(ctx), store.Urgent, leader.Key)
+	items, rev, err := n.store.List(short(ctx), store.PriorityUrgent, leader.Key)
 	if err != nil {
 		time.Sleep(200 * time.Millisecond)
 		n.log.Debug("cannot read the leader key", "error", err)
@@ -96,7 +96,7 @@
 			key = it
 		}
 	}
-	seen, err := election.SeenKey(key, rev)
+	seen, err := election.ObserveKey(key, rev)
 	if err != nil {
 		n.log.Error("look for the leader", "error", err)
 	}
@@ -116,7 +116,7 @@
 			}
 			rev = max(rev, a.Revision)
 			for _, ev := range a.Events {
-				seen, ok, err := election.SeenEvent(ev)
+				seen, ok, err := election.ObserveEvent(ev)
 				if err != nil {
 					n.log.Error("watch the leader", "error", err)
 				} else if ok {
--- a/internal/node/holder.go
+++ b/internal/node/holder.go
@@ -42,7 +42,7 @@
 			link = m.link
 			slow := false
 			if l, ok := m.link.(*peer.Link); ok {
-				slow = l.Slow()
+				slow = l.ViaStore()
 			}
 			msg = block.Linked{Epoch: m.epoch, Slow: slow}
 		case holderDown:
@@ -81,12 +81,12 @@
 		go n.inspect(x)
 	case block.Record:
 		// No task of it is ordered before the store has said yes.
-		go n.keep(ctx, store.Starts, x.Txn, func(o store.Outcome) any { return x.Settled(o) })
+		go n.keep(ctx, store.PriorityAttempts, x.Txn, func(o store.TxnResult) any { return x.Settled(o) })
 	case block.Compact:
-		go n.keep(ctx, store.Lazy, x.Txn, func(o store.Outcome) any { return x.Settled(o) })
+		go n.keep(ctx, store.PriorityBackground, x.Txn, func(o store.TxnResult) any { return x.Settled(o) })
 	case block.Erase:
 		go func() {
-			if _, err := n.store.Once(ctx, store.Lazy, x.Txn()); err != nil {
+			if _, err := n.store.TryCommit(ctx, store.PriorityBackground, x.Txn()); err != nil {
 				// They stay as upper bounds until the block's next grant.
 				n.log.Debug("start records not erased", "error", err)
 			}
@@ -141,7 +141,7 @@
 }
 
 // keep writes start records and tells the holder what became of it.
-func (n *Node) keep(ctx context.Context, prio int, txn func() (wire.Txn, error), settled func(store.Outcome) any) {
+func (n *Node) keep(ctx context.Context, prio int, txn func() (wire.Txn, error), settled func(store.TxnResult) any) {
 	ctx, cancel := context.WithTimeout(ctx, 8*time.Second)
 	defer cancel()
 	t, err := txn()
--- a/internal/node/leader.go
+++ b/internal/node/leader.go
@@ -65,13 +65,13 @@
 	case leader.ReadKey:
 		go func() {
 			for i := 0; ; i++ {
-				it, err := n.store.Get(ctx, store.Starts, x.Key)
-				if err == nil || errors.Is(err, store.ErrMissing) {
+				it, err := n.store.Get(ctx, store.PriorityAttempts, x.Key)
+				if err == nil || errors.Is(err, store.ErrNotFound) {
 					it.Key = x.Key
 					n.leader <- leader.Read{Epoch: x.Epoch, Tag: x.Tag, Item: it, Found: err == nil}
 					return
 				}
-				if !store.Pause(ctx, i) {
+				if !store.Backoff(ctx, i) {
 					return
 				}
 			}
@@ -86,7 +86,7 @@
 			q := askEpoch{make(chan uint64, 1)}
 			n.elector <- q
 			if e := <-q.answer; e > 0 {
-				n.elector <- election.Resign{Epoch: e}
+				n.elector <- election.Resign{Term: e}
 			}
 		}()
 	case leader.Paused:
--- a/internal/node/links.go
+++ b/internal/node/links.go
@@ -32,7 +32,7 @@
 		return
 	}
 	for fails := 0; ctx.Err() == nil && n.directory.Epoch() == epoch; {
-		l, err := peer.Dial(addr, peer.Hello{Node: n.cfg.Name, Run: n.run, Epoch: epoch})
+		l, err := peer.Dial(addr, peer.Hello{Controller: n.cfg.Name, Incarnation: n.run, Term: epoch})
 		switch {
 		case err == nil:
 			fails = 0
@@ -59,7 +59,7 @@
 
 // followByRelay speaks to the leader through the state service until it can be reached again.
 func (n *Node) followByRelay(ctx context.Context, epoch uint64, name, addr string) {
-	l, err := n.relay.Dial(ctx, name, peer.Hello{Node: n.cfg.Name, Run: n.run, Epoch: epoch})
+	l, err := n.relay.Dial(ctx, name, peer.Hello{Controller: n.cfg.Name, Incarnation: n.run, Term: epoch})
 	if err != nil {
 		n.log.Debug("no answer to frames", "leader", name, "error", err)
 		return
@@ -87,7 +87,7 @@
 // linked serves a link to the leader until it ends.
 func (n *Node) linked(epoch uint64, l *peer.Link) {
 	n.holder <- holderUp{epoch, l}
-	l.Follow(func(d *peer.Down) {
+	l.Follow(func(d *peer.FromLeader) {
 		n.directory.Post(api.PeerReached{})
 		n.directory.Post(d)
 		n.holder <- d
@@ -101,7 +101,7 @@
 // status answers an operator's question: the leader actor's word, and whom this node follows.
 func (n *Node) status() peer.Status {
 	answer := make(chan peer.Status, 1)
-	s := peer.Status{Node: n.cfg.Name}
+	s := peer.Status{Controller: n.cfg.Name}
 	select {
 	case n.leader <- leader.StatusAsked{Tag: answer}:
 		select {
@@ -112,7 +112,7 @@
 	}
 	s.Pauses, s.LastPause = n.pausesSeen()
 	v := n.directory.Look("")
-	s.Leader, s.Epoch = v.Leader, v.Epoch
+	s.Leader, s.Term = v.Leader, v.Epoch
 	return s
 }
 
@@ -129,18 +129,18 @@
 }
 
 func (n *Node) acceptPeer(c net.Conn, slow bool) {
-	peer.Accept(c, slow, peer.Hello{Node: n.cfg.Name, Run: n.run}, n.status, func(h peer.Hello) bool {
+	peer.Accept(c, slow, peer.Hello{Controller: n.cfg.Name, Incarnation: n.run}, n.status, func(h peer.Hello) bool {
 		n.directory.Post(api.PeerReached{})
 		q := askEpoch{make(chan uint64, 1)}
 		n.elector <- q
 		epoch := <-q.answer
-		return epoch > 0 && epoch == h.Epoch
+		return epoch > 0 && epoch == h.Term
 	}, func(l *peer.Link) {
-		n.leader <- leader.Joined{Node: l.Peer.Node, Run: l.Peer.Run, Link: l, Slow: slow}
-	}, func(l *peer.Link, u *peer.Up) {
+		n.leader <- leader.Joined{Node: l.Peer.Controller, Run: l.Peer.Incarnation, Link: l, Slow: slow}
+	}, func(l *peer.Link, u *peer.ToLeader) {
 		n.directory.Post(api.PeerReached{})
-		n.leader <- leader.Said{Node: l.Peer.Node, Link: l, Up: u}
+		n.leader <- leader.Said{Node: l.Peer.Controller, Link: l, Up: u}
 	}, func(l *peer.Link) {
-		n.leader <- leader.Left{Node: l.Peer.Node, Link: l}
+		n.leader <- leader.Left{Node: l.Peer.Controller, Link: l}
 	})
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -55,7 +55,7 @@
 	workers   *fasthttp.Client
 	dialled   dialled
 	directory *api.Directory
-	relay     *peer.Relay
+	relay     *peer.StoreTransport
 	tracer    *trace.Tracer // nil: nothing is traced
 
 	elector, leader, holder mailbox
@@ -77,7 +77,7 @@
 		NoDefaultUserAgentHeader: true, ReadBufferSize: 2048, WriteBufferSize: 2048,
 		Dial: n.dialled.dial}
 	n.directory = api.NewDirectory(cfg, n.clock.Now)
-	n.relay = peer.NewRelay(cfg.Name, n.store, cfg.ValueBytes(), cfg.RelayBacklog(), peer.FrameInterval)
+	n.relay = peer.NewStoreTransport(cfg.Name, n.store, cfg.ValueBytes(), cfg.RelayBacklog(), peer.FrameInterval)
 	return n
 }
 
@@ -92,7 +92,7 @@
 		part = 0.5
 	}
 	s := n.cfg.Facts.State
-	return store.Budget{RPS: s.RPS * part, Puts: s.WriteRPS * part}
+	return store.Budget{RequestsPerSecond: s.RPS * part, WritesPerSecond: s.WriteRPS * part}
 }
 
 // Serve runs the node until ctx ends or a listener fails.
@@ -120,7 +120,7 @@
 	go n.acceptPeers(back)
 	go n.relay.Run(ctx, func(c net.Conn) { go n.acceptPeer(c, true) })
 	go n.directory.Run(ctx)
-	svc := api.New(n.cfg, n.store, store.Pause, n.directory, n.health.ok, n.report, clock.Wall, n.log)
+	svc := api.New(n.cfg, n.store, store.Backoff, n.directory, n.health.ok, n.report, clock.Wall, n.log)
 	svc.Trace(n.tracer)
 	n.log.Info("serving", "node", n.cfg.Name, "on", n.cfg.ServeOn)
 	return svc.Serve(front)
--- a/internal/node/pauses.go
+++ b/internal/node/pauses.go
@@ -52,5 +52,5 @@
 		return 0, nil
 	}
 	ago := n.clock.Now() - seen.last.Ended
-	return seen.count, &peer.PauseStatus{AgoS: ago.Seconds(), LengthS: seen.last.Length().Seconds(), At: clock.Wall() - ago, Expired: seen.last.Expired}
+	return seen.count, &peer.PauseStatus{AgoS: ago.Seconds(), LengthS: seen.last.Length().Seconds(), EndedAt: clock.Wall() - ago, Expired: seen.last.Expired}
 }
--- a/internal/node/state.go
+++ b/internal/node/state.go
@@ -24,7 +24,7 @@
 			n.watchJobs(ctx, epoch, revision)
 			return
 		}
-		if !store.Pause(ctx, i) {
+		if !store.Backoff(ctx, i) {
 			return
 		}
 	}
@@ -47,7 +47,7 @@
 	for i, prefix := range prefixes {
 		wait.Go(func() {
 			l := &listings[i]
-			l.items, l.revision, l.err = n.store.List(ctx, store.Urgent, prefix)
+			l.items, l.revision, l.err = n.store.List(ctx, store.PriorityUrgent, prefix)
 		})
 	}
 	wait.Wait()
@@ -74,13 +74,13 @@
 			if ctx.Err() == nil {
 				n.leader <- leader.Watched{Epoch: epoch, Events: a.Events, Asked: asked}
 			}
-		case errors.Is(err, store.ErrGone):
+		case errors.Is(err, store.ErrCompacted):
 			// Too far behind: a new epoch reads everything again.
-			n.elector <- election.Resign{Epoch: epoch}
+			n.elector <- election.Resign{Term: epoch}
 			return
 		default:
 			i++
-			store.Pause(ctx, i)
+			store.Backoff(ctx, i)
 		}
 	}
 }
@@ -88,7 +88,7 @@
 func (n *Node) loadRecords(ctx context.Context, x leader.LoadRecords) {
 	logged := false
 	for i := 0; ; i++ {
-		items, _, err := n.store.List(ctx, store.Urgent, block.RecordPrefix(x.Block))
+		items, _, err := n.store.List(ctx, store.PriorityUrgent, block.RecordPrefix(x.Block))
 		if err == nil {
 			pages, err := block.Pages(items)
 			if err != nil {
@@ -103,7 +103,7 @@
 			n.leader <- leader.Records{Epoch: x.Epoch, Block: x.Block, Token: x.Token, Pages: pages}
 			return
 		}
-		if !store.Pause(ctx, i) {
+		if !store.Backoff(ctx, i) {
 			return
 		}
 	}
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -57,8 +57,8 @@
 	slow bool // through the state service
 }
 
-// Slow says whether messages take seconds.
-func (l *Link) Slow() bool { return l.slow }
+// ViaStore says whether messages take seconds.
+func (l *Link) ViaStore() bool { return l.slow }
 
 func newLink(c net.Conn, dec *msgpack.Decoder, peer Hello, slow bool) *Link {
 	l := &Link{Peer: peer, conn: c, dec: dec, slow: slow, out: make(chan any, linkBacklog), done: make(chan struct{})}
@@ -139,8 +139,8 @@
 	if err == nil {
 		err = dec.Decode(&back)
 	}
-	if err == nil && back.Epoch != h.Epoch {
-		err = fmt.Errorf("%w: %s, epoch %d", ErrNotLeading, addr, h.Epoch)
+	if err == nil && back.Term != h.Term {
+		err = fmt.Errorf("%w: %s, epoch %d", ErrNotLeading, addr, h.Term)
 	}
 	if err != nil {
 		c.Close()
@@ -151,11 +151,11 @@
 }
 
 // Follow reads what the leader says until the link ends.
-func (l *Link) Follow(f func(*Down)) { read(l, f) }
+func (l *Link) Follow(f func(*FromLeader)) { read(l, f) }
 
 // Accept answers a follower's Hello if agree allows it, then reads until the link ends. An operator's
 // question gets the status in place of a link.
-func Accept(c net.Conn, slow bool, me Hello, status func() Status, agree func(Hello) bool, joined func(*Link), f func(*Link, *Up), left func(*Link)) {
+func Accept(c net.Conn, slow bool, me Hello, status func() Status, agree func(Hello) bool, joined func(*Link), f func(*Link, *ToLeader), left func(*Link)) {
 	c.SetDeadline(time.Now().Add(patience(slow, writeTimeout)))
 	dec := msgpack.NewDecoder(source(c, slow))
 	var h Hello
@@ -163,26 +163,26 @@
 		c.Close()
 		return
 	}
-	if h.Epoch == statusEpoch {
+	if h.Term == statusEpoch {
 		answerStatus(c, me, status())
 		return
 	}
 	if !agree(h) {
-		me.Epoch = 0
+		me.Term = 0
 	} else {
-		me.Epoch = h.Epoch
+		me.Term = h.Term
 	}
 	raw, err := msgpack.Marshal(me)
 	if err == nil {
 		_, err = c.Write(raw)
 	}
-	if err != nil || me.Epoch == 0 {
+	if err != nil || me.Term == 0 {
 		c.Close()
 		return
 	}
 	c.SetDeadline(time.Time{})
 	l := newLink(c, dec, h, slow)
 	joined(l)
-	read(l, func(u *Up) { f(l, u) })
+	read(l, func(u *ToLeader) { f(l, u) })
 	left(l)
 }
--- a/internal/peer/relay.go
+++ b/internal/peer/relay.go
@@ -13,13 +13,13 @@
 	"swiftledge/wire"
 )
 
-// RelayPrefix is where controllers that cannot connect leave frames for each other.
-const RelayPrefix = "mail/"
+// FramePrefix is where controllers that cannot connect leave frames for each other.
+const FramePrefix = "mail/"
 
 // FrameStore is what the relay needs of the state service.
 type FrameStore interface {
 	Get(ctx context.Context, prio int, key string) (wire.Item, error)
-	Once(ctx context.Context, prio int, t wire.Txn) (store.Outcome, error)
+	TryCommit(ctx context.Context, prio int, t wire.Txn) (store.TxnResult, error)
 	List(ctx context.Context, prio int, prefix string) ([]wire.Item, uint64, error)
 	Watch(ctx context.Context, prefix string, since uint64, block clock.Micros) (wire.WatchResponse, error)
 }
@@ -42,10 +42,10 @@
 // notice only after relayTimeout else.
 const endTries = 8
 
-// Relay is the actor that carries connections between controllers through the state
+// StoreTransport is the actor that carries connections between controllers through the state
 // service while they cannot reach each other directly. It is slow and costs puts, but
 // else the machines of all who do not lead stand idle.
-type Relay struct {
+type StoreTransport struct {
 	me    string
 	mail  FrameStore
 	bytes int // of data in one frame
@@ -69,10 +69,10 @@
 	}
 )
 
-// NewRelay makes a relay; Run serves it. bytes is the most that a value may hold, backlog how many
+// NewStoreTransport makes a relay; Run serves it. bytes is the most that a value may hold, backlog how many
 // bytes of a connection may wait for their frames: one grant of a block at least.
-func NewRelay(me string, mail FrameStore, bytes, backlog int, gap time.Duration) *Relay {
-	return &Relay{me: me, mail: mail, bytes: (bytes - 200) * 3 / 4, most: backlog, gap: gap, calls: make(chan any, 64)}
+func NewStoreTransport(me string, mail FrameStore, bytes, backlog int, gap time.Duration) *StoreTransport {
+	return &StoreTransport{me: me, mail: mail, bytes: (bytes - 200) * 3 / 4, most: backlog, gap: gap, calls: make(chan any, 64)}
 }
 
 // relayConn is one connection; pump owns its state.
@@ -85,20 +85,20 @@
 
 // Open begins a connection to another controller. Nothing tells whether it is there
 // until it answers.
-func (o *Relay) Open(ctx context.Context, to string) net.Conn {
+func (o *StoreTransport) Open(ctx context.Context, to string) net.Conn {
 	r := &relayConn{id: rand.Uint64(), to: to, opener: true, frames: make(chan frame, 16)}
 	o.calls <- opened{to, r}
 	return o.start(ctx, r)
 }
 
-func (o *Relay) start(ctx context.Context, r *relayConn) net.Conn {
+func (o *StoreTransport) start(ctx context.Context, r *relayConn) net.Conn {
 	ours, theirs := net.Pipe()
 	go o.pump(ctx, r, ours)
 	return theirs
 }
 
 // Run takes in frames and hands connections that others open to accept.
-func (o *Relay) Run(ctx context.Context, accept func(net.Conn)) {
+func (o *StoreTransport) Run(ctx context.Context, accept func(net.Conn)) {
 	go o.watch(ctx)
 	conns := map[string]*relayConn{}
 	for {
@@ -136,10 +136,10 @@
 
 // watch reads the frames to us. Those left from before are written again by whoever
 // still waits.
-func (o *Relay) watch(ctx context.Context) {
-	prefix := RelayPrefix + o.me + "/"
+func (o *StoreTransport) watch(ctx context.Context) {
+	prefix := FramePrefix + o.me + "/"
 	for n := 0; ctx.Err() == nil; n++ {
-		_, rev, err := o.mail.List(ctx, store.Normal, prefix)
+		_, rev, err := o.mail.List(ctx, store.PriorityReads, prefix)
 		for err == nil && ctx.Err() == nil {
 			var a wire.WatchResponse
 			if a, err = o.mail.Watch(ctx, prefix, rev, 20*clock.Second); err != nil {
@@ -154,11 +154,11 @@
 			}
 			rev = max(rev, a.Revision)
 		}
-		store.Pause(ctx, n)
+		store.Backoff(ctx, n)
 	}
 }
 
 // Dial links a follower to the leader through the state service.
-func (o *Relay) Dial(ctx context.Context, to string, h Hello) (*Link, error) {
+func (o *StoreTransport) Dial(ctx context.Context, to string, h Hello) (*Link, error) {
 	return greet(o.Open(ctx, to), to, h, true)
 }
--- a/internal/peer/relay_test.go
+++ b/internal/peer/relay_test.go
@@ -31,7 +31,7 @@
 	if it, ok := b.items[key]; ok {
 		return it, nil
 	}
-	return wire.Item{}, store.ErrMissing
+	return wire.Item{}, store.ErrNotFound
 }
 
 func (b *box) List(context.Context, int, string) ([]wire.Item, uint64, error) {
@@ -40,16 +40,16 @@
 	return nil, b.rev, nil
 }
 
-func (b *box) Once(_ context.Context, _ int, t wire.Txn) (store.Outcome, error) {
+func (b *box) TryCommit(_ context.Context, _ int, t wire.Txn) (store.TxnResult, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	luck := b.rng.IntN(10)
 	if luck == 0 {
-		return store.Outcome{}, store.ErrRefused
+		return store.TxnResult{}, store.ErrNotExecuted
 	}
 	for _, g := range t.Conditions {
 		if b.items[g.Key].Version != g.Version {
-			return store.Outcome{Failed: []string{g.Key}}, nil
+			return store.TxnResult{FailedKeys: []string{g.Key}}, nil
 		}
 	}
 	b.rev++
@@ -60,9 +60,9 @@
 	close(b.changed)
 	b.changed = make(chan struct{})
 	if luck == 1 {
-		return store.Outcome{}, store.ErrUnknown
+		return store.TxnResult{}, store.ErrOutcomeUnknown
 	}
-	return store.Outcome{OK: true, Revision: b.rev}, nil
+	return store.TxnResult{Committed: true, Revision: b.rev}, nil
 }
 
 func (b *box) Watch(ctx context.Context, prefix string, since uint64, _ clock.Micros) (wire.WatchResponse, error) {
@@ -93,7 +93,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	b := &box{rng: rand.New(rand.NewPCG(3, 3)), items: map[string]wire.Item{}, changed: make(chan struct{})}
-	n0, n1 := NewRelay("n0", b, 1843, 256<<10, time.Millisecond), NewRelay("n1", b, 1843, 256<<10, time.Millisecond)
+	n0, n1 := NewStoreTransport("n0", b, 1843, 256<<10, time.Millisecond), NewStoreTransport("n1", b, 1843, 256<<10, time.Millisecond)
 	got := make(chan net.Conn, 2)
 	go n0.Run(ctx, func(c net.Conn) { got <- c })
 	go n1.Run(ctx, func(net.Conn) { t.Error("a connection is opened backwards") })
--- a/internal/peer/status.go
+++ b/internal/peer/status.go
@@ -19,28 +19,28 @@
 
 // Status is what a controller tells an operator. It travels as maps and may grow.
 type Status struct {
-	Node   string `msgpack:"node" json:"node"`
-	Leader string `msgpack:"leader" json:"leader"` // whom it follows; "" if nobody
-	Epoch  uint64 `msgpack:"epoch" json:"epoch"`
-	Leads  bool   `msgpack:"leads" json:"leads"`
+	Controller string `msgpack:"node" json:"node"`
+	Leader     string `msgpack:"leader" json:"leader"` // whom it follows; "" if nobody
+	Term       uint64 `msgpack:"epoch" json:"epoch"`
+	Leading    bool   `msgpack:"leads" json:"leads"`
 	// How often it stood still since it was started, and the last time.
 	Pauses    int          `msgpack:"pauses" json:"pauses"`
 	LastPause *PauseStatus `msgpack:"last_pause" json:"last_pause,omitempty"`
 	// What follows is known to the leader alone.
-	Spread   bool            `msgpack:"spread" json:"spread"`  // it keeps work even
-	MeanLoad float64         `msgpack:"mean" json:"mean_load"` // of the machines that take work
-	Blocks   []BlockStatus   `msgpack:"blocks" json:"blocks"`
-	Machines []MachineStatus `msgpack:"machines" json:"machines"`
-	Teams    []TeamStatus    `msgpack:"teams" json:"teams"`
-	Moves    []MoveStatus    `msgpack:"moves" json:"moves"`       // in flight
-	Refusals []RefusalStatus `msgpack:"refusals" json:"refusals"` // of the last look for moves
-	Ended    MovesEnded      `msgpack:"ended" json:"moves_of_epoch"`
-	Suspects []SuspectStatus `msgpack:"suspects" json:"suspect_jobs"`
+	Rebalancing       bool              `msgpack:"spread" json:"spread"`  // it keeps work even
+	MeanLoad          float64           `msgpack:"mean" json:"mean_load"` // of the machines that take work
+	Shards            []ShardStatus     `msgpack:"blocks" json:"blocks"`
+	Machines          []MachineStatus   `msgpack:"machines" json:"machines"`
+	Teams             []TeamStatus      `msgpack:"teams" json:"teams"`
+	Migrations        []MigrationStatus `msgpack:"moves" json:"moves"`       // in flight
+	Refusals          []RefusalStatus   `msgpack:"refusals" json:"refusals"` // of the last look for moves
+	MigrationOutcomes MigrationOutcomes `msgpack:"ended" json:"moves_of_epoch"`
+	Suspects          []SuspectStatus   `msgpack:"suspects" json:"suspect_jobs"`
 }
 
 // PauseStatus is a time in which a controller stood still.
 type PauseStatus struct {
-	At      clock.Micros `msgpack:"at" json:"ended_at_us"` // time of day at which it ended
+	EndedAt clock.Micros `msgpack:"at" json:"ended_at_us"` // time of day at which it ended
 	AgoS    float64      `msgpack:"ago_s" json:"ago_s"`
 	LengthS float64      `msgpack:"length_s" json:"length_s"`
 	Expired []string     `msgpack:"expired" json:"expired"` // what ran out meanwhile
@@ -55,9 +55,9 @@
 	NextS    float64 `msgpack:"next_s" json:"next_probe_s"`
 }
 
-// BlockStatus is a block of machines.
-type BlockStatus struct {
-	Block     int     `msgpack:"block" json:"block"`
+// ShardStatus is a block of machines.
+type ShardStatus struct {
+	Shard     int     `msgpack:"block" json:"block"`
 	Holder    string  `msgpack:"holder" json:"holder"`
 	Granted   bool    `msgpack:"granted" json:"granted"`
 	Machines  int     `msgpack:"machines" json:"machines"`
@@ -71,7 +71,7 @@
 // MachineStatus is a machine that is up.
 type MachineStatus struct {
 	Name      string  `msgpack:"name" json:"name"`
-	Block     int     `msgpack:"block" json:"block"`
+	Shard     int     `msgpack:"block" json:"block"`
 	Type      string  `msgpack:"type" json:"type"`
 	Zone      string  `msgpack:"zone" json:"zone"`
 	Load      float64 `msgpack:"load" json:"load"`
@@ -90,8 +90,8 @@
 	AtLimit int     `msgpack:"at_limit" json:"waiting_at_limit"` // of these
 }
 
-// MoveStatus is a move in flight.
-type MoveStatus struct {
+// MigrationStatus is a move in flight.
+type MigrationStatus struct {
 	Task  string  `msgpack:"task" json:"task"`
 	Team  string  `msgpack:"team" json:"team"`
 	From  string  `msgpack:"from" json:"from"`
@@ -110,8 +110,8 @@
 	Tasks   int    `msgpack:"tasks" json:"tasks"`
 }
 
-// MovesEnded counts how moves ended.
-type MovesEnded struct {
+// MigrationOutcomes counts how moves ended.
+type MigrationOutcomes struct {
 	Begun     int `msgpack:"begun" json:"begun"`
 	Arrived   int `msgpack:"arrived" json:"arrived"`
 	Elsewhere int `msgpack:"elsewhere" json:"elsewhere"`
@@ -119,14 +119,14 @@
 	GivenUp   int `msgpack:"given_up" json:"given_up"`
 }
 
-// ErrUnknownQuestion says that a controller does not know the question for its status.
-var ErrUnknownQuestion = errors.New("does not know the question")
+// ErrStatusUnsupported says that a controller does not know the question for its status.
+var ErrStatusUnsupported = errors.New("does not know the question")
 
 // statusTimeout bounds the whole question.
 const statusTimeout = 5 * time.Second
 
-// AskStatus asks the controller at addr for its status.
-func AskStatus(addr string) (Status, error) {
+// FetchStatus asks the controller at addr for its status.
+func FetchStatus(addr string) (Status, error) {
 	var s Status
 	c, err := netio.Dial(addr, time.Second)
 	if err != nil {
@@ -134,7 +134,7 @@
 	}
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(statusTimeout))
-	raw, err := msgpack.Marshal(Hello{Epoch: statusEpoch})
+	raw, err := msgpack.Marshal(Hello{Term: statusEpoch})
 	if err != nil {
 		return s, fmt.Errorf("status: %w", err)
 	}
@@ -146,8 +146,8 @@
 	if err := dec.Decode(&back); err != nil {
 		return s, fmt.Errorf("status: %w", err)
 	}
-	if back.Epoch != statusEpoch {
-		return s, fmt.Errorf("status: %s %w", back.Node, ErrUnknownQuestion)
+	if back.Term != statusEpoch {
+		return s, fmt.Errorf("status: %s %w", back.Controller, ErrStatusUnsupported)
 	}
 	if err := dec.Decode(&s); err != nil {
 		return s, fmt.Errorf("status: %w", err)
@@ -159,7 +159,7 @@
 func answerStatus(c net.Conn, me Hello, status Status) {
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(statusTimeout))
-	me.Epoch = statusEpoch
+	me.Term = statusEpoch
 	enc := msgpack.NewEncoder(c)
 	if enc.Encode(me) == nil {
 		// Whoever asked sees from what is missing that it did not come whole.
--- a/internal/peer/transfer.go
+++ b/internal/peer/transfer.go
@@ -23,7 +23,7 @@
 
 // transfer is the state of one connection that is carried in frames; pump owns it.
 type transfer struct {
-	relay   *Relay
+	relay   *StoreTransport
 	frame   frame  // the last one, as it is written and written again
 	pending []byte // what waits for the next
 	due     bool   // something is to be told to the other side
@@ -36,7 +36,7 @@
 }
 
 // pump carries one connection's bytes; c is our end of its pipe.
-func (o *Relay) pump(ctx context.Context, r *relayConn, c net.Conn) {
+func (o *StoreTransport) pump(ctx context.Context, r *relayConn, c net.Conn) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	defer c.Close()
@@ -44,7 +44,7 @@
 	t := &transfer{
 		relay: o, frame: frame{Conn: r.id, Open: r.opener},
 		in: make(chan []byte, inBacklog), out: make(chan []byte, outBacklog), written: make(chan bool, 1),
-		writer: frameWriter{store: o.mail, key: RelayPrefix + r.to + "/" + o.me},
+		writer: frameWriter{store: o.mail, key: FramePrefix + r.to + "/" + o.me},
 	}
 	defer close(t.in)
 	go readPieces(c, t.out)
@@ -146,7 +146,7 @@
 	}
 	t.frame.End, t.frame.Data = true, nil
 	for n := range endTries {
-		if t.writer.write(ctx, t.frame) || !store.Pause(ctx, min(n, 2)) {
+		if t.writer.write(ctx, t.frame) || !store.Backoff(ctx, min(n, 2)) {
 			return
 		}
 	}
@@ -166,8 +166,8 @@
 	ctx, cancel := context.WithTimeout(ctx, 3*time.Second)
 	defer cancel()
 	if !w.known {
-		it, err := w.store.Get(ctx, store.Starts, w.key)
-		if err != nil && !errors.Is(err, store.ErrMissing) {
+		it, err := w.store.Get(ctx, store.PriorityAttempts, w.key)
+		if err != nil && !errors.Is(err, store.ErrNotFound) {
 			return false
 		}
 		w.version, w.known = it.Version, true
@@ -176,8 +176,8 @@
 	if err != nil {
 		return false
 	}
-	out, err := w.store.Once(ctx, store.Starts, wire.Txn{Conditions: []wire.Condition{{Key: w.key, Version: w.version}}, Writes: []wire.Write{{Put: w.key, Value: raw}}})
-	if err != nil || !out.OK {
+	out, err := w.store.TryCommit(ctx, store.PriorityAttempts, wire.Txn{Conditions: []wire.Condition{{Key: w.key, Version: w.version}}, Writes: []wire.Write{{Put: w.key, Value: raw}}})
+	if err != nil || !out.Committed {
 		w.known = false
 		return false
 	}
--- a/internal/scenario/commands_questions_test.go
+++ b/internal/scenario/commands_questions_test.go
@@ -53,7 +53,7 @@
 func movingCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	stage := arg(t, d, "stage", "stopping")
 	for end := w.now + span(t, d, "within"); w.now < end; w.run(step) {
-		if m := w.status().Moves; len(m) > 0 && m[0].Stage == stage {
+		if m := w.status().Migrations; len(m) > 0 && m[0].Stage == stage {
 			return "yes"
 		}
 	}
@@ -62,7 +62,7 @@
 
 // movesCommand tells how moves have ended.
 func movesCommand(t *testing.T, w *world, d *datadriven.TestData) string {
-	e := w.status().Ended
+	e := w.status().MigrationOutcomes
 	return fmt.Sprintf("begun %d, arrived %d, elsewhere %d, cancelled %d, given up %d", e.Begun, e.Arrived, e.Elsewhere, e.Cancelled, e.GivenUp)
 }
 
@@ -111,7 +111,7 @@
 // leaderCommand tells whether one leads.
 func leaderCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	for _, n := range w.nodes {
-		if n.alive && n.elector.Epoch() > 0 {
+		if n.alive && n.elector.Term() > 0 {
 			return "one"
 		}
 	}
--- a/internal/scenario/history_checks_test.go
+++ b/internal/scenario/history_checks_test.go
@@ -16,7 +16,7 @@
 	t.Helper()
 	raw, err := json.Marshal(v)
 	must(err)
-	if o, problem := w.store.Txn(wire.Txn{Writes: []wire.Write{{Put: key, Value: raw}}}); !o.OK {
+	if o, problem := w.store.Txn(wire.Txn{Writes: []wire.Write{{Put: key, Value: raw}}}); !o.Committed {
 		t.Fatal(problem)
 	}
 }
@@ -27,7 +27,7 @@
 	attempt := func(n uint64) *standin.Task {
 		return &standin.Task{TaskStatus: wire.TaskStatus{Task: "j-000001/3", Attempt: token<<peer.AttemptBits | n}, Job: wire.Job{Ref: "j-000001", Tasks: 8}, Index: 3}
 	}
-	page := peer.RecordPage{Token: token, Prefix: "host-", Machines: []string{"000001"}, Groups: []peer.RecordGroup{{Job: "j-000001", Starts: []int{3, 1, 0}}}}
+	page := peer.AttemptPage{FencingToken: token, Prefix: "host-", Machines: []string{"000001"}, Groups: []peer.AttemptGroup{{Job: "j-000001", Attempts: []int{3, 1, 0}}}}
 	roster := leader.FleetRecord{Machines: []string{machine}, Asked: true}
 	done := leader.ProgRecord{Units: []leader.ProgUnit{{Job: "j-000001", Bits: []byte{1 << 3}}}}
 	for _, c := range []struct {
@@ -48,7 +48,7 @@
 			w.put(t, leader.FleetPrefix+"r", roster)
 			w.put(t, "run/000/7-1", page)
 			h.sync()
-			w.put(t, "run/000/7-1", peer.RecordPage{Token: token})
+			w.put(t, "run/000/7-1", peer.AttemptPage{FencingToken: token})
 			h.start(machine, attempt(1))
 		}},
 		{"a start on a machine that is in no roster record", "unlisted", func(w *world, h *history) {
@@ -70,8 +70,8 @@
 			h.order(machine, attempt(1))
 		}},
 		{"one token for two grants", "token_repeated", func(_ *world, h *history) {
-			h.grant(peer.Grant{Block: 1, Token: token})
-			h.grant(peer.Grant{Block: 2, Token: token})
+			h.grant(peer.ShardGrant{Shard: 1, FencingToken: token})
+			h.grant(peer.ShardGrant{Shard: 2, FencingToken: token})
 		}},
 		{"a new attempt after the completion was stored", "ran_again", func(w *world, h *history) {
 			h.complete(attempt(1))
--- a/internal/scenario/history_test.go
+++ b/internal/scenario/history_test.go
@@ -137,11 +137,11 @@
 }
 
 // grant judges a grant of a block: tokens never repeat.
-func (h *history) grant(g peer.Grant) {
-	if b, ok := h.granted[g.Token]; ok {
-		h.w.breaks("token_repeated: %d was granted for block %d and is for block %d", g.Token, b, g.Block)
+func (h *history) grant(g peer.ShardGrant) {
+	if b, ok := h.granted[g.FencingToken]; ok {
+		h.w.breaks("token_repeated: %d was granted for block %d and is for block %d", g.FencingToken, b, g.Shard)
 	}
-	h.granted[g.Token] = g.Block
+	h.granted[g.FencingToken] = g.Shard
 }
 
 // start judges the start of a task that now has its image: it is recorded, its machine is in the
--- a/internal/scenario/load_test.go
+++ b/internal/scenario/load_test.go
@@ -51,7 +51,7 @@
 
 // moveEnd names the machine that the first move in flight goes from or to; "" if there is none.
 func (w *world) moveEnd(which string) string {
-	moves := w.status().Moves
+	moves := w.status().Migrations
 	switch {
 	case len(moves) == 0:
 		return ""
--- a/internal/scenario/network_test.go
+++ b/internal/scenario/network_test.go
@@ -56,13 +56,13 @@
 					f()
 				}
 			})
-			w.after(1500*clock.Millisecond, n.still(func() { answer(store.ErrUnknown) }))
+			w.after(1500*clock.Millisecond, n.still(func() { answer(store.ErrOutcomeUnknown) }))
 		case !n.reaches():
-			w.after(w.lat(), n.still(func() { answer(store.ErrRefused) }))
+			w.after(w.lat(), n.still(func() { answer(store.ErrNotExecuted) }))
 		case n.loseAnswers > 0:
 			n.loseAnswers--
 			f()
-			w.after(1500*clock.Millisecond, n.still(func() { answer(store.ErrUnknown) }))
+			w.after(1500*clock.Millisecond, n.still(func() { answer(store.ErrOutcomeUnknown) }))
 		default:
 			f()
 			w.after(w.lat(), n.still(func() { answer(nil) }))
@@ -84,23 +84,23 @@
 	return true
 }
 
-func (n *simNode) txn(t wire.Txn, answer func(store.Outcome, error)) {
+func (n *simNode) txn(t wire.Txn, answer func(store.TxnResult, error)) {
 	n.sendsTxn(t)
-	var o store.Outcome
+	var o store.TxnResult
 	var problem string
 	if n.lost > 0 && n.reaches() && n.w.rng.Float64() < n.lost {
 		n.w.store.Txn(t)
-		n.w.after(1500*clock.Millisecond, n.still(func() { answer(o, store.ErrUnknown) }))
+		n.w.after(1500*clock.Millisecond, n.still(func() { answer(o, store.ErrOutcomeUnknown) }))
 		return
 	}
 	if n.delayed(t) {
-		n.w.after(1500*clock.Millisecond, n.still(func() { answer(o, store.ErrUnknown) }))
+		n.w.after(1500*clock.Millisecond, n.still(func() { answer(o, store.ErrOutcomeUnknown) }))
 		return
 	}
 	n.ask(func() { o, problem = n.w.store.Txn(t) }, func(err error) {
 		if err == nil && problem != "" {
 			err = errors.New(problem)
-			if o.Malformed = !o.NoLease; o.Malformed {
+			if o.Rejected = !o.LeaseExpired; o.Rejected {
 				n.w.malformed++
 				if !n.w.unannounced {
 					n.w.breaks("malformed transaction: %s", problem)
@@ -108,24 +108,24 @@
 			}
 		}
 		if err != nil {
-			answer(store.Outcome{NoLease: o.NoLease, Malformed: o.Malformed}, err)
+			answer(store.TxnResult{LeaseExpired: o.LeaseExpired, Rejected: o.Rejected}, err)
 			return
 		}
 		answer(o, nil)
 	})
 }
 
-func (n *simNode) commit(t wire.Txn, unsure bool, live func() bool, answer func(store.Outcome, error)) {
-	n.txn(t, func(o store.Outcome, err error) {
+func (n *simNode) commit(t wire.Txn, unsure bool, live func() bool, answer func(store.TxnResult, error)) {
+	n.txn(t, func(o store.TxnResult, err error) {
 		if !live() {
 			return
 		}
-		if errors.Is(err, store.ErrUnknown) || errors.Is(err, store.ErrRefused) {
-			again := unsure || errors.Is(err, store.ErrUnknown)
+		if errors.Is(err, store.ErrOutcomeUnknown) || errors.Is(err, store.ErrNotExecuted) {
+			again := unsure || errors.Is(err, store.ErrOutcomeUnknown)
 			n.w.after(100*clock.Millisecond, n.still(func() { n.commit(t, again, live, answer) }))
 			return
 		}
-		o.Unsure = unsure
+		o.Ambiguous = unsure
 		answer(o, err)
 	})
 }
@@ -134,21 +134,21 @@
 func (n *simNode) Get(_ context.Context, _ int, key string) (wire.Item, error) {
 	n.sendsRead(key)
 	if !n.reaches() {
-		return wire.Item{}, store.ErrRefused
+		return wire.Item{}, store.ErrNotExecuted
 	}
 	if it, ok := n.w.store.Get(key); ok {
 		return it, nil
 	}
-	return wire.Item{}, store.ErrMissing
+	return wire.Item{}, store.ErrNotFound
 }
 
-func (n *simNode) Once(_ context.Context, _ int, t wire.Txn) (store.Outcome, error) {
+func (n *simNode) TryCommit(_ context.Context, _ int, t wire.Txn) (store.TxnResult, error) {
 	n.sendsTxn(t)
 	if !n.reaches() {
-		return store.Outcome{}, store.ErrRefused
+		return store.TxnResult{}, store.ErrNotExecuted
 	}
 	if n.delayed(t) {
-		return store.Outcome{}, store.ErrUnknown
+		return store.TxnResult{}, store.ErrOutcomeUnknown
 	}
 	o, problem := n.w.store.Txn(t)
 	if problem != "" {
@@ -156,7 +156,7 @@
 	}
 	if n.loseAnswers > 0 || n.lost > 0 && n.w.rng.Float64() < n.lost {
 		n.loseAnswers = max(0, n.loseAnswers-1)
-		return store.Outcome{}, store.ErrUnknown
+		return store.TxnResult{}, store.ErrOutcomeUnknown
 	}
 	return o, nil
 }
@@ -173,7 +173,7 @@
 			n.w.after(200*clock.Millisecond, n.still(n.look))
 			return
 		}
-		seen, err := election.SeenKey(it, rev)
+		seen, err := election.ObserveKey(it, rev)
 		must(err)
 		n.leaderRev = max(n.leaderRev, rev)
 		n.electorStep(seen)
@@ -212,7 +212,7 @@
 			n.directory.Post(api.PeerReached{})
 			to.directory.Post(api.PeerReached{})
 		}
-		if !to.alive || to.elector.Epoch() != epoch || away {
+		if !to.alive || to.elector.Term() != epoch || away {
 			w.after(300*clock.Millisecond, n.still(func() { n.follow(epoch, name) }))
 			return
 		}
