--- a/internal/scenario/node_test.go
+++ b/internal/scenario/node_test.go
@@ -64,7 +64,7 @@
 	}
 	n.epoch, n.link, n.leaderRev, n.jobEpoch = 0, nil, 0, 0
 	ok := n.reaches
-	n.elector = election.New(election.Record{Node: n.name, Run: uint64(n.gen)*100 + uint64(n.i)}, clock.FromSeconds(n.cfg.Tuning.Election.TTLS))
+	n.elector = election.New(election.Record{Controller: n.name, Incarnation: uint64(n.gen)*100 + uint64(n.i)}, clock.FromSeconds(n.cfg.Tuning.Election.TTLS))
 	n.leader = leader.New(&n.cfg, ok)
 	n.holder = block.FromConfig(&n.cfg, ok)
 	n.directory = api.NewDirectory(&n.cfg, func() clock.Micros { return n.w.now })
@@ -120,7 +120,7 @@
 			a := n.w.store.Since(leader.Key, n.leaderRev)
 			n.leaderRev = max(n.leaderRev, a.Revision)
 			for _, ev := range a.Events {
-				seen, ok, err := election.SeenEvent(ev)
+				seen, ok, err := election.ObserveEvent(ev)
 				must(err)
 				if ok {
 					n.electorStep(seen)
@@ -130,7 +130,7 @@
 		if n.jobEpoch > 0 && !n.w.store.Known(n.jobRev) {
 			epoch := n.jobEpoch
 			n.jobEpoch = 0
-			n.electorStep(election.Resign{Epoch: epoch})
+			n.electorStep(election.Resign{Term: epoch})
 		}
 		if n.jobEpoch > 0 && !n.stale {
 			n.sendsWatch(leader.JobPrefix, n.jobRev)
@@ -153,48 +153,48 @@
 func (n *simNode) electorEffect(fx any) {
 	w := n.w
 	switch x := fx.(type) {
-	case election.GetLease:
+	case election.RequestLease:
 		sent := w.now
 		var id uint64
 		n.sendsGrant(x.TTL)
 		n.ask(func() { id = w.store.Grant(w.now, x.TTL) }, func(err error) {
-			n.electorStep(election.Leased{Lease: id, Sent: sent, Err: err})
+			n.electorStep(election.LeaseGranted{Lease: id, Sent: sent, Err: err})
 		})
-	case election.Claim:
+	case election.Campaign:
 		t, err := x.Txn()
 		must(err)
-		n.txn(t, func(o store.Outcome, err error) {
-			n.electorStep(election.Claimed{Lease: x.Lease, Outcome: o, Err: err})
+		n.txn(t, func(o store.TxnResult, err error) {
+			n.electorStep(election.CampaignResult{Lease: x.Lease, Result: o, Err: err})
 		})
-	case election.Renew:
+	case election.RenewLease:
 		sent := w.now
 		found := false
 		n.sendsTouch(x.Lease)
 		n.ask(func() { found = w.store.Touch(w.now, x.Lease) }, func(err error) {
 			if err == nil && !found {
-				err = store.ErrMissing
+				err = store.ErrNotFound
 			}
-			n.electorStep(election.Renewed{Lease: x.Lease, Sent: sent, Err: err})
+			n.electorStep(election.LeaseRenewed{Lease: x.Lease, Sent: sent, Err: err})
 		})
-	case election.Drop:
+	case election.RevokeLease:
 		n.sendsDrop(x.Lease)
 		n.ask(func() { w.store.End(x.Lease) }, func(error) {})
-	case election.Look:
+	case election.ReadLeaderKey:
 		n.look()
-	case election.Lead:
+	case election.AcquireLeadership:
 		w.release()
-		n.leaderStep(leader.Elected{Epoch: x.Epoch, Run: uint64(n.gen)})
+		n.leaderStep(leader.Elected{Epoch: x.Term, Run: uint64(n.gen)})
 		n.leaderStep(leader.Authority{Until: x.Until})
-	case election.Extend:
+	case election.ExtendLeadership:
 		n.leaderStep(leader.Authority{Until: x.Until})
-	case election.Depose:
+	case election.LoseLeadership:
 		n.jobEpoch = 0
 		n.leaderStep(leader.Deposed{})
-	case election.Follow:
-		n.directory.Post(api.Following{Epoch: x.Epoch, Node: x.Node})
-		n.epoch = x.Epoch
-		if x.Epoch > 0 {
-			n.follow(x.Epoch, x.Node)
+	case election.FollowLeader:
+		n.directory.Post(api.Following{Epoch: x.Term, Node: x.Controller})
+		n.epoch = x.Term
+		if x.Term > 0 {
+			n.follow(x.Term, x.Controller)
 		}
 	}
 }
@@ -224,18 +224,18 @@
 	case block.Inspect:
 		n.inspect(x)
 	case block.Record:
-		n.keep(x.Txn, func(o store.Outcome) any { return x.Settled(o) })
+		n.keep(x.Txn, func(o store.TxnResult) any { return x.Settled(o) })
 	case block.Compact:
-		n.keep(x.Txn, func(o store.Outcome) any { return x.Settled(o) })
+		n.keep(x.Txn, func(o store.TxnResult) any { return x.Settled(o) })
 	case block.Erase:
-		n.txn(x.Txn(), func(store.Outcome, error) {})
+		n.txn(x.Txn(), func(store.TxnResult, error) {})
 	default:
 		panic(fmt.Sprintf("unknown effect %T", fx))
 	}
 }
 
 // keep writes start records and tells the holder what became of it.
-func (n *simNode) keep(txn func() (wire.Txn, error), settled func(store.Outcome) any) {
+func (n *simNode) keep(txn func() (wire.Txn, error), settled func(store.TxnResult) any) {
 	t, err := txn()
 	must(err)
 	for _, put := range t.Writes {
@@ -243,7 +243,7 @@
 			n.w.breaks("unguarded: a late copy could put back %s", put.Put)
 		}
 	}
-	n.commit(t, false, func() bool { return true }, func(o store.Outcome, _ error) { n.holderStep(settled(o)) })
+	n.commit(t, false, func() bool { return true }, func(o store.TxnResult, _ error) { n.holderStep(settled(o)) })
 }
 
 func (n *simNode) inspect(x block.Inspect) {
@@ -354,7 +354,7 @@
 
 func (n *simNode) leaderEffect(fx any) {
 	w := n.w
-	during := func(epoch uint64) func() bool { return func() bool { return n.elector.Epoch() == epoch } }
+	during := func(epoch uint64) func() bool { return func() bool { return n.elector.Term() == epoch } }
 	// The cloud answers within a quarter of a second, also a leader that is none any more; or a
 	// request is carried out late, when nobody waits for it any more.
 	cloud := func(f func() any, failed any) {
@@ -397,7 +397,7 @@
 		if !slices.Contains(x.Txn.Conditions, wire.Condition{Key: leader.Key, Version: x.Epoch}) {
 			w.breaks("unguarded: a leader's write is not bound to its epoch")
 		}
-		n.commit(x.Txn, false, during(x.Epoch), func(o store.Outcome, err error) {
+		n.commit(x.Txn, false, during(x.Epoch), func(o store.TxnResult, err error) {
 			n.leaderStep(leader.Committed{Epoch: x.Epoch, Tag: x.Tag, Outcome: o, Err: err})
 		})
 	case leader.ReadKey:
@@ -425,7 +425,7 @@
 		n.sends(toCloud, "GET /catalog")
 		cloud(func() any { return leader.CatalogRead{Types: w.cloud.Types} }, nil)
 	case leader.Resign:
-		w.after(1, n.still(func() { n.electorStep(election.Resign{Epoch: n.elector.Epoch()}) }))
+		w.after(1, n.still(func() { n.electorStep(election.Resign{Term: n.elector.Term()}) }))
 	case leader.Paused:
 		n.pauses.Add(x.Pause)
 	case leader.Log, leader.Trace:
@@ -451,7 +451,7 @@
 			}
 		}
 	}, func(err error) {
-		if n.elector.Epoch() != epoch {
+		if n.elector.Term() != epoch {
 			return
 		}
 		if err != nil {
@@ -467,7 +467,7 @@
 	var items []wire.Item
 	n.sendsList(block.RecordPrefix(x.Block))
 	n.ask(func() { items, _ = n.w.store.List(block.RecordPrefix(x.Block)) }, func(err error) {
-		if n.elector.Epoch() != x.Epoch {
+		if n.elector.Term() != x.Epoch {
 			return
 		}
 		if err != nil {
@@ -485,7 +485,7 @@
 	var ok bool
 	n.sendsRead(x.Key)
 	n.ask(func() { it, ok = n.w.store.Get(x.Key) }, func(err error) {
-		if n.elector.Epoch() != x.Epoch {
+		if n.elector.Term() != x.Epoch {
 			return
 		}
 		if err != nil {
--- a/internal/scenario/random_faults_test.go
+++ b/internal/scenario/random_faults_test.go
@@ -188,7 +188,7 @@
 
 func (w *world) leaders() (out []*simNode) {
 	for _, n := range w.nodes {
-		if n.alive && n.elector.Epoch() > 0 {
+		if n.alive && n.elector.Term() > 0 {
 			out = append(out, n)
 		}
 	}
@@ -356,7 +356,7 @@
 	if len(w.broken) > 0 {
 		t.Fatalf("%s", strings.Join(w.broken[:min(len(w.broken), 5)], "\n"))
 	}
-	return w.status().Ended.Begun
+	return w.status().MigrationOutcomes.Begun
 }
 
 // Worlds that the long search has found, with what it showed.
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -226,7 +226,7 @@
 	who := arg(t, d, "who", "all")
 	var out []*simNode
 	for _, n := range w.nodes {
-		leads := n.alive && n.elector.Epoch() > 0
+		leads := n.alive && n.elector.Term() > 0
 		if who == "all" || who == n.name || who == "leader" && leads || who == "others" && n.alive && !leads {
 			out = append(out, n)
 		}
--- a/internal/scenario/size_test.go
+++ b/internal/scenario/size_test.go
@@ -313,7 +313,7 @@
 	epochs := func() map[uint64]bool {
 		led := map[uint64]bool{}
 		for _, n := range w.leaders() {
-			led[n.elector.Epoch()] = true
+			led[n.elector.Term()] = true
 		}
 		return led
 	}
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -125,7 +125,7 @@
 }
 
 // Txn carries out a transaction; problem tells of one that is malformed.
-func (s *Store) Txn(t wire.Txn) (o store.Outcome, problem string) {
+func (s *Store) Txn(t wire.Txn) (o store.TxnResult, problem string) {
 	s.Puts += len(t.Writes)
 	if len(t.Writes) > s.TxnOps || len(t.Conditions) > 4*s.TxnOps {
 		return o, "too many operations"
@@ -138,17 +138,17 @@
 			return o, "value of " + w.Put + " is no JSON"
 		}
 		if w.Lease != 0 && s.leases[w.Lease] == nil {
-			return store.Outcome{NoLease: true}, "no such lease"
+			return store.TxnResult{LeaseExpired: true}, "no such lease"
 		}
 	}
 	for _, g := range t.Conditions {
 		if s.items[g.Key].Version != g.Version {
-			o.Failed = append(o.Failed, g.Key)
+			o.FailedKeys = append(o.FailedKeys, g.Key)
 		}
 	}
 	o.Revision = s.rev
-	if len(o.Failed) > 0 || len(t.Writes) == 0 {
-		o.OK = len(o.Failed) == 0
+	if len(o.FailedKeys) > 0 || len(t.Writes) == 0 {
+		o.Committed = len(o.FailedKeys) == 0
 		return o, ""
 	}
 	s.rev++
@@ -161,7 +161,7 @@
 			s.log = append(s.log, change{s.rev, wire.Event{Delete: w.Delete, Version: s.rev}})
 		}
 	}
-	o.OK, o.Revision = true, s.rev
+	o.Committed, o.Revision = true, s.rev
 	return o, ""
 }
 
--- a/internal/status/status.go
+++ b/internal/status/status.go
@@ -45,9 +45,9 @@
 }
 
 func (c *Controller) ask() {
-	s, err := peer.AskStatus(c.Address)
+	s, err := peer.FetchStatus(c.Address)
 	switch {
-	case errors.Is(err, peer.ErrUnknownQuestion):
+	case errors.Is(err, peer.ErrStatusUnsupported):
 		c.Problem = "its version does not know the question"
 	case err != nil:
 		c.Problem = err.Error()
@@ -86,11 +86,11 @@
 			t.row(c.Name, c.Address, "", "", c.Problem)
 			continue
 		}
-		t.row(c.Name, c.Address, c.Status.Leader, c.Status.Epoch, role(c.Status))
+		t.row(c.Name, c.Address, c.Status.Leader, c.Status.Term, role(c.Status))
 	}
 	t.pauses(all)
 	for _, c := range all {
-		if c.Status != nil && c.Status.Leads {
+		if c.Status != nil && c.Status.Leading {
 			t.leader(c.Status, machines)
 		}
 	}
@@ -102,7 +102,7 @@
 
 func role(s *peer.Status) string {
 	switch {
-	case s.Leads:
+	case s.Leading:
 		return "leads"
 	case s.Leader == "":
 		return "follows nobody"
@@ -135,12 +135,12 @@
 
 func (t *table) leader(s *peer.Status, machines bool) {
 	t.heading("BLOCK", "HOLDER", "MACHINES", "TAKE WORK", "MEAN LOAD", "MOST LOAD", "TASKS", "UNSTARTED")
-	for _, b := range s.Blocks {
+	for _, b := range s.Shards {
 		holder := b.Holder
 		if !b.Granted {
 			holder += " (not granted)"
 		}
-		t.row(b.Block, holder, b.Machines, b.TakeWork, b.MeanLoad, b.MostLoad, b.Tasks, b.Unstarted)
+		t.row(b.Shard, holder, b.Machines, b.TakeWork, b.MeanLoad, b.MostLoad, b.Tasks, b.Unstarted)
 	}
 	if machines {
 		t.heading("MACHINE", "BLOCK", "TYPE", "ZONE", "LOAD", "OVER MEAN", "TASKS", "TAKES WORK")
@@ -149,7 +149,7 @@
 			if !m.TakesWork {
 				takes = "no: " + m.WhyNot
 			}
-			t.row(m.Name, m.Block, m.Type, m.Zone, m.Load, m.OverMean, m.Tasks, takes)
+			t.row(m.Name, m.Shard, m.Type, m.Zone, m.Load, m.OverMean, m.Tasks, takes)
 		}
 	}
 	t.heading("TEAM", "CPUS HELD", "LIMIT", "WAITING", "AT LIMIT")
@@ -192,15 +192,15 @@
 }
 
 func (t *table) moves(s *peer.Status) {
-	if !s.Spread {
+	if !s.Rebalancing {
 		t.heading("MOVES", "off")
 		return
 	}
 	t.heading("MOVES", "BEGUN", "ARRIVED", "ELSEWHERE", "CANCELLED", "GIVEN UP")
-	t.row("this epoch", s.Ended.Begun, s.Ended.Arrived, s.Ended.Elsewhere, s.Ended.Cancelled, s.Ended.GivenUp)
-	if len(s.Moves) > 0 {
+	t.row("this epoch", s.MigrationOutcomes.Begun, s.MigrationOutcomes.Arrived, s.MigrationOutcomes.Elsewhere, s.MigrationOutcomes.Cancelled, s.MigrationOutcomes.GivenUp)
+	if len(s.Migrations) > 0 {
 		t.heading("MOVING", "TEAM", "FROM", "TO", "STAGE", "SINCE S", "GAIN S", "COST S")
-		for _, m := range s.Moves {
+		for _, m := range s.Migrations {
 			t.row(m.Task, m.Team, m.From, m.To, m.Stage, m.AgeS, m.GainS, m.CostS)
 		}
 	}
--- a/internal/status/status_test.go
+++ b/internal/status/status_test.go
@@ -36,23 +36,23 @@
 // Every controller is a row: one that leads, one of a version that does not know the question, one that
 // sends something else, and one that is not there.
 func TestEveryControllerIsARow(t *testing.T) {
-	leads := peer.Status{Node: "c0", Leader: "c0", Epoch: 7, Leads: true, Spread: true, MeanLoad: 0.5,
-		Blocks:   []peer.BlockStatus{{Block: 0, Holder: "c0", Granted: true, Machines: 2, TakeWork: 2, MeanLoad: 0.5, MostLoad: 0.75}},
-		Machines: []peer.MachineStatus{{Name: "host-1", Load: 0.75, OverMean: 1.5, WhyNot: "not needed"}},
-		Moves:    []peer.MoveStatus{{Task: "j-000001/3", From: "host-1", To: "host-2", Stage: "stopping"}},
-		Refusals: []peer.RefusalStatus{{Machine: "host-3", Reason: "cannot save", Tasks: 4, Task: "j-000002/0"}, {Reason: "work waits for room", Tasks: 1}}}
+	leads := peer.Status{Controller: "c0", Leader: "c0", Term: 7, Leading: true, Rebalancing: true, MeanLoad: 0.5,
+		Shards:     []peer.ShardStatus{{Shard: 0, Holder: "c0", Granted: true, Machines: 2, TakeWork: 2, MeanLoad: 0.5, MostLoad: 0.75}},
+		Machines:   []peer.MachineStatus{{Name: "host-1", Load: 0.75, OverMean: 1.5, WhyNot: "not needed"}},
+		Migrations: []peer.MigrationStatus{{Task: "j-000001/3", From: "host-1", To: "host-2", Stage: "stopping"}},
+		Refusals:   []peer.RefusalStatus{{Machine: "host-3", Reason: "cannot save", Tasks: 4, Task: "j-000002/0"}, {Reason: "work waits for room", Tasks: 1}}}
 	never := func(peer.Hello) bool { return false }
 	cfg := &config.Config{}
 	cfg.Name = "c0"
 	cfg.Back = listen(t, func(c net.Conn) {
-		peer.Accept(c, false, peer.Hello{Node: "c0"}, func() peer.Status { return leads }, never, nil, nil, nil)
+		peer.Accept(c, false, peer.Hello{Controller: "c0"}, func() peer.Status { return leads }, never, nil, nil, nil)
 	})
 	// The version in production refuses an epoch that is not its own.
 	old := listen(t, func(c net.Conn) {
 		defer c.Close()
 		var h peer.Hello
 		if msgpack.NewDecoder(c).Decode(&h) == nil {
-			_ = msgpack.NewEncoder(c).Encode(peer.Hello{Node: "c1"})
+			_ = msgpack.NewEncoder(c).Encode(peer.Hello{Controller: "c1"})
 		}
 	})
 	noise := listen(t, func(c net.Conn) { c.Write([]byte("HTTP/1.1 400 Bad Request\r\n\r\n")); c.Close() })
@@ -65,7 +65,7 @@
 	cfg.Peers = []config.Peer{{Name: "c1", Address: old}, {Name: "c2", Address: noise}, {Name: "c3", Address: gone}}
 
 	all := Ask(cfg)
-	if !Answered(all) || all[0].Status == nil || all[0].Status.Epoch != 7 {
+	if !Answered(all) || all[0].Status == nil || all[0].Status.Term != 7 {
 		t.Fatalf("the leader's answer is %+v", all[0])
 	}
 	if all[1].Problem != "its version does not know the question" {
@@ -90,7 +90,7 @@
 		t.Fatal(err)
 	}
 	var back []Controller
-	if err := json.Unmarshal(out.Bytes(), &back); err != nil || len(back) != 4 || back[0].Status.Moves[0].Task != "j-000001/3" {
+	if err := json.Unmarshal(out.Bytes(), &back); err != nil || len(back) != 4 || back[0].Status.Migrations[0].Task != "j-000001/3" {
 		t.Errorf("JSON: %v, %+v", err, back)
 	}
 	if Answered(all[1:]) {
@@ -101,7 +101,7 @@
 // Pauses of any controller, suspect jobs and teams without a limit show; a site without them has no such rows.
 func TestBadNightsShow(t *testing.T) {
 	var quiet, bad bytes.Buffer
-	plain := peer.Status{Node: "c0", Leads: true, Teams: []peer.TeamStatus{{Team: "guest", CPUs: 2}}}
+	plain := peer.Status{Controller: "c0", Leading: true, Teams: []peer.TeamStatus{{Team: "guest", CPUs: 2}}}
 	if err := WriteTable(&quiet, []Controller{{Name: "c0", Status: &plain}}, false); err != nil {
 		t.Fatal(err)
 	}
@@ -109,7 +109,7 @@
 		t.Errorf("a quiet site shows\n%s", s)
 	}
 	plain.Suspects = []peer.SuspectStatus{{Job: "j-000007", Team: "guest", Machines: 3, Probes: 2, NextS: 7.5}}
-	froze := peer.Status{Node: "c1", Pauses: 4, LastPause: &peer.PauseStatus{AgoS: 61, LengthS: 12.5, Expired: []string{"grant of block 1", "view of the jobs"}}}
+	froze := peer.Status{Controller: "c1", Pauses: 4, LastPause: &peer.PauseStatus{AgoS: 61, LengthS: 12.5, Expired: []string{"grant of block 1", "view of the jobs"}}}
 	if err := WriteTable(&bad, []Controller{{Name: "c0", Status: &plain}, {Name: "c1", Status: &froze}}, false); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/store/budget.go
+++ b/internal/store/budget.go
@@ -11,7 +11,7 @@
 // Budget is a node's part of the state service's limits. Most of the time the
 // nodes do not all need theirs at once, so the parts may add up to more than the
 // whole: a 429 shrinks the part in use, which then grows back.
-type Budget struct{ RPS, Puts float64 }
+type Budget struct{ RequestsPerSecond, WritesPerSecond float64 }
 
 const (
 	shrink   = 0.7  // of the budget's use after a 429
@@ -21,9 +21,9 @@
 
 // pendingRequest waits for its turn in the budget.
 type pendingRequest struct {
-	prio, seq, puts int
-	ready           chan struct{}
-	ctx             context.Context
+	priority, seq, writes int
+	ready                 chan struct{}
+	ctx                   context.Context
 }
 
 // requestQueue is a heap: the most important request first, then the oldest.
@@ -33,8 +33,8 @@
 func (t requestQueue) Less(i, j int) bool { return t[i].before(t[j]) }
 
 func (t *pendingRequest) before(o *pendingRequest) bool {
-	if t.prio != o.prio {
-		return t.prio < o.prio
+	if t.priority != o.priority {
+		return t.priority < o.priority
 	}
 	return t.seq < o.seq
 }
@@ -67,7 +67,9 @@
 }
 
 // rate is the budget that is used now.
-func (b *bucket) rate() Budget { return Budget{b.full.RPS * b.use, b.full.Puts * b.use} }
+func (b *bucket) rate() Budget {
+	return Budget{b.full.RequestsPerSecond * b.use, b.full.WritesPerSecond * b.use}
+}
 
 // over takes in a 429.
 func (b *bucket) over() {
@@ -81,14 +83,14 @@
 	b.filled = now
 	b.use = min(1, b.use+dt*growBack)
 	r := b.rate()
-	b.requests = min(r.RPS, b.requests+dt*r.RPS)
-	b.puts = min(max(r.Puts, 1), b.puts+dt*r.Puts)
+	b.requests = min(r.RequestsPerSecond, b.requests+dt*r.RequestsPerSecond)
+	b.puts = min(max(r.WritesPerSecond, 1), b.puts+dt*r.WritesPerSecond)
 }
 
 // missingPuts is how many puts have to come for a transaction. One larger than the bucket goes when the
 // bucket is full.
 func (b *bucket) missingPuts(t *pendingRequest) float64 {
-	return min(float64(t.puts), max(b.rate().Puts, 1)) - b.puts
+	return min(float64(t.writes), max(b.rate().WritesPerSecond, 1)) - b.puts
 }
 
 // next is the queue whose first request may go now; nil if none may.
@@ -107,10 +109,10 @@
 func (b *bucket) wait(reads, writes *requestQueue) float64 {
 	r, wait := b.rate(), math.Inf(1)
 	if len(*writes) > 0 {
-		wait = max((1-b.requests)/r.RPS, b.missingPuts((*writes)[0])/r.Puts)
+		wait = max((1-b.requests)/r.RequestsPerSecond, b.missingPuts((*writes)[0])/r.WritesPerSecond)
 	}
 	if len(*reads) > 0 {
-		wait = min(wait, (1-b.requests)/r.RPS)
+		wait = min(wait, (1-b.requests)/r.RequestsPerSecond)
 	}
 	return wait
 }
@@ -119,7 +121,7 @@
 // in queues of their own: what waits for puts must not hold up reads, which need none.
 func (c *Client) pace(full Budget) {
 	var reads, writes requestQueue
-	left := bucket{full: full, use: 1, requests: full.RPS / 2, puts: full.Puts / 2, filled: time.Now()}
+	left := bucket{full: full, use: 1, requests: full.RequestsPerSecond / 2, puts: full.WritesPerSecond / 2, filled: time.Now()}
 	seq := 0
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
@@ -128,7 +130,7 @@
 		case t := <-c.waiting:
 			t.seq = seq
 			seq++
-			if t.puts > 0 {
+			if t.writes > 0 {
 				heap.Push(&writes, t)
 			} else {
 				heap.Push(&reads, t)
@@ -148,7 +150,7 @@
 			}
 			t := heap.Pop(from).(*pendingRequest)
 			left.requests--
-			left.puts -= float64(t.puts)
+			left.puts -= float64(t.writes)
 			close(t.ready)
 		}
 		if wait := left.wait(&reads, &writes); !math.IsInf(wait, 1) {
@@ -158,16 +160,16 @@
 }
 
 func (c *Client) admit(ctx context.Context, prio, puts int) error {
-	t := &pendingRequest{prio: prio, puts: puts, ready: make(chan struct{}), ctx: ctx}
+	t := &pendingRequest{priority: prio, writes: puts, ready: make(chan struct{}), ctx: ctx}
 	select {
 	case c.waiting <- t:
 	case <-ctx.Done():
-		return fmt.Errorf("%w: budget", ErrRefused)
+		return fmt.Errorf("%w: budget", ErrNotExecuted)
 	}
 	select {
 	case <-t.ready:
 		return nil
 	case <-ctx.Done():
-		return fmt.Errorf("%w: budget", ErrRefused)
+		return fmt.Errorf("%w: budget", ErrNotExecuted)
 	}
 }
--- a/internal/store/budget_test.go
+++ b/internal/store/budget_test.go
@@ -8,14 +8,14 @@
 
 // request waits for its turn in a queue of its own.
 func request(prio, puts int) *requestQueue {
-	return &requestQueue{{prio: prio, puts: puts, ctx: nil}}
+	return &requestQueue{{priority: prio, writes: puts, ctx: nil}}
 }
 
 // What is left of a budget fills at its rate, up to a second's worth. After a 429 it is empty, fills more
 // slowly, and comes back to its rate in time.
 func TestBucketFollowsTheBudget(t *testing.T) {
 	begin := time.Now()
-	b := bucket{full: Budget{RPS: 10, Puts: 4}, use: 1, filled: begin}
+	b := bucket{full: Budget{RequestsPerSecond: 10, WritesPerSecond: 4}, use: 1, filled: begin}
 	b.fill(begin.Add(500 * time.Millisecond))
 	if b.requests != 5 || b.puts != 2 {
 		t.Errorf("%g requests and %g puts after half a second, want 5 and 2", b.requests, b.puts)
@@ -48,14 +48,14 @@
 		wait           float64
 	}{
 		{"nothing waits", 5, 4, none, none, false, false, math.Inf(1)},
-		{"a read", 1, 0, request(Normal, 0), none, true, false, 0},
-		{"a write without puts", 5, 1, none, request(Urgent, 3), false, false, 0.5},
-		{"a read beside a write without puts", 5, 1, request(Lazy, 0), request(Urgent, 3), true, false, -0.4},
-		{"a write larger than the bucket", 5, 4, none, request(Normal, 9), false, true, 0},
-		{"the more important of both", 5, 4, request(Lazy, 0), request(Urgent, 1), false, true, -0.75},
-		{"no request left", 0, 4, request(Normal, 0), request(Urgent, 1), false, false, 0.1},
+		{"a read", 1, 0, request(PriorityReads, 0), none, true, false, 0},
+		{"a write without puts", 5, 1, none, request(PriorityUrgent, 3), false, false, 0.5},
+		{"a read beside a write without puts", 5, 1, request(PriorityBackground, 0), request(PriorityUrgent, 3), true, false, -0.4},
+		{"a write larger than the bucket", 5, 4, none, request(PriorityReads, 9), false, true, 0},
+		{"the more important of both", 5, 4, request(PriorityBackground, 0), request(PriorityUrgent, 1), false, true, -0.75},
+		{"no request left", 0, 4, request(PriorityReads, 0), request(PriorityUrgent, 1), false, false, 0.1},
 	} {
-		b := bucket{full: Budget{RPS: 10, Puts: 4}, use: 1, requests: c.requests, puts: c.puts}
+		b := bucket{full: Budget{RequestsPerSecond: 10, WritesPerSecond: 4}, use: 1, requests: c.requests, puts: c.puts}
 		next := b.next(c.reads, c.writes)
 		if (next == c.reads && next != nil) != c.read || (next == c.writes && next != nil) != c.write {
 			t.Errorf("%s: %v goes next", c.name, next)
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -22,36 +22,36 @@
 
 // Priorities of requests for the shared budget.
 const (
-	Renewal = iota // of the leader's lease
-	Urgent         // election, accepts, aborts
-	Starts         // start records, final states
-	Starved        // reads for status that were refused for a while
-	Normal         // reads for status, roster
-	Lazy           // progress, clean-up
+	PriorityLeaseRenewal = iota // of the leader's lease
+	PriorityUrgent              // election, accepts, aborts
+	PriorityAttempts            // start records, final states
+	PriorityStarvedReads        // reads for status that were refused for a while
+	PriorityReads               // reads for status, roster
+	PriorityBackground          // progress, clean-up
 )
 
-// ErrRefused says that the request was certainly not carried out.
-var ErrRefused = errors.New("state service refused")
+// ErrNotExecuted says that the request was certainly not carried out.
+var ErrNotExecuted = errors.New("state service refused")
 
-// ErrBusy comes with ErrRefused when it was only for the limits: soon again is fine.
-var ErrBusy = errors.New("over the limit")
+// ErrRateLimited comes with ErrNotExecuted when it was only for the limits: soon again is fine.
+var ErrRateLimited = errors.New("over the limit")
 
 // refused is the error of a status that says the request was not carried out.
 func refused(code int) error {
 	if code == 429 {
-		return fmt.Errorf("%w: %w", ErrRefused, ErrBusy)
+		return fmt.Errorf("%w: %w", ErrNotExecuted, ErrRateLimited)
 	}
-	return fmt.Errorf("%w: %d", ErrRefused, code)
+	return fmt.Errorf("%w: %d", ErrNotExecuted, code)
 }
 
-// ErrUnknown says that the request may have been carried out, or may be later.
-var ErrUnknown = errors.New("state service gave no answer")
+// ErrOutcomeUnknown says that the request may have been carried out, or may be later.
+var ErrOutcomeUnknown = errors.New("state service gave no answer")
 
-// ErrGone says that a watch's revision is too old.
-var ErrGone = errors.New("revision too old")
+// ErrCompacted says that a watch's revision is too old.
+var ErrCompacted = errors.New("revision too old")
 
-// ErrMissing says that the key or lease does not exist.
-var ErrMissing = errors.New("not found")
+// ErrNotFound says that the key or lease does not exist.
+var ErrNotFound = errors.New("not found")
 
 // Client is the state service as one node sees it.
 type Client struct {
@@ -103,7 +103,7 @@
 	}
 	if err := h.DoTimeout(req, res, timeout); err != nil {
 		c.health(false)
-		return 0, fmt.Errorf("%w: %w", ErrUnknown, err)
+		return 0, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 	}
 	code := res.StatusCode()
 	if code == 429 {
@@ -115,7 +115,7 @@
 	c.health(code != 503)
 	if out != nil && len(res.Body()) > 0 && code != 503 && code != 429 {
 		if err := json.Unmarshal(res.Body(), out); err != nil {
-			return code, fmt.Errorf("%w: decode: %w", ErrUnknown, err)
+			return code, fmt.Errorf("%w: decode: %w", ErrOutcomeUnknown, err)
 		}
 	}
 	return code, nil
@@ -123,7 +123,7 @@
 
 const timeout = 1500 * time.Millisecond
 
-// Get reads one key; ErrMissing if it does not exist.
+// Get reads one key; ErrNotFound if it does not exist.
 func (c *Client) Get(ctx context.Context, prio int, key string) (wire.Item, error) {
 	var it wire.Item
 	if err := c.admit(ctx, prio, 0); err != nil {
@@ -136,7 +136,7 @@
 	case code == 200:
 		return it, nil
 	case code == 404:
-		return it, fmt.Errorf("get %s: %w", key, ErrMissing)
+		return it, fmt.Errorf("get %s: %w", key, ErrNotFound)
 	}
 	return it, fmt.Errorf("get %s: %w", key, refused(code))
 }
@@ -160,7 +160,7 @@
 			return nil, 0, fmt.Errorf("list %s: %w", prefix, err)
 		}
 		if code != 200 {
-			return nil, 0, fmt.Errorf("list %s: %w: %d", prefix, ErrRefused, code)
+			return nil, 0, fmt.Errorf("list %s: %w: %d", prefix, ErrNotExecuted, code)
 		}
 		if page == 0 {
 			rev = l.Revision
@@ -173,25 +173,27 @@
 	}
 }
 
-// Outcome of a transaction. Malformed says that this try was refused for its form, so most
+// TxnResult of a transaction. Malformed says that this try was refused for its form, so most
 // likely for its size, and would be for ever. Unsure is set when an earlier try of the same
 // transaction got no answer, so that a failed guard may be our own doing.
-type Outcome struct {
-	OK        bool
-	Revision  uint64
-	Failed    []string
-	NoLease   bool
-	Unsure    bool
-	Malformed bool
+type TxnResult struct {
+	Committed    bool
+	Revision     uint64
+	FailedKeys   []string
+	LeaseExpired bool
+	Ambiguous    bool
+	Rejected     bool
 }
 
-// Smaller are the bytes of a value and the changes of a transaction to go by after one was
+// ReducedLimits are the bytes of a value and the changes of a transaction to go by after one was
 // refused for its form: the same again would be refused for ever.
-func Smaller(valueBytes, txnOps int) (int, int) { return max(valueBytes/2, 900), max(txnOps/2, 2) }
+func ReducedLimits(valueBytes, txnOps int) (int, int) {
+	return max(valueBytes/2, 900), max(txnOps/2, 2)
+}
 
 // FailedOn says whether the guard on key failed.
-func (o Outcome) FailedOn(key string) bool {
-	for _, k := range o.Failed {
+func (o TxnResult) FailedOn(key string) bool {
+	for _, k := range o.FailedKeys {
 		if k == key {
 			return true
 		}
@@ -199,10 +201,10 @@
 	return false
 }
 
-// Once tries a transaction one time.
-func (c *Client) Once(ctx context.Context, prio int, t wire.Txn) (Outcome, error) {
+// TryCommit tries a transaction one time.
+func (c *Client) TryCommit(ctx context.Context, prio int, t wire.Txn) (TxnResult, error) {
 	if err := c.admit(ctx, prio, len(t.Writes)); err != nil {
-		return Outcome{}, err
+		return TxnResult{}, err
 	}
 	if t.Conditions == nil {
 		t.Conditions = []wire.Condition{}
@@ -211,42 +213,42 @@
 	code, err := c.do(c.http, "POST", "/multi", t, &a, timeout)
 	switch {
 	case err != nil:
-		return Outcome{}, fmt.Errorf("transaction: %w", err)
+		return TxnResult{}, fmt.Errorf("transaction: %w", err)
 	case code == 200:
-		return Outcome{OK: true, Revision: a.Revision}, nil
+		return TxnResult{Committed: true, Revision: a.Revision}, nil
 	case code == 409:
-		return Outcome{Revision: a.Revision, Failed: a.Failed}, nil
+		return TxnResult{Revision: a.Revision, FailedKeys: a.Failed}, nil
 	case code == 400:
 		noLease := a.Error == "no such lease"
-		return Outcome{NoLease: noLease, Malformed: !noLease}, fmt.Errorf("transaction: malformed: %s", a.Error)
+		return TxnResult{LeaseExpired: noLease, Rejected: !noLease}, fmt.Errorf("transaction: malformed: %s", a.Error)
 	}
-	return Outcome{}, fmt.Errorf("transaction: %w", refused(code))
+	return TxnResult{}, fmt.Errorf("transaction: %w", refused(code))
 }
 
 // Commit repeats a transaction until the store has decided on it or ctx ends.
-func (c *Client) Commit(ctx context.Context, prio int, t wire.Txn) (Outcome, error) {
+func (c *Client) Commit(ctx context.Context, prio int, t wire.Txn) (TxnResult, error) {
 	unsure := false
 	for n := 0; ; n++ {
-		o, err := c.Once(ctx, prio, t)
+		o, err := c.TryCommit(ctx, prio, t)
 		if err == nil {
-			o.Unsure = unsure
+			o.Ambiguous = unsure
 			return o, nil
 		}
-		if errors.Is(err, ErrUnknown) {
+		if errors.Is(err, ErrOutcomeUnknown) {
 			unsure = true
-		} else if !errors.Is(err, ErrRefused) {
+		} else if !errors.Is(err, ErrNotExecuted) {
 			// That it is malformed, as limits may have fallen, is proven of this try only.
-			o.Unsure = unsure
+			o.Ambiguous = unsure
 			return o, err
 		}
-		if !Pause(ctx, n) {
-			return Outcome{Unsure: unsure}, err
+		if !Backoff(ctx, n) {
+			return TxnResult{Ambiguous: unsure}, err
 		}
 	}
 }
 
-// Pause waits before try n+1, with jitter; false when ctx ended.
-func Pause(ctx context.Context, n int) bool {
+// Backoff waits before try n+1, with jitter; false when ctx ended.
+func Backoff(ctx context.Context, n int) bool {
 	base := 50 * time.Millisecond << min(n, 4)
 	t := time.NewTimer(base/2 + rand.N(base))
 	defer t.Stop()
@@ -258,15 +260,15 @@
 	}
 }
 
-// Grant makes a store lease.
-func (c *Client) Grant(ctx context.Context, ttl clock.Micros) (uint64, error) {
-	if err := c.admit(ctx, Urgent, 0); err != nil {
+// GrantLease makes a store lease.
+func (c *Client) GrantLease(ctx context.Context, ttl clock.Micros) (uint64, error) {
+	if err := c.admit(ctx, PriorityUrgent, 0); err != nil {
 		return 0, err
 	}
 	var a wire.LeaseResponse
 	code, err := c.do(c.http, "POST", "/grants", wire.LeaseRequest{TTLMs: int64(ttl / clock.Millisecond)}, &a, timeout)
 	if err == nil && code != 200 {
-		err = fmt.Errorf("%w: %d", ErrRefused, code)
+		err = fmt.Errorf("%w: %d", ErrNotExecuted, code)
 	}
 	if err != nil {
 		return 0, fmt.Errorf("lease: %w", err)
@@ -274,10 +276,10 @@
 	return a.Lease, nil
 }
 
-// Touch renews a store lease; ErrMissing when it has ended. It waits for an answer for as long as
+// RenewLease renews a store lease; ErrNotFound when it has ended. It waits for an answer for as long as
 // one may still be of use: one that is late is better than none.
-func (c *Client) Touch(ctx context.Context, lease uint64) error {
-	if err := c.admit(ctx, Renewal, 0); err != nil {
+func (c *Client) RenewLease(ctx context.Context, lease uint64) error {
+	if err := c.admit(ctx, PriorityLeaseRenewal, 0); err != nil {
 		return err
 	}
 	code, err := c.do(c.http, "POST", "/grants/"+strconv.FormatUint(lease, 10)+"/touch", struct{}{}, nil, 2*timeout)
@@ -287,14 +289,14 @@
 	case code == 200:
 		return nil
 	case code == 404:
-		return fmt.Errorf("renew lease: %w", ErrMissing)
+		return fmt.Errorf("renew lease: %w", ErrNotFound)
 	}
-	return fmt.Errorf("renew lease: %w: %d", ErrRefused, code)
+	return fmt.Errorf("renew lease: %w: %d", ErrNotExecuted, code)
 }
 
-// Drop ends a store lease at once; if that fails it ends by itself.
-func (c *Client) Drop(ctx context.Context, lease uint64) {
-	if lease == 0 || c.admit(ctx, Urgent, 0) != nil {
+// RevokeLease ends a store lease at once; if that fails it ends by itself.
+func (c *Client) RevokeLease(ctx context.Context, lease uint64) {
+	if lease == 0 || c.admit(ctx, PriorityUrgent, 0) != nil {
 		return
 	}
 	// The answer changes nothing: the lease runs out either way.
@@ -305,7 +307,7 @@
 // it up: what is done on a view of the jobs waits for a fresh one.
 func (c *Client) Watch(ctx context.Context, prefix string, since uint64, block clock.Micros) (wire.WatchResponse, error) {
 	var a wire.WatchResponse
-	if err := c.admit(ctx, Urgent, 0); err != nil {
+	if err := c.admit(ctx, PriorityUrgent, 0); err != nil {
 		return a, err
 	}
 	uri := fmt.Sprintf("/watch?prefix=%s&since=%d&blockMs=%d", url.QueryEscape(prefix), since, int64(block/clock.Millisecond))
@@ -316,7 +318,7 @@
 	case code == 200:
 		return a, nil
 	case code == 410:
-		return a, fmt.Errorf("watch %s: %w", prefix, ErrGone)
+		return a, fmt.Errorf("watch %s: %w", prefix, ErrCompacted)
 	}
-	return a, fmt.Errorf("watch %s: %w: %d", prefix, ErrRefused, code)
+	return a, fmt.Errorf("watch %s: %w: %d", prefix, ErrNotExecuted, code)
 }
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -26,12 +26,12 @@
 	})}
 	go srv.Serve(l)
 	defer srv.Close()
-	c := New(l.Addr().String(), Budget{RPS: 100, Puts: 100}, func(bool) {})
-	o, err := c.Commit(t.Context(), Urgent, wire.Txn{Writes: []wire.Write{{Put: "a", Value: []byte("1")}}})
-	if err == nil || errors.Is(err, ErrRefused) || errors.Is(err, ErrUnknown) {
+	c := New(l.Addr().String(), Budget{RequestsPerSecond: 100, WritesPerSecond: 100}, func(bool) {})
+	o, err := c.Commit(t.Context(), PriorityUrgent, wire.Txn{Writes: []wire.Write{{Put: "a", Value: []byte("1")}}})
+	if err == nil || errors.Is(err, ErrNotExecuted) || errors.Is(err, ErrOutcomeUnknown) {
 		t.Errorf("error %v, want one that ends the tries", err)
 	}
-	if !o.Unsure || !o.Malformed || o.NoLease || o.OK || tries != 2 {
+	if !o.Ambiguous || !o.Rejected || o.LeaseExpired || o.Committed || tries != 2 {
 		t.Errorf("outcome %+v after %d tries, want one that is unsure, not a lease that has ended", o, tries)
 	}
 }
@@ -51,7 +51,7 @@
 	})}
 	go srv.Serve(l)
 	t.Cleanup(func() { srv.Close() })
-	c := New(l.Addr().String(), Budget{RPS: 2, Puts: 2}, func(bool) {})
+	c := New(l.Addr().String(), Budget{RequestsPerSecond: 2, WritesPerSecond: 2}, func(bool) {})
 	for range others {
 		go other(c)
 	}
@@ -70,7 +70,7 @@
 // the leader renews no grant.
 func TestWatchIsNotHeldUpByQuestions(t *testing.T) {
 	const questions = 20
-	ask := func(c *Client) { c.Get(t.Context(), Normal, "job/j-000001") }
+	ask := func(c *Client) { c.Get(t.Context(), PriorityReads, "job/j-000001") }
 	watch := func(c *Client) { c.Watch(t.Context(), "job/", 1, 0) }
 	if before := sentBefore(t, questions, ask, watch, "/watch"); before > questions*3/4 {
 		t.Errorf("%d of %d questions went first", before, questions)
@@ -81,8 +81,8 @@
 // it nobody is served.
 func TestRenewalIsNotHeldUpBySubmissions(t *testing.T) {
 	const submissions = 20
-	submit := func(c *Client) { c.Get(t.Context(), Urgent, "job/j-000001") }
-	renew := func(c *Client) { c.Touch(t.Context(), 7) }
+	submit := func(c *Client) { c.Get(t.Context(), PriorityUrgent, "job/j-000001") }
+	renew := func(c *Client) { c.RenewLease(t.Context(), 7) }
 	if before := sentBefore(t, submissions, submit, renew, "/grants/7/touch"); before > submissions*3/4 {
 		t.Errorf("%d of %d submissions went first", before, submissions)
 	}
