--- a/internal/api/answers_test.go
+++ b/internal/api/answers_test.go
@@ -56,13 +56,13 @@
 // ends moves a job to its final state, as its leader or another node does.
 func (b *between) ends(t *testing.T, ref, state string) {
 	t.Helper()
-	raw, err := json.Marshal(leader.EndRecord{State: state, Tasks: 1})
+	raw, err := json.Marshal(leader.FinalStateRecord{State: state, Tasks: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
 	it, _ := b.Store.Get(leader.JobPrefix + ref)
 	if o, problem := b.Txn(wire.Txn{Conditions: []wire.Condition{{Key: leader.JobPrefix + ref, Version: it.Version}},
-		Writes: []wire.Write{{Put: leader.EndPrefix + ref, Value: raw}, {Delete: leader.JobPrefix + ref}}}); !o.Committed {
+		Writes: []wire.Write{{Put: leader.FinalStatePrefix + ref, Value: raw}, {Delete: leader.JobPrefix + ref}}}); !o.Committed {
 		t.Fatal("the job does not end: ", problem)
 	}
 }
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -31,7 +31,7 @@
 	pause     func(ctx context.Context, n int) bool // before try n+1
 	directory *Directory
 	storeOK   func() bool
-	report    func(*wire.Heartbeat) block.Answer
+	report    func(*wire.Heartbeat) block.HeartbeatReply
 	wall      func() clock.Micros // time of day
 	log       *slog.Logger
 	form      formChecker
@@ -41,7 +41,7 @@
 }
 
 // New makes the service; report answers a worker.
-func New(cfg *config.Config, s Store, pause func(context.Context, int) bool, d *Directory, storeOK func() bool, report func(*wire.Heartbeat) block.Answer, wall func() clock.Micros, log *slog.Logger) *Service {
+func New(cfg *config.Config, s Store, pause func(context.Context, int) bool, d *Directory, storeOK func() bool, report func(*wire.Heartbeat) block.HeartbeatReply, wall func() clock.Micros, log *slog.Logger) *Service {
 	return &Service{cfg: cfg, store: s, pause: pause, directory: d, storeOK: storeOK, report: report, wall: wall, log: log, form: newFormChecker(), reports: newAdmission()}
 }
 
--- a/internal/api/directory.go
+++ b/internal/api/directory.go
@@ -32,7 +32,7 @@
 
 type ended struct {
 	ref string
-	end leader.EndRecord
+	end leader.FinalStateRecord
 }
 
 type viewRequest struct {
@@ -54,7 +54,7 @@
 	Leader string
 	Types  []wire.MachineType
 	Count  peer.TaskCount
-	End    *leader.EndRecord
+	End    *leader.FinalStateRecord
 	// Since when questions about the job were refused here, none being answered; 0: the last was answered.
 	RefusedFor clock.Micros
 	LeaderOK   bool // a leader that the state service serves spoke to us lately
@@ -106,7 +106,7 @@
 	var leaderAt, metAt clock.Micros
 	size := remembered(d.cfg)
 	counts := newRecent[peer.TaskCount](size)
-	ends := newRecent[leader.EndRecord](size)
+	ends := newRecent[leader.FinalStateRecord](size)
 	refused := newRecent[clock.Micros](size)
 	for {
 		var s stamped
--- a/internal/api/jobs.go
+++ b/internal/api/jobs.go
@@ -103,7 +103,7 @@
 	if why := s.impossible(&job, types); why != "" {
 		return s.known(job.Ref, refuse(422, why))
 	}
-	raw, err := json.Marshal(leader.JobRecord{Spec: job, At: s.wall()})
+	raw, err := json.Marshal(leader.JobRecord{Spec: job, AcceptedAt: s.wall()})
 	if err != nil {
 		return refuse(400, err.Error())
 	}
@@ -112,7 +112,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), submitWithin)
 	defer cancel()
-	t := wire.Txn{Conditions: []wire.Condition{{Key: leader.JobPrefix + job.Ref}, {Key: leader.EndPrefix + job.Ref}},
+	t := wire.Txn{Conditions: []wire.Condition{{Key: leader.JobPrefix + job.Ref}, {Key: leader.FinalStatePrefix + job.Ref}},
 		Writes: []wire.Write{{Put: leader.JobPrefix + job.Ref, Value: raw}}}
 	for n := 0; ; n++ {
 		o, err := s.store.TryCommit(ctx, store.PriorityUrgent, t)
@@ -178,7 +178,7 @@
 	return "a task fits no allowed machine type and zone"
 }
 
-func endStatus(ref string, e leader.EndRecord) wire.JobStatus {
+func endStatus(ref string, e leader.FinalStateRecord) wire.JobStatus {
 	st := wire.JobStatus{Ref: ref, State: e.State}
 	if e.State == wire.Done {
 		st.Done = e.Tasks
@@ -238,14 +238,14 @@
 	if !errors.Is(err, store.ErrNotFound) {
 		return Result{}, err
 	}
-	it, err := s.store.Get(ctx, prio, leader.EndPrefix+ref)
+	it, err := s.store.Get(ctx, prio, leader.FinalStatePrefix+ref)
 	if errors.Is(err, store.ErrNotFound) {
 		return refuse(404, "no such job"), nil
 	}
 	if err != nil {
 		return Result{}, err
 	}
-	var e leader.EndRecord
+	var e leader.FinalStateRecord
 	if err := json.Unmarshal(it.Value, &e); err != nil {
 		return Result{}, err
 	}
@@ -281,13 +281,13 @@
 	if err != nil {
 		return Result{}, err
 	}
-	end := leader.EndRecord{State: wire.JobCancelled}
+	end := leader.FinalStateRecord{State: wire.JobCancelled}
 	raw, err := json.Marshal(end)
 	if err != nil {
 		return Result{}, err
 	}
 	o, err := s.store.TryCommit(ctx, store.PriorityUrgent, wire.Txn{Conditions: []wire.Condition{{Key: leader.JobPrefix + ref, Version: it.Version}},
-		Writes: []wire.Write{{Put: leader.EndPrefix + ref, Value: raw}, {Delete: leader.JobPrefix + ref}}})
+		Writes: []wire.Write{{Put: leader.FinalStatePrefix + ref, Value: raw}, {Delete: leader.JobPrefix + ref}}})
 	if err != nil || !o.Committed {
 		return Result{}, err
 	}
--- a/internal/api/report_test.go
+++ b/internal/api/report_test.go
@@ -62,17 +62,17 @@
 	tb.Helper()
 	cfg := &config.Config{Tuning: config.DefaultTuning()}
 	cfg.Facts.Quota.MaxSockets = 1500
-	h := block.New(block.Params{Node: "n0", GrantTime: 20 * clock.Second, LongestGrant: 20 * clock.Second, Lease: 20 * clock.Second,
-		ReportTime: 3 * clock.Second, ValueBytes: 4000, TxnOps: 8}, placement.Params{K: 0.001, Eta: 0.05, Epsilon: 0.01, Small: 0.5}, func() bool { return true })
-	h.Step(0, block.Linked{Epoch: 9})
+	h := block.New(block.Params{Controller: "n0", GrantTime: 20 * clock.Second, LongestGrant: 20 * clock.Second, AgentLease: 20 * clock.Second,
+		HeartbeatInterval: 3 * clock.Second, ValueBytes: 4000, TxnOps: 8}, placement.Params{K: 0.001, Eta: 0.05, Epsilon: 0.01, Small: 0.5}, func() bool { return true })
+	h.Step(0, block.LeaderConnected{Term: 9})
 	h.Step(0, &peer.FromLeader{Term: 9, Holders: []string{"n0"}, Grants: []peer.ShardGrant{{Shard: 0, FencingToken: 50, KeyVersion: 7}}})
 	h.Step(0, &peer.FromLeader{Term: 9, RenewedSeq: 2, FencingTokens: map[int]uint64{0: 50}})
-	box := make(chan block.Report)
+	box := make(chan block.HeartbeatReceived)
 	go func() {
 		for r := range box {
 			for _, fx := range h.Step(clock.Second, r) {
-				if a, ok := fx.(block.Answer); ok {
-					a.Tag.(chan block.Answer) <- a
+				if a, ok := fx.(block.HeartbeatReply); ok {
+					a.ReplyTo.(chan block.HeartbeatReply) <- a
 				}
 			}
 		}
@@ -81,9 +81,9 @@
 	tb.Cleanup(stop)
 	directory := NewDirectory(cfg, func() clock.Micros { return 0 })
 	go directory.Run(ctx)
-	s := New(cfg, nil, nil, directory, func() bool { return true }, func(r *wire.Heartbeat) block.Answer {
-		ch := make(chan block.Answer, 1)
-		box <- block.Report{Tag: ch, R: r}
+	s := New(cfg, nil, nil, directory, func() bool { return true }, func(r *wire.Heartbeat) block.HeartbeatReply {
+		ch := make(chan block.HeartbeatReply, 1)
+		box <- block.HeartbeatReceived{ReplyTo: ch, Heartbeat: r}
 		return <-ch
 	}, nil, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	l, err := netio.Listen("127.0.0.1:0")
--- a/internal/block/compact.go
+++ b/internal/block/compact.go
@@ -17,40 +17,40 @@
 	wasteful = 24
 )
 
-// Compact replaces pages by one that holds what of them is not proven gone. A replica that
+// CompactPages replaces pages by one that holds what of them is not proven gone. A replica that
 // stands for hours would else keep a page full of records of tasks long over, which count
 // in full, are read at each takeover and sent with each grant.
-type Compact struct {
-	Block  int
-	Token  uint64
-	Stamp  uint64
-	Put    PageWrite
-	Delete []string
+type CompactPages struct {
+	Shard        int
+	FencingToken uint64
+	KeyVersion   uint64
+	Put          PageWrite
+	Delete       []string
 }
 
-// Compacted is its end; Revision is the new page's version, or 0 when it is not known.
-type Compacted struct {
-	Block    int
-	Token    uint64
-	OK       bool
-	Fenced   bool
-	Revision uint64
+// PagesCompacted is its end; Revision is the new page's version, or 0 when it is not known.
+type PagesCompacted struct {
+	Shard        int
+	FencingToken uint64
+	Committed    bool
+	Fenced       bool
+	Revision     uint64
 }
 
 // Txn is guarded on the block's key, and on the new page not to be there: a copy that is
 // applied late must not bring it back over a newer one.
-func (c Compact) Txn() (wire.Txn, error) {
-	t, err := Record{Block: c.Block, Stamp: c.Stamp, Pages: []PageWrite{c.Put}}.Txn()
+func (c CompactPages) Txn() (wire.Txn, error) {
+	t, err := WriteAttempts{Shard: c.Shard, KeyVersion: c.KeyVersion, Pages: []PageWrite{c.Put}}.Txn()
 	for _, k := range c.Delete {
 		t.Writes = append(t.Writes, wire.Write{Delete: k})
 	}
 	return t, err
 }
 
-// Settled is what the outcome of the transaction means; see Record.Settled.
-func (c Compact) Settled(o store.TxnResult) Compacted {
-	r := Record{Block: c.Block, Token: c.Token}.Settled(o)
-	return Compacted{Block: c.Block, Token: c.Token, OK: r.OK, Fenced: r.Fenced, Revision: r.Revision}
+// Result is what the outcome of the transaction means; see Record.Result.
+func (c CompactPages) Result(o store.TxnResult) PagesCompacted {
+	r := WriteAttempts{Shard: c.Shard, FencingToken: c.FencingToken}.Result(o)
+	return PagesCompacted{Shard: c.Shard, FencingToken: c.FencingToken, Committed: r.Committed, Fenced: r.Fenced, Revision: r.Revision}
 }
 
 // waste is how many records of the page's stored value name attempts that are gone.
@@ -102,18 +102,18 @@
 	}
 	b.pages = append(slices.DeleteFunc(b.pages, func(p *page) bool { return slices.Contains(from, p) }), to)
 	b.compacting = to
-	h.emit(Compact{Block: b.id, Token: b.token, Stamp: b.stamp, Put: PageWrite{Key: to.key, Page: pager.Page()}, Delete: gone})
+	h.emit(CompactPages{Shard: b.id, FencingToken: b.token, KeyVersion: b.stamp, Put: PageWrite{Key: to.key, Page: pager.Page()}, Delete: gone})
 }
 
-func (h *Holder) compacted(m Compacted) {
-	b := h.answeredFor(m.Block, m.Token, m.Fenced)
+func (h *Holder) compacted(m PagesCompacted) {
+	b := h.answeredFor(m.Shard, m.FencingToken, m.Fenced)
 	if b == nil || b.compacting == nil {
 		return
 	}
 	p := b.compacting
 	b.compacting, p.busy = nil, false
 	// Unless it is known to be there, and the others gone, all of them are erased in the end.
-	if m.OK {
+	if m.Committed {
 		p.also = nil
 	}
 	p.version = m.Revision
--- a/internal/block/cycle.go
+++ b/internal/block/cycle.go
@@ -29,7 +29,7 @@
 // newPage is a page of this grant's for records of that or an earlier token.
 func (b *heldBlock) newPage(token uint64) *page {
 	b.pageSeq++
-	return &page{key: RecordPrefix(b.id) + strconv.FormatUint(b.token, 10) + "-" + strconv.Itoa(b.pageSeq), token: token}
+	return &page{key: AttemptPrefix(b.id) + strconv.FormatUint(b.token, 10) + "-" + strconv.Itoa(b.pageSeq), token: token}
 }
 
 // fits adds what the page holds to a pager; false when not all of it fits.
@@ -249,7 +249,7 @@
 	}
 	w.b.writeSeq++
 	w.b.writing = w.cw
-	w.h.emit(Record{Block: w.b.id, Token: w.b.token, Seq: w.cw.seq, Stamp: w.b.stamp, Pages: w.out})
+	w.h.emit(WriteAttempts{Shard: w.b.id, FencingToken: w.b.token, Seq: w.cw.seq, KeyVersion: w.b.stamp, Pages: w.out})
 }
 
 // answeredFor is the block whose write of start records has ended, if it still is ours.
@@ -266,8 +266,8 @@
 	return b
 }
 
-func (h *Holder) recorded(now clock.Micros, m Recorded) {
-	b := h.answeredFor(m.Block, m.Token, m.Fenced)
+func (h *Holder) recorded(now clock.Micros, m AttemptsWritten) {
+	b := h.answeredFor(m.Shard, m.FencingToken, m.Fenced)
 	if b == nil || b.writing == nil || b.writing.seq != m.Seq {
 		return
 	}
@@ -283,7 +283,7 @@
 		// page holds, before or after this one, covers all that may run.
 		if m.Revision > 0 {
 			p.version = m.Revision
-		} else if !m.Never {
+		} else if !m.NeverExecuted {
 			p.fixed = true
 		}
 	}
@@ -291,7 +291,7 @@
 	cmds := map[*machine][]wire.Command{}
 	for _, r := range w.recs {
 		mc := r.m
-		if !m.OK || r.stop != goOn || now >= b.expires || mc.gone || mc.lost || mc.session != r.session {
+		if !m.Committed || r.stop != goOn || now >= b.expires || mc.gone || mc.lost || mc.session != r.session {
 			// Never ordered: it can run nowhere.
 			b.lose(r, peer.EventReleased)
 			continue
@@ -332,7 +332,7 @@
 	})
 	if n := len(b.erase); n > 0 && now < b.expires && (n >= h.p.TxnOps || now-b.erasedAt > 5*clock.Second) {
 		n = min(n, h.p.TxnOps)
-		h.emit(Erase{Block: b.id, Stamp: b.stamp, Keys: slices.Clone(b.erase[:n])})
+		h.emit(DeletePages{Shard: b.id, KeyVersion: b.stamp, Keys: slices.Clone(b.erase[:n])})
 		b.erase = b.erase[n:]
 		b.erasedAt = now
 	}
--- a/internal/block/cycle_test.go
+++ b/internal/block/cycle_test.go
@@ -15,25 +15,25 @@
 	h := holding(t)
 	h.Step(now, beat("m1", 1, 50))
 	h.Step(now, beat("m2", 1, 50, running(2)))
-	offer := func(seq uint64, ref string, n int) Record {
+	offer := func(seq uint64, ref string, n int) WriteAttempts {
 		t.Helper()
 		o := peer.TaskOffer{Job: wire.Job{Ref: ref, Team: "red", CPUs: 0.01, Image: "img"}}
 		for i := range n {
 			o.TaskIndexes = append(o.TaskIndexes, i)
 		}
 		for _, e := range h.Step(now, &peer.FromLeader{Term: 9, Orders: []peer.ShardOrders{{Shard: 0, FencingToken: 50, OfferSeq: seq, Offers: []peer.TaskOffer{o}}}}) {
-			if r, ok := e.(Record); ok {
+			if r, ok := e.(WriteAttempts); ok {
 				return r
 			}
 		}
 		t.Fatal("no start records are written")
-		return Record{}
+		return WriteAttempts{}
 	}
 	first := offer(1, "j-000007", 60)
 	if len(first.Pages) != 1 || first.Pages[0].Version != 0 {
 		t.Fatalf("%d pages for one cycle, want one that is new", len(first.Pages))
 	}
-	h.Step(now, first.Settled(store.TxnResult{Committed: true, Revision: 33}))
+	h.Step(now, first.Result(store.TxnResult{Committed: true, Revision: 33}))
 	second := offer(2, "j-000008", 20)
 	if len(second.Pages) != 1 || second.Pages[0].Key != first.Pages[0].Key || second.Pages[0].Version != 33 {
 		t.Fatalf("second cycle writes %+v, want the first one's page again, guarded on its version", second.Pages)
@@ -54,7 +54,7 @@
 		t.Errorf("transaction of %d puts, %v", len(txn.Writes), err)
 	}
 	// No answer: a copy may be carried out yet, so the page is not written again.
-	h.Step(now, second.Settled(store.TxnResult{Ambiguous: true}))
+	h.Step(now, second.Result(store.TxnResult{Ambiguous: true}))
 	if third := offer(3, "j-000009", 5); third.Pages[0].Key == second.Pages[0].Key {
 		t.Error("writes over a page whose last write is uncertain")
 	}
@@ -77,7 +77,7 @@
 			Offers: []peer.TaskOffer{{Job: wire.Job{Ref: "j-" + strconv.Itoa(job), Team: "red", CPUs: 1, Spot: true, Tasks: 250}, TaskIndexes: idx}}}}})
 		started := 0
 		for _, e := range fx {
-			r, ok := e.(Record)
+			r, ok := e.(WriteAttempts)
 			if !ok {
 				continue
 			}
@@ -86,7 +86,7 @@
 				t.Fatalf("cycle %d: %d puts in a transaction, %v", seq, len(txn.Writes), err)
 			}
 			started = len(h.blocks[0].writing.recs)
-			h.Step(now, r.Settled(store.TxnResult{Committed: true, Revision: 30 + seq}))
+			h.Step(now, r.Result(store.TxnResult{Committed: true, Revision: 30 + seq}))
 		}
 		if started != 250 {
 			t.Fatalf("cycle %d starts %d of 250 tasks, with %d pages in use", seq, started, len(h.blocks[0].pages))
@@ -106,7 +106,7 @@
 		{"no answer", store.TxnResult{Ambiguous: true}, 3},
 	} {
 		h := holding(t)
-		h.Step(now, Linked{Epoch: 10})
+		h.Step(now, LeaderConnected{Term: 10})
 		pages := map[string]peer.AttemptPage{}
 		var run []wire.TaskStatus
 		for p := range 2 {
@@ -120,9 +120,9 @@
 		h.Step(now, &peer.FromLeader{Term: 10, Grants: []peer.ShardGrant{{Shard: 0, FencingToken: 60, KeyVersion: 8, Machines: []peer.InventoryMachine{{Name: "m1", Address: "a1"}}, Pages: pages}}})
 		h.Step(now, &peer.FromLeader{Term: 10, RenewedSeq: h.renew, FencingTokens: map[int]uint64{0: 60}})
 		h.Step(later(10), beat("m1", 1, 60, run...))
-		var got *Compact
+		var got *CompactPages
 		for _, e := range h.Step(later(11), Tick{}) {
-			if x, ok := e.(Compact); ok {
+			if x, ok := e.(CompactPages); ok {
 				got = &x
 			}
 		}
@@ -137,7 +137,7 @@
 		if err != nil || len(records) != 2 || records[0].Attempt != run[0].Attempt || records[1].Attempt != run[1].Attempt {
 			t.Fatalf("%s: the new page names %+v, want what runs", c.name, records)
 		}
-		h.Step(later(12), got.Settled(c.outcome))
+		h.Step(later(12), got.Result(c.outcome))
 		// Both end: whatever may hold their records is erased.
 		for i := range run {
 			run[i].State, run[i].Cause = wire.TaskExited, wire.ExitStopped
@@ -146,7 +146,7 @@
 		keys := map[string]bool{}
 		for i := range 60 {
 			for _, e := range h.Step(later(20+10*i), Tick{}) {
-				if x, ok := e.(Erase); ok {
+				if x, ok := e.(DeletePages); ok {
 					for _, k := range x.Keys {
 						keys[k] = true
 					}
@@ -168,8 +168,8 @@
 		Offers: []peer.TaskOffer{{Job: wire.Job{Ref: "j-000009", Team: "red", CPUs: 1, Spot: true, Tasks: 1}, TaskIndexes: []int{0}}}}}})
 	was := h.p
 	for _, e := range fx {
-		if r, ok := e.(Record); ok {
-			h.Step(now, r.Settled(store.TxnResult{Rejected: true}))
+		if r, ok := e.(WriteAttempts); ok {
+			h.Step(now, r.Result(store.TxnResult{Rejected: true}))
 		}
 	}
 	if h.p.ValueBytes != was.ValueBytes/2 || h.p.TxnOps != was.TxnOps/2 {
@@ -187,9 +187,9 @@
 	where := func(seq uint64, index int) string {
 		for _, e := range h.Step(now, &peer.FromLeader{Term: 9, Orders: []peer.ShardOrders{{Shard: 0, FencingToken: 50, OfferSeq: seq,
 			Offers: []peer.TaskOffer{{Job: wire.Job{Ref: task.Job, Shape: wire.ShapeService, Team: "red", CPUs: 1, Tasks: 9}, TaskIndexes: []int{index}}}}}}) {
-			if r, ok := e.(Record); ok {
+			if r, ok := e.(WriteAttempts); ok {
 				at := h.blocks[0].writing.recs[0].m.name
-				h.Step(now, r.Settled(store.TxnResult{Committed: true, Revision: 30 + seq}))
+				h.Step(now, r.Result(store.TxnResult{Committed: true, Revision: 30 + seq}))
 				return at
 			}
 		}
--- a/internal/block/dialogue.go
+++ b/internal/block/dialogue.go
@@ -17,7 +17,7 @@
 // had better speak to them before their leases run out.
 func (h *Holder) blind(now clock.Micros) bool {
 	// Each reports at least every 1.25 report times.
-	long := h.p.ReportTime*3/2 + clock.Second/2
+	long := h.p.HeartbeatInterval*3/2 + clock.Second/2
 	if now-h.pauses.Awake(h.heard) < long {
 		return false
 	}
@@ -52,7 +52,7 @@
 // command costs the controller more than to answer a report, so under overload the reports of
 // machines that are in touch carry the orders, a report time later at most.
 func (h *Holder) answerCarriesRuns(now clock.Micros, m *machine) bool {
-	return h.overloaded(now) && m.answered > 0 && now-m.answered < h.p.ReportTime
+	return h.overloaded(now) && m.answered > 0 && now-m.answered < h.p.HeartbeatInterval
 }
 
 // fenceAtOnce is how many of a block's machines are told directly when it is granted.
@@ -77,12 +77,12 @@
 		h.direct(b, m, []wire.Command{})
 		return
 	}
-	h.emit(Inspect{Block: b.id, Token: b.token, Machine: m.name, Address: m.address})
+	h.emit(InspectAgent{Shard: b.id, FencingToken: b.token, Machine: m.name, Address: m.address})
 }
 
-func (h *Holder) inspected(now clock.Micros, a Inspected) {
-	b := h.blocks[a.Block]
-	if b == nil || b.token != a.Token {
+func (h *Holder) inspected(now clock.Micros, a InspectionAnswered) {
+	b := h.blocks[a.Shard]
+	if b == nil || b.token != a.FencingToken {
 		return
 	}
 	m := b.machines[a.Machine]
@@ -90,14 +90,14 @@
 		return
 	}
 	m.fencing = false
-	if a.R == nil || m.gone || m.shown {
+	if a.Status == nil || m.gone || m.shown {
 		return
 	}
-	if a.R.FencingToken > b.token {
+	if a.Status.FencingToken > b.token {
 		h.void(b)
 		return
 	}
-	h.observe(now, b, m, a.R, false)
+	h.observe(now, b, m, a.Status, false)
 	h.direct(b, m, []wire.Command{})
 }
 
@@ -133,7 +133,7 @@
 	}
 	for {
 		part := cmds[:min(len(cmds), mostCommands)]
-		h.emit(Orders{Block: b.id, Machine: m.name, Address: m.address,
+		h.emit(SendCommands{Shard: b.id, Machine: m.name, Address: m.address,
 			Body: wire.CommandBatch{FencingToken: b.token, AgentEpoch: m.session, Commands: part}})
 		if cmds = cmds[len(part):]; len(cmds) == 0 {
 			return
@@ -153,8 +153,8 @@
 }
 
 // answered handles the end of a direct command.
-func (h *Holder) answered(now clock.Micros, a Ordered) {
-	b := h.blocks[a.Block]
+func (h *Holder) answered(now clock.Micros, a CommandsAnswered) {
+	b := h.blocks[a.Shard]
 	if b == nil || b.token != a.Body.FencingToken {
 		return
 	}
@@ -168,11 +168,11 @@
 	if m.gone {
 		return
 	}
-	if a.R != nil && a.R.FencingToken > b.token {
+	if a.Status != nil && a.Status.FencingToken > b.token {
 		h.void(b)
 		return
 	}
-	if a.Status == 200 || a.Status == 409 || a.Status == NotSent {
+	if a.Code == 200 || a.Code == 409 || a.Code == NotSent {
 		// Answered or never sent: this copy is carried out or never will be.
 		for _, c := range a.Body.Commands {
 			if c.Verb == wire.VerbRun {
@@ -182,7 +182,7 @@
 			}
 		}
 	}
-	if a.R == nil {
+	if a.Status == nil {
 		if m.unanswered++; m.unanswered >= deafAfter {
 			h.deafen(now, b, m)
 		}
@@ -194,7 +194,7 @@
 		m.deaf = 0
 		b.mark(m)
 	}
-	h.observe(now, b, m, a.R, false)
+	h.observe(now, b, m, a.Status, false)
 }
 
 // deafAfter is how many direct commands in a row go without an answer before a
@@ -212,48 +212,48 @@
 }
 
 // report answers a worker.
-func (h *Holder) report(now clock.Micros, msg Report) {
+func (h *Holder) report(now clock.Micros, msg HeartbeatReceived) {
 	if len(h.holders) == 0 {
-		h.emit(Answer{Tag: msg.Tag, Status: 503})
+		h.emit(HeartbeatReply{ReplyTo: msg.ReplyTo, Status: 503})
 		return
 	}
-	r := msg.R
-	id := Of(r.Machine, len(h.holders))
+	r := msg.Heartbeat
+	id := ForMachine(r.Machine, len(h.holders))
 	b := h.blocks[id]
 	if b == nil || now >= b.expires {
 		if b != nil && b.machines[r.Machine] != nil {
 			b.machines[r.Machine].outdated(now, r)
 		}
 		to := h.holders[id]
-		if to == h.p.Node {
+		if to == h.p.Controller {
 			to = ""
 		}
-		h.emit(Answer{Tag: msg.Tag, Status: 421, Redirect: wire.Redirect{Controller: to}})
+		h.emit(HeartbeatReply{ReplyTo: msg.ReplyTo, Status: 421, Redirect: wire.Redirect{Controller: to}})
 		return
 	}
 	if r.FencingToken > b.token {
 		// A newer holder has spoken to this machine.
 		h.void(b)
-		h.emit(Answer{Tag: msg.Tag, Status: 421})
+		h.emit(HeartbeatReply{ReplyTo: msg.ReplyTo, Status: 421})
 		return
 	}
 	m := b.machine(r.Machine)
 	if m.gone {
-		h.emit(Answer{Tag: msg.Tag, Status: 503})
+		h.emit(HeartbeatReply{ReplyTo: msg.ReplyTo, Status: 503})
 		return
 	}
 	if m.outdated(now, r) {
-		h.emit(Answer{Tag: msg.Tag, Status: 503})
+		h.emit(HeartbeatReply{ReplyTo: msg.ReplyTo, Status: 503})
 		return
 	}
 	m.beatSession, m.beatSeq = r.AgentEpoch, r.Seq
-	if r.AgentEpoch > m.session && m.session > 0 && m.answered > 0 && now-m.answered < h.p.Lease && m.shown {
+	if r.AgentEpoch > m.session && m.session > 0 && m.answered > 0 && now-m.answered < h.p.AgentLease && m.shown {
 		// Its lease ran out although we answered: the answers do not arrive.
 		h.deafen(now, b, m)
 	}
 	cmds := inOneAnswer(h.observe(now, b, m, r, true))
 	m.answered = now
-	h.emit(Answer{Tag: msg.Tag, Status: 200, Body: wire.HeartbeatResponse{FencingToken: b.token, Commands: cmds}})
+	h.emit(HeartbeatReply{ReplyTo: msg.ReplyTo, Status: 200, Body: wire.HeartbeatResponse{FencingToken: b.token, Commands: cmds}})
 }
 
 // outdated says whether a worker's own report is not newer than the last. It is a late copy, as the
--- a/internal/block/flush.go
+++ b/internal/block/flush.go
@@ -38,7 +38,7 @@
 	}
 	if len(ups) > 0 {
 		h.flushed = now
-		h.emit(Send{peer.ToLeader{Term: h.epoch, StoreOK: h.storeOK(), Updates: ups}})
+		h.emit(SendToLeader{peer.ToLeader{Term: h.epoch, StoreOK: h.storeOK(), Updates: ups}})
 	}
 }
 
--- a/internal/block/holder.go
+++ b/internal/block/holder.go
@@ -48,9 +48,9 @@
 // FromConfig makes a controller's holder.
 func FromConfig(cfg *config.Config, storeOK func() bool) *Holder {
 	f, t := &cfg.Facts, cfg.Tuning.Placement
-	p := Params{Node: cfg.Name, GrantTime: cfg.GrantTime(), LongestGrant: cfg.LongestGrant(), Lease: cfg.LeaseTime(), ReportTime: clock.FromSeconds(f.Workers.ReportS),
+	p := Params{Controller: cfg.Name, GrantTime: cfg.GrantTime(), LongestGrant: cfg.LongestGrant(), AgentLease: cfg.LeaseTime(), HeartbeatInterval: clock.FromSeconds(f.Workers.ReportS),
 		ValueBytes: cfg.ValueBytes(), TxnOps: cfg.TxnOps()}
-	p.Traces = cfg.Tuning.Trace.File != ""
+	p.TracingEnabled = cfg.Tuning.Trace.File != ""
 	if s := cfg.Tuning.Spread; s.Enabled {
 		p.Bound = &balance.Bound{Relative: s.Bound, ImbalanceS: s.ImbalanceS}
 	}
@@ -64,27 +64,27 @@
 		h.paused(began, now)
 	}
 	switch m := msg.(type) {
-	case Linked:
-		if m.Epoch >= h.epoch {
-			h.epoch, h.linked, h.slow = m.Epoch, true, m.Slow
+	case LeaderConnected:
+		if m.Term >= h.epoch {
+			h.epoch, h.linked, h.slow = m.Term, true, m.ViaStore
 			h.sentAt = map[uint64]clock.Micros{}
 			h.sendRenew(now)
 		}
-	case Unlinked:
-		if m.Epoch == h.epoch {
+	case LeaderDisconnected:
+		if m.Term == h.epoch {
 			h.linked = false
 		}
 	case *peer.FromLeader:
 		h.down(now, m)
-	case Report:
+	case HeartbeatReceived:
 		h.report(now, m)
-	case Ordered:
+	case CommandsAnswered:
 		h.answered(now, m)
-	case Inspected:
+	case InspectionAnswered:
 		h.inspected(now, m)
-	case Recorded:
+	case AttemptsWritten:
 		h.recorded(now, m)
-	case Compacted:
+	case PagesCompacted:
 		h.compacted(m)
 	case Tick:
 		h.tick(now)
@@ -101,7 +101,7 @@
 			p.Expired = append(p.Expired, fmt.Sprintf("grant of block %d", id))
 		}
 	}
-	h.emit(Paused{p})
+	h.emit(PauseDetected{p})
 }
 
 func (h *Holder) emit(e any) { h.fx = append(h.fx, e) }
@@ -111,7 +111,7 @@
 	h.renewed = now
 	h.sentAt[h.renew] = now
 	delete(h.sentAt, h.renew-16)
-	h.emit(Send{peer.ToLeader{Term: h.epoch, RenewSeq: h.renew, StoreOK: h.storeOK(), NoAgentContact: h.blind(now)}})
+	h.emit(SendToLeader{peer.ToLeader{Term: h.epoch, RenewSeq: h.renew, StoreOK: h.storeOK(), NoAgentContact: h.blind(now)}})
 }
 
 func (h *Holder) down(now clock.Micros, d *peer.FromLeader) {
@@ -123,7 +123,7 @@
 		h.holders = d.Holders
 		for id, name := range d.Holders {
 			// The block goes elsewhere: its workers are sent there from now on.
-			if h.blocks[id] != nil && name != "" && name != h.p.Node {
+			if h.blocks[id] != nil && name != "" && name != h.p.Controller {
 				delete(h.blocks, id)
 			}
 		}
@@ -246,7 +246,7 @@
 // fit says whether a machine can be given tasks now. One that only answers commands, while
 // none of its reports comes, has a lease that runs out whatever it answers.
 func (h *Holder) fit(now clock.Micros, b *heldBlock, m *machine) bool {
-	fresh := 3 * h.p.ReportTime
+	fresh := 3 * h.p.HeartbeatInterval
 	return now-max(m.answered, b.since) < fresh && m.shown && m.known && !m.drain && !m.notice && !m.gone && !m.lost && m.deaf == 0 && now-m.heard < fresh
 }
 
@@ -276,7 +276,7 @@
 
 // askAnew tells the leader that the block needs a new grant.
 func (h *Holder) askAnew(b *heldBlock) {
-	h.emit(Send{peer.ToLeader{Term: h.epoch, Updates: []peer.ShardUpdate{{Shard: b.id, FencingToken: b.token, NeedsRegrant: true}}}})
+	h.emit(SendToLeader{peer.ToLeader{Term: h.epoch, Updates: []peer.ShardUpdate{{Shard: b.id, FencingToken: b.token, NeedsRegrant: true}}}})
 }
 
 // void gives up a block whose machines or key show a newer token.
--- a/internal/block/holder_test.go
+++ b/internal/block/holder_test.go
@@ -19,9 +19,9 @@
 // (attempt 1) and m2 (attempt 2).
 func holding(t *testing.T) *Holder {
 	t.Helper()
-	h := New(Params{Node: "n0", GrantTime: 20 * clock.Second, LongestGrant: 20 * clock.Second, Lease: 20 * clock.Second, ReportTime: 3 * clock.Second, ValueBytes: 4000, TxnOps: 8},
+	h := New(Params{Controller: "n0", GrantTime: 20 * clock.Second, LongestGrant: 20 * clock.Second, AgentLease: 20 * clock.Second, HeartbeatInterval: 3 * clock.Second, ValueBytes: 4000, TxnOps: 8},
 		placement.Params{K: 0.001, Eta: 0.05, Epsilon: 0.01, Small: 0.5}, func() bool { return true })
-	h.Step(now, Linked{Epoch: 9})
+	h.Step(now, LeaderConnected{Term: 9})
 	page := peer.AttemptPage{Machines: []string{"m1", "m2"}, Groups: []peer.AttemptGroup{{Job: task.Job, Team: "red", CPUs: 1, Attempts: []int{3, 1, 0, 3, 2, 1}}}}
 	h.Step(now, &peer.FromLeader{Term: 9, Holders: []string{"n0"}, Types: []wire.MachineType{{Name: "small", CPUs: 4, MemoryGB: 8}},
 		Grants: []peer.ShardGrant{{Shard: 0, FencingToken: 50, KeyVersion: 7, Machines: []peer.InventoryMachine{{Name: "m1", Address: "a1"}, {Name: "m2"}}, Pages: map[string]peer.AttemptPage{"run/000/1-1": page}}}})
@@ -29,8 +29,8 @@
 	return h
 }
 
-func beat(machine string, seq, token uint64, tasks ...wire.TaskStatus) Report {
-	return Report{Tag: machine, R: &wire.Heartbeat{Machine: machine, Address: "a", Type: "small", AgentEpoch: 1, Seq: seq, FencingToken: token, Tasks: tasks}}
+func beat(machine string, seq, token uint64, tasks ...wire.TaskStatus) HeartbeatReceived {
+	return HeartbeatReceived{ReplyTo: machine, Heartbeat: &wire.Heartbeat{Machine: machine, Address: "a", Type: "small", AgentEpoch: 1, Seq: seq, FencingToken: token, Tasks: tasks}}
 }
 
 // later is a time at which the leader is told of all that came before.
@@ -38,8 +38,8 @@
 
 func eventsOf(fx []any) (out []string) {
 	for _, e := range fx {
-		if s, ok := e.(Send); ok {
-			for _, u := range s.Up.Updates {
+		if s, ok := e.(SendToLeader); ok {
+			for _, u := range s.Message.Updates {
 				for _, ev := range u.Events {
 					out = append(out, ev.Kind)
 				}
@@ -49,15 +49,15 @@
 	return out
 }
 
-func answerOf(t *testing.T, fx []any) Answer {
+func answerOf(t *testing.T, fx []any) HeartbeatReply {
 	t.Helper()
 	for _, e := range fx {
-		if a, ok := e.(Answer); ok {
+		if a, ok := e.(HeartbeatReply); ok {
 			return a
 		}
 	}
 	t.Fatal("no answer")
-	return Answer{}
+	return HeartbeatReply{}
 }
 
 func exitedAs(attempt uint64, cause string) wire.TaskStatus {
@@ -82,7 +82,7 @@
 		t.Errorf("events %v: an attempt that was shown cannot vanish within a session", ev)
 	}
 	two := beat("m2", 3, 50)
-	two.R.AgentEpoch = 2
+	two.Heartbeat.AgentEpoch = 2
 	if ev := eventsOf(h.Step(later(4), two)); len(ev) != 1 || ev[0] != peer.EventReleased {
 		t.Errorf("events %v after the worker's lease ran out, want back", ev)
 	}
@@ -140,7 +140,7 @@
 func TestDeletedMachineIsNotWaitedFor(t *testing.T) {
 	h := holding(t)
 	h.Step(now, &peer.FromLeader{Term: 9, Orders: []peer.ShardOrders{{Shard: 0, FencingToken: 50, Terminated: []string{"m1"}}}})
-	h.Step(now, Linked{Epoch: 10})
+	h.Step(now, LeaderConnected{Term: 10})
 	page := peer.AttemptPage{Machines: []string{"m1"}, Groups: []peer.AttemptGroup{{Job: task.Job, Team: "red", CPUs: 1, Attempts: []int{3, 1, 0}}}}
 	fx := h.Step(later(2), &peer.FromLeader{Term: 10, Grants: []peer.ShardGrant{{Shard: 0, FencingToken: 60, KeyVersion: 8,
 		Machines: []peer.InventoryMachine{{Name: "m1", Address: "a1"}, {Name: "m2"}}, Pages: map[string]peer.AttemptPage{"run/000/1-1": page}}}})
@@ -149,8 +149,8 @@
 	}
 	told := false
 	for _, e := range fx {
-		if s, ok := e.(Send); ok {
-			for _, u := range s.Up.Updates {
+		if s, ok := e.(SendToLeader); ok {
+			for _, u := range s.Message.Updates {
 				for _, m := range u.Machines {
 					told = told || m.Name == "m1" && m.Terminated
 				}
@@ -167,8 +167,8 @@
 func TestReportOlderThanAnAnswerProvesNothing(t *testing.T) {
 	h := holding(t)
 	h.Step(now, beat("m1", 1, 50, wire.TaskStatus{Task: TaskName(task), Attempt: 1, State: wire.Running}))
-	ended := beat("m1", 3, 50, wire.TaskStatus{Task: TaskName(task), Attempt: 1, State: wire.TaskExited, Cause: wire.ExitDone}).R
-	h.Step(now, Ordered{Orders: Orders{Block: 0, Machine: "m1", Body: wire.CommandBatch{FencingToken: 50, AgentEpoch: 1}}, Status: 200, R: ended})
+	ended := beat("m1", 3, 50, wire.TaskStatus{Task: TaskName(task), Attempt: 1, State: wire.TaskExited, Cause: wire.ExitDone}).Heartbeat
+	h.Step(now, CommandsAnswered{SendCommands: SendCommands{Shard: 0, Machine: "m1", Body: wire.CommandBatch{FencingToken: 50, AgentEpoch: 1}}, Code: 200, Status: ended})
 	h.Step(now, beat("m1", 2, 50, wire.TaskStatus{Task: TaskName(task), Attempt: 1, State: wire.Running}))
 	if r := h.blocks[0].machines["m1"].find(1); r == nil || r.state != exited {
 		t.Error("an ended attempt runs again by an older report")
@@ -182,16 +182,16 @@
 	h.Step(now, beat("m1", 1, 50))
 	b := h.blocks[0]
 	m := b.machines["m1"]
-	order := Orders{Block: 0, Machine: "m1", Body: wire.CommandBatch{FencingToken: 50, AgentEpoch: 1}}
+	order := SendCommands{Shard: 0, Machine: "m1", Body: wire.CommandBatch{FencingToken: 50, AgentEpoch: 1}}
 	r := &taskAttempt{task: peer.Task{Job: "j-000007"}, attempt: 50<<peer.AttemptBits | 9, m: m, group: &peer.AttemptGroup{Job: "j-000007"}, state: ordered, session: 1, direct: true, inflight: 1, stop: 2}
 	b.add(r)
 	order.Body.Commands = []wire.Command{r.run()}
-	h.Step(now, Ordered{Orders: order})
+	h.Step(now, CommandsAnswered{SendCommands: order})
 	if h.Step(now+clock.Second, beat("m1", 2, 50)); m.find(r.attempt) == nil {
 		t.Error("taken for gone while its order may be carried out yet")
 	}
 	// Its answer, late, or another session end the doubt.
-	h.Step(now+2*clock.Second, Ordered{Orders: order, Status: 409, R: beat("m1", 3, 50).R})
+	h.Step(now+2*clock.Second, CommandsAnswered{SendCommands: order, Code: 409, Status: beat("m1", 3, 50).Heartbeat})
 	if h.Step(now+3*clock.Second, beat("m1", 4, 50)); m.find(r.attempt) != nil {
 		t.Error("kept although its order was refused and no report lists it")
 	}
@@ -207,7 +207,7 @@
 		t.Error("taken for gone within its session")
 	}
 	next := beat("m1", 3, 50)
-	next.R.AgentEpoch = 2
+	next.Heartbeat.AgentEpoch = 2
 	if h.Step(now+2*clock.Second, next); m.find(1) != nil {
 		t.Error("kept although its session is over")
 	}
@@ -220,22 +220,22 @@
 }
 
 // recordOf is the write of start records among the effects.
-func recordOf(t *testing.T, fx []any) Record {
+func recordOf(t *testing.T, fx []any) WriteAttempts {
 	t.Helper()
 	for _, e := range fx {
-		if r, ok := e.(Record); ok {
+		if r, ok := e.(WriteAttempts); ok {
 			return r
 		}
 	}
 	t.Fatal("no start record")
-	return Record{}
+	return WriteAttempts{}
 }
 
 // started offers a task to a holder, confirms its start record, and gives the effects of that.
 func started(t *testing.T, h *Holder, at clock.Micros) []any {
 	t.Helper()
 	record := recordOf(t, offerOne(h, at))
-	return h.Step(at, record.Settled(store.TxnResult{Committed: true, Revision: 8}))
+	return h.Step(at, record.Result(store.TxnResult{Committed: true, Revision: 8}))
 }
 
 // The end of one attempt is told as the completion of its task, but with the word that another may
--- a/internal/block/limits_test.go
+++ b/internal/block/limits_test.go
@@ -33,7 +33,7 @@
 		b.counter = c.given
 		placed := 0
 		for _, e := range offerTo(h, 3) {
-			if r, ok := e.(Record); ok {
+			if r, ok := e.(WriteAttempts); ok {
 				for _, p := range r.Pages {
 					for _, g := range p.Page.Groups {
 						placed += len(g.Attempts) / 3
@@ -43,8 +43,8 @@
 		}
 		asked := false
 		for _, e := range h.Step(now, Tick{}) {
-			if s, ok := e.(Send); ok {
-				for _, u := range s.Up.Updates {
+			if s, ok := e.(SendToLeader); ok {
+				for _, u := range s.Message.Updates {
 					asked = asked || u.NeedsRegrant
 				}
 			}
@@ -79,7 +79,7 @@
 	const most = 64 << 10
 	killed := 0
 	for _, e := range h.Step(now, &peer.FromLeader{Term: 9, Orders: []peer.ShardOrders{{Shard: 0, FencingToken: 50, Stop: append(stop, peer.StopTask{Task: task})}}}) {
-		if o, ok := e.(Orders); ok {
+		if o, ok := e.(SendCommands); ok {
 			raw, _ := json.Marshal(o.Body)
 			if len(raw) > most {
 				t.Errorf("a command of %d bytes", len(raw))
@@ -115,7 +115,7 @@
 	inquiries := func() (n int) {
 		at += fenceAfter + clock.Second
 		for _, e := range h.Step(at, Tick{}) {
-			if x, ok := e.(Inspect); ok && x.Machine == "m1" {
+			if x, ok := e.(InspectAgent); ok && x.Machine == "m1" {
 				n++
 			}
 		}
@@ -124,7 +124,7 @@
 	if n := inquiries() + inquiries(); n != 0 {
 		t.Errorf("%d more inquiries while the first has no answer", n)
 	}
-	h.Step(at, Inspected{Inspect: Inspect{Block: 0, Token: 50, Machine: "m1"}})
+	h.Step(at, InspectionAnswered{InspectAgent: InspectAgent{Shard: 0, FencingToken: 50, Machine: "m1"}})
 	if n := inquiries(); n != 1 {
 		t.Errorf("%d inquiries after the first failed, want one", n)
 	}
--- a/internal/block/messages.go
+++ b/internal/block/messages.go
@@ -18,8 +18,8 @@
 	"swiftledge/wire"
 )
 
-// Of is the block, out of n, that a machine belongs to.
-func Of(machine string, n int) int {
+// ForMachine is the block, out of n, that a machine belongs to.
+func ForMachine(machine string, n int) int {
 	h := fnv.New32a()
 	h.Write([]byte(machine))
 	return int(h.Sum32() % uint32(n))
@@ -31,8 +31,8 @@
 // Key is the store key that says who holds a block.
 func Key(block int) string { return KeyPrefix + pad(block) }
 
-// RecordPrefix is where a block's start records are kept.
-func RecordPrefix(block int) string { return "run/" + pad(block) + "/" }
+// AttemptPrefix is where a block's start records are kept.
+func AttemptPrefix(block int) string { return "run/" + pad(block) + "/" }
 
 func pad(n int) string {
 	return string([]byte{'0' + byte(n/100%10), '0' + byte(n/10%10), '0' + byte(n%10)})
@@ -43,41 +43,41 @@
 
 // Messages to a Holder.
 type (
-	// Linked says that a link to the leader of an epoch is up; Slow, that its messages
+	// LeaderConnected says that a link to the leader of an epoch is up; Slow, that its messages
 	// take seconds.
-	Linked struct {
-		Epoch uint64
-		Slow  bool
-	}
-	// Unlinked says that it ended.
-	Unlinked struct{ Epoch uint64 }
-	// Report is a worker's report that waits for an answer under Tag.
-	Report struct {
-		Tag any
-		R   *wire.Heartbeat
-	}
-	// Ordered is the end of a direct command: the worker's status, or 0 without an answer.
-	Ordered struct {
-		Orders
-		Status int
-		R      *wire.Heartbeat
-	}
-	// Inspected is the end of an Inspect; R is nil without an answer.
-	Inspected struct {
-		Inspect
-		R *wire.Heartbeat
-	}
-	// Recorded is the end of a cycle's write of start records. Revision is the new
+	LeaderConnected struct {
+		Term     uint64
+		ViaStore bool
+	}
+	// LeaderDisconnected says that it ended.
+	LeaderDisconnected struct{ Term uint64 }
+	// HeartbeatReceived is a worker's report that waits for an answer under Tag.
+	HeartbeatReceived struct {
+		ReplyTo   any
+		Heartbeat *wire.Heartbeat
+	}
+	// CommandsAnswered is the end of a direct command: the worker's status, or 0 without an answer.
+	CommandsAnswered struct {
+		SendCommands
+		Code   int
+		Status *wire.Heartbeat
+	}
+	// InspectionAnswered is the end of an Inspect; R is nil without an answer.
+	InspectionAnswered struct {
+		InspectAgent
+		Status *wire.Heartbeat
+	}
+	// AttemptsWritten is the end of a cycle's write of start records. Revision is the new
 	// version of its pages, or 0 when it is not known.
-	Recorded struct {
-		Block    int
-		Token    uint64
-		Seq      int
-		OK       bool
-		Fenced   bool
-		Never    bool // certainly not carried out, nor will it be
-		Revision uint64
-		TooLarge bool // the state service takes no transaction as large as that
+	AttemptsWritten struct {
+		Shard         int
+		FencingToken  uint64
+		Seq           int
+		Committed     bool
+		Fenced        bool
+		NeverExecuted bool // certainly not carried out, nor will it be
+		Revision      uint64
+		TooLarge      bool // the state service takes no transaction as large as that
 	}
 	// Tick lets time pass.
 	Tick struct{}
@@ -85,36 +85,36 @@
 
 // Effects of a Holder.
 type (
-	// Send goes to the leader.
-	Send struct{ Up peer.ToLeader }
-	// Answer goes to the worker that waits under Tag. Status is 200, 421 or 503.
-	Answer struct {
-		Tag      any
+	// SendToLeader goes to the leader.
+	SendToLeader struct{ Message peer.ToLeader }
+	// HeartbeatReply goes to the worker that waits under Tag. Status is 200, 421 or 503.
+	HeartbeatReply struct {
+		ReplyTo  any
 		Status   int
 		Body     wire.HeartbeatResponse
 		Redirect wire.Redirect
 	}
-	// Orders is a direct command.
-	Orders struct {
-		Block   int
+	// SendCommands is a direct command.
+	SendCommands struct {
+		Shard   int
 		Machine string
 		Address string
 		Body    wire.CommandBatch
 	}
-	// Inspect asks a worker for its report.
-	Inspect struct {
-		Block   int
-		Token   uint64
-		Machine string
-		Address string
-	}
-	// Record writes a cycle's start records before its tasks are ordered.
-	Record struct {
-		Block int
-		Token uint64
-		Seq   int
-		Stamp uint64
-		Pages []PageWrite
+	// InspectAgent asks a worker for its report.
+	InspectAgent struct {
+		Shard        int
+		FencingToken uint64
+		Machine      string
+		Address      string
+	}
+	// WriteAttempts writes a cycle's start records before its tasks are ordered.
+	WriteAttempts struct {
+		Shard        int
+		FencingToken uint64
+		Seq          int
+		KeyVersion   uint64
+		Pages        []PageWrite
 	}
 	// PageWrite puts one page over what it held at Version.
 	PageWrite struct {
@@ -122,27 +122,27 @@
 		Version uint64
 		Page    peer.AttemptPage
 	}
-	// Trace is a span to be written.
-	Trace struct{ Span trace.Span }
-	// Paused tells that the controller stood still.
-	Paused struct{ Pause standstill.Pause }
+	// RecordSpan is a span to be written.
+	RecordSpan struct{ Span trace.Span }
+	// PauseDetected tells that the controller stood still.
+	PauseDetected struct{ Pause standstill.Pause }
 	// Log is a line for the log.
 	Log struct {
-		Text string
-		Args []any
+		Message    string
+		Attributes []any
 	}
-	// Erase removes start records whose tasks are proven gone.
-	Erase struct {
-		Block int
-		Stamp uint64
-		Keys  []string
+	// DeletePages removes start records whose tasks are proven gone.
+	DeletePages struct {
+		Shard      int
+		KeyVersion uint64
+		Keys       []string
 	}
 )
 
 // Txn writes the pages, guarded on the block's key and on the version of each page:
 // a copy that is applied late must not put an older page over a newer one.
-func (r Record) Txn() (wire.Txn, error) {
-	t := wire.Txn{Conditions: []wire.Condition{{Key: Key(r.Block), Version: r.Stamp}}}
+func (r WriteAttempts) Txn() (wire.Txn, error) {
+	t := wire.Txn{Conditions: []wire.Condition{{Key: Key(r.Shard), Version: r.KeyVersion}}}
 	for _, p := range r.Pages {
 		raw, err := json.Marshal(p.Page)
 		if err != nil {
@@ -154,21 +154,21 @@
 	return t, nil
 }
 
-// Settled is what the outcome of the transaction means. Only this grant's holder
+// Result is what the outcome of the transaction means. Only this grant's holder
 // writes its pages, one write at a time: when a page's guard fails, an earlier try
 // of the same write got no answer, but went through.
-func (r Record) Settled(o store.TxnResult) Recorded {
-	done := Recorded{Block: r.Block, Token: r.Token, Seq: r.Seq, OK: o.Committed, Fenced: o.FailedOn(Key(r.Block)), TooLarge: o.Rejected}
+func (r WriteAttempts) Result(o store.TxnResult) AttemptsWritten {
+	done := AttemptsWritten{Shard: r.Shard, FencingToken: r.FencingToken, Seq: r.Seq, Committed: o.Committed, Fenced: o.FailedOn(Key(r.Shard)), TooLarge: o.Rejected}
 	if o.Committed {
 		done.Revision = o.Revision
 	}
-	done.Never = !o.Committed && !o.Ambiguous && len(o.FailedKeys) == 0
-	done.OK = o.Committed || !done.Fenced && o.Ambiguous && len(o.FailedKeys) > 0
+	done.NeverExecuted = !o.Committed && !o.Ambiguous && len(o.FailedKeys) == 0
+	done.Committed = o.Committed || !done.Fenced && o.Ambiguous && len(o.FailedKeys) > 0
 	return done
 }
 
-// Pages reads start records; all of them, or it fails.
-func Pages(items []wire.Item) (map[string]peer.AttemptPage, error) {
+// DecodeAttemptPages reads start records; all of them, or it fails.
+func DecodeAttemptPages(items []wire.Item) (map[string]peer.AttemptPage, error) {
 	pages := make(map[string]peer.AttemptPage, len(items))
 	for _, it := range items {
 		var p peer.AttemptPage
@@ -185,8 +185,8 @@
 }
 
 // Txn removes the records, guarded on the block's key.
-func (e Erase) Txn() wire.Txn {
-	t := wire.Txn{Conditions: []wire.Condition{{Key: Key(e.Block), Version: e.Stamp}}}
+func (e DeletePages) Txn() wire.Txn {
+	t := wire.Txn{Conditions: []wire.Condition{{Key: Key(e.Shard), Version: e.KeyVersion}}}
 	for _, k := range e.Keys {
 		t.Writes = append(t.Writes, wire.Write{Delete: k})
 	}
@@ -195,16 +195,16 @@
 
 // Params are a Holder's settings.
 type Params struct {
-	Node      string
-	GrantTime clock.Micros
+	Controller string
+	GrantTime  clock.Micros
 	// LongestGrant is the most that any other holder's grant may last.
-	LongestGrant clock.Micros
-	Lease        clock.Micros
-	ReportTime   clock.Micros
-	ValueBytes   int
-	TxnOps       int
+	LongestGrant      clock.Micros
+	AgentLease        clock.Micros
+	HeartbeatInterval clock.Micros
+	ValueBytes        int
+	TxnOps            int
 	// Bound limits where tasks are placed, by load; nil: nothing does.
 	Bound *balance.Bound
-	// Traces has spans made of the attempts.
-	Traces bool
+	// TracingEnabled has spans made of the attempts.
+	TracingEnabled bool
 }
--- a/internal/block/observe.go
+++ b/internal/block/observe.go
@@ -132,7 +132,7 @@
 func (h *Holder) complain(m *machine, t *wire.TaskStatus, why string) {
 	if !m.complained {
 		m.complained = true
-		h.emit(Log{Text: "contradictory report", Args: []any{"machine", m.name, "task", t.Task, "attempt", t.Attempt, "why", why}})
+		h.emit(Log{Message: "contradictory report", Attributes: []any{"machine", m.name, "task", t.Task, "attempt", t.Attempt, "why", why}})
 	}
 }
 
@@ -165,7 +165,7 @@
 	if rc.session != m.session {
 		return false
 	}
-	return rc.state == shown || rc.state == ordered && rc.stop != goOn && rc.inflight > 0 && now-rc.stopAt > h.p.Lease
+	return rc.state == shown || rc.state == ordered && rc.stop != goOn && rc.inflight > 0 && now-rc.stopAt > h.p.AgentLease
 }
 
 // absent says whether an attempt that a current report does not list is gone.
@@ -243,12 +243,12 @@
 // trace makes spans of an attempt that has exited, as this controller has seen it: from its order on, or from when it
 // was first seen to run, if it was ordered under an earlier grant.
 func (h *Holder) trace(now clock.Micros, rc *taskAttempt, t *wire.TaskStatus) {
-	if !h.p.Traces {
+	if !h.p.TracingEnabled {
 		return
 	}
 	span := func(name string, begin, end clock.Micros, attributes ...trace.Attribute) {
 		attributes = append([]trace.Attribute{{Key: "machine", Value: rc.m.name}}, attributes...)
-		h.emit(Trace{trace.Span{Job: rc.task.Job, Task: t.Task, Name: name, Begin: begin, End: end, Attributes: attributes}})
+		h.emit(RecordSpan{trace.Span{Job: rc.task.Job, Task: t.Task, Name: name, Begin: begin, End: end, Attributes: attributes}})
 	}
 	began := now
 	switch {
--- a/internal/block/overload_test.go
+++ b/internal/block/overload_test.go
@@ -31,7 +31,7 @@
 func directCommands(fx []any) (n int) {
 	for _, e := range fx {
 		switch e.(type) {
-		case Orders, Inspect:
+		case SendCommands, InspectAgent:
 			n++
 		}
 	}
--- a/internal/block/pauses_test.go
+++ b/internal/block/pauses_test.go
@@ -26,14 +26,14 @@
 			t.Errorf("%s is silent", m.name)
 		}
 	}
-	at := slices.IndexFunc(fx, func(e any) bool { _, ok := e.(Paused); return ok })
+	at := slices.IndexFunc(fx, func(e any) bool { _, ok := e.(PauseDetected); return ok })
 	if at < 0 {
 		t.Fatal("the pause was not noticed")
 	}
-	if p := fx[at].(Paused).Pause; p.Length() != 12*clock.Second || !slices.Equal(p.Expired, []string{"grant of block 0"}) {
+	if p := fx[at].(PauseDetected).Pause; p.Length() != 12*clock.Second || !slices.Equal(p.Expired, []string{"grant of block 0"}) {
 		t.Errorf("%+v", p)
 	}
-	silentFor := 3 * h.p.ReportTime
+	silentFor := 3 * h.p.HeartbeatInterval
 	for at := thawed; at <= thawed+silentFor; at += standstill.Threshold / 4 {
 		h.Step(at, Tick{})
 	}
@@ -45,8 +45,8 @@
 // pausedHolder is a holder of one block of a few machines, whose grant runs out soon after a minute.
 func pausedHolder(t *testing.T) (*Holder, *heldBlock) {
 	t.Helper()
-	h := New(Params{Node: "n0", GrantTime: 20 * clock.Second, LongestGrant: 20 * clock.Second, Lease: 20 * clock.Second,
-		ReportTime: 3 * clock.Second, ValueBytes: 3600, TxnOps: 8}, placement.Params{}, func() bool { return true })
+	h := New(Params{Controller: "n0", GrantTime: 20 * clock.Second, LongestGrant: 20 * clock.Second, AgentLease: 20 * clock.Second,
+		HeartbeatInterval: 3 * clock.Second, ValueBytes: 3600, TxnOps: 8}, placement.Params{}, func() bool { return true })
 	b := &heldBlock{id: 0, token: 1, since: clock.Second, expires: clock.Minute + 5*clock.Second, machines: map[string]*machine{}}
 	h.blocks[0] = b
 	for _, name := range []string{"host-000001", "host-000002", "host-000003", "host-000004"} {
--- a/internal/block/proofs_test.go
+++ b/internal/block/proofs_test.go
@@ -139,10 +139,10 @@
 func TestOrderNamesItsSession(t *testing.T) {
 	h := holding(t)
 	third := beat("m1", 1, 50)
-	third.R.AgentEpoch = 3
+	third.Heartbeat.AgentEpoch = 3
 	h.Step(now, third)
 	for _, e := range started(t, h, later(1)) {
-		if o, ok := e.(Orders); ok && o.Machine == "m1" && o.Body.AgentEpoch != 3 {
+		if o, ok := e.(SendCommands); ok && o.Machine == "m1" && o.Body.AgentEpoch != 3 {
 			t.Errorf("an order for session %d, want 3", o.Body.AgentEpoch)
 		}
 	}
@@ -150,7 +150,7 @@
 
 // That a page's guard fails proves an earlier try only while the block is ours.
 func TestFailedGuards(t *testing.T) {
-	r := Record{Block: 0, Token: 50}
+	r := WriteAttempts{Shard: 0, FencingToken: 50}
 	for _, c := range []struct {
 		name   string
 		o      store.TxnResult
@@ -162,7 +162,7 @@
 		{"both, after a try without an answer", store.TxnResult{Ambiguous: true, FailedKeys: []string{Key(0), "run/000/50-1"}}, false, true},
 		{"the block's", store.TxnResult{FailedKeys: []string{Key(0)}}, false, true},
 	} {
-		if got := r.Settled(c.o); got.OK != c.ok || got.Fenced != c.fenced || got.Never || got.Revision != 0 {
+		if got := r.Result(c.o); got.Committed != c.ok || got.Fenced != c.fenced || got.NeverExecuted || got.Revision != 0 {
 			t.Errorf("%s: %+v", c.name, got)
 		}
 	}
--- a/internal/block/reach_test.go
+++ b/internal/block/reach_test.go
@@ -14,9 +14,9 @@
 func TestNewSessionHasItsOwnLease(t *testing.T) {
 	h := holding(t)
 	in := func(s clock.Micros) clock.Micros { return now + s*clock.Second }
-	r := beat("m2", 1, 50).R
+	r := beat("m2", 1, 50).Heartbeat
 	r.AgentEpoch = 2
-	h.Step(in(35), Ordered{Orders: Orders{Block: 0, Machine: "m2", Body: wire.CommandBatch{FencingToken: 50, AgentEpoch: 2}}, Status: 200, R: r})
+	h.Step(in(35), CommandsAnswered{SendCommands: SendCommands{Shard: 0, Machine: "m2", Body: wire.CommandBatch{FencingToken: 50, AgentEpoch: 2}}, Code: 200, Status: r})
 	m := h.blocks[0].machines["m2"]
 	h.blocks[0].add(&taskAttempt{task: task, attempt: 50<<peer.AttemptBits | 1, m: m, group: &peer.AttemptGroup{Job: task.Job}, state: shown, session: 2})
 	if h.Step(in(54), Tick{}); len(m.recs) != 1 {
@@ -39,7 +39,7 @@
 	if !fitNow(h, now, "m1") {
 		t.Fatal("not fit after it showed our token")
 	}
-	lost := Ordered{Orders: Orders{Block: 0, Machine: "m1", Body: wire.CommandBatch{FencingToken: 50, AgentEpoch: 1}}}
+	lost := CommandsAnswered{SendCommands: SendCommands{Shard: 0, Machine: "m1", Body: wire.CommandBatch{FencingToken: 50, AgentEpoch: 1}}}
 	for range deafAfter {
 		h.Step(now, lost)
 	}
@@ -48,13 +48,13 @@
 		t.Error("fit although its commands go without an answer")
 	}
 	heard := lost
-	heard.Status, heard.R = 200, beat("m1", 3, 50).R
+	heard.Code, heard.Status = 200, beat("m1", 3, 50).Heartbeat
 	if h.Step(now, heard); !fitNow(h, now, "m1") {
 		t.Error("not fit after it has answered a command")
 	}
 	// Its lease runs out although its reports are answered.
 	next := beat("m1", 4, 50)
-	next.R.AgentEpoch = 2
+	next.Heartbeat.AgentEpoch = 2
 	if h.Step(now, next); fitNow(h, now, "m1") {
 		t.Error("fit although our answers do not keep its lease")
 	}
@@ -75,7 +75,7 @@
 		t.Error("copies count as being heard or answered")
 	}
 	// One that a newer answer to a command has overtaken is no copy: the worker waits.
-	h.Step(at, Ordered{Orders: Orders{Block: 0, Machine: "m1", Body: wire.CommandBatch{FencingToken: 50, AgentEpoch: 1}}, Status: 200, R: beat("m1", 7, 50).R})
+	h.Step(at, CommandsAnswered{SendCommands: SendCommands{Shard: 0, Machine: "m1", Body: wire.CommandBatch{FencingToken: 50, AgentEpoch: 1}}, Code: 200, Status: beat("m1", 7, 50).Heartbeat})
 	if a := answerOf(t, h.Step(at, beat("m1", 6, 50))); a.Status != 200 {
 		t.Errorf("status %d for a report that was only overtaken", a.Status)
 	}
@@ -90,7 +90,7 @@
 	in := func(s clock.Micros) clock.Micros { return now + s*clock.Second }
 	for s := clock.Micros(2); s <= 12; s += 2 {
 		seq++
-		h.Step(in(s), Ordered{Orders: Orders{Block: 0, Machine: "m1", Body: wire.CommandBatch{FencingToken: 50, AgentEpoch: 1}}, Status: 200, R: beat("m1", seq, 50).R})
+		h.Step(in(s), CommandsAnswered{SendCommands: SendCommands{Shard: 0, Machine: "m1", Body: wire.CommandBatch{FencingToken: 50, AgentEpoch: 1}}, Code: 200, Status: beat("m1", seq, 50).Heartbeat})
 	}
 	if fitNow(h, in(12), "m1") {
 		t.Error("fit although none of its reports has come for four report times")
@@ -105,13 +105,13 @@
 func TestReportsThatLookOldHideNoLease(t *testing.T) {
 	h := holding(t)
 	h.Step(now, beat("m2", 9, 50, running(2)))
-	end := now + h.p.LongestGrant.Longer() + h.p.Lease.Longer() + 2*clock.Second
+	end := now + h.p.LongestGrant.Longer() + h.p.AgentLease.Longer() + 2*clock.Second
 	h.Step(end-clock.Second, beat("m2", 1, 0)) // under an expired grant, too
 	h.Step(end, Tick{})
 	if len(h.blocks[0].machines["m2"].recs) != 1 {
 		t.Error("taken for gone while its worker reports")
 	}
-	h.Step(end+h.p.Lease.Longer()+clock.Second, Tick{})
+	h.Step(end+h.p.AgentLease.Longer()+clock.Second, Tick{})
 	if len(h.blocks[0].machines["m2"].recs) != 0 {
 		t.Error("not taken for gone a lease after the last report")
 	}
--- a/internal/block/record_test.go
+++ b/internal/block/record_test.go
@@ -15,13 +15,13 @@
 	isRun := func(c wire.Command) bool { return c.Verb == wire.VerbRun }
 	for _, e := range fx {
 		switch x := e.(type) {
-		case Orders:
+		case SendCommands:
 			for _, c := range x.Body.Commands {
 				if isRun(c) {
 					n++
 				}
 			}
-		case Answer:
+		case HeartbeatReply:
 			if slices.ContainsFunc(x.Body.Commands, isRun) {
 				n++
 			}
@@ -33,8 +33,8 @@
 // given counts how often the task that is started in these tests was given back.
 func given(fx []any) (n int) {
 	for _, e := range fx {
-		if s, ok := e.(Send); ok {
-			for _, u := range s.Up.Updates {
+		if s, ok := e.(SendToLeader); ok {
+			for _, u := range s.Message.Updates {
 				for _, ev := range u.Events {
 					if ev.Job == "j-000009" && ev.Kind == peer.EventReleased {
 						n++
@@ -54,9 +54,9 @@
 		o.FencingToken = 50
 		return &peer.FromLeader{Term: 9, Orders: []peer.ShardOrders{o}}
 	}
-	next := func(machine string) Report {
+	next := func(machine string) HeartbeatReceived {
 		r := beat(machine, 2, 50)
-		r.R.AgentEpoch = 2
+		r.Heartbeat.AgentEpoch = 2
 		return r
 	}
 	for _, c := range []struct {
@@ -96,7 +96,7 @@
 		if n := runOrders(before); n != 0 || given(before) != 0 {
 			t.Errorf("%s: %d run orders, events %v before the write has ended", c.name, n, eventsOf(before))
 		}
-		after := h.Step(at+flushEvery, record.Settled(c.outcome))
+		after := h.Step(at+flushEvery, record.Result(c.outcome))
 		after = append(after, h.Step(at+2*flushEvery, Tick{})...)
 		backs := given(after)
 		voided := h.blocks[0] == nil
@@ -136,7 +136,7 @@
 	h.Step(now, beat("m1", 1, 50))
 	record := recordOf(t, offerOne(h, later(1)))
 	h.blocks[0].machines["m1"].lost = true
-	fx := h.Step(later(2), record.Settled(store.TxnResult{Committed: true, Revision: 8}))
+	fx := h.Step(later(2), record.Result(store.TxnResult{Committed: true, Revision: 8}))
 	fx = append(fx, h.Step(later(3), Tick{})...)
 	if runOrders(fx) != 0 || given(fx) != 1 {
 		t.Errorf("%d run orders, given back %d times", runOrders(fx), given(fx))
@@ -152,8 +152,8 @@
 	m := b.machines["m1"]
 	r := &taskAttempt{task: peer.Task{Job: "j-000009"}, attempt: 50<<peer.AttemptBits | 1, m: m, group: &peer.AttemptGroup{Job: "j-000009"}, state: ordered, session: 1, stop: stopAtOnce}
 	b.add(r)
-	answer := Ordered{Orders: Orders{Block: 0, Machine: "m1", Body: wire.CommandBatch{FencingToken: 50, AgentEpoch: 1}}, Status: 200}
-	answer.R = beat("m1", 2, 50).R
+	answer := CommandsAnswered{SendCommands: SendCommands{Shard: 0, Machine: "m1", Body: wire.CommandBatch{FencingToken: 50, AgentEpoch: 1}}, Code: 200}
+	answer.Status = beat("m1", 2, 50).Heartbeat
 	if h.Step(now, answer); m.find(r.attempt) == nil {
 		t.Error("taken for gone by the answer to a direct command")
 	}
--- a/internal/block/tick.go
+++ b/internal/block/tick.go
@@ -52,7 +52,7 @@
 		return forgotten
 	})
 	// A worker that goes on to lose its tasks must not use up the tokens.
-	stuck := b.stuck && now-b.since > h.p.Lease
+	stuck := b.stuck && now-b.since > h.p.AgentLease
 	if (kept > b.mostLingering() || stuck || !b.attemptsLeft()) && !b.raise && h.linked {
 		b.raise = true
 		h.askAnew(b)
@@ -98,9 +98,9 @@
 // isSilent says whether a machine that is known to be there has not been heard for long, or does not
 // hear. One that is only in the roster may not be up yet; the leader knows which were.
 func (h *Holder) isSilent(now clock.Micros, b *heldBlock, m *machine, knows bool) bool {
-	quiet := h.p.Lease * 11 / 20
+	quiet := h.p.AgentLease * 11 / 20
 	if m.notice {
-		quiet = min(quiet, h.p.ReportTime*5/2) // announced, so it needs no second look
+		quiet = min(quiet, h.p.HeartbeatInterval*5/2) // announced, so it needs no second look
 	}
 	since := h.pauses.Awake(max(m.heard, b.since))
 	return (knows || m.known) && now-since > quiet || m.deaf > 0 && now-m.deaf > quiet
@@ -111,5 +111,5 @@
 // its reports was ever answered and its tasks were ordered directly.
 func (h *Holder) leaseEnd(b *heldBlock, m *machine) clock.Micros {
 	base := max(m.answered, m.began, m.stale, b.since+h.p.LongestGrant.Longer())
-	return base + h.p.Lease.Longer() + clock.Second
+	return base + h.p.AgentLease.Longer() + clock.Second
 }
--- a/internal/block/tokens_test.go
+++ b/internal/block/tokens_test.go
@@ -12,23 +12,23 @@
 // cut off may answer their reports until its grant ends.
 func TestFencesByItself(t *testing.T) {
 	h := holding(t)
-	r := beat("m1", 1, 49, running(1)).R
-	fx := h.Step(now, Inspected{Inspect: Inspect{Block: 0, Token: 50, Machine: "m1"}, R: r})
+	r := beat("m1", 1, 49, running(1)).Heartbeat
+	fx := h.Step(now, InspectionAnswered{InspectAgent: InspectAgent{Shard: 0, FencingToken: 50, Machine: "m1"}, Status: r})
 	sent := false
 	for _, e := range fx {
-		if o, ok := e.(Orders); ok && o.Body.FencingToken == 50 && o.Body.AgentEpoch == 1 && len(o.Body.Commands) == 0 {
+		if o, ok := e.(SendCommands); ok && o.Body.FencingToken == 50 && o.Body.AgentEpoch == 1 && len(o.Body.Commands) == 0 {
 			sent = true
 		}
 	}
 	if !sent {
 		t.Fatalf("effects %+v, want our token sent to m1", fx)
 	}
-	after := beat("m1", 2, 50, running(1)).R
-	h.Step(now, Ordered{Orders: Orders{Block: 0, Machine: "m1", Body: wire.CommandBatch{FencingToken: 50, AgentEpoch: 1}}, Status: 200, R: after})
+	after := beat("m1", 2, 50, running(1)).Heartbeat
+	h.Step(now, CommandsAnswered{SendCommands: SendCommands{Shard: 0, Machine: "m1", Body: wire.CommandBatch{FencingToken: 50, AgentEpoch: 1}}, Code: 200, Status: after})
 	if !h.blocks[0].machines["m1"].shown {
 		t.Error("m1 is not taken as fenced after it showed our token")
 	}
-	if h.Step(now, Inspected{Inspect: Inspect{Block: 0, Token: 50, Machine: "m2"}, R: beat("m2", 1, 51).R}); h.blocks[0] != nil {
+	if h.Step(now, InspectionAnswered{InspectAgent: InspectAgent{Shard: 0, FencingToken: 50, Machine: "m2"}, Status: beat("m2", 1, 51).Heartbeat}); h.blocks[0] != nil {
 		t.Error("keeps a block whose machine shows a newer token")
 	}
 }
@@ -64,8 +64,8 @@
 	asked := 0
 	for i := range 2 {
 		for _, e := range h.Step(later(i), Tick{}) {
-			if s, ok := e.(Send); ok {
-				for _, u := range s.Up.Updates {
+			if s, ok := e.(SendToLeader); ok {
+				for _, u := range s.Message.Updates {
 					if u.NeedsRegrant && u.FencingToken == 50 {
 						asked++
 					}
@@ -101,10 +101,10 @@
 	if ev := eventsOf(h.Step(later(2), beat("m2", 2, 50))); len(ev) != 0 {
 		t.Errorf("events %v: a late copy of the order may start it again", ev)
 	}
-	if asksForToken(h, now+h.p.Lease/2) {
+	if asksForToken(h, now+h.p.AgentLease/2) {
 		t.Error("asked for a token sooner than a lease after the last")
 	}
-	if !asksForToken(h, now+h.p.Lease+clock.Second) {
+	if !asksForToken(h, now+h.p.AgentLease+clock.Second) {
 		t.Error("no higher token was asked for")
 	}
 }
@@ -112,7 +112,7 @@
 // asksForToken says whether a tick has the leader asked for a new grant.
 func asksForToken(h *Holder, at clock.Micros) bool {
 	for _, e := range h.Step(at, Tick{}) {
-		if s, ok := e.(Send); ok && len(s.Up.Updates) > 0 && s.Up.Updates[0].NeedsRegrant {
+		if s, ok := e.(SendToLeader); ok && len(s.Message.Updates) > 0 && s.Message.Updates[0].NeedsRegrant {
 			return true
 		}
 	}
@@ -136,10 +136,10 @@
 	}
 	h.Step(later(2), &peer.FromLeader{Term: 9, Orders: []peer.ShardOrders{{Shard: 0, FencingToken: 50, Stop: []peer.StopTask{{Task: one}}}}})
 	h.Step(later(3), beat(m.name, 2, 50, rest...))
-	if asksForToken(h, now+h.p.Lease+clock.Second) {
+	if asksForToken(h, now+h.p.AgentLease+clock.Second) {
 		t.Error("asked for a token while the answer may come")
 	}
-	at := now + h.p.Lease + 2*clock.Second
+	at := now + h.p.AgentLease + 2*clock.Second
 	h.Step(at-clock.Second, &peer.FromLeader{Term: 9, RenewedSeq: h.renew, FencingTokens: map[int]uint64{0: 50}})
 	h.Step(at, beat(m.name, 3, 50, rest...))
 	if len(b.byTask[one]) != 1 {
--- a/internal/compat/exact_test.go
+++ b/internal/compat/exact_test.go
@@ -205,7 +205,7 @@
 // A field that a sample leaves empty would not be missed when it is renamed.
 func TestSamplesFillEveryField(t *testing.T) {
 	// Of two that exclude each other, or that production does not know.
-	left := []string{"Job.FleetLoad", "Write.Lease", "Write.Value", "Write.Put", "Write.Delete", "Event.Put", "Event.Value", "Event.Delete", "ProgUnit.Chunk", "Command.GraceS"}
+	left := []string{"Job.FleetLoad", "Write.Lease", "Write.Value", "Write.Put", "Write.Delete", "Event.Put", "Event.Value", "Event.Delete", "ProgressChunk.Chunk", "Command.GraceS"}
 	var values []exactForm
 	for _, c := range codecs() {
 		for _, f := range c.forms {
--- a/internal/compat/samples_test.go
+++ b/internal/compat/samples_test.go
@@ -41,14 +41,14 @@
 func jsonForms() []form {
 	return []form{
 		{"leader", election.Record{Controller: "n1", Incarnation: 77}},
-		{"layout", leader.LayoutRecord{Blocks: 6}},
+		{"layout", leader.LayoutRecord{Shards: 6}},
 		{"catalog", wire.Catalog{Types: []wire.MachineType{g8}}},
-		{"job", leader.JobRecord{Spec: batch, At: 1234567}},
-		{"over", leader.EndRecord{State: wire.Done, Tasks: 16}},
-		{"prog", leader.ProgRecord{Units: []leader.ProgUnit{{Job: "j-000412", Chunk: 1, Bits: []byte{5, 255}}, {Job: "j-000413", Bits: []byte{1}}}}},
-		{"block", leader.BlockRecord{Token: 7<<12 | 3, Holder: "n2", Run: 78}},
+		{"job", leader.JobRecord{Spec: batch, AcceptedAt: 1234567}},
+		{"over", leader.FinalStateRecord{State: wire.Done, Tasks: 16}},
+		{"prog", leader.ProgressRecord{Chunks: []leader.ProgressChunk{{Job: "j-000412", Chunk: 1, Completed: []byte{5, 255}}, {Job: "j-000413", Completed: []byte{1}}}}},
+		{"block", leader.ShardRecord{FencingToken: 7<<12 | 3, Holder: "n2", Incarnation: 78}},
 		{"run", page},
-		{"fleet", leader.FleetRecord{Rental: wire.ProvisionRequest{RequestID: "r-7-1", Type: "g8", Zone: "a", Spot: true, Count: 2}, Machines: []string{"host-000001"}, Asked: true}},
+		{"fleet", leader.InstanceGroupRecord{Request: wire.ProvisionRequest{RequestID: "r-7-1", Type: "g8", Zone: "a", Spot: true, Count: 2}, Machines: []string{"host-000001"}, Answered: true}},
 	}
 }
 
@@ -80,10 +80,10 @@
 }
 
 func ours() choices {
-	c := choices{Blocks: map[string]int{}, BlockKey: block.Key(2), RecordKeys: block.RecordPrefix(2), AttemptBits: peer.AttemptBits,
-		ChunkTasks: leader.ChunkTasks, TaskName: block.TaskName(peer.Task{Job: "j-000412", Index: 3})}
+	c := choices{Blocks: map[string]int{}, BlockKey: block.Key(2), RecordKeys: block.AttemptPrefix(2), AttemptBits: peer.AttemptBits,
+		ChunkTasks: leader.TasksPerChunk, TaskName: block.TaskName(peer.Task{Job: "j-000412", Index: 3})}
 	for _, m := range []string{"host-000000", "host-000001", "host-000231", "host-123456"} {
-		c.Blocks[m] = block.Of(m, 6)
+		c.Blocks[m] = block.ForMachine(m, 6)
 	}
 	cfg := config.Config{Tuning: config.DefaultTuning()}
 	cfg.Facts.Workers.LeaseS, cfg.Facts.Workers.CancelS = 22, 52
--- a/internal/leader/assign_test.go
+++ b/internal/leader/assign_test.go
@@ -17,12 +17,12 @@
 	moved := func(slow bool) bool {
 		l := granting(t, nil)
 		l.cfg.Facts.Quota.CPU, l.cfg.Facts.Workers.ReportS = 0.1, 3
-		l.Step(began+clock.Second, Joined{Node: "n1", Link: "other", Slow: slow})
-		said := Said{Node: "n1", Link: "other", Up: &peer.ToLeader{Term: 5, StoreOK: true}}
+		l.Step(began+clock.Second, PeerConnected{Controller: "n1", Link: "other", ViaStore: slow})
+		said := HolderMessage{Controller: "n1", Link: "other", Message: &peer.ToLeader{Term: 5, StoreOK: true}}
 		for i := range 20 {
 			now := began + clock.Second + clock.Micros(i)*clock.Second/4
 			l.Step(now, said)
-			l.Step(now, Said{Node: "n0", Link: "link", Up: &peer.ToLeader{Term: 5, StoreOK: true}})
+			l.Step(now, HolderMessage{Controller: "n0", Link: "link", Message: &peer.ToLeader{Term: 5, StoreOK: true}})
 			l.Step(now, Tick{})
 		}
 		return l.blocks[0].holder == "n1" || l.blocks[1].holder == "n1"
@@ -62,7 +62,7 @@
 func blockWrites(t *testing.T, fx []any, holder string) (n int) {
 	t.Helper()
 	for _, e := range fx {
-		c, ok := e.(Commit)
+		c, ok := e.(CommitTxn)
 		if !ok {
 			continue
 		}
@@ -70,7 +70,7 @@
 			if !strings.HasPrefix(w.Put, block.KeyPrefix) {
 				continue
 			}
-			var r BlockRecord
+			var r ShardRecord
 			if err := json.Unmarshal(w.Value, &r); err != nil {
 				t.Fatal(err)
 			}
@@ -115,7 +115,7 @@
 		taken, last := 0, clock.Micros(0)
 		within := 0
 		for at := began + 2*clock.Second; taken < 4 && at < began+10*clock.Second; at += clock.Second / 4 {
-			l.Step(at, Authority{Until: at + 3*clock.Second})
+			l.Step(at, LeadershipExtended{Until: at + 3*clock.Second})
 			l.nodes["n0"].heard = at
 			l.viewed = at
 			before := taken
@@ -148,9 +148,9 @@
 		b.state, b.link = granted, "link"
 	}
 	joined := began + 5*clock.Second
-	l.Step(joined, Authority{Until: joined + 10*clock.Second})
+	l.Step(joined, LeadershipExtended{Until: joined + 10*clock.Second})
 	l.nodes["n0"].heard = joined
-	l.Step(joined, Joined{Node: "n1", Link: "other"})
+	l.Step(joined, PeerConnected{Controller: "n1", Link: "other"})
 	if n := blockWrites(t, l.Step(joined+settleTime/2, Tick{}), "n1"); n != 0 {
 		t.Errorf("%d blocks move before the controller has settled", n)
 	}
--- a/internal/leader/fleet.go
+++ b/internal/leader/fleet.go
@@ -25,7 +25,7 @@
 	l.lastFleet = now
 	pending := 0
 	for _, rt := range l.rentals {
-		if !rt.record.Asked {
+		if !rt.record.Answered {
 			pending++
 		}
 	}
@@ -60,7 +60,7 @@
 	}
 	if !l.listing && now-l.lastList > every {
 		l.listing, l.lastList = true, now
-		l.emit(List{})
+		l.emit(ListMachines{})
 	}
 	if l.listing && now-l.lastList > 30*clock.Second {
 		l.listing = false
@@ -71,7 +71,7 @@
 	}
 	if now-l.catalogAt > again {
 		l.catalogAt = now
-		l.emit(ReadCatalog{})
+		l.emit(LoadCatalog{})
 	}
 }
 
@@ -98,10 +98,10 @@
 func (l *Leader) reconcileRentals(now clock.Micros) {
 	for _, key := range slices.Sorted(maps.Keys(l.rentals)) {
 		rt := l.rentals[key]
-		if !rt.record.Asked {
+		if !rt.record.Answered {
 			if rt.busy && rt.asked > 0 && now-rt.asked > askAgainAfter {
 				rt.asked = now
-				l.emit(Rent{l.epoch, rt.record.Rental})
+				l.emit(ProvisionMachines{l.epoch, rt.record.Request})
 			}
 		} else if !rt.busy {
 			l.pruneRental(now, rt)
@@ -123,7 +123,7 @@
 	if len(names) > 0 && l.deleting < mostDeletions {
 		sent = min(len(names), mostDeleted)
 		l.deleting++
-		l.emit(Delete{l.epoch, names[:sent]})
+		l.emit(DeleteMachines{l.epoch, names[:sent]})
 	}
 	for i, name := range names {
 		l.machines[name].deleting = i < sent
@@ -148,8 +148,8 @@
 		// As many as a rental has at most: more might not fit into a value.
 		for part := range slices.Chunk(names, fleet.MostAtOnce) {
 			l.rentSeq++
-			rt := &rental{key: fmt.Sprintf("%sfound-%d-%d", FleetPrefix, l.epoch, l.rentSeq), busy: true,
-				record: FleetRecord{Rental: k, Machines: part, Asked: true}}
+			rt := &rental{key: fmt.Sprintf("%sfound-%d-%d", InstanceGroupPrefix, l.epoch, l.rentSeq), busy: true,
+				record: InstanceGroupRecord{Request: k, Machines: part, Answered: true}}
 			l.rentals[rt.key] = rt
 			l.writeRental(rt)
 		}
@@ -183,7 +183,7 @@
 			if why == neverCameUp {
 				l.noBoots[m.opt.Key()]++
 			}
-			l.emit(Log{Debug: true, Text: "giving machine up", Args: []any{"machine", name, "why", why}})
+			l.emit(Log{Debug: true, Message: "giving machine up", Attributes: []any{"machine", name, "why", why}})
 		}
 	}
 	return out
@@ -262,10 +262,10 @@
 	}
 	stuck := false
 	for _, rt := range l.rentals {
-		if !rt.record.Asked {
+		if !rt.record.Answered {
 			stuck = stuck || now-rt.since > stuckAfter
-			for range rt.record.Rental.Count {
-				supply = append(supply, fleet.Supply{Option: l.option(rt.record.Rental)})
+			for range rt.record.Request.Count {
+				supply = append(supply, fleet.Supply{Option: l.option(rt.record.Request)})
 			}
 		}
 	}
@@ -286,7 +286,7 @@
 	for _, o := range d.Rent {
 		l.rentSeq++
 		req := fmt.Sprintf("r-%d-%d", l.epoch, l.rentSeq)
-		rt := &rental{key: FleetPrefix + req, since: now, record: FleetRecord{Rental: wire.ProvisionRequest{RequestID: req, Type: o.Type.Name, Zone: o.Zone, Spot: o.Spot, Count: o.Count}}}
+		rt := &rental{key: InstanceGroupPrefix + req, since: now, record: InstanceGroupRecord{Request: wire.ProvisionRequest{RequestID: req, Type: o.Type.Name, Zone: o.Zone, Spot: o.Spot, Count: o.Count}}}
 		l.rentals[rt.key] = rt
 		l.writeRental(rt)
 	}
--- a/internal/leader/fleet_test.go
+++ b/internal/leader/fleet_test.go
@@ -71,7 +71,7 @@
 	}
 	s := spec
 	s.Ref, s.Class, s.Shape, s.Tasks = "j-300000", "web", wire.ShapeService, 6
-	j := l.addJob(JobRecord{Spec: s, At: began}, 3)
+	j := l.addJob(JobRecord{Spec: s, AcceptedAt: began}, 3)
 	if l.warm() != nil {
 		t.Error("room is kept for a class that has come")
 	}
@@ -116,7 +116,7 @@
 	l.adopt(began)
 	n := 0
 	for _, e := range l.fx {
-		if c, ok := e.(Commit); ok {
+		if c, ok := e.(CommitTxn); ok {
 			n++
 			if len(c.Txn.Writes[0].Value) > l.valueBytes {
 				t.Errorf("a record of %d bytes", len(c.Txn.Writes[0].Value))
@@ -126,7 +126,7 @@
 	if n < 2 {
 		t.Errorf("%d records for 200 machines", n)
 	}
-	rt := &rental{key: "fleet/old", stamp: 3, record: FleetRecord{Machines: many, Asked: true}}
+	rt := &rental{key: "fleet/old", stamp: 3, record: InstanceGroupRecord{Machines: many, Answered: true}}
 	l.gone[many[0]] = true
 	l.fx = nil
 	if l.pruneRental(began+clock.Minute, rt); len(l.fx) > 0 {
@@ -145,14 +145,14 @@
 func TestRentalOfAFormerLeaderIsAskedAgain(t *testing.T) {
 	l := leading(t)
 	rental := wire.ProvisionRequest{RequestID: "r-3-1", Type: "small", Zone: "a", Spot: true, Count: 2}
-	l.Step(began, Deposed{})
-	l.Step(began, Elected{Epoch: 7})
-	l.Step(began, Authority{Until: began + 100*clock.Second})
-	fx := l.Step(began, Loaded{Epoch: 7, Asked: began, Items: []wire.Item{item(t, LayoutKey, 1, LayoutRecord{Blocks: 2}),
-		item(t, FleetPrefix+rental.RequestID, 3, FleetRecord{Rental: rental})}})
+	l.Step(began, LeadershipLost{})
+	l.Step(began, LeadershipAcquired{Term: 7})
+	l.Step(began, LeadershipExtended{Until: began + 100*clock.Second})
+	fx := l.Step(began, StateLoaded{Term: 7, RequestedAt: began, Items: []wire.Item{item(t, LayoutKey, 1, LayoutRecord{Shards: 2}),
+		item(t, InstanceGroupPrefix+rental.RequestID, 3, InstanceGroupRecord{Request: rental})}})
 	asked := 0
 	for _, e := range fx {
-		if r, ok := e.(Rent); ok && r.Rental == rental {
+		if r, ok := e.(ProvisionMachines); ok && r.Request == rental {
 			asked++
 		}
 	}
@@ -160,11 +160,11 @@
 		t.Errorf("asked %d times for what a former leader has rented", asked)
 	}
 	// Its machines are in the roster once they are written there, and not before.
-	l.Step(began, Rented{Epoch: 7, Request: rental.RequestID, Machines: names[:2]})
+	l.Step(began, MachinesProvisioned{Term: 7, RequestID: rental.RequestID, Machines: names[:2]})
 	if l.machines[names[0]] != nil {
 		t.Error("used before the roster has it")
 	}
-	l.Step(began, Committed{Epoch: 7, Tag: fleetTag{FleetPrefix + rental.RequestID}, Outcome: store.TxnResult{Committed: true, Revision: 9}})
+	l.Step(began, TxnCompleted{Term: 7, Tag: fleetTag{InstanceGroupPrefix + rental.RequestID}, Result: store.TxnResult{Committed: true, Revision: 9}})
 	if l.machines[names[0]] == nil || l.machines[names[1]] == nil {
 		t.Error("not in the roster once that is written")
 	}
--- a/internal/leader/grants.go
+++ b/internal/leader/grants.go
@@ -163,7 +163,7 @@
 		}
 		tag.tokens[b.id] = b.token
 		guards = append(guards, wire.Condition{Key: block.Key(b.id), Version: b.stamp})
-		writes = append(writes, put(block.Key(b.id), BlockRecord{Token: b.token, Holder: b.holder, Run: run}))
+		writes = append(writes, put(block.Key(b.id), ShardRecord{FencingToken: b.token, Holder: b.holder, Incarnation: run}))
 	}
 	l.commit(store.PriorityUrgent, tag, guards, writes)
 }
@@ -177,7 +177,7 @@
 		if o.Committed {
 			b.stamp = o.Revision
 			b.state = reading
-			l.emit(LoadRecords{l.epoch, id, token})
+			l.emit(LoadAttempts{l.epoch, id, token})
 			continue
 		}
 		// Only a try of our own that got no answer can have changed the key.
@@ -187,9 +187,9 @@
 
 // records takes in what may run in a block, from its start records, and grants the block to its
 // holder, if it has one.
-func (l *Leader) records(m Records) {
-	b := l.blocks[m.Block]
-	if b.state != reading || b.token != m.Token {
+func (l *Leader) records(m AttemptsLoaded) {
+	b := l.blocks[m.Shard]
+	if b.state != reading || b.token != m.FencingToken {
 		return
 	}
 	l.chargeRecords(b, m.Pages)
@@ -200,7 +200,7 @@
 	}
 	b.state, b.homeless = granted, 0
 	l.tellGrant(b, m.Pages)
-	l.emit(Log{Debug: true, Text: "block granted", Args: []any{"block", b.id, "holder", b.holder, "token", b.token, "tasks", len(b.tasks)}})
+	l.emit(Log{Debug: true, Message: "block granted", Attributes: []any{"block", b.id, "holder", b.holder, "token", b.token, "tasks", len(b.tasks)}})
 }
 
 // chargeRecords replaces what counts as running in a block by what its start records name.
@@ -272,12 +272,12 @@
 	roster = append(roster, l.listUnlisted(b, pages)...)
 	// A controller that linked up before the epoch was loaded knows no types yet.
 	// What is to be stopped comes with the grant: no report may be answered between the two.
-	l.emit(Tell{b.link, peer.FromLeader{Term: l.epoch, Holders: l.holders(), Types: l.typeList, Orders: []peer.ShardOrders{b.orders},
+	l.emit(SendToHolder{b.link, peer.FromLeader{Term: l.epoch, Holders: l.holders(), Types: l.typeList, Orders: []peer.ShardOrders{b.orders},
 		Grants: []peer.ShardGrant{{Shard: b.id, FencingToken: b.token, KeyVersion: b.stamp, Pages: pages, Machines: roster}}}})
 	b.orders = peer.ShardOrders{}
 	for _, n := range l.byName() {
 		if n.link != b.link {
-			l.emit(Tell{n.link, peer.FromLeader{Term: l.epoch, Holders: l.holders(), Types: l.typeList}})
+			l.emit(SendToHolder{n.link, peer.FromLeader{Term: l.epoch, Holders: l.holders(), Types: l.typeList}})
 		}
 	}
 }
--- a/internal/leader/holders.go
+++ b/internal/leader/holders.go
@@ -8,30 +8,30 @@
 	"swiftledge/internal/peer"
 )
 
-func (l *Leader) said(now clock.Micros, m Said) {
-	n := l.nodes[m.Node]
-	if n == nil || n.link != m.Link || m.Up.Term != l.epoch {
+func (l *Leader) said(now clock.Micros, m HolderMessage) {
+	n := l.nodes[m.Controller]
+	if n == nil || n.link != m.Link || m.Message.Term != l.epoch {
 		return
 	}
 	n.heard = now
-	if m.Up.NoAgentContact {
+	if m.Message.NoAgentContact {
 		n.blindAt = now
 	}
-	if m.Up.StoreOK {
+	if m.Message.StoreOK {
 		n.refusedSince = 0
 	} else if n.refusedSince == 0 {
 		n.refusedSince = now
 	}
-	if m.Up.RenewSeq > 0 && l.loaded && l.authorised(now) && l.current(now) {
-		d := peer.FromLeader{Term: l.epoch, RenewedSeq: m.Up.RenewSeq, FencingTokens: map[int]uint64{}, StoreOK: l.storeOK()}
+	if m.Message.RenewSeq > 0 && l.loaded && l.authorised(now) && l.current(now) {
+		d := peer.FromLeader{Term: l.epoch, RenewedSeq: m.Message.RenewSeq, FencingTokens: map[int]uint64{}, StoreOK: l.storeOK()}
 		for _, b := range l.blocks {
 			if b.state == granted && b.link == m.Link {
 				d.FencingTokens[b.id] = b.token
 			}
 		}
-		l.emit(Tell{m.Link, d})
+		l.emit(SendToHolder{m.Link, d})
 	}
-	for _, u := range m.Up.Updates {
+	for _, u := range m.Message.Updates {
 		if u.Shard < 0 || u.Shard >= len(l.blocks) {
 			continue
 		}
@@ -194,7 +194,7 @@
 		b.orders = peer.ShardOrders{}
 	}
 	for _, link := range links {
-		l.emit(Tell{link, *byLink[link]})
+		l.emit(SendToHolder{link, *byLink[link]})
 	}
 }
 
@@ -212,6 +212,6 @@
 		return
 	}
 	for _, n := range l.byName() {
-		l.emit(Tell{n.link, peer.FromLeader{Term: l.epoch, TaskCounts: out}})
+		l.emit(SendToHolder{n.link, peer.FromLeader{Term: l.epoch, TaskCounts: out}})
 	}
 }
--- a/internal/leader/job.go
+++ b/internal/leader/job.go
@@ -61,8 +61,8 @@
 	n := r.Spec.Tasks
 	s := &r.Spec
 	j := &job{shape: shape{s.CPUs, s.GPUs, s.MemoryGB, fmt.Sprint(s.Types), s.Zone, s.Spot}, record: r, stamp: stamp, out: map[int]int{}, failures: &failures.Job{}, delayed: map[int]clock.Micros{}, replicas: map[int]*replica{}, want: make([]uint64, (n+63)/64)}
-	for left := n; left > 0; left -= ChunkTasks {
-		n := (min(left, ChunkTasks) + 7) / 8
+	for left := n; left > 0; left -= TasksPerChunk {
+		n := (min(left, TasksPerChunk) + 7) / 8
 		j.chunks = append(j.chunks, chunk{done: make([]byte, n), saved: make([]byte, n)})
 	}
 	l.jobs[r.Spec.Ref] = j
@@ -70,18 +70,18 @@
 	return j
 }
 
-func bit(bits []byte, i int) bool { return bits[i%ChunkTasks/8]&(1<<(i%8)) != 0 }
+func bit(bits []byte, i int) bool { return bits[i%TasksPerChunk/8]&(1<<(i%8)) != 0 }
 
-func (j *job) isDone(i int) bool { return bit(j.chunks[i/ChunkTasks].done, i) }
+func (j *job) isDone(i int) bool { return bit(j.chunks[i/TasksPerChunk].done, i) }
 
-func (j *job) stored(i int) bool { return bit(j.chunks[i/ChunkTasks].saved, i) }
+func (j *job) stored(i int) bool { return bit(j.chunks[i/TasksPerChunk].saved, i) }
 
 func (j *job) markDone(i int) bool {
 	if j.isDone(i) {
 		return false
 	}
-	ch := &j.chunks[i/ChunkTasks]
-	ch.done[i%ChunkTasks/8] |= 1 << (i % 8)
+	ch := &j.chunks[i/TasksPerChunk]
+	ch.done[i%TasksPerChunk/8] |= 1 << (i % 8)
 	ch.dirty = true
 	j.nDone++
 	j.setWaiting(i, false)
@@ -240,32 +240,32 @@
 	ref := j.record.Spec.Ref
 	j.ending = true
 	l.commit(store.PriorityAttempts, endTag{ref}, []wire.Condition{{Key: JobPrefix + ref, Version: j.stamp}},
-		[]wire.Write{put(EndPrefix+ref, EndRecord{State: wire.Done, Tasks: j.nDone}), {Delete: JobPrefix + ref}})
+		[]wire.Write{put(FinalStatePrefix+ref, FinalStateRecord{State: wire.Done, Tasks: j.nDone}), {Delete: JobPrefix + ref}})
 }
 
-func (l *Leader) ended(now clock.Micros, tag endTag, m Committed) {
+func (l *Leader) ended(now clock.Micros, tag endTag, m TxnCompleted) {
 	j := l.jobs[tag.ref]
 	if j == nil {
 		return
 	}
 	switch {
-	case m.Outcome.Committed:
+	case m.Result.Committed:
 		l.finish(now, j)
-	case len(m.Outcome.FailedKeys) > 0:
+	case len(m.Result.FailedKeys) > 0:
 		// A user's abort came first, or an earlier copy of this write did.
-		l.emit(ReadKey{l.epoch, EndPrefix + tag.ref, tag})
+		l.emit(ReadKey{l.epoch, FinalStatePrefix + tag.ref, tag})
 	default:
 		j.ending = false
 	}
 }
 
-func (l *Leader) endRead(now clock.Micros, tag endTag, m Read) {
+func (l *Leader) endRead(now clock.Micros, tag endTag, m KeyRead) {
 	j := l.jobs[tag.ref]
 	if j == nil {
 		return
 	}
 	j.ending = false
-	var r EndRecord
+	var r FinalStateRecord
 	if m.Found && json.Unmarshal(m.Item.Value, &r) == nil {
 		if r.State == wire.Done {
 			l.finish(now, j)
@@ -327,8 +327,8 @@
 	r := j.replicas[t.Index]
 	if r == nil || r.since == 0 {
 		if !h.inherited {
-			l.emit(Log{Debug: true, Text: "replica runs", Args: []any{"task", block.TaskName(t), "machine", h.machine,
-				"after_s", (now + l.wall - j.record.At).Seconds()}})
+			l.emit(Log{Debug: true, Message: "replica runs", Attributes: []any{"task", block.TaskName(t), "machine", h.machine,
+				"after_s", (now + l.wall - j.record.AcceptedAt).Seconds()}})
 		}
 		return
 	}
--- a/internal/leader/keys_test.go
+++ b/internal/leader/keys_test.go
@@ -36,7 +36,7 @@
 // putKeys are the first keys that the effects' transactions put.
 func putKeys(effects []any) (keys []string) {
 	for _, e := range effects {
-		if c, ok := e.(Commit); ok && c.Txn.Writes[0].Put != "" {
+		if c, ok := e.(CommitTxn); ok && c.Txn.Writes[0].Put != "" {
 			keys = append(keys, c.Txn.Writes[0].Put)
 		}
 	}
@@ -46,25 +46,25 @@
 // A leader of a site without machines writes these keys, in this order, before it asks the cloud.
 func TestKeysOfANewSite(t *testing.T) {
 	l := leading(t)
-	l.Step(began, Deposed{})
-	l.Step(began, Elected{Epoch: 7})
-	l.Step(began, Authority{Until: began + 100*clock.Second})
-	l.Step(began, Joined{Node: "n0", Link: "link"})
+	l.Step(began, LeadershipLost{})
+	l.Step(began, LeadershipAcquired{Term: 7})
+	l.Step(began, LeadershipExtended{Until: began + 100*clock.Second})
+	l.Step(began, PeerConnected{Controller: "n0", Link: "link"})
 	types := wire.Catalog{Types: []wire.MachineType{{Name: "small", CPUs: 4, MemoryGB: 8, Price: 1, SpotPrice: 0.5, BootS: 10, ZoneNames: []string{"a"}}}}
-	effects := l.Step(began, Loaded{Epoch: 7, Asked: began, Items: []wire.Item{item(t, CatalogKey, 1, types), item(t, JobPrefix+spec.Ref, 2, JobRecord{Spec: spec})}})
+	effects := l.Step(began, StateLoaded{Term: 7, RequestedAt: began, Items: []wire.Item{item(t, CatalogKey, 1, types), item(t, JobPrefix+spec.Ref, 2, JobRecord{Spec: spec})}})
 	var keys []string
 	revision := uint64(10)
 	for at := began; at < began+5*clock.Second; at += clock.Second / 4 {
 		for len(effects) > 0 {
 			e := effects[0]
 			effects = effects[1:]
-			if c, ok := e.(Commit); ok {
+			if c, ok := e.(CommitTxn); ok {
 				keys = append(keys, putKeys([]any{c})...)
 				revision++
-				effects = append(effects, l.Step(at, Committed{Epoch: 7, Tag: c.Tag, Outcome: store.TxnResult{Committed: true, Revision: revision}})...)
+				effects = append(effects, l.Step(at, TxnCompleted{Term: 7, Tag: c.Tag, Result: store.TxnResult{Committed: true, Revision: revision}})...)
 			}
 		}
-		l.Step(at, Authority{Until: at + 100*clock.Second})
+		l.Step(at, LeadershipExtended{Until: at + 100*clock.Second})
 		effects = l.Step(at, Tick{})
 	}
 	if want := []string{"layout", "block/000", "fleet/r-7-1"}; !slices.Equal(keys, want) {
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -164,17 +164,17 @@
 		l.paused(began, now)
 	}
 	switch m := msg.(type) {
-	case Elected:
+	case LeadershipAcquired:
 		l.reset()
-		l.epoch, l.run, l.leading, l.began = m.Epoch, m.Run, true, now
+		l.epoch, l.run, l.leading, l.began = m.Term, m.Incarnation, true, now
 		l.spread = newSpreading(l.cfg.Tuning.Spread, now)
-		l.emit(Load{l.epoch})
-	case Authority:
+		l.emit(LoadState{l.epoch})
+	case LeadershipExtended:
 		l.until = m.Until
-	case Deposed:
+	case LeadershipLost:
 		l.reset()
-	case StatusAsked:
-		l.emit(AnswerStatus{m.Tag, l.status(now)})
+	case StatusRequested:
+		l.emit(ReplyStatus{m.ReplyTo, l.status(now)})
 	default:
 		if l.leading {
 			l.handle(now, m)
@@ -199,17 +199,17 @@
 // handle takes in a message of the epoch. What was asked for in an earlier one is not waited for any more.
 func (l *Leader) handle(now clock.Micros, msg any) {
 	switch m := msg.(type) {
-	case Joined:
+	case PeerConnected:
 		l.joined(now, m)
-	case Left:
-		if n := l.nodes[m.Node]; n != nil && n.link == m.Link {
-			delete(l.nodes, m.Node)
+	case PeerDisconnected:
+		if n := l.nodes[m.Controller]; n != nil && n.link == m.Link {
+			delete(l.nodes, m.Controller)
 		}
-	case Said:
+	case HolderMessage:
 		l.said(now, m)
-	case CatalogRead:
+	case CatalogLoaded:
 		l.catalog(now, m.Types)
-	case Listed:
+	case MachinesListed:
 		l.listing = false
 		l.listedMachines(now, m.Machines)
 	case Tick:
@@ -222,35 +222,35 @@
 // handleAnswer takes in what this epoch has asked the state service or the cloud for.
 func (l *Leader) handleAnswer(now clock.Micros, msg any) {
 	switch m := msg.(type) {
-	case Loaded:
-		if m.Epoch == l.epoch && !l.loaded {
+	case StateLoaded:
+		if m.Term == l.epoch && !l.loaded {
 			l.load(now, m)
 		}
-	case Watched:
-		if m.Epoch == l.epoch && l.loaded {
+	case JobsChanged:
+		if m.Term == l.epoch && l.loaded {
 			for _, e := range m.Events {
 				l.watched(now, e)
 			}
-			l.viewed = max(l.viewed, m.Asked)
+			l.viewed = max(l.viewed, m.RequestedAt)
 		}
-	case Committed:
-		if m.Epoch == l.epoch {
+	case TxnCompleted:
+		if m.Term == l.epoch {
 			l.committed(now, m)
 		}
-	case Records:
-		if m.Epoch == l.epoch {
+	case AttemptsLoaded:
+		if m.Term == l.epoch {
 			l.records(m)
 		}
-	case Read:
-		if m.Epoch == l.epoch {
+	case KeyRead:
+		if m.Term == l.epoch {
 			l.read(now, m)
 		}
-	case Rented:
-		if m.Epoch == l.epoch {
+	case MachinesProvisioned:
+		if m.Term == l.epoch {
 			l.rented(now, m)
 		}
-	case Deleted:
-		if m.Epoch == l.epoch {
+	case MachinesDeleted:
+		if m.Term == l.epoch {
 			l.deleted(now, m)
 		}
 	}
@@ -258,14 +258,14 @@
 
 // joined takes in a new link. What the controller was told over an older one may be lost: its blocks
 // are granted anew.
-func (l *Leader) joined(now clock.Micros, m Joined) {
-	l.nodes[m.Node] = &node{name: m.Node, run: m.Run, link: m.Link, slow: m.Slow, joined: now, heard: now}
+func (l *Leader) joined(now clock.Micros, m PeerConnected) {
+	l.nodes[m.Controller] = &node{name: m.Controller, run: m.Incarnation, link: m.Link, slow: m.ViaStore, joined: now, heard: now}
 	for _, b := range l.blocks {
-		if b.holder == m.Node && b.link != m.Link && b.state != writing {
+		if b.holder == m.Controller && b.link != m.Link && b.state != writing {
 			b.state = loose
 		}
 	}
-	l.emit(Tell{m.Link, peer.FromLeader{Term: l.epoch, Types: l.typeList, Holders: l.holders()}})
+	l.emit(SendToHolder{m.Link, peer.FromLeader{Term: l.epoch, Types: l.typeList, Holders: l.holders()}})
 }
 
 // byName are the controllers in touch in a fixed order: the same state gives the same effects.
@@ -275,12 +275,12 @@
 
 func (l *Leader) emit(e any) { l.fx = append(l.fx, e) }
 
-func (l *Leader) info(text string, args ...any) { l.emit(Log{Text: text, Args: args}) }
+func (l *Leader) info(text string, args ...any) { l.emit(Log{Message: text, Attributes: args}) }
 
 // commit guards a transaction on the epoch, so that one of an older leader fails however late it is applied.
 func (l *Leader) commit(prio int, tag any, guards []wire.Condition, writes []wire.Write) {
 	guards = append([]wire.Condition{{Key: Key, Version: l.epoch}}, guards...)
-	l.emit(Commit{Epoch: l.epoch, Prio: prio, Txn: wire.Txn{Conditions: guards, Writes: writes}, Tag: tag})
+	l.emit(CommitTxn{Term: l.epoch, Priority: prio, Txn: wire.Txn{Conditions: guards, Writes: writes}, Tag: tag})
 }
 
 func put(key string, v any) wire.Write {
@@ -337,21 +337,21 @@
 	return u
 }
 
-func (l *Leader) committed(now clock.Micros, m Committed) {
-	if m.Outcome.FailedOn(Key) {
+func (l *Leader) committed(now clock.Micros, m TxnCompleted) {
+	if m.Result.FailedOn(Key) {
 		l.emit(Resign{"the leader key has changed"})
 		return
 	}
-	if m.Outcome.Rejected {
+	if m.Result.Rejected {
 		// Limits fell below what the settings say.
 		l.valueBytes, l.txnOps = store.ReducedLimits(l.valueBytes, l.txnOps)
 	}
-	if m.Outcome.Committed {
-		l.written = max(l.written, m.Outcome.Revision)
+	if m.Result.Committed {
+		l.written = max(l.written, m.Result.Revision)
 	}
 	switch tag := m.Tag.(type) {
 	case blocksTag:
-		l.blocksWritten(now, tag, m.Outcome)
+		l.blocksWritten(now, tag, m.Result)
 	case endTag:
 		l.ended(now, tag, m)
 	case progTag:
@@ -361,7 +361,7 @@
 	}
 }
 
-func (l *Leader) read(now clock.Micros, m Read) {
+func (l *Leader) read(now clock.Micros, m KeyRead) {
 	switch tag := m.Tag.(type) {
 	case blocksTag:
 		for _, id := range slices.Sorted(maps.Keys(tag.tokens)) {
@@ -370,10 +370,10 @@
 				continue
 			}
 			b.stamp = m.Item.Version
-			var r BlockRecord
-			if m.Found && json.Unmarshal(m.Item.Value, &r) == nil && r.Token == token {
+			var r ShardRecord
+			if m.Found && json.Unmarshal(m.Item.Value, &r) == nil && r.FencingToken == token {
 				b.state = reading
-				l.emit(LoadRecords{l.epoch, id, token})
+				l.emit(LoadAttempts{l.epoch, id, token})
 			} else {
 				b.state = loose
 			}
--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -25,8 +25,8 @@
 // toldOf gathers the orders that the effects send to holders.
 func toldOf(fx []any) (orders []peer.ShardOrders) {
 	for _, e := range fx {
-		if x, ok := e.(Tell); ok {
-			orders = append(orders, x.Down.Orders...)
+		if x, ok := e.(SendToHolder); ok {
+			orders = append(orders, x.Message.Orders...)
 		}
 	}
 	return orders
@@ -65,20 +65,20 @@
 	cfg.Facts.Teams = []config.Team{{Name: "red", CPUs: 8, CPUsMax: 16}}
 	l := New(cfg, func() bool { return true })
 	now := began
-	l.Step(now, Elected{Epoch: 5})
-	l.Step(now, Authority{Until: now + 100*clock.Second})
-	l.Step(now, Joined{Node: "n0", Link: "link"})
-	l.Step(now, Loaded{Epoch: 5, Asked: now, Items: []wire.Item{
-		item(t, LayoutKey, 1, LayoutRecord{Blocks: 2}),
+	l.Step(now, LeadershipAcquired{Term: 5})
+	l.Step(now, LeadershipExtended{Until: now + 100*clock.Second})
+	l.Step(now, PeerConnected{Controller: "n0", Link: "link"})
+	l.Step(now, StateLoaded{Term: 5, RequestedAt: now, Items: []wire.Item{
+		item(t, LayoutKey, 1, LayoutRecord{Shards: 2}),
 		item(t, CatalogKey, 1, wire.Catalog{Types: []wire.MachineType{{Name: "small", CPUs: 4, MemoryGB: 8, ZoneNames: []string{"a"}}}}),
 		item(t, JobPrefix+spec.Ref, 2, JobRecord{Spec: spec}),
-		item(t, FleetPrefix+"r1", 3, FleetRecord{Rental: wire.ProvisionRequest{Type: "small", Zone: "a"}, Machines: names, Asked: true}),
+		item(t, InstanceGroupPrefix+"r1", 3, InstanceGroupRecord{Request: wire.ProvisionRequest{Type: "small", Zone: "a"}, Machines: names, Answered: true}),
 	}})
 	fx := l.Step(now, Tick{})
 	for _, e := range fx {
-		if c, ok := e.(Commit); ok {
+		if c, ok := e.(CommitTxn); ok {
 			if tag, ok := c.Tag.(blocksTag); ok {
-				l.Step(now, Committed{Epoch: 5, Tag: tag, Outcome: store.TxnResult{Committed: true, Revision: 9}})
+				l.Step(now, TxnCompleted{Term: 5, Tag: tag, Result: store.TxnResult{Committed: true, Revision: 9}})
 			}
 		}
 	}
@@ -93,18 +93,18 @@
 	up := func(b int) []any {
 		u := peer.ShardUpdate{Shard: b, FencingToken: l.blocks[b].token}
 		for _, n := range names {
-			if block.Of(n, 2) == b {
+			if block.ForMachine(n, 2) == b {
 				u.Machines = append(u.Machines, peer.MachineState{Name: n, Type: "small", Zone: "a", Schedulable: true, CPUs: 4, MemoryGB: 8})
 			}
 		}
 		now += clock.Second
-		return l.Step(now, Said{Node: "n0", Link: "link", Up: &peer.ToLeader{Term: 5, StoreOK: true, Updates: []peer.ShardUpdate{u}}})
+		return l.Step(now, HolderMessage{Controller: "n0", Link: "link", Message: &peer.ToLeader{Term: 5, StoreOK: true, Updates: []peer.ShardUpdate{u}}})
 	}
-	l.Step(now, Records{Epoch: 5, Block: 0, Token: l.blocks[0].token})
+	l.Step(now, AttemptsLoaded{Term: 5, Shard: 0, FencingToken: l.blocks[0].token})
 	if n := offers(up(0)); n != 0 {
 		t.Fatalf("%d tasks offered while block 1 is not read", n)
 	}
-	fx := l.Step(now, Records{Epoch: 5, Block: 1, Token: l.blocks[1].token, Pages: map[string]peer.AttemptPage{"run/001/1-1": {Machines: names[:1],
+	fx := l.Step(now, AttemptsLoaded{Term: 5, Shard: 1, FencingToken: l.blocks[1].token, Pages: map[string]peer.AttemptPage{"run/001/1-1": {Machines: names[:1],
 		Groups: []peer.AttemptGroup{{Job: spec.Ref, Team: "red", CPUs: 1, Attempts: []int{0, 1, 0}}}}}})
 	if n := offers(fx); n != 1 {
 		t.Errorf("%d tasks offered, want the one that no record names", n)
@@ -115,14 +115,14 @@
 func TestAbortDuringProgressWrite(t *testing.T) {
 	l := leading(t)
 	page := peer.AttemptPage{Machines: names[:1], Groups: []peer.AttemptGroup{{Job: spec.Ref, Team: "red", CPUs: 1, Attempts: []int{0, 1, 0, 1, 2, 0}}}}
-	b := block.Of(names[0], 2)
-	l.Step(began, Records{Epoch: 5, Block: b, Token: l.blocks[b].token, Pages: map[string]peer.AttemptPage{"p": page}})
-	l.Step(began, Records{Epoch: 5, Block: 1 - b, Token: l.blocks[1-b].token})
-	fx := l.Step(began, Said{Node: "n0", Link: "link", Up: &peer.ToLeader{Term: 5, Updates: []peer.ShardUpdate{{Shard: b, FencingToken: l.blocks[b].token,
+	b := block.ForMachine(names[0], 2)
+	l.Step(began, AttemptsLoaded{Term: 5, Shard: b, FencingToken: l.blocks[b].token, Pages: map[string]peer.AttemptPage{"p": page}})
+	l.Step(began, AttemptsLoaded{Term: 5, Shard: 1 - b, FencingToken: l.blocks[1-b].token})
+	fx := l.Step(began, HolderMessage{Controller: "n0", Link: "link", Message: &peer.ToLeader{Term: 5, Updates: []peer.ShardUpdate{{Shard: b, FencingToken: l.blocks[b].token,
 		Events: []peer.TaskEvent{{Task: peer.Task{Job: spec.Ref, Index: 0}, Kind: peer.EventCompleted, Machine: names[0]}}}}}})
 	writes := 0
 	for _, e := range append(fx, l.Step(began+progressEvery, Tick{})...) {
-		if c, ok := e.(Commit); ok && strings.HasPrefix(c.Txn.Writes[0].Put, ProgPrefix) {
+		if c, ok := e.(CommitTxn); ok && strings.HasPrefix(c.Txn.Writes[0].Put, ProgressPrefix) {
 			writes++
 		}
 	}
@@ -130,9 +130,9 @@
 		t.Fatalf("%d progress writes under way, want 1", writes)
 	}
 	var stopped []peer.StopTask
-	for _, e := range l.Step(began+progressEvery, Watched{Epoch: 5, Events: []wire.Event{{Delete: JobPrefix + spec.Ref, Version: 20}}}) {
-		if x, ok := e.(Tell); ok {
-			for _, o := range x.Down.Orders {
+	for _, e := range l.Step(began+progressEvery, JobsChanged{Term: 5, Events: []wire.Event{{Delete: JobPrefix + spec.Ref, Version: 20}}}) {
+		if x, ok := e.(SendToHolder); ok {
+			for _, o := range x.Message.Orders {
 				stopped = append(stopped, o.Stop...)
 			}
 		}
@@ -178,8 +178,8 @@
 	t.Helper()
 	l := leading(t)
 	for b := range l.blocks {
-		m := Records{Epoch: 5, Block: b, Token: l.blocks[b].token}
-		if b == block.Of(names[0], 2) {
+		m := AttemptsLoaded{Term: 5, Shard: b, FencingToken: l.blocks[b].token}
+		if b == block.ForMachine(names[0], 2) {
 			m.Pages = pages
 		}
 		l.Step(began, m)
@@ -187,11 +187,11 @@
 	for b := range l.blocks {
 		u := peer.ShardUpdate{Shard: b, FencingToken: l.blocks[b].token}
 		for _, n := range names {
-			if block.Of(n, 2) == b {
+			if block.ForMachine(n, 2) == b {
 				u.Machines = append(u.Machines, peer.MachineState{Name: n, Type: "small", Zone: "a", Schedulable: true, TokenConfirmed: true, CPUs: 4, MemoryGB: 8})
 			}
 		}
-		l.Step(began, Said{Node: "n0", Link: "link", Up: &peer.ToLeader{Term: 5, StoreOK: true, Updates: []peer.ShardUpdate{u}}})
+		l.Step(began, HolderMessage{Controller: "n0", Link: "link", Message: &peer.ToLeader{Term: 5, StoreOK: true, Updates: []peer.ShardUpdate{u}}})
 	}
 	return l
 }
@@ -201,23 +201,23 @@
 func TestProgressPageOfTheOldSizeIsSplit(t *testing.T) {
 	l := leading(t)
 	const n = 40
-	old := &progressPage{key: ProgPrefix + "1-1", stamp: 7, size: 32}
-	var r ProgRecord
+	old := &progressPage{key: ProgressPrefix + "1-1", stamp: 7, size: 32}
+	var r ProgressRecord
 	var refs []string
 	for i := range n {
 		s := spec
 		s.Ref, s.Tasks = "j-20000"+string(rune('0'+i/10))+string(rune('0'+i%10)), 300
 		l.addJob(JobRecord{Spec: s}, 3).fillWaiting()
 		refs = append(refs, s.Ref)
-		r.Units = append(r.Units, ProgUnit{Job: s.Ref, Bits: []byte{5}})
+		r.Chunks = append(r.Chunks, ProgressChunk{Job: s.Ref, Completed: []byte{5}})
 	}
 	l.valueBytes = 1800
 	it := item(t, old.key, old.stamp, r)
 	l.loadProgressPage(it, r)
-	left := map[any]Commit{}
+	left := map[any]CommitTxn{}
 	for round := 1; round <= 3; round++ {
 		for _, e := range l.Step(began+clock.Micros(round)*progressEvery, Tick{}) {
-			c, ok := e.(Commit)
+			c, ok := e.(CommitTxn)
 			if !ok || c.Tag == nil && c.Txn.Writes[0].Delete == "" {
 				continue
 			}
@@ -237,7 +237,7 @@
 		if round == 1 {
 			for s, c := range left {
 				delete(left, s)
-				l.Step(began+progressEvery, Committed{Epoch: 5, Tag: c.Tag, Outcome: store.TxnResult{Committed: true, Revision: 20}})
+				l.Step(began+progressEvery, TxnCompleted{Term: 5, Tag: c.Tag, Result: store.TxnResult{Committed: true, Revision: 20}})
 			}
 		}
 	}
@@ -255,7 +255,7 @@
 func TestLeaderWritesSmallerAfterARefusal(t *testing.T) {
 	l := granting(t, nil)
 	l.valueBytes, l.txnOps = 3600, 8
-	l.Step(began, Committed{Epoch: 5, Tag: endTag{"j-999999"}, Outcome: store.TxnResult{Rejected: true}})
+	l.Step(began, TxnCompleted{Term: 5, Tag: endTag{"j-999999"}, Result: store.TxnResult{Rejected: true}})
 	if l.valueBytes != 1800 || l.txnOps != 4 {
 		t.Errorf("values of %d bytes, %d operations", l.valueBytes, l.txnOps)
 	}
@@ -266,12 +266,12 @@
 func TestStopsComeWithTheGrant(t *testing.T) {
 	l := leading(t)
 	over := peer.Task{Job: "j-000009", Index: 4}
-	fx := l.Step(began, Records{Epoch: 5, Block: 0, Token: l.blocks[0].token, Pages: map[string]peer.AttemptPage{"run/000/1-1": {Machines: names[:1],
+	fx := l.Step(began, AttemptsLoaded{Term: 5, Shard: 0, FencingToken: l.blocks[0].token, Pages: map[string]peer.AttemptPage{"run/000/1-1": {Machines: names[:1],
 		Groups: []peer.AttemptGroup{{Job: over.Job, Team: "red", CPUs: 3, Attempts: []int{over.Index, 1, 0}}}}}})
 	found := false
 	for _, e := range fx {
-		if x, ok := e.(Tell); ok && len(x.Down.Grants) > 0 {
-			for _, o := range x.Down.Orders {
+		if x, ok := e.(SendToHolder); ok && len(x.Message.Grants) > 0 {
+			for _, o := range x.Message.Orders {
 				found = found || o.Shard == 0 && o.FencingToken == l.blocks[0].token && len(o.Stop) == 1 && o.Stop[0].Task == over
 			}
 		}
--- a/internal/leader/limits_test.go
+++ b/internal/leader/limits_test.go
@@ -16,10 +16,10 @@
 		switch x := e.(type) {
 		case Resign:
 			return 0, false
-		case Commit:
+		case CommitTxn:
 			if tag, ok := x.Tag.(blocksTag); ok {
-				l.Step(now, Committed{Epoch: l.epoch, Tag: tag, Outcome: store.TxnResult{Committed: true, Revision: revision}})
-				l.Step(now, Records{Epoch: l.epoch, Block: 0, Token: tag.tokens[0]})
+				l.Step(now, TxnCompleted{Term: l.epoch, Tag: tag, Result: store.TxnResult{Committed: true, Revision: revision}})
+				l.Step(now, AttemptsLoaded{Term: l.epoch, Shard: 0, FencingToken: tag.tokens[0]})
 				return tag.tokens[0], true
 			}
 		}
@@ -66,13 +66,13 @@
 		l := leading(t)
 		l.cfg.Facts.Cloud.RPS = 2
 		for i := len(l.machines); i < machines; i++ {
-			l.addMachine(began, "extra-"+string(rune('a'+i%26))+string(rune(0x4e00+i)), &rental{record: FleetRecord{Rental: wire.ProvisionRequest{Type: "small", Zone: "a"}}})
+			l.addMachine(began, "extra-"+string(rune('a'+i%26))+string(rune(0x4e00+i)), &rental{record: InstanceGroupRecord{Request: wire.ProvisionRequest{Type: "small", Zone: "a"}}})
 		}
 		lists, spell := 0, 60*clock.Second
 		for now := began; now < began+spell; now += clock.Second / 4 {
 			l.until, l.viewed, l.nodes["n0"].heard = now+clock.Minute, now, now
 			for _, e := range l.Step(now, Tick{}) {
-				if _, ok := e.(List); ok {
+				if _, ok := e.(ListMachines); ok {
 					lists++
 					l.listing = false
 				}
--- a/internal/leader/load.go
+++ b/internal/leader/load.go
@@ -11,9 +11,9 @@
 )
 
 // load takes in what the state service holds at the start of an epoch.
-func (l *Leader) load(now clock.Micros, m Loaded) {
-	l.wall = m.Wall - now
-	l.viewed = m.Asked
+func (l *Leader) load(now clock.Micros, m StateLoaded) {
+	l.wall = m.TimeOfDay - now
+	l.viewed = m.RequestedAt
 	l.loadBlocks(m.Items)
 	for _, it := range m.Items {
 		switch {
@@ -21,8 +21,8 @@
 			if r, ok := decode[JobRecord](l, it); ok {
 				l.addJob(r, it.Version)
 			}
-		case strings.HasPrefix(it.Key, FleetPrefix):
-			if r, ok := decode[FleetRecord](l, it); ok {
+		case strings.HasPrefix(it.Key, InstanceGroupPrefix):
+			if r, ok := decode[InstanceGroupRecord](l, it); ok {
 				l.loadRental(now, it, r)
 			} else {
 				l.unanswered[it.Key] = true // whatever machines it names may work
@@ -32,10 +32,10 @@
 	l.loadProgress(m.Items)
 	l.loaded = true
 	l.stirred = true
-	l.emit(List{})
+	l.emit(ListMachines{})
 	l.listing = true
 	l.lastList = now
-	l.emit(ReadCatalog{})
+	l.emit(LoadCatalog{})
 	l.catalogAt = now
 	l.info("leading", "epoch", l.epoch, "jobs", len(l.jobs), "machines", len(l.machines), "blocks", len(l.blocks))
 }
@@ -45,19 +45,19 @@
 func (l *Leader) loadBlocks(items []wire.Item) {
 	n, haveLayout := int(l.cfg.Tuning.Grants.Blocks), false
 	stamps := map[string]uint64{}
-	holders := map[string]BlockRecord{}
+	holders := map[string]ShardRecord{}
 	for _, it := range items {
 		switch {
 		case it.Key == LayoutKey:
-			if r, ok := decode[LayoutRecord](l, it); ok && r.Blocks > 0 {
-				n, haveLayout = r.Blocks, true
+			if r, ok := decode[LayoutRecord](l, it); ok && r.Shards > 0 {
+				n, haveLayout = r.Shards, true
 			}
 		case it.Key == CatalogKey:
 			if c, ok := decode[wire.Catalog](l, it); ok {
 				l.setTypes(c.Types)
 			}
 		case strings.HasPrefix(it.Key, block.KeyPrefix):
-			if r, ok := decode[BlockRecord](l, it); ok {
+			if r, ok := decode[ShardRecord](l, it); ok {
 				stamps[it.Key], holders[it.Key] = it.Version, r
 			}
 		}
@@ -75,8 +75,8 @@
 // which of them may run.
 func (l *Leader) loadProgress(items []wire.Item) {
 	for _, it := range items {
-		if strings.HasPrefix(it.Key, ProgPrefix) {
-			if r, ok := decode[ProgRecord](l, it); ok {
+		if strings.HasPrefix(it.Key, ProgressPrefix) {
+			if r, ok := decode[ProgressRecord](l, it); ok {
 				l.loadProgressPage(it, r)
 			}
 		}
@@ -115,7 +115,7 @@
 		// Kept in the store so that submissions can be judged while the cloud is away.
 		l.commit(store.PriorityReads, nil, nil, []wire.Write{put(CatalogKey, wire.Catalog{Types: ts})})
 		for _, n := range l.byName() {
-			l.emit(Tell{n.link, peer.FromLeader{Term: l.epoch, Types: ts}})
+			l.emit(SendToHolder{n.link, peer.FromLeader{Term: l.epoch, Types: ts}})
 		}
 	}
 }
--- a/internal/leader/machines.go
+++ b/internal/leader/machines.go
@@ -42,7 +42,7 @@
 	if l.machines[name] != nil {
 		return
 	}
-	l.machines[name] = &machine{name: name, rental: rt.key, opt: l.option(rt.record.Rental), block: l.blockOf(name), born: now, idle: now}
+	l.machines[name] = &machine{name: name, rental: rt.key, opt: l.option(rt.record.Request), block: l.blockOf(name), born: now, idle: now}
 	delete(l.found, name)
 	if b := l.blockOf(name); b.state == granted {
 		b.orders.Added = append(b.orders.Added, name)
@@ -157,7 +157,7 @@
 	}
 }
 
-func (l *Leader) deleted(now clock.Micros, m Deleted) {
+func (l *Leader) deleted(now clock.Micros, m MachinesDeleted) {
 	l.deleting = max(0, l.deleting-1)
 	for _, name := range m.Machines {
 		mc := l.machines[name]
--- a/internal/leader/messages.go
+++ b/internal/leader/messages.go
@@ -14,207 +14,207 @@
 
 // Store keys of the leader.
 const (
-	Key         = election.Key
-	LayoutKey   = "layout"
-	CatalogKey  = "catalog"
-	JobPrefix   = "job/"
-	EndPrefix   = "over/"
-	ProgPrefix  = "prog/"
-	FleetPrefix = "fleet/"
+	Key                 = election.Key
+	LayoutKey           = "layout"
+	CatalogKey          = "catalog"
+	JobPrefix           = "job/"
+	FinalStatePrefix    = "over/"
+	ProgressPrefix      = "prog/"
+	InstanceGroupPrefix = "fleet/"
 )
 
 // JobRecord is the value of job/<ref>.
 type JobRecord struct {
-	Spec wire.Job     `json:"spec"`
-	At   clock.Micros `json:"at"` // time of day of the acceptance
+	Spec       wire.Job     `json:"spec"`
+	AcceptedAt clock.Micros `json:"at"` // time of day of the acceptance
 }
 
-// EndRecord is the value of over/<ref>: a final state, kept for ever.
-type EndRecord struct {
+// FinalStateRecord is the value of over/<ref>: a final state, kept for ever.
+type FinalStateRecord struct {
 	State string `json:"state"`
 	Tasks int    `json:"tasks"`
 }
 
-// ProgRecord is the value of a prog/ key: completed tasks of several jobs.
-type ProgRecord struct {
-	Units []ProgUnit `json:"u"`
+// ProgressRecord is the value of a prog/ key: completed tasks of several jobs.
+type ProgressRecord struct {
+	Chunks []ProgressChunk `json:"u"`
 }
 
-// ProgUnit has a bit for each completed task of a range of a job's tasks.
-type ProgUnit struct {
-	Job   string `json:"j"`
-	Chunk int    `json:"c,omitempty"`
-	Bits  []byte `json:"b"`
+// ProgressChunk has a bit for each completed task of a range of a job's tasks.
+type ProgressChunk struct {
+	Job       string `json:"j"`
+	Chunk     int    `json:"c,omitempty"`
+	Completed []byte `json:"b"`
 }
 
-// ChunkTasks is how many tasks' bits are stored as one.
-const ChunkTasks = 8192
+// TasksPerChunk is how many tasks' bits are stored as one.
+const TasksPerChunk = 8192
 
-// BlockRecord is the value of block/<n>.
-type BlockRecord struct {
-	Token  uint64 `json:"token"`
-	Holder string `json:"holder"`
-	Run    uint64 `json:"run"`
+// ShardRecord is the value of block/<n>.
+type ShardRecord struct {
+	FencingToken uint64 `json:"token"`
+	Holder       string `json:"holder"`
+	Incarnation  uint64 `json:"run"`
 }
 
 // LayoutRecord fixes how machines are split into blocks.
 type LayoutRecord struct {
-	Blocks int `json:"blocks"`
+	Shards int `json:"blocks"`
 }
 
-// FleetRecord is a rental, or machines that were found: the durable roster.
-type FleetRecord struct {
-	Rental   wire.ProvisionRequest `json:"rental"`
+// InstanceGroupRecord is a rental, or machines that were found: the durable roster.
+type InstanceGroupRecord struct {
+	Request  wire.ProvisionRequest `json:"rental"`
 	Machines []string              `json:"machines"`
-	Asked    bool                  `json:"asked"` // the answer is known
+	Answered bool                  `json:"asked"` // the answer is known
 }
 
 // Messages to a Leader.
 type (
-	// Elected begins an epoch; every write guards on Epoch, the leader key's version.
-	Elected struct {
-		Epoch uint64
-		Run   uint64
-	}
-	// Authority says until when the leader may act without a further renewal.
-	Authority struct{ Until clock.Micros }
-	// Deposed ends the epoch.
-	Deposed struct{}
-	// Loaded is the store's content at the start of an epoch.
-	Loaded struct {
-		Epoch    uint64
-		Items    []wire.Item
-		Revision uint64
-		Wall     clock.Micros // time of day
-		Asked    clock.Micros // when the jobs were asked for
-	}
-	// Joined is a new link to a controller, maybe to ourselves.
-	Joined struct {
-		Node string
-		Run  uint64
-		Link any
-		Slow bool // through the state service: messages take seconds
-	}
-	// Left is its end.
-	Left struct {
-		Node string
-		Link any
-	}
-	// Said is what a holder says.
-	Said struct {
-		Node string
-		Link any
-		Up   *peer.ToLeader
-	}
-	// Watched are changes of jobs, maybe none: all that there were until Asked, when they
+	// LeadershipAcquired begins an epoch; every write guards on Epoch, the leader key's version.
+	LeadershipAcquired struct {
+		Term        uint64
+		Incarnation uint64
+	}
+	// LeadershipExtended says until when the leader may act without a further renewal.
+	LeadershipExtended struct{ Until clock.Micros }
+	// LeadershipLost ends the epoch.
+	LeadershipLost struct{}
+	// StateLoaded is the store's content at the start of an epoch.
+	StateLoaded struct {
+		Term        uint64
+		Items       []wire.Item
+		Revision    uint64
+		TimeOfDay   clock.Micros // time of day
+		RequestedAt clock.Micros // when the jobs were asked for
+	}
+	// PeerConnected is a new link to a controller, maybe to ourselves.
+	PeerConnected struct {
+		Controller  string
+		Incarnation uint64
+		Link        any
+		ViaStore    bool // through the state service: messages take seconds
+	}
+	// PeerDisconnected is its end.
+	PeerDisconnected struct {
+		Controller string
+		Link       any
+	}
+	// HolderMessage is what a holder says.
+	HolderMessage struct {
+		Controller string
+		Link       any
+		Message    *peer.ToLeader
+	}
+	// JobsChanged are changes of jobs, maybe none: all that there were until Asked, when they
 	// were asked for.
-	Watched struct {
-		Epoch  uint64
-		Events []wire.Event
-		Asked  clock.Micros
-	}
-	// Committed is the end of a transaction.
-	Committed struct {
-		Epoch   uint64
-		Tag     any
-		Outcome store.TxnResult
-		Err     error
-	}
-	// Records are a block's start records, read after its key was written.
-	Records struct {
-		Epoch uint64
-		Block int
-		Token uint64
-		Pages map[string]peer.AttemptPage
-	}
-	// Read is one key that was asked for.
-	Read struct {
-		Epoch uint64
+	JobsChanged struct {
+		Term        uint64
+		Events      []wire.Event
+		RequestedAt clock.Micros
+	}
+	// TxnCompleted is the end of a transaction.
+	TxnCompleted struct {
+		Term   uint64
+		Tag    any
+		Result store.TxnResult
+		Err    error
+	}
+	// AttemptsLoaded are a block's start records, read after its key was written.
+	AttemptsLoaded struct {
+		Term         uint64
+		Shard        int
+		FencingToken uint64
+		Pages        map[string]peer.AttemptPage
+	}
+	// KeyRead is one key that was asked for.
+	KeyRead struct {
+		Term  uint64
 		Tag   any
 		Item  wire.Item
 		Found bool
 	}
-	// CatalogRead is the cloud's catalog.
-	CatalogRead struct{ Types []wire.MachineType }
-	// Listed is the cloud's full machine list.
-	Listed struct{ Machines []wire.Machine }
-	// Rented is a rental's end.
-	Rented struct {
-		Epoch      uint64
-		Request    string
+	// CatalogLoaded is the cloud's catalog.
+	CatalogLoaded struct{ Types []wire.MachineType }
+	// MachinesListed is the cloud's full machine list.
+	MachinesListed struct{ Machines []wire.Machine }
+	// MachinesProvisioned is a rental's end.
+	MachinesProvisioned struct {
+		Term       uint64
+		RequestID  string
 		Machines   []string
 		NoCapacity bool
 		Err        error
 	}
-	// Deleted is a deletion's end; when Err is nil the machines are gone.
-	Deleted struct {
-		Epoch    uint64
+	// MachinesDeleted is a deletion's end; when Err is nil the machines are gone.
+	MachinesDeleted struct {
+		Term     uint64
 		Machines []string
 		Err      error
 	}
-	// StatusAsked is an operator's question; the answer goes to Tag.
-	StatusAsked struct{ Tag any }
+	// StatusRequested is an operator's question; the answer goes to Tag.
+	StatusRequested struct{ ReplyTo any }
 	// Tick lets time pass.
 	Tick struct{}
 )
 
 // Effects of a Leader.
 type (
-	// Tell goes to a holder.
-	Tell struct {
-		Link any
-		Down peer.FromLeader
-	}
-	// Load asks for all that the store holds of ours, and a watch of the jobs from there on.
-	Load struct{ Epoch uint64 }
-	// LoadRecords asks for a block's start records.
-	LoadRecords struct {
-		Epoch uint64
-		Block int
-		Token uint64
-	}
-	// Commit is a transaction; Guards on the epoch are part of it.
-	Commit struct {
-		Epoch uint64
-		Prio  int
-		Txn   wire.Txn
-		Tag   any
+	// SendToHolder goes to a holder.
+	SendToHolder struct {
+		Link    any
+		Message peer.FromLeader
+	}
+	// LoadState asks for all that the store holds of ours, and a watch of the jobs from there on.
+	LoadState struct{ Term uint64 }
+	// LoadAttempts asks for a block's start records.
+	LoadAttempts struct {
+		Term         uint64
+		Shard        int
+		FencingToken uint64
+	}
+	// CommitTxn is a transaction; Guards on the epoch are part of it.
+	CommitTxn struct {
+		Term     uint64
+		Priority int
+		Txn      wire.Txn
+		Tag      any
 	}
 	// ReadKey asks for one key.
 	ReadKey struct {
-		Epoch uint64
-		Key   string
-		Tag   any
-	}
-	// Rent asks the cloud for machines.
-	Rent struct {
-		Epoch  uint64
-		Rental wire.ProvisionRequest
-	}
-	// Delete returns machines.
-	Delete struct {
-		Epoch    uint64
+		Term uint64
+		Key  string
+		Tag  any
+	}
+	// ProvisionMachines asks the cloud for machines.
+	ProvisionMachines struct {
+		Term    uint64
+		Request wire.ProvisionRequest
+	}
+	// DeleteMachines returns machines.
+	DeleteMachines struct {
+		Term     uint64
 		Machines []string
 	}
-	// List asks for the machine list.
-	List struct{}
-	// ReadCatalog asks for the catalog.
-	ReadCatalog struct{}
-	// Paused tells that the controller stood still.
-	Paused struct{ Pause standstill.Pause }
-	// AnswerStatus answers an operator's question.
-	AnswerStatus struct {
-		Tag    any
-		Status peer.Status
+	// ListMachines asks for the machine list.
+	ListMachines struct{}
+	// LoadCatalog asks for the catalog.
+	LoadCatalog struct{}
+	// PauseDetected tells that the controller stood still.
+	PauseDetected struct{ Pause standstill.Pause }
+	// ReplyStatus answers an operator's question.
+	ReplyStatus struct {
+		ReplyTo any
+		Status  peer.Status
 	}
 	// Resign gives up the epoch.
-	Resign struct{ Why string }
-	// Trace is a span to be written.
-	Trace struct{ Span trace.Span }
+	Resign struct{ Reason string }
+	// RecordSpan is a span to be written.
+	RecordSpan struct{ Span trace.Span }
 	// Log is a line for the log.
 	Log struct {
-		Debug bool
-		Text  string
-		Args  []any
+		Debug      bool
+		Message    string
+		Attributes []any
 	}
 )
--- a/internal/leader/needs.go
+++ b/internal/leader/needs.go
@@ -146,7 +146,7 @@
 	oldest := 0.0
 	for _, ref := range slices.Sorted(maps.Keys(l.jobs)) {
 		j := l.jobs[ref]
-		age := (now + l.wall - j.record.At).Seconds()
+		age := (now + l.wall - j.record.AcceptedAt).Seconds()
 		if !j.record.Spec.IsService() || age > arrivals {
 			continue
 		}
--- a/internal/leader/pauses.go
+++ b/internal/leader/pauses.go
@@ -16,5 +16,5 @@
 	if l.leading && l.loaded && !l.current(now) {
 		p.Expired = append(p.Expired, "view of the jobs")
 	}
-	l.emit(Paused{p})
+	l.emit(PauseDetected{p})
 }
--- a/internal/leader/pauses_test.go
+++ b/internal/leader/pauses_test.go
@@ -18,7 +18,7 @@
 	if l.nodes["n0"] == nil {
 		t.Error("a controller counts as gone for a pause of ours")
 	}
-	if !slices.ContainsFunc(fx, func(e any) bool { _, ok := e.(Paused); return ok }) {
+	if !slices.ContainsFunc(fx, func(e any) bool { _, ok := e.(PauseDetected); return ok }) {
 		t.Error("the pause was not noticed")
 	}
 	for at := thawed; at < thawed+2*quietTime; at += clock.Second / 2 {
@@ -36,7 +36,7 @@
 	l.Step(began+clock.Second, Tick{})
 	l.until = began + 3*clock.Second
 	for _, e := range l.Step(began+10*clock.Second, Tick{}) {
-		if p, ok := e.(Paused); ok {
+		if p, ok := e.(PauseDetected); ok {
 			if want := []string{"authority of epoch 5", "view of the jobs"}; !slices.Equal(p.Pause.Expired, want) {
 				t.Errorf("%v, want %v", p.Pause.Expired, want)
 			}
--- a/internal/leader/preempt_test.go
+++ b/internal/leader/preempt_test.go
@@ -124,7 +124,7 @@
 	l := granting(t, nil)
 	j := l.jobs[spec.Ref]
 	for _, name := range names[:3] {
-		b := l.blocks[block.Of(name, 2)]
+		b := l.blocks[block.ForMachine(name, 2)]
 		l.event(began, b, peer.TaskEvent{Task: peer.Task{Job: spec.Ref, Index: 0}, Kind: peer.EventFailed, Machine: name})
 	}
 	if j.failures.Suspect() || len(j.failures.Machines()) > 0 {
--- a/internal/leader/progress.go
+++ b/internal/leader/progress.go
@@ -44,7 +44,7 @@
 		}
 	}
 	l.progressPageSeq++
-	s := &progressPage{key: ProgPrefix + strconv.FormatUint(l.epoch, 10) + "-" + strconv.Itoa(l.progressPageSeq), size: 32}
+	s := &progressPage{key: ProgressPrefix + strconv.FormatUint(l.epoch, 10) + "-" + strconv.Itoa(l.progressPageSeq), size: 32}
 	l.progressPages = append(l.progressPages, s)
 	s.put(j, c)
 	return s
@@ -90,10 +90,10 @@
 }
 
 // loadProgressPage takes in progress as an earlier leader stored it.
-func (l *Leader) loadProgressPage(it wire.Item, r ProgRecord) {
+func (l *Leader) loadProgressPage(it wire.Item, r ProgressRecord) {
 	s := &progressPage{key: it.Key, stamp: it.Version, size: 32}
 	l.progressPages = append(l.progressPages, s)
-	for _, u := range r.Units {
+	for _, u := range r.Chunks {
 		j := l.jobs[u.Job]
 		// A service that an older version held for a batch has no progress either.
 		if j == nil || j.record.Spec.IsService() || u.Chunk < 0 || u.Chunk >= len(j.chunks) {
@@ -101,9 +101,9 @@
 			continue
 		}
 		ch := &j.chunks[u.Chunk]
-		for i := range ch.done[:min(len(ch.done), len(u.Bits))] {
-			ch.done[i] |= u.Bits[i]
-			ch.saved[i] |= u.Bits[i]
+		for i := range ch.done[:min(len(ch.done), len(u.Completed))] {
+			ch.done[i] |= u.Completed[i]
+			ch.saved[i] |= u.Completed[i]
 		}
 		if ch.progressPage == nil && len(ch.former) == 0 {
 			s.put(j, u.Chunk)
@@ -170,23 +170,23 @@
 		}
 		s.busy, s.dirty = true, false
 		tag := progTag{progressPage: s, units: slices.Clone(s.units)}
-		var r ProgRecord
+		var r ProgressRecord
 		for _, u := range s.units {
 			ch := &u.j.chunks[u.chunk]
 			ch.dirty = false
 			bits := slices.Clone(ch.done)
 			tag.bits = append(tag.bits, bits)
-			r.Units = append(r.Units, ProgUnit{Job: u.j.record.Spec.Ref, Chunk: u.chunk, Bits: bits})
+			r.Chunks = append(r.Chunks, ProgressChunk{Job: u.j.record.Spec.Ref, Chunk: u.chunk, Completed: bits})
 		}
 		// A late copy of an older write must not take back what was said to be stored.
 		l.commit(store.PriorityBackground, tag, []wire.Condition{{Key: s.key, Version: s.stamp}}, []wire.Write{put(s.key, r)})
 	}
 }
 
-func (l *Leader) progressed(tag progTag, m Committed) {
+func (l *Leader) progressed(tag progTag, m TxnCompleted) {
 	s := tag.progressPage
-	if m.Outcome.Committed {
-		s.busy, s.stamp = false, m.Outcome.Revision
+	if m.Result.Committed {
+		s.busy, s.stamp = false, m.Result.Revision
 		saved := map[string]*job{}
 		for i, u := range tag.units {
 			copy(u.j.chunks[u.chunk].saved, tag.bits[i])
@@ -207,12 +207,12 @@
 		u.j.chunks[u.chunk].dirty = true
 	}
 	s.dirty = true
-	if m.Outcome.Rejected && !m.Outcome.Ambiguous && s.size > l.valueBytes {
+	if m.Result.Rejected && !m.Result.Ambiguous && s.size > l.valueBytes {
 		s.busy = false
 		s.split()
 		return
 	}
-	if len(m.Outcome.FailedKeys) > 0 {
+	if len(m.Result.FailedKeys) > 0 {
 		l.emit(ReadKey{l.epoch, s.key, tag})
 		return
 	}
@@ -220,6 +220,6 @@
 }
 
 // progressPageRead goes on after the guard failed on what an unanswered write of ours did.
-func (l *Leader) progressPageRead(tag progTag, m Read) {
+func (l *Leader) progressPageRead(tag progTag, m KeyRead) {
 	tag.progressPage.busy, tag.progressPage.stamp = false, m.Item.Version
 }
--- a/internal/leader/proofs_test.go
+++ b/internal/leader/proofs_test.go
@@ -22,8 +22,8 @@
 }
 
 // saying is what a holder says of a block under a token.
-func saying(b *leasedBlock, token uint64, events ...peer.TaskEvent) Said {
-	return Said{Node: "n0", Link: "link", Up: &peer.ToLeader{Term: 5, Updates: []peer.ShardUpdate{{Shard: b.id, FencingToken: token, Events: events}}}}
+func saying(b *leasedBlock, token uint64, events ...peer.TaskEvent) HolderMessage {
+	return HolderMessage{Controller: "n0", Link: "link", Message: &peer.ToLeader{Term: 5, Updates: []peer.ShardUpdate{{Shard: b.id, FencingToken: token, Events: events}}}}
 }
 
 func eventOf(index int, kind string) peer.TaskEvent {
@@ -33,7 +33,7 @@
 // What a holder said of an earlier grant, or over an earlier link, gives nothing back.
 func TestEventsOfAnEarlierGrantChangeNothing(t *testing.T) {
 	l := granting(t, recordsOf(names[0], 0, 1))
-	b := l.blocks[block.Of(names[0], 2)]
+	b := l.blocks[block.ForMachine(names[0], 2)]
 	l.Step(began+clock.Second, saying(b, b.token-1, eventOf(0, peer.EventReleased)))
 	other := saying(b, b.token, eventOf(0, peer.EventReleased))
 	other.Link = "an earlier link"
@@ -52,8 +52,8 @@
 func TestTaskWaitsWhenItHasLeftItsLastGrant(t *testing.T) {
 	l := leading(t)
 	for _, b := range l.blocks {
-		machine := names[slices.IndexFunc(names, func(n string) bool { return block.Of(n, 2) == b.id })]
-		l.Step(began, Records{Epoch: 5, Block: b.id, Token: b.token, Pages: recordsOf(machine, 0)})
+		machine := names[slices.IndexFunc(names, func(n string) bool { return block.ForMachine(n, 2) == b.id })]
+		l.Step(began, AttemptsLoaded{Term: 5, Shard: b.id, FencingToken: b.token, Pages: recordsOf(machine, 0)})
 	}
 	j := l.jobs[spec.Ref]
 	l.Step(began, saying(l.blocks[0], l.blocks[0].token, eventOf(0, peer.EventReleased)))
@@ -74,11 +74,11 @@
 // When a block is granted anew, what its records name stays out; only what has none comes back.
 func TestRecordedTasksStayOutWhenABlockIsGrantedAnew(t *testing.T) {
 	l := leading(t)
-	b := l.blocks[block.Of(names[0], 2)]
-	l.Step(began, Records{Epoch: 5, Block: b.id, Token: b.token, Pages: recordsOf(names[0], 0, 1)})
+	b := l.blocks[block.ForMachine(names[0], 2)]
+	l.Step(began, AttemptsLoaded{Term: 5, Shard: b.id, FencingToken: b.token, Pages: recordsOf(names[0], 0, 1)})
 	j := l.jobs[spec.Ref]
 	b.state = reading
-	l.Step(began, Records{Epoch: 5, Block: b.id, Token: b.token, Pages: recordsOf(names[0], 1)})
+	l.Step(began, AttemptsLoaded{Term: 5, Shard: b.id, FencingToken: b.token, Pages: recordsOf(names[0], 1)})
 	if j.out[0] != 0 || j.want[0]&1 == 0 || j.out[1] != 1 || j.want[0]&2 != 0 {
 		t.Errorf("in grants %v, waiting %b: want task 1 in one and task 0 to wait", j.out, j.want[0])
 	}
@@ -86,14 +86,14 @@
 
 // Records that were read for an earlier grant or epoch may lack what was recorded since.
 func TestRecordsOfAnEarlierGrantAreNotTaken(t *testing.T) {
-	for _, m := range []Records{{Epoch: 4}, {Epoch: 5}} {
+	for _, m := range []AttemptsLoaded{{Term: 4}, {Term: 5}} {
 		l := leading(t)
 		b := l.blocks[0]
-		if m.Token = b.token; m.Epoch == 5 {
-			m.Token--
+		if m.FencingToken = b.token; m.Term == 5 {
+			m.FencingToken--
 		}
 		if l.Step(began, m); b.state != reading || b.known {
-			t.Errorf("records of epoch %d and token %d are taken for those of 5 and %d", m.Epoch, m.Token, b.token)
+			t.Errorf("records of epoch %d and token %d are taken for those of 5 and %d", m.Term, m.FencingToken, b.token)
 		}
 	}
 }
@@ -106,15 +106,15 @@
 		b.state = writing
 		tag := blocksTag{map[int]uint64{b.id: b.token}}
 		key := block.Key(b.id)
-		l.Step(began, Committed{Epoch: 5, Tag: tag, Outcome: store.TxnResult{Ambiguous: true, FailedKeys: []string{key}}})
+		l.Step(began, TxnCompleted{Term: 5, Tag: tag, Result: store.TxnResult{Ambiguous: true, FailedKeys: []string{key}}})
 		if b.state != writing {
 			t.Error("taken for written by a failed guard")
 		}
-		record := BlockRecord{Token: b.token, Holder: "n0"}
+		record := ShardRecord{FencingToken: b.token, Holder: "n0"}
 		if !ours {
-			record.Token--
+			record.FencingToken--
 		}
-		l.Step(began, Read{Epoch: 5, Tag: tag, Found: true, Item: item(t, key, 12, record)})
+		l.Step(began, KeyRead{Term: 5, Tag: tag, Found: true, Item: item(t, key, 12, record)})
 		if (b.state == reading) != ours || b.stamp != 12 {
 			t.Errorf("ours %v: state %v at version %d", ours, b.state, b.stamp)
 		}
@@ -124,27 +124,27 @@
 // A deletion without a good answer proves nothing, and neither does a list without the machine.
 func TestOnlyAGoodDeletionProvesAMachineGone(t *testing.T) {
 	l := granting(t, nil)
-	l.Step(began+clock.Second, Deleted{Epoch: 5, Machines: names[:1], Err: errors.New("no answer")})
-	l.Step(began+clock.Second, Deleted{Epoch: 4, Machines: names[:1]})
+	l.Step(began+clock.Second, MachinesDeleted{Term: 5, Machines: names[:1], Err: errors.New("no answer")})
+	l.Step(began+clock.Second, MachinesDeleted{Term: 4, Machines: names[:1]})
 	both := []wire.Machine{{Name: names[1]}, {Name: names[0]}}
 	failed := []wire.Machine{{Name: names[1]}, {Name: names[0], State: wire.MachineFailed}}
 	l.machines[names[0]].state.Silent = true
 	for i, list := range [][]wire.Machine{both, both[:1], both[:1], both[:1], both[:1], failed, failed} {
 		at := began + clock.Micros(i+2)*clock.Second
-		asked := l.Step(at, Listed{Machines: list})
+		asked := l.Step(at, MachinesListed{Machines: list})
 		asked = append(asked, l.Step(at, Tick{})...)
 		if l.machines[names[0]] == nil || l.gone[names[0]] {
 			t.Errorf("taken for gone by list %d", i)
 		}
-		deletes := slices.ContainsFunc(asked, func(e any) bool { d, ok := e.(Delete); return ok && slices.Contains(d.Machines, names[0]) })
+		deletes := slices.ContainsFunc(asked, func(e any) bool { d, ok := e.(DeleteMachines); return ok && slices.Contains(d.Machines, names[0]) })
 		if deletes {
-			l.Step(at, Deleted{Epoch: 5, Machines: names[:1], Err: errors.New("no answer")})
+			l.Step(at, MachinesDeleted{Term: 5, Machines: names[:1], Err: errors.New("no answer")})
 		}
 		if i == 4 && !deletes {
 			t.Error("a machine that is listed no more is not deleted")
 		}
 	}
-	if l.Step(began+8*clock.Second, Deleted{Epoch: 5, Machines: names[:1]}); l.machines[names[0]] != nil || !l.gone[names[0]] {
+	if l.Step(began+8*clock.Second, MachinesDeleted{Term: 5, Machines: names[:1]}); l.machines[names[0]] != nil || !l.gone[names[0]] {
 		t.Error("not taken for gone after a good answer")
 	}
 }
@@ -152,7 +152,7 @@
 // A completion is acknowledged only once it is stored, by a write that no late copy can take back.
 func TestCompletionIsAcknowledgedOnceStored(t *testing.T) {
 	l := granting(t, recordsOf(names[0], 0, 1))
-	b := l.blocks[block.Of(names[0], 2)]
+	b := l.blocks[block.ForMachine(names[0], 2)]
 	acknowledged := func(fx []any) (n int) {
 		for _, o := range toldOf(fx) {
 			n += len(o.Persisted)
@@ -162,9 +162,9 @@
 	if n := acknowledged(l.Step(began, saying(b, b.token, eventOf(0, peer.EventCompleted)))); n != 0 {
 		t.Error("acknowledged before it is written")
 	}
-	var write Commit
+	var write CommitTxn
 	for _, e := range l.Step(began+progressEvery, Tick{}) {
-		if c, ok := e.(Commit); ok {
+		if c, ok := e.(CommitTxn); ok {
 			if _, progress := c.Tag.(progTag); progress {
 				write = c
 			}
@@ -176,10 +176,10 @@
 			t.Errorf("the write is not guarded on %v", guard)
 		}
 	}
-	if n := acknowledged(l.Step(began+progressEvery, Committed{Epoch: 5, Tag: write.Tag, Outcome: store.TxnResult{Ambiguous: true, FailedKeys: []string{page}}})); n != 0 {
+	if n := acknowledged(l.Step(began+progressEvery, TxnCompleted{Term: 5, Tag: write.Tag, Result: store.TxnResult{Ambiguous: true, FailedKeys: []string{page}}})); n != 0 {
 		t.Error("acknowledged by a failed guard")
 	}
-	if n := acknowledged(l.Step(began+progressEvery, Committed{Epoch: 5, Tag: write.Tag, Outcome: store.TxnResult{Committed: true, Revision: 9}})); n != 1 {
+	if n := acknowledged(l.Step(began+progressEvery, TxnCompleted{Term: 5, Tag: write.Tag, Result: store.TxnResult{Committed: true, Revision: 9}})); n != 1 {
 		t.Errorf("%d completions acknowledged, want one", n)
 	}
 }
@@ -189,7 +189,7 @@
 	l := granting(t, nil)
 	j := l.jobs[spec.Ref]
 	j.ending = true
-	l.Step(began, Watched{Epoch: 5, Asked: began, Events: []wire.Event{{Delete: JobPrefix + spec.Ref, Version: 9}}})
+	l.Step(began, JobsChanged{Term: 5, RequestedAt: began, Events: []wire.Event{{Delete: JobPrefix + spec.Ref, Version: 9}}})
 	if j.cancelled {
 		t.Error("its own end is taken for an abort")
 	}
--- a/internal/leader/queue.go
+++ b/internal/leader/queue.go
@@ -174,7 +174,7 @@
 			t = &teamQueue{team: l.teams[s.Team], u: l.use(s.Team), use: map[string]float64{}}
 			byTeam[s.Team] = t
 		}
-		age := (now + l.wall - j.record.At).Seconds()
+		age := (now + l.wall - j.record.AcceptedAt).Seconds()
 		cpus := float64(len(j.out)) * s.CPUs
 		t.use[s.Class] += cpus
 		if s.IsService() {
--- a/internal/leader/rentals.go
+++ b/internal/leader/rentals.go
@@ -13,7 +13,7 @@
 type rental struct {
 	key    string
 	stamp  uint64
-	record FleetRecord
+	record InstanceGroupRecord
 	busy   bool // a write or a request is under way
 	asked  clock.Micros
 	since  clock.Micros // when it was first wanted here
@@ -26,14 +26,14 @@
 
 type fleetTag struct{ key string }
 
-func (l *Leader) loadRental(now clock.Micros, it wire.Item, r FleetRecord) {
+func (l *Leader) loadRental(now clock.Micros, it wire.Item, r InstanceGroupRecord) {
 	rt := &rental{key: it.Key, stamp: it.Version, record: r, since: now}
 	l.rentals[it.Key] = rt
-	if !r.Asked {
+	if !r.Answered {
 		l.unanswered[it.Key] = true
 		// The answer was lost with a former leader; the same name gives the same machines.
 		rt.busy, rt.asked = true, now
-		l.emit(Rent{l.epoch, r.Rental})
+		l.emit(ProvisionMachines{l.epoch, r.Request})
 		return
 	}
 	for _, name := range r.Machines {
@@ -84,14 +84,14 @@
 // fleetWritten goes on after a write of a rental's record. Only a write that succeeded proves what
 // is stored. A failed guard does not: the write of ours that changed the record may have been an
 // earlier one than this, whose answer was lost.
-func (l *Leader) fleetWritten(now clock.Micros, tag fleetTag, m Committed) {
+func (l *Leader) fleetWritten(now clock.Micros, tag fleetTag, m TxnCompleted) {
 	rt := l.rentals[tag.key]
 	switch {
 	case rt == nil:
-	case m.Outcome.Committed:
-		rt.stamp = m.Outcome.Revision
+	case m.Result.Committed:
+		rt.stamp = m.Result.Revision
 		l.rosterStored(now, rt)
-	case m.Outcome.FailedOn(tag.key):
+	case m.Result.FailedOn(tag.key):
 		l.emit(ReadKey{l.epoch, tag.key, tag})
 	default:
 		l.info("roster write failed", "key", tag.key, "error", m.Err)
@@ -101,16 +101,16 @@
 
 // fleetRead compares what is stored of a rental with what was to be written, and writes it again
 // if it is something else.
-func (l *Leader) fleetRead(now clock.Micros, tag fleetTag, m Read) {
+func (l *Leader) fleetRead(now clock.Micros, tag fleetTag, m KeyRead) {
 	rt := l.rentals[tag.key]
 	if rt == nil {
 		return
 	}
 	rt.stamp = 0
-	var stored FleetRecord
+	var stored InstanceGroupRecord
 	if m.Found {
 		rt.stamp = m.Item.Version
-		stored, _ = decode[FleetRecord](l, m.Item)
+		stored, _ = decode[InstanceGroupRecord](l, m.Item)
 	}
 	if m.Found && stored.equal(&rt.record) {
 		l.rosterStored(now, rt)
@@ -120,17 +120,17 @@
 }
 
 // equal says whether two records tell the same.
-func (r *FleetRecord) equal(o *FleetRecord) bool {
-	return r.Rental == o.Rental && r.Asked == o.Asked && slices.Equal(r.Machines, o.Machines)
+func (r *InstanceGroupRecord) equal(o *InstanceGroupRecord) bool {
+	return r.Request == o.Request && r.Answered == o.Answered && slices.Equal(r.Machines, o.Machines)
 }
 
 // rosterStored goes on once a rental's record is known to be stored as it is here: a recorded
 // request is sent, and recorded machines are used.
 func (l *Leader) rosterStored(now clock.Micros, rt *rental) {
 	rt.busy = false
-	if !rt.record.Asked {
+	if !rt.record.Answered {
 		rt.busy, rt.asked = true, now
-		l.emit(Rent{l.epoch, rt.record.Rental})
+		l.emit(ProvisionMachines{l.epoch, rt.record.Request})
 		return
 	}
 	for _, name := range rt.record.Machines {
@@ -141,16 +141,16 @@
 	l.settleFormer(now, rt)
 }
 
-func (l *Leader) rented(now clock.Micros, m Rented) {
-	rt := l.rentals[FleetPrefix+m.Request]
-	if rt == nil || rt.record.Asked {
+func (l *Leader) rented(now clock.Micros, m MachinesProvisioned) {
+	rt := l.rentals[InstanceGroupPrefix+m.RequestID]
+	if rt == nil || rt.record.Answered {
 		return
 	}
 	switch {
 	case m.Err == nil:
-		rt.record.Machines, rt.record.Asked = m.Machines, true
-		l.answered(now, rt, len(m.Machines) < rt.record.Rental.Count)
-		l.emit(Log{Debug: true, Text: "rented", Args: []any{"request", m.Request, "count", len(m.Machines), "type", rt.record.Rental.Type, "spot", rt.record.Rental.Spot}})
+		rt.record.Machines, rt.record.Answered = m.Machines, true
+		l.answered(now, rt, len(m.Machines) < rt.record.Request.Count)
+		l.emit(Log{Debug: true, Message: "rented", Attributes: []any{"request", m.RequestID, "count", len(m.Machines), "type", rt.record.Request.Type, "spot", rt.record.Request.Spot}})
 		if len(m.Machines) == 0 {
 			l.pruneRental(now, rt)
 			return
@@ -158,7 +158,7 @@
 		l.writeRental(rt)
 	case m.NoCapacity:
 		l.answered(now, rt, true)
-		rt.record.Asked = true
+		rt.record.Answered = true
 		l.pruneRental(now, rt)
 	default:
 		// Asked again under the same name, soon.
@@ -169,7 +169,7 @@
 // answered notes whether an option had all that was asked for. One that had not is
 // left alone for a while, longer each time: every try costs puts and cloud calls.
 func (l *Leader) answered(now clock.Micros, rt *rental, short bool) {
-	k := l.option(rt.record.Rental).Key()
+	k := l.option(rt.record.Request).Key()
 	if !short {
 		delete(l.refused, k)
 		return
--- a/internal/leader/roster_test.go
+++ b/internal/leader/roster_test.go
@@ -12,19 +12,19 @@
 )
 
 // rosterWrite is the write of a rental's record among the effects.
-func rosterWrite(t *testing.T, fx []any, key string) Commit {
+func rosterWrite(t *testing.T, fx []any, key string) CommitTxn {
 	t.Helper()
 	for _, e := range fx {
-		if c, ok := e.(Commit); ok && c.Txn.Writes[0].Put == key {
+		if c, ok := e.(CommitTxn); ok && c.Txn.Writes[0].Put == key {
 			return c
 		}
 	}
 	t.Fatalf("no write of %s among %v", key, fx)
-	return Commit{}
+	return CommitTxn{}
 }
 
 // rosterGuard is the version that a write of a rental's record expects of it.
-func rosterGuard(t *testing.T, c Commit, key string) uint64 {
+func rosterGuard(t *testing.T, c CommitTxn, key string) uint64 {
 	t.Helper()
 	for _, g := range c.Txn.Conditions {
 		if g.Key == key {
@@ -42,22 +42,22 @@
 func TestMachinesAreNotUsedBeforeTheirRecordIsStored(t *testing.T) {
 	l := leading(t)
 	asked := wire.ProvisionRequest{RequestID: "r-5-1", Type: "small", Zone: "a", Spot: true, Count: 1}
-	key := FleetPrefix + asked.RequestID
-	l.rentals[key] = &rental{key: key, record: FleetRecord{Rental: asked}, busy: true}
+	key := InstanceGroupPrefix + asked.RequestID
+	l.rentals[key] = &rental{key: key, record: InstanceGroupRecord{Request: asked}, busy: true}
 	machine := "host-000009"
 
 	// The first write was carried out without an answer, as version 20: its repeat fails on the key.
 	lost := store.TxnResult{FailedKeys: []string{key}, Ambiguous: true}
-	l.Step(began, Committed{Epoch: 5, Tag: fleetTag{key}, Outcome: lost})
-	l.Step(began, Read{Epoch: 5, Tag: fleetTag{key}, Found: true, Item: item(t, key, 20, FleetRecord{Rental: asked})})
-	second := rosterWrite(t, l.Step(began, Rented{Epoch: 5, Request: asked.RequestID, Machines: []string{machine}}), key)
+	l.Step(began, TxnCompleted{Term: 5, Tag: fleetTag{key}, Result: lost})
+	l.Step(began, KeyRead{Term: 5, Tag: fleetTag{key}, Found: true, Item: item(t, key, 20, InstanceGroupRecord{Request: asked})})
+	second := rosterWrite(t, l.Step(began, MachinesProvisioned{Term: 5, RequestID: asked.RequestID, Machines: []string{machine}}), key)
 	if got := rosterGuard(t, second, key); got != 20 {
 		t.Errorf("the second write expects version %d of the record, which is at 20", got)
 	}
 
 	// Nor does a failed guard of the second prove that it went through.
-	fx := l.Step(began, Committed{Epoch: 5, Tag: fleetTag{key}, Outcome: lost})
-	fx = append(fx, l.Step(began, Read{Epoch: 5, Tag: fleetTag{key}, Found: true, Item: item(t, key, 21, FleetRecord{Rental: asked})})...)
+	fx := l.Step(began, TxnCompleted{Term: 5, Tag: fleetTag{key}, Result: lost})
+	fx = append(fx, l.Step(began, KeyRead{Term: 5, Tag: fleetTag{key}, Found: true, Item: item(t, key, 21, InstanceGroupRecord{Request: asked})})...)
 	if l.machines[machine] != nil {
 		t.Error("a machine is used whose durable record does not name it")
 	}
@@ -65,7 +65,7 @@
 	if got := rosterGuard(t, third, key); got != 21 {
 		t.Errorf("the third write expects version %d of the record, which is at 21", got)
 	}
-	l.Step(began, Committed{Epoch: 5, Tag: fleetTag{key}, Outcome: store.TxnResult{Committed: true, Revision: 22}})
+	l.Step(began, TxnCompleted{Term: 5, Tag: fleetTag{key}, Result: store.TxnResult{Committed: true, Revision: 22}})
 	if l.machines[machine] == nil {
 		t.Error("not used although its record is stored")
 	}
@@ -79,11 +79,11 @@
 		}
 	}
 	for _, e := range fx {
-		x, ok := e.(Tell)
+		x, ok := e.(SendToHolder)
 		if !ok {
 			continue
 		}
-		for _, g := range x.Down.Grants {
+		for _, g := range x.Message.Grants {
 			for _, m := range g.Machines {
 				if g.Shard == b {
 					roster = append(roster, m.Name)
@@ -105,16 +105,16 @@
 	}{{[]string{unknown}, false}, {[]string{"host-000010"}, true}} {
 		l := leading(t)
 		asked := wire.ProvisionRequest{RequestID: "r-3-1", Type: "small", Zone: "a", Spot: true, Count: 1}
-		key := FleetPrefix + asked.RequestID
-		l.loadRental(began, item(t, key, 3, FleetRecord{Rental: asked}), FleetRecord{Rental: asked})
-		b := block.Of(unknown, 2)
-		fx := l.Step(began, Records{Epoch: 5, Block: b, Token: l.blocks[b].token, Pages: recordsOf(unknown, 0)})
+		key := InstanceGroupPrefix + asked.RequestID
+		l.loadRental(began, item(t, key, 3, InstanceGroupRecord{Request: asked}), InstanceGroupRecord{Request: asked})
+		b := block.ForMachine(unknown, 2)
+		fx := l.Step(began, AttemptsLoaded{Term: 5, Shard: b, FencingToken: l.blocks[b].token, Pages: recordsOf(unknown, 0)})
 		drained, _, roster := orderedOf(fx, b)
 		if !slices.Contains(roster, unknown) || !slices.Contains(drained, unknown) {
 			t.Errorf("granted %v, drained %v: %s is missing", roster, drained, unknown)
 		}
-		fx = l.Step(began, Rented{Epoch: 5, Request: asked.RequestID, Machines: answer.machines})
-		fx = append(fx, l.Step(began, Committed{Epoch: 5, Tag: fleetTag{key}, Outcome: store.TxnResult{Committed: true, Revision: 9}})...)
+		fx = l.Step(began, MachinesProvisioned{Term: 5, RequestID: asked.RequestID, Machines: answer.machines})
+		fx = append(fx, l.Step(began, TxnCompleted{Term: 5, Tag: fleetTag{key}, Result: store.TxnResult{Committed: true, Revision: 9}})...)
 		drained, gone, _ := orderedOf(fx, b)
 		if slices.Contains(gone, unknown) != answer.gone || slices.Contains(drained, unknown) == answer.gone {
 			t.Errorf("the rental has %v: told that %v are gone and %v drained", answer.machines, gone, drained)
@@ -125,20 +125,20 @@
 // So it is while a roster record cannot be read: whatever machines it names may work.
 func TestMachinesOfAnUnreadableRecordKeepTheirTasks(t *testing.T) {
 	l := leading(t)
-	l.Step(began, Deposed{})
-	l.Step(began, Elected{Epoch: 7})
-	l.Step(began, Authority{Until: began + 100*clock.Second})
-	l.Step(began, Joined{Node: "n0", Link: "link"})
-	l.Step(began, Loaded{Epoch: 7, Asked: began, Items: []wire.Item{item(t, LayoutKey, 1, LayoutRecord{Blocks: 1}),
-		{Key: FleetPrefix + "r-3-1", Version: 3, Value: []byte(`{"machines":"host-000009"}`)}}})
+	l.Step(began, LeadershipLost{})
+	l.Step(began, LeadershipAcquired{Term: 7})
+	l.Step(began, LeadershipExtended{Until: began + 100*clock.Second})
+	l.Step(began, PeerConnected{Controller: "n0", Link: "link"})
+	l.Step(began, StateLoaded{Term: 7, RequestedAt: began, Items: []wire.Item{item(t, LayoutKey, 1, LayoutRecord{Shards: 1}),
+		{Key: InstanceGroupPrefix + "r-3-1", Version: 3, Value: []byte(`{"machines":"host-000009"}`)}}})
 	for _, e := range l.Step(began, Tick{}) {
-		if c, ok := e.(Commit); ok {
+		if c, ok := e.(CommitTxn); ok {
 			if tag, ok := c.Tag.(blocksTag); ok {
-				l.Step(began, Committed{Epoch: 7, Tag: tag, Outcome: store.TxnResult{Committed: true, Revision: 9}})
+				l.Step(began, TxnCompleted{Term: 7, Tag: tag, Result: store.TxnResult{Committed: true, Revision: 9}})
 			}
 		}
 	}
-	fx := l.Step(began, Records{Epoch: 7, Token: l.blocks[0].token, Pages: recordsOf("host-000009", 0)})
+	fx := l.Step(began, AttemptsLoaded{Term: 7, FencingToken: l.blocks[0].token, Pages: recordsOf("host-000009", 0)})
 	if drained, _, roster := orderedOf(fx, 0); !slices.Contains(roster, "host-000009") || !slices.Contains(drained, "host-000009") {
 		t.Errorf("granted %v, drained %v", roster, drained)
 	}
@@ -148,8 +148,8 @@
 // and its tasks are not waited for.
 func TestMachinesThatLeftTheRosterAreNotGranted(t *testing.T) {
 	l := leading(t)
-	b := block.Of("host-000009", 2)
-	fx := l.Step(began, Records{Epoch: 5, Block: b, Token: l.blocks[b].token, Pages: recordsOf("host-000009", 0)})
+	b := block.ForMachine("host-000009", 2)
+	fx := l.Step(began, AttemptsLoaded{Term: 5, Shard: b, FencingToken: l.blocks[b].token, Pages: recordsOf("host-000009", 0)})
 	if _, _, roster := orderedOf(fx, b); slices.Contains(roster, "host-000009") {
 		t.Errorf("granted %v", roster)
 	}
@@ -159,7 +159,7 @@
 func TestTasksThatAreNotThere(t *testing.T) {
 	page := peer.AttemptPage{Machines: names[:1], Groups: []peer.AttemptGroup{{Job: spec.Ref, Team: "red", CPUs: 1, Attempts: []int{900, 1, 0, -1, 2, 0, 1, 3, 0}}}}
 	l := granting(t, map[string]peer.AttemptPage{"p": page})
-	b := l.blocks[block.Of(names[0], 2)]
+	b := l.blocks[block.ForMachine(names[0], 2)]
 	if len(b.tasks) != 3 || l.jobs[spec.Ref].out[1] != 1 || len(l.jobs[spec.Ref].out) != 1 {
 		t.Errorf("%d tasks counted, in grants %v: want all three, of which the job has one", len(b.tasks), l.jobs[spec.Ref].out)
 	}
@@ -169,7 +169,7 @@
 			events = append(events, peer.TaskEvent{Task: peer.Task{Job: spec.Ref, Index: index}, Kind: kind, Machine: names[0]})
 		}
 	}
-	l.Step(began+clock.Second, Said{Node: "n0", Link: "link", Up: &peer.ToLeader{Term: 5, Updates: []peer.ShardUpdate{
+	l.Step(began+clock.Second, HolderMessage{Controller: "n0", Link: "link", Message: &peer.ToLeader{Term: 5, Updates: []peer.ShardUpdate{
 		{Shard: -1, FencingToken: b.token}, {Shard: 99, FencingToken: b.token}, {Shard: b.id, FencingToken: b.token, Events: events}}}})
 	for task := range b.tasks {
 		if task.Index < 0 || task.Index >= spec.Tasks {
--- a/internal/leader/schedule.go
+++ b/internal/leader/schedule.go
@@ -139,5 +139,5 @@
 }
 
 func (l *Leader) blockOf(machine string) *leasedBlock {
-	return l.blocks[block.Of(machine, len(l.blocks))]
+	return l.blocks[block.ForMachine(machine, len(l.blocks))]
 }
--- a/internal/leader/service_test.go
+++ b/internal/leader/service_test.go
@@ -16,14 +16,14 @@
 	page := peer.AttemptPage{Machines: names[:1], Groups: []peer.AttemptGroup{{Job: spec.Ref, Team: "red", CPUs: 1, Attempts: []int{0, 1, 0, 0, 2, 0, 1, 3, 0}}}}
 	l := granting(t, map[string]peer.AttemptPage{"p": page})
 	l.jobs[spec.Ref].record.Spec.Shape = wire.ShapeService
-	b := l.blocks[block.Of(names[0], 2)]
+	b := l.blocks[block.ForMachine(names[0], 2)]
 	one := peer.Task{Job: spec.Ref, Index: 0}
 	say := func(kinds ...string) []any {
 		u := peer.ShardUpdate{Shard: b.id, FencingToken: b.token}
 		for _, kind := range kinds {
 			u.Events = append(u.Events, peer.TaskEvent{Task: one, Kind: kind, Machine: names[0]})
 		}
-		return l.Step(began+clock.Second, Said{Node: "n0", Link: "link", Up: &peer.ToLeader{Term: 5, Updates: []peer.ShardUpdate{u}}})
+		return l.Step(began+clock.Second, HolderMessage{Controller: "n0", Link: "link", Message: &peer.ToLeader{Term: 5, Updates: []peer.ShardUpdate{u}}})
 	}
 	fx := say(peer.EventAttemptRemains, peer.EventCompleted)
 	stops := 0
@@ -45,9 +45,9 @@
 	l := granting(t, map[string]peer.AttemptPage{"p": page})
 	j := l.jobs[spec.Ref]
 	j.record.Spec.Shape = wire.ShapeService
-	b := l.blocks[block.Of(names[0], 2)]
+	b := l.blocks[block.ForMachine(names[0], 2)]
 	one := peer.Task{Job: spec.Ref, Index: 0}
-	fx := l.Step(began+clock.Second, Said{Node: "n0", Link: "link", Up: &peer.ToLeader{Term: 5, Updates: []peer.ShardUpdate{{Shard: b.id, FencingToken: b.token,
+	fx := l.Step(began+clock.Second, HolderMessage{Controller: "n0", Link: "link", Message: &peer.ToLeader{Term: 5, Updates: []peer.ShardUpdate{{Shard: b.id, FencingToken: b.token,
 		Events: []peer.TaskEvent{{Task: one, Kind: peer.EventCompleted, Machine: names[0]}}}}}})
 	stopped, stored := false, false
 	for _, o := range toldOf(fx) {
@@ -69,8 +69,8 @@
 	s := spec
 	s.Ref, s.Shape = "j-400000", wire.ShapeService
 	j := l.addJob(JobRecord{Spec: s}, 3)
-	r := ProgRecord{Units: []ProgUnit{{Job: s.Ref, Bits: []byte{3}}}}
-	l.loadProgressPage(item(t, ProgPrefix+"1-1", 7, r), r)
+	r := ProgressRecord{Chunks: []ProgressChunk{{Job: s.Ref, Completed: []byte{3}}}}
+	l.loadProgressPage(item(t, ProgressPrefix+"1-1", 7, r), r)
 	if j.isDone(0) || j.isDone(1) {
 		t.Error("replicas count as done")
 	}
@@ -82,8 +82,8 @@
 	l := granting(t, map[string]peer.AttemptPage{"p": page})
 	j := l.jobs[spec.Ref]
 	j.record.Spec.Shape = wire.ShapeService
-	b := l.blocks[block.Of(names[0], 2)]
-	l.Step(began, Said{Node: "n0", Link: "link", Up: &peer.ToLeader{Term: 5, Updates: []peer.ShardUpdate{{Shard: b.id, FencingToken: b.token,
+	b := l.blocks[block.ForMachine(names[0], 2)]
+	l.Step(began, HolderMessage{Controller: "n0", Link: "link", Message: &peer.ToLeader{Term: 5, Updates: []peer.ShardUpdate{{Shard: b.id, FencingToken: b.token,
 		Events: []peer.TaskEvent{{Task: peer.Task{Job: spec.Ref, Index: 0}, Kind: peer.EventRunning, Machine: names[0]}}}}}})
 	l.errored(began+2*steady, j, peer.TaskEvent{Task: peer.Task{Job: spec.Ref, Index: 1}, Machine: names[1]}, &grantedTask{})
 	if l.machines[names[1]].drain {
--- a/internal/leader/spread.go
+++ b/internal/leader/spread.go
@@ -163,7 +163,7 @@
 	}
 	s.looked = now
 	for _, m := range s.Expire(now) {
-		l.emit(Log{Debug: true, Text: "move given up", Args: []any{"task", m.Task.String(), "stage", m.Stage.String()}})
+		l.emit(Log{Debug: true, Message: "move given up", Attributes: []any{"task", m.Task.String(), "stage", m.Stage.String()}})
 		l.traceMove(now, m, "given up")
 	}
 	for _, t := range l.typeList {
@@ -183,7 +183,7 @@
 	h := b.tasks[t]
 	h.stopped, h.stoppedAt = moved, now
 	b.orders.Stop = append(b.orders.Stop, peer.StopTask{Task: t, Checkpoint: true})
-	l.emit(Log{Debug: true, Text: "moving task", Args: []any{"task", block.TaskName(t), "from", m.From, "to", m.To, "gain_s", m.GainS, "cost_s", m.CostS}})
+	l.emit(Log{Debug: true, Message: "moving task", Attributes: []any{"task", block.TaskName(t), "from", m.From, "to", m.To, "gain_s", m.GainS, "cost_s", m.CostS}})
 }
 
 // logImpossible tells once of each machine whose figures cannot be true.
@@ -321,7 +321,7 @@
 		l.spread.fetches.Saw(m.opt.Type.Name, j.record.Spec.ImageGB, now-h.givenAt)
 	}
 	if m, ok := l.spread.Runs(taskID(t), h.machine); ok {
-		l.emit(Log{Debug: true, Text: "task moved", Args: []any{"task", block.TaskName(t), "from", m.From, "to", h.machine, "meant", m.To,
+		l.emit(Log{Debug: true, Message: "task moved", Attributes: []any{"task", block.TaskName(t), "from", m.From, "to", h.machine, "meant", m.To,
 			"took_s", (now - m.Since).Seconds()}})
 		l.traceMove(now, m, "done")
 	}
--- a/internal/leader/spread_test.go
+++ b/internal/leader/spread_test.go
@@ -29,14 +29,14 @@
 	}
 	l.finish(began, l.jobs[spec.Ref])
 	l.addJob(JobRecord{Spec: savable}, 30)
-	first := block.Of(names[0], 2)
+	first := block.ForMachine(names[0], 2)
 	starts := []int{}
 	for i := range savable.Tasks {
 		starts = append(starts, i, i+1, 0)
 	}
 	page := peer.AttemptPage{FencingToken: 1, Machines: names[:1], Groups: []peer.AttemptGroup{{Job: savable.Ref, Team: "red", CPUs: 1, MemoryGB: 1, CheckpointS: 5, Attempts: starts}}}
-	l.Step(began, Records{Epoch: 5, Block: first, Token: l.blocks[first].token, Pages: map[string]peer.AttemptPage{"p": page}})
-	l.Step(began, Records{Epoch: 5, Block: 1 - first, Token: l.blocks[1-first].token})
+	l.Step(began, AttemptsLoaded{Term: 5, Shard: first, FencingToken: l.blocks[first].token, Pages: map[string]peer.AttemptPage{"p": page}})
+	l.Step(began, AttemptsLoaded{Term: 5, Shard: 1 - first, FencingToken: l.blocks[1-first].token})
 	var events []peer.TaskEvent
 	for i := range savable.Tasks {
 		events = append(events, peer.TaskEvent{Task: peer.Task{Job: savable.Ref, Index: i}, Kind: peer.EventRunning, Machine: names[0]})
@@ -54,11 +54,11 @@
 	up := &peer.ToLeader{Term: 5, StoreOK: true}
 	for b := range l.blocks {
 		u := peer.ShardUpdate{Shard: b, FencingToken: l.blocks[b].token, SettledOfferSeq: l.blocks[b].offerSeq}
-		if b == block.Of(names[0], 2) {
+		if b == block.ForMachine(names[0], 2) {
 			u.Events = events
 		}
 		for _, n := range names {
-			if block.Of(n, 2) == b {
+			if block.ForMachine(n, 2) == b {
 				s := peer.MachineState{Name: n, Type: "small", Zone: "a", Schedulable: true, TokenConfirmed: true, CPUs: 4, MemoryGB: 8}
 				change(&s)
 				u.Machines = append(u.Machines, s)
@@ -66,7 +66,7 @@
 		}
 		up.Updates = append(up.Updates, u)
 	}
-	return l.Step(now, Said{Node: "n0", Link: "link", Up: up})
+	return l.Step(now, HolderMessage{Controller: "n0", Link: "link", Message: up})
 }
 
 // stops lets time pass until tasks may be moved, and gives those that are told to stop.
@@ -163,7 +163,7 @@
 	for now := began + 95*clock.Second; now < began+125*clock.Second; now += clock.Second {
 		l.until, l.viewed, l.nodes["n0"].heard = now+clock.Minute, now, now
 		for _, e := range l.Step(now, Tick{}) {
-			if d, ok := e.(Delete); ok {
+			if d, ok := e.(DeleteMachines); ok {
 				for _, n := range d.Machines {
 					returned[n] = true
 				}
@@ -206,7 +206,7 @@
 // schedules gives what holders are told when the leader looks for room.
 func schedules(l *Leader, now clock.Micros) []peer.ShardOrders {
 	l.stirred, l.until, l.viewed = true, now+clock.Minute, now
-	return toldOf(l.Step(now, Joined{Node: "n9", Link: "other"}))
+	return toldOf(l.Step(now, PeerConnected{Controller: "n9", Link: "other"}))
 }
 
 // Room within the bound in a block that has an offer out is waited for, but not for long.
@@ -250,7 +250,7 @@
 		got, fx := stops(l)
 		logged := 0
 		for _, e := range fx {
-			if x, ok := e.(Log); ok && x.Text == "machine gets no moves" && fmt.Sprint(x.Args[1]) == names[0] {
+			if x, ok := e.(Log); ok && x.Message == "machine gets no moves" && fmt.Sprint(x.Attributes[1]) == names[0] {
 				logged++
 			}
 		}
@@ -281,7 +281,7 @@
 	if len(s.Teams) != 1 || s.Teams[0].CPUs != 4 {
 		t.Errorf("teams %+v", s.Teams)
 	}
-	l.Step(began+96*clock.Second, Deposed{})
+	l.Step(began+96*clock.Second, LeadershipLost{})
 	if s := l.status(began + 96*clock.Second); s.Leading || len(s.Machines) > 0 {
 		t.Errorf("status %+v of a controller that does not lead", s)
 	}
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -174,7 +174,7 @@
 			full++
 		}
 	}
-	l.emit(Log{Debug: true, Text: "state", Args: []any{"jobs", len(l.jobs), "waiting", waiting, "waiting_at_limit", blocked,
+	l.emit(Log{Debug: true, Message: "state", Attributes: []any{"jobs", len(l.jobs), "waiting", waiting, "waiting_at_limit", blocked,
 		"teams_at_limit", full, "cpus_held", used, "cpus_free", room, "machines", len(l.machines), "fit", fit,
 		"ordinary", ordinary, "idle", idle, "replicas", standing,
 		"failed", l.decisions.failed, "failed_suspect", l.decisions.failedSuspect, "preempted", l.decisions.preempted}})
--- a/internal/leader/trace.go
+++ b/internal/leader/trace.go
@@ -13,12 +13,12 @@
 // span has a span written, if anything is traced.
 func (l *Leader) span(s trace.Span) {
 	if l.cfg.Tuning.Trace.File != "" {
-		l.emit(Trace{s})
+		l.emit(RecordSpan{s})
 	}
 }
 
 // submitted is when a job was accepted, in steady time.
-func (l *Leader) submitted(j *job) clock.Micros { return j.record.At - l.wall }
+func (l *Leader) submitted(j *job) clock.Micros { return j.record.AcceptedAt - l.wall }
 
 // traceQueued tells how long a job waited until its first task was handed out.
 func (l *Leader) traceQueued(now clock.Micros, j *job) {
--- a/internal/naming/naming_test.go
+++ b/internal/naming/naming_test.go
@@ -37,7 +37,7 @@
 	"internal/compat":   1,
 	"internal/election": 4,
 	"internal/fleet":    1,
-	"internal/leader":   64,
+	"internal/leader":   63,
 	"internal/node":     8,
 	"internal/peer":     2,
 	"internal/scenario": 16,
--- a/internal/node/cloud.go
+++ b/internal/node/cloud.go
@@ -41,7 +41,7 @@
 		}
 		all = append(all, l.Machines...)
 		if !l.More || len(l.Machines) == 0 {
-			n.leader <- leader.Listed{Machines: all}
+			n.leader <- leader.MachinesListed{Machines: all}
 			return
 		}
 		after = l.Machines[len(l.Machines)-1].Name
--- a/internal/node/elector.go
+++ b/internal/node/elector.go
@@ -59,14 +59,14 @@
 		go n.look(ctx)
 	case election.AcquireLeadership:
 		n.store.SetBudget(n.share(true))
-		n.leader <- leader.Elected{Epoch: x.Term, Run: n.run}
-		n.leader <- leader.Authority{Until: x.Until}
+		n.leader <- leader.LeadershipAcquired{Term: x.Term, Incarnation: n.run}
+		n.leader <- leader.LeadershipExtended{Until: x.Until}
 	case election.ExtendLeadership:
-		n.leader <- leader.Authority{Until: x.Until}
+		n.leader <- leader.LeadershipExtended{Until: x.Until}
 	case election.LoseLeadership:
 		n.log.Info("no longer leading", "epoch", x.Term)
 		n.store.SetBudget(n.share(false))
-		n.leader <- leader.Deposed{}
+		n.leader <- leader.LeadershipLost{}
 	case election.FollowLeader:
 		n.log.Info("following", "leader", x.Controller, "epoch", x.Term)
 		n.directory.Post(api.Following{Epoch: x.Term, Node: x.Controller})
--- a/internal/node/holder.go
+++ b/internal/node/holder.go
@@ -44,13 +44,13 @@
 			if l, ok := m.link.(*peer.Link); ok {
 				slow = l.ViaStore()
 			}
-			msg = block.Linked{Epoch: m.epoch, Slow: slow}
+			msg = block.LeaderConnected{Term: m.epoch, ViaStore: slow}
 		case holderDown:
 			if link != m.link {
 				continue
 			}
 			link = nil
-			msg = block.Unlinked{Epoch: m.epoch}
+			msg = block.LeaderDisconnected{Term: m.epoch}
 		}
 		for _, fx := range h.Step(n.clock.Now(), msg) {
 			n.holderEffect(ctx, link, fx)
@@ -60,31 +60,31 @@
 
 func (n *Node) holderEffect(ctx context.Context, link, fx any) {
 	switch x := fx.(type) {
-	case block.Send:
+	case block.SendToLeader:
 		switch l := link.(type) {
 		case *peer.Link:
-			l.Send(&x.Up)
+			l.Send(&x.Message)
 		case localLink:
-			n.leader <- leader.Said{Node: n.cfg.Name, Link: l, Up: &x.Up}
+			n.leader <- leader.HolderMessage{Controller: n.cfg.Name, Link: l, Message: &x.Message}
 		}
-	case block.Answer:
-		x.Tag.(chan block.Answer) <- x
-	case block.Trace:
+	case block.HeartbeatReply:
+		x.ReplyTo.(chan block.HeartbeatReply) <- x
+	case block.RecordSpan:
 		n.tracer.Post(x.Span)
-	case block.Paused:
+	case block.PauseDetected:
 		n.pauses <- x.Pause
 	case block.Log:
-		n.log.Warn(x.Text, x.Args...)
-	case block.Orders:
+		n.log.Warn(x.Message, x.Attributes...)
+	case block.SendCommands:
 		go n.direct(x)
-	case block.Inspect:
+	case block.InspectAgent:
 		go n.inspect(x)
-	case block.Record:
+	case block.WriteAttempts:
 		// No task of it is ordered before the store has said yes.
-		go n.keep(ctx, store.PriorityAttempts, x.Txn, func(o store.TxnResult) any { return x.Settled(o) })
-	case block.Compact:
-		go n.keep(ctx, store.PriorityBackground, x.Txn, func(o store.TxnResult) any { return x.Settled(o) })
-	case block.Erase:
+		go n.keep(ctx, store.PriorityAttempts, x.Txn, func(o store.TxnResult) any { return x.Result(o) })
+	case block.CompactPages:
+		go n.keep(ctx, store.PriorityBackground, x.Txn, func(o store.TxnResult) any { return x.Result(o) })
+	case block.DeletePages:
 		go func() {
 			if _, err := n.store.TryCommit(ctx, store.PriorityBackground, x.Txn()); err != nil {
 				// They stay as upper bounds until the block's next grant.
@@ -95,13 +95,13 @@
 }
 
 // direct sends a command to a worker and brings back what became of it.
-func (n *Node) direct(o block.Orders) {
+func (n *Node) direct(o block.SendCommands) {
 	n.directs <- struct{}{}
 	defer func() { <-n.directs }()
 	req, res := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(res)
-	done := block.Ordered{Orders: o}
+	done := block.CommandsAnswered{SendCommands: o}
 	raw, err := json.Marshal(o.Body)
 	if err != nil {
 		n.log.Error("encode orders", "error", err)
@@ -116,26 +116,26 @@
 	}
 	switch err := n.workers.DoTimeout(req, res, 3*time.Second); {
 	case errors.Is(err, errDial):
-		done.Status = block.NotSent
+		done.Code = block.NotSent
 	case err == nil:
-		done.Status = res.StatusCode()
+		done.Code = res.StatusCode()
 		var r wire.Heartbeat
-		if (done.Status == 200 || done.Status == 409) && json.Unmarshal(res.Body(), &r) == nil && r.Machine == o.Machine {
-			done.R = &r
+		if (done.Code == 200 || done.Code == 409) && json.Unmarshal(res.Body(), &r) == nil && r.Machine == o.Machine {
+			done.Status = &r
 		}
 	}
 	n.holder <- done
 }
 
 // inspect asks a worker for its report.
-func (n *Node) inspect(x block.Inspect) {
+func (n *Node) inspect(x block.InspectAgent) {
 	n.directs <- struct{}{}
 	defer func() { <-n.directs }()
-	done := block.Inspected{Inspect: x}
+	done := block.InspectionAnswered{InspectAgent: x}
 	status, body, err := n.workers.GetTimeout(nil, "http://"+x.Address+"/inspect", 2*time.Second)
 	var r wire.Heartbeat
 	if err == nil && status == 200 && json.Unmarshal(body, &r) == nil && r.Machine == x.Machine {
-		done.R = &r
+		done.Status = &r
 	}
 	n.holder <- done
 }
--- a/internal/node/leader.go
+++ b/internal/node/leader.go
@@ -27,7 +27,7 @@
 	ep := newEpoch(ctx)
 	for msg := range n.leader {
 		switch msg.(type) {
-		case leader.Elected, leader.Deposed:
+		case leader.LeadershipAcquired, leader.LeadershipLost:
 			ep.end()
 			ep = newEpoch(ctx)
 		}
@@ -39,28 +39,28 @@
 
 func (n *Node) leaderEffect(ctx context.Context, fx any) {
 	switch x := fx.(type) {
-	case leader.Tell:
+	case leader.SendToHolder:
 		switch l := x.Link.(type) {
 		case *peer.Link:
-			l.Send(&x.Down)
+			l.Send(&x.Message)
 		case localLink:
-			n.directory.Post(&x.Down)
-			n.holder <- &x.Down
+			n.directory.Post(&x.Message)
+			n.holder <- &x.Message
 		}
-	case leader.Load:
-		go n.load(ctx, x.Epoch)
-	case leader.LoadRecords:
+	case leader.LoadState:
+		go n.load(ctx, x.Term)
+	case leader.LoadAttempts:
 		go n.loadRecords(ctx, x)
-	case leader.Commit:
+	case leader.CommitTxn:
 		go func() {
-			o, err := n.store.Commit(ctx, x.Prio, x.Txn)
+			o, err := n.store.Commit(ctx, x.Priority, x.Txn)
 			if ctx.Err() != nil {
 				return
 			}
 			if err != nil {
 				n.log.Error("transaction failed", "error", err)
 			}
-			n.leader <- leader.Committed{Epoch: x.Epoch, Tag: x.Tag, Outcome: o, Err: err}
+			n.leader <- leader.TxnCompleted{Term: x.Term, Tag: x.Tag, Result: o, Err: err}
 		}()
 	case leader.ReadKey:
 		go func() {
@@ -68,7 +68,7 @@
 				it, err := n.store.Get(ctx, store.PriorityAttempts, x.Key)
 				if err == nil || errors.Is(err, store.ErrNotFound) {
 					it.Key = x.Key
-					n.leader <- leader.Read{Epoch: x.Epoch, Tag: x.Tag, Item: it, Found: err == nil}
+					n.leader <- leader.KeyRead{Term: x.Term, Tag: x.Tag, Item: it, Found: err == nil}
 					return
 				}
 				if !store.Backoff(ctx, i) {
@@ -76,12 +76,12 @@
 				}
 			}
 		}()
-	case leader.Trace:
+	case leader.RecordSpan:
 		n.tracer.Post(x.Span)
-	case leader.AnswerStatus:
-		x.Tag.(chan peer.Status) <- x.Status
+	case leader.ReplyStatus:
+		x.ReplyTo.(chan peer.Status) <- x.Status
 	case leader.Resign:
-		n.log.Info("resigning", "why", x.Why)
+		n.log.Info("resigning", "why", x.Reason)
 		go func() {
 			q := askEpoch{make(chan uint64, 1)}
 			n.elector <- q
@@ -89,13 +89,13 @@
 				n.elector <- election.Resign{Term: e}
 			}
 		}()
-	case leader.Paused:
+	case leader.PauseDetected:
 		n.pauses <- x.Pause
 	case leader.Log:
 		if x.Debug {
-			n.log.Debug(x.Text, x.Args...)
+			n.log.Debug(x.Message, x.Attributes...)
 		} else {
-			n.log.Info(x.Text, x.Args...)
+			n.log.Info(x.Message, x.Attributes...)
 		}
 	default:
 		n.cloudEffect(fx)
@@ -105,24 +105,24 @@
 // cloudEffect has the cloud asked.
 func (n *Node) cloudEffect(fx any) {
 	switch x := fx.(type) {
-	case leader.Rent:
+	case leader.ProvisionMachines:
 		n.toCloud(func() {
-			names, err := n.cloud.Rent(x.Rental)
-			n.leader <- leader.Rented{Epoch: x.Epoch, Request: x.Rental.RequestID, Machines: names,
+			names, err := n.cloud.Rent(x.Request)
+			n.leader <- leader.MachinesProvisioned{Term: x.Term, RequestID: x.Request.RequestID, Machines: names,
 				NoCapacity: errors.Is(err, cloud.ErrNoCapacity), Err: err}
 		})
-	case leader.Delete:
+	case leader.DeleteMachines:
 		n.toCloud(func() {
-			n.leader <- leader.Deleted{Epoch: x.Epoch, Machines: x.Machines, Err: n.cloud.Delete(x.Machines)}
+			n.leader <- leader.MachinesDeleted{Term: x.Term, Machines: x.Machines, Err: n.cloud.Delete(x.Machines)}
 		})
-	case leader.List:
+	case leader.ListMachines:
 		n.toCloud(n.list)
-	case leader.ReadCatalog:
+	case leader.LoadCatalog:
 		n.toCloud(func() {
 			if c, err := n.cloud.Catalog(); err != nil {
 				n.log.Debug("catalog", "error", err)
 			} else {
-				n.leader <- leader.CatalogRead{Types: c.Types}
+				n.leader <- leader.CatalogLoaded{Types: c.Types}
 			}
 		})
 	}
--- a/internal/node/links.go
+++ b/internal/node/links.go
@@ -17,7 +17,7 @@
 func (n *Node) follow(ctx context.Context, epoch uint64, name string) {
 	if name == n.cfg.Name {
 		l := localLink{epoch}
-		n.leader <- leader.Joined{Node: n.cfg.Name, Run: n.run, Link: l}
+		n.leader <- leader.PeerConnected{Controller: n.cfg.Name, Incarnation: n.run, Link: l}
 		n.holder <- holderUp{epoch, l}
 		return
 	}
@@ -103,7 +103,7 @@
 	answer := make(chan peer.Status, 1)
 	s := peer.Status{Controller: n.cfg.Name}
 	select {
-	case n.leader <- leader.StatusAsked{Tag: answer}:
+	case n.leader <- leader.StatusRequested{ReplyTo: answer}:
 		select {
 		case s = <-answer:
 		case <-time.After(statusWithin):
@@ -136,11 +136,11 @@
 		epoch := <-q.answer
 		return epoch > 0 && epoch == h.Term
 	}, func(l *peer.Link) {
-		n.leader <- leader.Joined{Node: l.Peer.Controller, Run: l.Peer.Incarnation, Link: l, Slow: slow}
+		n.leader <- leader.PeerConnected{Controller: l.Peer.Controller, Incarnation: l.Peer.Incarnation, Link: l, ViaStore: slow}
 	}, func(l *peer.Link, u *peer.ToLeader) {
 		n.directory.Post(api.PeerReached{})
-		n.leader <- leader.Said{Node: l.Peer.Controller, Link: l, Up: u}
+		n.leader <- leader.HolderMessage{Controller: l.Peer.Controller, Link: l, Message: u}
 	}, func(l *peer.Link) {
-		n.leader <- leader.Left{Node: l.Peer.Controller, Link: l}
+		n.leader <- leader.PeerDisconnected{Controller: l.Peer.Controller, Link: l}
 	})
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -141,9 +141,9 @@
 }
 
 // report hands a worker's report to the holder and waits for its answer.
-func (n *Node) report(r *wire.Heartbeat) block.Answer {
-	ch := make(chan block.Answer, 1)
-	n.holder <- block.Report{Tag: ch, R: r}
+func (n *Node) report(r *wire.Heartbeat) block.HeartbeatReply {
+	ch := make(chan block.HeartbeatReply, 1)
+	n.holder <- block.HeartbeatReceived{ReplyTo: ch, Heartbeat: r}
 	return <-ch
 }
 
--- a/internal/node/state.go
+++ b/internal/node/state.go
@@ -20,7 +20,7 @@
 		asked := n.clock.Now()
 		items, revision, err := n.readState(ctx)
 		if err == nil {
-			n.leader <- leader.Loaded{Epoch: epoch, Items: items, Revision: revision, Wall: clock.Wall(), Asked: asked}
+			n.leader <- leader.StateLoaded{Term: epoch, Items: items, Revision: revision, TimeOfDay: clock.Wall(), RequestedAt: asked}
 			n.watchJobs(ctx, epoch, revision)
 			return
 		}
@@ -36,7 +36,7 @@
 // Their order does not matter, as only users change jobs while this epoch lasts: all other
 // keys are written under a guard on the leader key.
 func (n *Node) readState(ctx context.Context) ([]wire.Item, uint64, error) {
-	prefixes := []string{leader.JobPrefix, leader.LayoutKey, leader.CatalogKey, block.KeyPrefix, leader.ProgPrefix, leader.FleetPrefix}
+	prefixes := []string{leader.JobPrefix, leader.LayoutKey, leader.CatalogKey, block.KeyPrefix, leader.ProgressPrefix, leader.InstanceGroupPrefix}
 	type listing struct {
 		items    []wire.Item
 		revision uint64
@@ -72,7 +72,7 @@
 			i = 0
 			rev = max(rev, a.Revision)
 			if ctx.Err() == nil {
-				n.leader <- leader.Watched{Epoch: epoch, Events: a.Events, Asked: asked}
+				n.leader <- leader.JobsChanged{Term: epoch, Events: a.Events, RequestedAt: asked}
 			}
 		case errors.Is(err, store.ErrCompacted):
 			// Too far behind: a new epoch reads everything again.
@@ -85,22 +85,22 @@
 	}
 }
 
-func (n *Node) loadRecords(ctx context.Context, x leader.LoadRecords) {
+func (n *Node) loadRecords(ctx context.Context, x leader.LoadAttempts) {
 	logged := false
 	for i := 0; ; i++ {
-		items, _, err := n.store.List(ctx, store.PriorityUrgent, block.RecordPrefix(x.Block))
+		items, _, err := n.store.List(ctx, store.PriorityUrgent, block.AttemptPrefix(x.Shard))
 		if err == nil {
-			pages, err := block.Pages(items)
+			pages, err := block.DecodeAttemptPages(items)
 			if err != nil {
 				// What may run is not known, so the block is not granted.
 				if !logged {
-					n.log.Error("start records", "block", x.Block, "error", err)
+					n.log.Error("start records", "block", x.Shard, "error", err)
 				}
 				logged = true
 				time.Sleep(time.Second)
 				continue
 			}
-			n.leader <- leader.Records{Epoch: x.Epoch, Block: x.Block, Token: x.Token, Pages: pages}
+			n.leader <- leader.AttemptsLoaded{Term: x.Term, Shard: x.Shard, FencingToken: x.FencingToken, Pages: pages}
 			return
 		}
 		if !store.Backoff(ctx, i) {
--- a/internal/scenario/history_checks_test.go
+++ b/internal/scenario/history_checks_test.go
@@ -28,24 +28,24 @@
 		return &standin.Task{TaskStatus: wire.TaskStatus{Task: "j-000001/3", Attempt: token<<peer.AttemptBits | n}, Job: wire.Job{Ref: "j-000001", Tasks: 8}, Index: 3}
 	}
 	page := peer.AttemptPage{FencingToken: token, Prefix: "host-", Machines: []string{"000001"}, Groups: []peer.AttemptGroup{{Job: "j-000001", Attempts: []int{3, 1, 0}}}}
-	roster := leader.FleetRecord{Machines: []string{machine}, Asked: true}
-	done := leader.ProgRecord{Units: []leader.ProgUnit{{Job: "j-000001", Bits: []byte{1 << 3}}}}
+	roster := leader.InstanceGroupRecord{Machines: []string{machine}, Answered: true}
+	done := leader.ProgressRecord{Chunks: []leader.ProgressChunk{{Job: "j-000001", Completed: []byte{1 << 3}}}}
 	for _, c := range []struct {
 		name, breaks string
 		play         func(w *world, h *history)
 	}{
 		{"a recorded start on a machine of the roster", "", func(w *world, h *history) {
 			w.put(t, "run/000/7-1", page)
-			w.put(t, leader.FleetPrefix+"r", roster)
+			w.put(t, leader.InstanceGroupPrefix+"r", roster)
 			h.start(machine, attempt(1))
 		}},
 		{"a start without a record", "unrecorded", func(w *world, h *history) {
 			w.put(t, "run/000/7-1", page)
-			w.put(t, leader.FleetPrefix+"r", roster)
+			w.put(t, leader.InstanceGroupPrefix+"r", roster)
 			h.start(machine, attempt(2))
 		}},
 		{"a start whose record was written over", "unrecorded", func(w *world, h *history) {
-			w.put(t, leader.FleetPrefix+"r", roster)
+			w.put(t, leader.InstanceGroupPrefix+"r", roster)
 			w.put(t, "run/000/7-1", page)
 			h.sync()
 			w.put(t, "run/000/7-1", peer.AttemptPage{FencingToken: token})
@@ -57,7 +57,7 @@
 		}},
 		{"changes that are not kept any more", "", func(w *world, h *history) {
 			w.put(t, "run/000/7-1", page)
-			w.put(t, leader.FleetPrefix+"r", roster)
+			w.put(t, leader.InstanceGroupPrefix+"r", roster)
 			w.store.Forget()
 			h.start(machine, attempt(1))
 		}},
@@ -75,22 +75,22 @@
 		}},
 		{"a new attempt after the completion was stored", "ran_again", func(w *world, h *history) {
 			h.complete(attempt(1))
-			w.put(t, leader.ProgPrefix+"1-1", done)
+			w.put(t, leader.ProgressPrefix+"1-1", done)
 			h.restart(attempt(2))
 		}},
 		{"a new attempt after the job was stored as done", "ran_again", func(w *world, h *history) {
 			h.complete(attempt(1))
-			w.put(t, leader.EndPrefix+"j-000001", leader.EndRecord{State: wire.Done, Tasks: 8})
+			w.put(t, leader.FinalStatePrefix+"j-000001", leader.FinalStateRecord{State: wire.Done, Tasks: 8})
 			h.restart(attempt(2))
 		}},
 		{"a new attempt before the completion is stored", "", func(w *world, h *history) {
 			h.complete(attempt(1))
-			w.put(t, leader.ProgPrefix+"1-1", leader.ProgRecord{Units: []leader.ProgUnit{{Job: "j-000001", Bits: []byte{0xf7}}}})
+			w.put(t, leader.ProgressPrefix+"1-1", leader.ProgressRecord{Chunks: []leader.ProgressChunk{{Job: "j-000001", Completed: []byte{0xf7}}}})
 			h.restart(attempt(2))
 		}},
 		{"a late copy of the order of the attempt that completed", "", func(w *world, h *history) {
 			h.complete(attempt(1))
-			w.put(t, leader.ProgPrefix+"1-1", done)
+			w.put(t, leader.ProgressPrefix+"1-1", done)
 			h.restart(attempt(1))
 		}},
 	} {
--- a/internal/scenario/history_test.go
+++ b/internal/scenario/history_test.go
@@ -26,7 +26,7 @@
 	revision  uint64           // of the state service, up to which the rest is known
 	recorded  named[attemptOn] // by pages of start records
 	rostered  named[string]    // machines, by roster records
-	progress  map[string]leader.ProgRecord
+	progress  map[string]leader.ProgressRecord
 	ordered   map[uint64]attemptOn // by number
 	granted   map[uint64]int       // by token: the block
 	completed map[uint64]bool      // attempts that have completed
@@ -42,7 +42,7 @@
 
 // forgetStored begins anew with what is known of the state service.
 func (h *history) forgetStored() {
-	h.recorded, h.rostered, h.progress = newNamed[attemptOn](), newNamed[string](), map[string]leader.ProgRecord{}
+	h.recorded, h.rostered, h.progress = newNamed[attemptOn](), newNamed[string](), map[string]leader.ProgressRecord{}
 }
 
 // named counts in how many stored values something is named.
@@ -89,12 +89,12 @@
 	switch {
 	case strings.HasPrefix(key, "run/"):
 		h.storedPage(key, value)
-	case strings.HasPrefix(key, leader.FleetPrefix):
+	case strings.HasPrefix(key, leader.InstanceGroupPrefix):
 		h.storedRoster(key, value)
-	case strings.HasPrefix(key, leader.ProgPrefix):
+	case strings.HasPrefix(key, leader.ProgressPrefix):
 		delete(h.progress, key)
 		if value != nil {
-			var r leader.ProgRecord
+			var r leader.ProgressRecord
 			must(json.Unmarshal(value, &r))
 			h.progress[key] = r
 		}
@@ -104,7 +104,7 @@
 func (h *history) storedPage(key string, value []byte) {
 	var attempts []attemptOn
 	if value != nil {
-		pages, err := block.Pages([]wire.Item{{Key: key, Value: value}})
+		pages, err := block.DecodeAttemptPages([]wire.Item{{Key: key, Value: value}})
 		must(err)
 		page := pages[key]
 		for i := range page.Groups {
@@ -120,7 +120,7 @@
 }
 
 func (h *history) storedRoster(key string, value []byte) {
-	var r leader.FleetRecord
+	var r leader.InstanceGroupRecord
 	if value != nil {
 		must(json.Unmarshal(value, &r))
 	}
@@ -173,13 +173,13 @@
 
 // completionStored says whether the state service knows that a task has completed.
 func (h *history) completionStored(ref string, index int) bool {
-	if _, over := h.w.store.Get(leader.EndPrefix + ref); over {
+	if _, over := h.w.store.Get(leader.FinalStatePrefix + ref); over {
 		return true
 	}
-	chunk, bit := index/leader.ChunkTasks, index%leader.ChunkTasks
+	chunk, bit := index/leader.TasksPerChunk, index%leader.TasksPerChunk
 	for _, r := range h.progress {
-		if slices.ContainsFunc(r.Units, func(u leader.ProgUnit) bool {
-			return u.Job == ref && u.Chunk == chunk && bit/8 < len(u.Bits) && u.Bits[bit/8]&(1<<(bit%8)) != 0
+		if slices.ContainsFunc(r.Chunks, func(u leader.ProgressChunk) bool {
+			return u.Job == ref && u.Chunk == chunk && bit/8 < len(u.Completed) && u.Completed[bit/8]&(1<<(bit%8)) != 0
 		}) {
 			return true
 		}
--- a/internal/scenario/load_test.go
+++ b/internal/scenario/load_test.go
@@ -27,7 +27,7 @@
 // status is what the leader tells operators; nothing while nobody leads.
 func (w *world) status() (s peer.Status) {
 	for _, n := range w.leaders() {
-		n.leaderStep(leader.StatusAsked{Tag: &s})
+		n.leaderStep(leader.StatusRequested{ReplyTo: &s})
 	}
 	return s
 }
--- a/internal/scenario/network_test.go
+++ b/internal/scenario/network_test.go
@@ -189,7 +189,7 @@
 				for _, d := range []clock.Micros{clock.Millisecond, 300 * clock.Millisecond, 2 * clock.Second, 6 * clock.Second} {
 					w.after(d+clock.Micros(i), func() {
 						if o.alive && !o.blind {
-							o.still(func() { o.report(r, func(block.Answer) {}) })()
+							o.still(func() { o.report(r, func(block.HeartbeatReply) {}) })()
 						}
 					})
 				}
@@ -221,8 +221,8 @@
 		}
 		l := &simLink{epoch: epoch, follower: n, leader: to, fgen: n.gen, lgen: to.gen, last: map[*simNode]clock.Micros{}}
 		n.link = l
-		to.leaderStep(leader.Joined{Node: n.name, Run: uint64(n.gen), Link: l})
-		n.holderStep(block.Linked{Epoch: epoch})
+		to.leaderStep(leader.PeerConnected{Controller: n.name, Incarnation: uint64(n.gen), Link: l})
+		n.holderStep(block.LeaderConnected{Term: epoch})
 	}))
 }
 
@@ -235,13 +235,13 @@
 	f, to := l.follower, l.leader
 	to.awake(func() {
 		if to.alive && to.gen == l.lgen {
-			to.leaderStep(leader.Left{Node: f.name, Link: l})
+			to.leaderStep(leader.PeerDisconnected{Controller: f.name, Link: l})
 		}
 	})
 	f.awake(func() {
 		if f.alive && f.gen == l.fgen && f.link == l {
 			f.link = nil
-			f.holderStep(block.Unlinked{Epoch: l.epoch})
+			f.holderStep(block.LeaderDisconnected{Term: l.epoch})
 			if f.epoch == l.epoch {
 				f.follow(l.epoch, to.name)
 			}
--- a/internal/scenario/node_test.go
+++ b/internal/scenario/node_test.go
@@ -136,7 +136,7 @@
 			n.sendsWatch(leader.JobPrefix, n.jobRev)
 			a := n.w.store.Since(leader.JobPrefix, n.jobRev)
 			n.jobRev = max(n.jobRev, a.Revision)
-			n.leaderStep(leader.Watched{Epoch: n.jobEpoch, Events: a.Events, Asked: n.w.now})
+			n.leaderStep(leader.JobsChanged{Term: n.jobEpoch, Events: a.Events, RequestedAt: n.w.now})
 		}
 	}
 	n.electorStep(election.Tick{})
@@ -183,13 +183,13 @@
 		n.look()
 	case election.AcquireLeadership:
 		w.release()
-		n.leaderStep(leader.Elected{Epoch: x.Term, Run: uint64(n.gen)})
-		n.leaderStep(leader.Authority{Until: x.Until})
+		n.leaderStep(leader.LeadershipAcquired{Term: x.Term, Incarnation: uint64(n.gen)})
+		n.leaderStep(leader.LeadershipExtended{Until: x.Until})
 	case election.ExtendLeadership:
-		n.leaderStep(leader.Authority{Until: x.Until})
+		n.leaderStep(leader.LeadershipExtended{Until: x.Until})
 	case election.LoseLeadership:
 		n.jobEpoch = 0
-		n.leaderStep(leader.Deposed{})
+		n.leaderStep(leader.LeadershipLost{})
 	case election.FollowLeader:
 		n.directory.Post(api.Following{Epoch: x.Term, Node: x.Controller})
 		n.epoch = x.Term
@@ -207,27 +207,27 @@
 
 func (n *simNode) holderEffect(fx any) {
 	switch x := fx.(type) {
-	case block.Send:
+	case block.SendToLeader:
 		if l := n.link; l != nil {
-			n.sendsFrame(l.leader, &x.Up)
-			l.carry(l.leader, func() { l.leader.leaderStep(leader.Said{Node: n.name, Link: l, Up: &x.Up}) })
+			n.sendsFrame(l.leader, &x.Message)
+			l.carry(l.leader, func() { l.leader.leaderStep(leader.HolderMessage{Controller: n.name, Link: l, Message: &x.Message}) })
 		}
-	case block.Answer:
-		x.Tag.(func(block.Answer))(x)
-	case block.Trace:
-	case block.Paused:
+	case block.HeartbeatReply:
+		x.ReplyTo.(func(block.HeartbeatReply))(x)
+	case block.RecordSpan:
+	case block.PauseDetected:
 		n.pauses.Add(x.Pause)
 	case block.Log:
-		n.w.breaks("%s: %v", x.Text, x.Args) // the stand-ins never contradict themselves
-	case block.Orders:
+		n.w.breaks("%s: %v", x.Message, x.Attributes) // the stand-ins never contradict themselves
+	case block.SendCommands:
 		n.direct(x)
-	case block.Inspect:
+	case block.InspectAgent:
 		n.inspect(x)
-	case block.Record:
-		n.keep(x.Txn, func(o store.TxnResult) any { return x.Settled(o) })
-	case block.Compact:
-		n.keep(x.Txn, func(o store.TxnResult) any { return x.Settled(o) })
-	case block.Erase:
+	case block.WriteAttempts:
+		n.keep(x.Txn, func(o store.TxnResult) any { return x.Result(o) })
+	case block.CompactPages:
+		n.keep(x.Txn, func(o store.TxnResult) any { return x.Result(o) })
+	case block.DeletePages:
 		n.txn(x.Txn(), func(store.TxnResult, error) {})
 	default:
 		panic(fmt.Sprintf("unknown effect %T", fx))
@@ -246,14 +246,14 @@
 	n.commit(t, false, func() bool { return true }, func(o store.TxnResult, _ error) { n.holderStep(settled(o)) })
 }
 
-func (n *simNode) inspect(x block.Inspect) {
+func (n *simNode) inspect(x block.InspectAgent) {
 	n.sends(toWorker(x.Machine), "GET /inspect")
 	s := n.w.worker(x.Machine)
 	settled := false
 	settle := func(r *wire.Heartbeat) {
 		if !settled {
 			settled = true
-			n.holderStep(block.Inspected{Inspect: x, R: r})
+			n.holderStep(block.InspectionAnswered{InspectAgent: x, Status: r})
 		}
 	}
 	n.w.after(2*clock.Second, n.still(func() { settle(nil) }))
@@ -269,13 +269,13 @@
 	})
 }
 
-func (n *simNode) direct(o block.Orders) {
+func (n *simNode) direct(o block.SendCommands) {
 	n.sendsJSON(toWorker(o.Machine), "POST /orders", &o.Body)
 	w := n.w
 	s := w.worker(o.Machine)
-	done := block.Ordered{Orders: o}
+	done := block.CommandsAnswered{SendCommands: o}
 	if s == nil || s.dead || n.blind || (s.cut && s.holdUntil <= w.now) {
-		done.Status = block.NotSent
+		done.Code = block.NotSent
 		w.after(clock.Second, n.still(func() { n.holderStep(done) }))
 		return
 	}
@@ -307,7 +307,7 @@
 		s.deliver(w, n, n.still(func() {
 			if !settled {
 				settled = true
-				done.Status, done.R = status, r
+				done.Code, done.Status = status, r
 				n.holderStep(done)
 			}
 		}))
@@ -315,8 +315,8 @@
 }
 
 // report brings a worker's report to the controller.
-func (n *simNode) report(r *wire.Heartbeat, answer func(block.Answer)) {
-	n.holderStep(block.Report{R: r, Tag: func(a block.Answer) {
+func (n *simNode) report(r *wire.Heartbeat, answer func(block.HeartbeatReply)) {
+	n.holderStep(block.HeartbeatReceived{Heartbeat: r, ReplyTo: func(a block.HeartbeatReply) {
 		n.answersReport(r.Machine, a)
 		answer(a)
 	}})
@@ -377,60 +377,60 @@
 		})
 	}
 	switch x := fx.(type) {
-	case leader.Tell:
-		for _, g := range x.Down.Grants {
+	case leader.SendToHolder:
+		for _, g := range x.Message.Grants {
 			w.history.grant(g)
 		}
 		l := x.Link.(*simLink)
-		n.sendsFrame(l.follower, &x.Down)
+		n.sendsFrame(l.follower, &x.Message)
 		l.carry(l.follower, func() {
 			l.follower.directory.Post(api.PeerReached{})
 			l.leader.directory.Post(api.PeerReached{})
-			l.follower.directory.Post(&x.Down)
-			l.follower.holderStep(&x.Down)
+			l.follower.directory.Post(&x.Message)
+			l.follower.holderStep(&x.Message)
 		})
-	case leader.Load:
-		n.load(x.Epoch)
-	case leader.LoadRecords:
+	case leader.LoadState:
+		n.load(x.Term)
+	case leader.LoadAttempts:
 		n.loadRecords(x)
-	case leader.Commit:
-		if !slices.Contains(x.Txn.Conditions, wire.Condition{Key: leader.Key, Version: x.Epoch}) {
+	case leader.CommitTxn:
+		if !slices.Contains(x.Txn.Conditions, wire.Condition{Key: leader.Key, Version: x.Term}) {
 			w.breaks("unguarded: a leader's write is not bound to its epoch")
 		}
-		n.commit(x.Txn, false, during(x.Epoch), func(o store.TxnResult, err error) {
-			n.leaderStep(leader.Committed{Epoch: x.Epoch, Tag: x.Tag, Outcome: o, Err: err})
+		n.commit(x.Txn, false, during(x.Term), func(o store.TxnResult, err error) {
+			n.leaderStep(leader.TxnCompleted{Term: x.Term, Tag: x.Tag, Result: o, Err: err})
 		})
 	case leader.ReadKey:
 		n.readKey(x)
-	case leader.Rent:
-		n.sendsJSON(toCloud, "POST /hosts", x.Rental)
+	case leader.ProvisionMachines:
+		n.sendsJSON(toCloud, "POST /hosts", x.Request)
 		cloud(func() any {
-			names, ok := w.cloud.Rent(w.now, x.Rental)
-			m := leader.Rented{Epoch: x.Epoch, Request: x.Rental.RequestID, Machines: names, NoCapacity: !ok}
+			names, ok := w.cloud.Rent(w.now, x.Request)
+			m := leader.MachinesProvisioned{Term: x.Term, RequestID: x.Request.RequestID, Machines: names, NoCapacity: !ok}
 			if !ok {
 				m.Err = errors.New("no capacity")
 			}
 			return m
-		}, leader.Rented{Epoch: x.Epoch, Request: x.Rental.RequestID, Err: errTrouble})
-	case leader.Delete:
+		}, leader.MachinesProvisioned{Term: x.Term, RequestID: x.Request.RequestID, Err: errTrouble})
+	case leader.DeleteMachines:
 		n.sendsJSON(toCloud, "POST /hosts/delete", wire.MachineNames{Names: x.Machines})
 		cloud(func() any {
 			w.cloud.Delete(x.Machines)
-			return leader.Deleted{Epoch: x.Epoch, Machines: x.Machines}
-		}, leader.Deleted{Epoch: x.Epoch, Machines: x.Machines, Err: errTrouble})
-	case leader.List:
+			return leader.MachinesDeleted{Term: x.Term, Machines: x.Machines}
+		}, leader.MachinesDeleted{Term: x.Term, Machines: x.Machines, Err: errTrouble})
+	case leader.ListMachines:
 		n.sends(toCloud, "GET /hosts")
-		cloud(func() any { return leader.Listed{Machines: w.cloud.List(w.now)} }, nil)
-	case leader.ReadCatalog:
+		cloud(func() any { return leader.MachinesListed{Machines: w.cloud.List(w.now)} }, nil)
+	case leader.LoadCatalog:
 		n.sends(toCloud, "GET /catalog")
-		cloud(func() any { return leader.CatalogRead{Types: w.cloud.Types} }, nil)
+		cloud(func() any { return leader.CatalogLoaded{Types: w.cloud.Types} }, nil)
 	case leader.Resign:
 		w.after(1, n.still(func() { n.electorStep(election.Resign{Term: n.elector.Term()}) }))
-	case leader.Paused:
+	case leader.PauseDetected:
 		n.pauses.Add(x.Pause)
-	case leader.Log, leader.Trace:
-	case leader.AnswerStatus:
-		*x.Tag.(*peer.Status) = x.Status
+	case leader.Log, leader.RecordSpan:
+	case leader.ReplyStatus:
+		*x.ReplyTo.(*peer.Status) = x.Status
 	default:
 		panic(fmt.Sprintf("unknown effect %T", fx))
 	}
@@ -446,7 +446,7 @@
 		all, r := n.w.store.List("")
 		rev = r
 		for _, it := range all {
-			if !strings.HasPrefix(it.Key, "run/") && !strings.HasPrefix(it.Key, leader.EndPrefix) {
+			if !strings.HasPrefix(it.Key, "run/") && !strings.HasPrefix(it.Key, leader.FinalStatePrefix) {
 				items = append(items, it)
 			}
 		}
@@ -459,24 +459,24 @@
 			return
 		}
 		n.jobEpoch, n.jobRev = epoch, rev
-		n.leaderStep(leader.Loaded{Epoch: epoch, Items: items, Revision: rev, Wall: n.w.now, Asked: asked})
+		n.leaderStep(leader.StateLoaded{Term: epoch, Items: items, Revision: rev, TimeOfDay: n.w.now, RequestedAt: asked})
 	})
 }
 
-func (n *simNode) loadRecords(x leader.LoadRecords) {
+func (n *simNode) loadRecords(x leader.LoadAttempts) {
 	var items []wire.Item
-	n.sendsList(block.RecordPrefix(x.Block))
-	n.ask(func() { items, _ = n.w.store.List(block.RecordPrefix(x.Block)) }, func(err error) {
-		if n.elector.Term() != x.Epoch {
+	n.sendsList(block.AttemptPrefix(x.Shard))
+	n.ask(func() { items, _ = n.w.store.List(block.AttemptPrefix(x.Shard)) }, func(err error) {
+		if n.elector.Term() != x.Term {
 			return
 		}
 		if err != nil {
 			n.w.after(100*clock.Millisecond, n.still(func() { n.loadRecords(x) }))
 			return
 		}
-		pages, err := block.Pages(items)
+		pages, err := block.DecodeAttemptPages(items)
 		must(err)
-		n.leaderStep(leader.Records{Epoch: x.Epoch, Block: x.Block, Token: x.Token, Pages: pages})
+		n.leaderStep(leader.AttemptsLoaded{Term: x.Term, Shard: x.Shard, FencingToken: x.FencingToken, Pages: pages})
 	})
 }
 
@@ -485,7 +485,7 @@
 	var ok bool
 	n.sendsRead(x.Key)
 	n.ask(func() { it, ok = n.w.store.Get(x.Key) }, func(err error) {
-		if n.elector.Term() != x.Epoch {
+		if n.elector.Term() != x.Term {
 			return
 		}
 		if err != nil {
@@ -493,6 +493,6 @@
 			return
 		}
 		it.Key = x.Key
-		n.leaderStep(leader.Read{Epoch: x.Epoch, Tag: x.Tag, Item: it, Found: ok})
+		n.leaderStep(leader.KeyRead{Term: x.Term, Tag: x.Tag, Item: it, Found: ok})
 	})
 }
--- a/internal/scenario/random_faults_test.go
+++ b/internal/scenario/random_faults_test.go
@@ -430,7 +430,7 @@
 		case !j.IsService() && r.Status.State != wire.Done && r.Status.State != wire.JobCancelled:
 			w.breaks("unfinished: %s is %s", ref, r.Status.State)
 		}
-		if _, over := w.store.Get(leader.EndPrefix + ref); !over {
+		if _, over := w.store.Get(leader.FinalStatePrefix + ref); !over {
 			continue
 		}
 		for _, s := range w.workers {
--- a/internal/scenario/rules_test.go
+++ b/internal/scenario/rules_test.go
@@ -65,7 +65,7 @@
 	}
 	for ref, j := range w.jobs {
 		team, _ := w.cfg.Team(j.Team)
-		_, over := w.store.Get(leader.EndPrefix + ref)
+		_, over := w.store.Get(leader.FinalStatePrefix + ref)
 		waits := !over && !j.IsService() && !j.OneZone && !j.Spread && at[ref]+on[ref] < j.Tasks && use[j.Team]+j.CPUs <= team.CPULimit()
 		// What fails wherever it runs waits as long as it is not tried.
 		if w.mistaken[ref] > 0 && w.now-w.tried[ref] < mostPause {
--- a/internal/scenario/transcript_test.go
+++ b/internal/scenario/transcript_test.go
@@ -209,7 +209,7 @@
 }
 
 // answersReport records the answer to a worker's report.
-func (n *simNode) answersReport(machine string, a block.Answer) {
+func (n *simNode) answersReport(machine string, a block.HeartbeatReply) {
 	message := "answer " + strconv.Itoa(a.Status)
 	switch a.Status {
 	case 200:
--- a/internal/scenario/worker_test.go
+++ b/internal/scenario/worker_test.go
@@ -112,7 +112,7 @@
 	s.again(w, func() {
 		// Whichever controller it reaches, nobody waits for the answer.
 		if o := w.nodes[w.rng.IntN(len(w.nodes))]; o.alive && !o.blind && !w.apart(s.Zone, o.cfg.Zone) {
-			o.still(func() { o.report(r, func(block.Answer) {}) })()
+			o.still(func() { o.report(r, func(block.HeartbeatReply) {}) })()
 		}
 	})
 	s.deliver(w, n, func() {
@@ -124,7 +124,7 @@
 			return
 		}
 		n.still(func() {
-			n.report(r, func(a block.Answer) {
+			n.report(r, func(a block.HeartbeatReply) {
 				s.deliver(w, n, func() {
 					if settled || s.dead || s.deaf {
 						return
