--- a/internal/api/answers_test.go
+++ b/internal/api/answers_test.go
@@ -82,10 +82,10 @@
 		{"done between the two reads of a question", func(b *between, s *Service) Result {
 			// Whichever is read first, the job moves right after.
 			b.after = func() { b.ends(t, ref, wire.Done) }
-			if r := s.Look(ref); r.Code == 404 {
+			if r := s.Status(ref); r.Code == 404 {
 				return r
 			}
-			return s.Look(ref)
+			return s.Status(ref)
 		}, 200, wire.Done},
 		{"done while a cancellation is under way", func(b *between, s *Service) Result {
 			b.hook[leader.JobPrefix+ref] = func() { b.ends(t, ref, wire.Done) }
@@ -120,13 +120,13 @@
 		b := &between{Store: standin.NewStore(4, 8), hook: map[string]func(){}}
 		s := service(t, b)
 		if r := s.Submit(body); r.Code != 201 {
-			t.Fatalf("%s: submission gets %d %s", c.name, r.Code, r.Why)
+			t.Fatalf("%s: submission gets %d %s", c.name, r.Code, r.Reason)
 		}
 		if r := c.play(b, s); r.Code != c.code || r.Status.State != c.want {
-			t.Errorf("%s: %d %s %s, want %d %s", c.name, r.Code, r.Status.State, r.Why, c.code, c.want)
+			t.Errorf("%s: %d %s %s, want %d %s", c.name, r.Code, r.Status.State, r.Reason, c.code, c.want)
 		}
 		// Another node, which has heard of none of it, answers the same.
-		if r := service(t, b).Look(ref); r.Code != c.code || r.Status.State != c.want {
+		if r := service(t, b).Status(ref); r.Code != c.code || r.Status.State != c.want {
 			t.Errorf("%s: another node says %d %s", c.name, r.Code, r.Status.State)
 		}
 	}
@@ -163,7 +163,7 @@
 	ask := func(at clock.Micros) int {
 		now = at
 		st.priorities = nil
-		s.Look(ref)
+		s.Status(ref)
 		return st.priorities[0]
 	}
 	for _, at := range []clock.Micros{0, starvedAfter / 2, starvedAfter - 1} {
@@ -187,12 +187,12 @@
 	var now clock.Micros
 	s := serviceAt(t, st, func() clock.Micros { return now })
 	for i := range leastRemembered {
-		s.directory.Post(questionRefused{fmt.Sprint("j-", 100000+i)})
+		s.jobs.Post(questionRefused{fmt.Sprint("j-", 100000+i)})
 	}
-	s.Look("j-000001")
+	s.Status("j-000001")
 	now = starvedAfter + 1
 	st.priorities = nil
-	s.Look("j-000001")
+	s.Status("j-000001")
 	if prio := st.priorities[0]; prio != store.PriorityStarvedReads {
 		t.Errorf("priority %d, want %d", prio, store.PriorityStarvedReads)
 	}
@@ -206,7 +206,7 @@
 	cfg := &config.Config{Tuning: config.DefaultTuning()}
 	cfg.Facts.Teams = []config.Team{{Name: "red", CPUs: 8, CPUsMax: 8}, {Name: "guest"}}
 	cfg.Facts.State.ValueKB = 4
-	directory := NewDirectory(cfg, now)
+	directory := NewJobCache(cfg, now)
 	go directory.Run(t.Context())
 	directory.Post(typesRead{[]wire.MachineType{{Name: "small", CPUs: 4, MemoryGB: 8, ZoneNames: []string{"a"}}}})
 	return New(cfg, st, func(context.Context, int) bool { return true }, directory, func() bool { return true }, nil, now, slog.New(slog.NewTextHandler(io.Discard, nil)))
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -26,23 +26,23 @@
 
 // Service is the HTTP side of a node.
 type Service struct {
-	cfg       *config.Config
-	store     Store
-	pause     func(ctx context.Context, n int) bool // before try n+1
-	directory *Directory
-	storeOK   func() bool
-	report    func(*wire.Heartbeat) block.HeartbeatReply
-	wall      func() clock.Micros // time of day
-	log       *slog.Logger
-	form      formChecker
-	reports   *admission
-	app       *fiber.App
-	tracer    *trace.Tracer // nil: nothing is traced
+	cfg     *config.Config
+	store   Store
+	pause   func(ctx context.Context, n int) bool // before try n+1
+	jobs    *JobCache
+	storeOK func() bool
+	report  func(*wire.Heartbeat) block.HeartbeatReply
+	wall    func() clock.Micros // time of day
+	log     *slog.Logger
+	form    formChecker
+	reports *admission
+	app     *fiber.App
+	tracer  *trace.Tracer // nil: nothing is traced
 }
 
 // New makes the service; report answers a worker.
-func New(cfg *config.Config, s Store, pause func(context.Context, int) bool, d *Directory, storeOK func() bool, report func(*wire.Heartbeat) block.HeartbeatReply, wall func() clock.Micros, log *slog.Logger) *Service {
-	return &Service{cfg: cfg, store: s, pause: pause, directory: d, storeOK: storeOK, report: report, wall: wall, log: log, form: newFormChecker(), reports: newAdmission()}
+func New(cfg *config.Config, s Store, pause func(context.Context, int) bool, d *JobCache, storeOK func() bool, report func(*wire.Heartbeat) block.HeartbeatReply, wall func() clock.Micros, log *slog.Logger) *Service {
+	return &Service{cfg: cfg, store: s, pause: pause, jobs: d, storeOK: storeOK, report: report, wall: wall, log: log, form: newFormChecker(), reports: newAdmission()}
 }
 
 // Serve answers on l until it fails.
@@ -101,21 +101,21 @@
 	switch {
 	case r.Code == 503:
 		c.Set("Retry-After", strconv.Itoa(retryAfterS))
-		return c.Status(503).JSON(wire.ErrorResponse{Error: r.Why})
+		return c.Status(503).JSON(wire.ErrorResponse{Error: r.Reason})
 	case r.Code >= 400:
-		return c.Status(r.Code).JSON(wire.ErrorResponse{Error: r.Why})
+		return c.Status(r.Code).JSON(wire.ErrorResponse{Error: r.Reason})
 	}
 	return c.Status(r.Code).JSON(r.Status)
 }
 
-// Trace has spans of submissions written; it is called before Serve.
-func (s *Service) Trace(t *trace.Tracer) { s.tracer = t }
+// SetTracer has spans of submissions written; it is called before Serve.
+func (s *Service) SetTracer(t *trace.Tracer) { s.tracer = t }
 
 func (s *Service) submit(c fiber.Ctx) error {
-	begin := s.directory.now()
+	begin := s.jobs.now()
 	r := s.Submit(c.Body())
 	if r.Status.Ref != "" {
-		s.tracer.Post(trace.Span{Job: r.Status.Ref, Name: "submit", Begin: begin, End: s.directory.now(),
+		s.tracer.Post(trace.Span{Job: r.Status.Ref, Name: "submit", Begin: begin, End: s.jobs.now(),
 			Attributes: []trace.Attribute{{Key: "answer", Value: strconv.Itoa(r.Code)}}})
 	}
 	return s.reply(c, r)
@@ -125,7 +125,7 @@
 // directory keeps references to jobs for longer.
 func ref(c fiber.Ctx) string { return strings.Clone(c.Params("ref")) }
 
-func (s *Service) status(c fiber.Ctx) error { return s.reply(c, s.Look(ref(c))) }
+func (s *Service) status(c fiber.Ctx) error { return s.reply(c, s.Status(ref(c))) }
 
 func (s *Service) abort(c fiber.Ctx) error { return s.reply(c, s.Cancel(ref(c))) }
 
@@ -144,8 +144,8 @@
 	if s.storeOK() {
 		return true
 	}
-	v := s.directory.Look("")
-	return !v.LeaderOK && !v.Alone
+	v := s.jobs.Lookup("")
+	return !v.LeaderReachable && !v.Isolated
 }
 
 func (s *Service) beat(c fiber.Ctx) error {
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -21,7 +21,7 @@
 // something on a connection of its own.
 func served(t *testing.T, cfg *config.Config, answer block.HeartbeatReply) (ask func(request string) *fasthttp.Response) {
 	t.Helper()
-	directory := NewDirectory(cfg, func() clock.Micros { return 0 })
+	directory := NewJobCache(cfg, func() clock.Micros { return 0 })
 	go directory.Run(t.Context())
 	s := New(cfg, nil, nil, directory, func() bool { return true }, func(*wire.Heartbeat) block.HeartbeatReply { return answer },
 		nil, slog.New(slog.NewTextHandler(io.Discard, nil)))
--- a/internal/api/directory.go
+++ b/internal/api/directory.go
@@ -10,15 +10,15 @@
 	"swiftledge/wire"
 )
 
-// Following says who leads now.
-type Following struct {
-	Epoch uint64
-	Node  string
+// LeaderChanged says who leads now.
+type LeaderChanged struct {
+	Term       uint64
+	Controller string
 }
 
-// Directory is the actor that keeps what user requests need at hand: the catalog,
+// JobCache is the actor that keeps what user requests need at hand: the catalog,
 // counts for display, final states (which never change), and the leader's word.
-type Directory struct {
+type JobCache struct {
 	cfg *config.Config
 	now func() clock.Micros
 	box chan stamped
@@ -50,19 +50,19 @@
 
 // View is what the directory knows, at one moment, of one job and in general.
 type View struct {
-	Epoch  uint64
-	Leader string
-	Types  []wire.MachineType
-	Count  peer.TaskCount
-	End    *leader.FinalStateRecord
+	Term       uint64
+	Leader     string
+	Types      []wire.MachineType
+	Count      peer.TaskCount
+	FinalState *leader.FinalStateRecord
 	// Since when questions about the job were refused here, none being answered; 0: the last was answered.
-	RefusedFor clock.Micros
-	LeaderOK   bool // a leader that the state service serves spoke to us lately
-	Alone      bool // no other controller has been reached for a while
+	UnansweredFor   clock.Micros
+	LeaderReachable bool // a leader that the state service serves spoke to us lately
+	Isolated        bool // no other controller has been reached for a while
 }
 
-// PeerReached says that another controller was reached, whatever it said.
-type PeerReached struct{}
+// PeerContacted says that another controller was reached, whatever it said.
+type PeerContacted struct{}
 
 // aloneAfter is how long without any other controller makes a node alone.
 const aloneAfter = 5 * clock.Second
@@ -82,26 +82,26 @@
 	return max(leastRemembered, int(cfg.Facts.Quota.MemMB*(1<<20)/directoryPart/directoryEntry))
 }
 
-// NewDirectory makes a directory; Run serves it.
-func NewDirectory(cfg *config.Config, now func() clock.Micros) *Directory {
-	return &Directory{cfg: cfg, now: now, box: make(chan stamped, 1024)}
+// NewJobCache makes a directory; Run serves it.
+func NewJobCache(cfg *config.Config, now func() clock.Micros) *JobCache {
+	return &JobCache{cfg: cfg, now: now, box: make(chan stamped, 1024)}
 }
 
-// Post takes *peer.FromLeader, Following and PeerReached.
-func (d *Directory) Post(msg any) { d.box <- stamped{d.now(), msg} }
+// Post takes *peer.FromLeader, Following and PeerContacted.
+func (d *JobCache) Post(msg any) { d.box <- stamped{d.now(), msg} }
 
-// Look asks for a View.
-func (d *Directory) Look(ref string) View {
+// Lookup asks for a View.
+func (d *JobCache) Lookup(ref string) View {
 	q := viewRequest{ref, make(chan View, 1)}
 	d.Post(q)
 	return <-q.answer
 }
 
-// Epoch is the leader's, as far as known.
-func (d *Directory) Epoch() uint64 { return d.Look("").Epoch }
+// Term is the leader's, as far as known.
+func (d *JobCache) Term() uint64 { return d.Lookup("").Term }
 
 // Run is the actor.
-func (d *Directory) Run(ctx context.Context) {
+func (d *JobCache) Run(ctx context.Context) {
 	v := View{}
 	var leaderAt, metAt clock.Micros
 	size := remembered(d.cfg)
@@ -116,16 +116,16 @@
 		case s = <-d.box:
 		}
 		switch m := s.msg.(type) {
-		case PeerReached:
+		case PeerContacted:
 			metAt = s.at
-		case Following:
-			v.Epoch, v.Leader = m.Epoch, m.Node
+		case LeaderChanged:
+			v.Term, v.Leader = m.Term, m.Controller
 			leaderAt = 0
 		case *peer.FromLeader:
 			if len(m.Types) > 0 {
 				v.Types = m.Types
 			}
-			if m.RenewedSeq > 0 && m.StoreOK && m.Term == v.Epoch {
+			if m.RenewedSeq > 0 && m.StoreOK && m.Term == v.Term {
 				leaderAt = s.at
 			}
 			for _, c := range m.TaskCounts {
@@ -145,14 +145,14 @@
 		case viewRequest:
 			out := v
 			if since, ok := refused.get(m.ref); ok {
-				out.RefusedFor = s.at - since
+				out.UnansweredFor = s.at - since
 			}
 			out.Count, _ = counts.get(m.ref)
 			if e, ok := ends.get(m.ref); ok {
-				out.End = &e
+				out.FinalState = &e
 			}
-			out.LeaderOK = leaderAt > 0 && s.at-leaderAt < 3*clock.Second
-			out.Alone = len(d.cfg.Peers) > 0 && s.at-metAt > aloneAfter
+			out.LeaderReachable = leaderAt > 0 && s.at-leaderAt < 3*clock.Second
+			out.Isolated = len(d.cfg.Peers) > 0 && s.at-metAt > aloneAfter
 			m.answer <- out
 		}
 	}
--- a/internal/api/jobs.go
+++ b/internal/api/jobs.go
@@ -22,10 +22,10 @@
 type Result struct {
 	Code   int
 	Status wire.JobStatus
-	Why    string
+	Reason string
 }
 
-func refuse(code int, why string) Result { return Result{Code: code, Why: why} }
+func refuse(code int, why string) Result { return Result{Code: code, Reason: why} }
 
 // Store is what the users' requests need of the state service.
 type Store interface {
@@ -89,9 +89,9 @@
 		return s.known(ref, refuse(400, why))
 	}
 	job := form.Job()
-	v := s.directory.Look(job.Ref)
-	if v.End != nil {
-		return Result{Code: 200, Status: endStatus(job.Ref, *v.End)}
+	v := s.jobs.Lookup(job.Ref)
+	if v.FinalState != nil {
+		return Result{Code: 200, Status: endStatus(job.Ref, *v.FinalState)}
 	}
 	types := v.Types
 	if len(types) == 0 {
@@ -120,7 +120,7 @@
 		case err == nil && o.Committed:
 			return Result{Code: 201, Status: wire.JobStatus{Ref: job.Ref, State: wire.JobQueued}}
 		case err == nil:
-			r := s.Look(job.Ref)
+			r := s.Status(job.Ref)
 			if r.Code == 404 {
 				return refuse(503, "the job's state changed meanwhile")
 			}
@@ -137,7 +137,7 @@
 	if !s.form.ref.MatchString(ref) {
 		return r
 	}
-	switch l := s.Look(ref); l.Code {
+	switch l := s.Status(ref); l.Code {
 	case 200, 503:
 		return l
 	}
@@ -152,7 +152,7 @@
 	if err != nil || json.Unmarshal(it.Value, &c) != nil {
 		return nil
 	}
-	s.directory.Post(typesRead{c.Types})
+	s.jobs.Post(typesRead{c.Types})
 	return c.Types
 }
 
@@ -186,27 +186,27 @@
 	return st
 }
 
-// Look reads a job's state: 200, 404 once the store has said so, or 503.
-func (s *Service) Look(ref string) Result {
+// Status reads a job's state: 200, 404 once the store has said so, or 503.
+func (s *Service) Status(ref string) Result {
 	if !s.form.ref.MatchString(ref) {
 		return refuse(404, "no such job")
 	}
-	v := s.directory.Look(ref)
-	if v.End != nil {
-		return Result{Code: 200, Status: endStatus(ref, *v.End)}
+	v := s.jobs.Lookup(ref)
+	if v.FinalState != nil {
+		return Result{Code: 200, Status: endStatus(ref, *v.FinalState)}
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), pollWithin)
 	defer cancel()
 	for n := 0; ; n++ {
 		r, err := s.read(ctx, ref, v)
 		if err == nil {
-			if v.RefusedFor > 0 {
-				s.directory.Post(questionAnswered{ref})
+			if v.UnansweredFor > 0 {
+				s.jobs.Post(questionAnswered{ref})
 			}
 			return r
 		}
 		if !again(err, n) || !s.pause(ctx, n) {
-			s.directory.Post(questionRefused{ref})
+			s.jobs.Post(questionRefused{ref})
 			return refuse(503, "the state service is away")
 		}
 	}
@@ -218,7 +218,7 @@
 // readPriority is that of a question about a job. With more questions than the state service takes,
 // chance would leave some jobs without an answer for minutes: those that have waited go first.
 func readPriority(v View) int {
-	if v.RefusedFor > starvedAfter {
+	if v.UnansweredFor > starvedAfter {
 		return store.PriorityStarvedReads
 	}
 	return store.PriorityReads
@@ -249,7 +249,7 @@
 	if err := json.Unmarshal(it.Value, &e); err != nil {
 		return Result{}, err
 	}
-	s.directory.Post(ended{ref, e})
+	s.jobs.Post(ended{ref, e})
 	return Result{Code: 200, Status: endStatus(ref, e)}, nil
 }
 
@@ -291,6 +291,6 @@
 	if err != nil || !o.Committed {
 		return Result{}, err
 	}
-	s.directory.Post(ended{ref, end})
+	s.jobs.Post(ended{ref, end})
 	return Result{Code: 200, Status: endStatus(ref, end)}, nil
 }
--- a/internal/api/limits_test.go
+++ b/internal/api/limits_test.go
@@ -36,7 +36,7 @@
 			t.Fatal(err)
 		}
 		if r := service.Submit(body); r.Code != c.code {
-			t.Errorf("%s: %d %s, want %d", c.name, r.Code, r.Why, c.code)
+			t.Errorf("%s: %d %s, want %d", c.name, r.Code, r.Reason, c.code)
 		}
 	}
 }
--- a/internal/api/report_test.go
+++ b/internal/api/report_test.go
@@ -79,7 +79,7 @@
 	}()
 	ctx, stop := context.WithCancel(context.Background())
 	tb.Cleanup(stop)
-	directory := NewDirectory(cfg, func() clock.Micros { return 0 })
+	directory := NewJobCache(cfg, func() clock.Micros { return 0 })
 	go directory.Run(ctx)
 	s := New(cfg, nil, nil, directory, func() bool { return true }, func(r *wire.Heartbeat) block.HeartbeatReply {
 		ch := make(chan block.HeartbeatReply, 1)
--- a/internal/balance/moves.go
+++ b/internal/balance/moves.go
@@ -72,9 +72,9 @@
 
 func (s Stage) String() string { return [...]string{"stopping", "stopped", "placed"}[s] }
 
-// Move is a task that is to run on another machine. It is a preference only: the task waits like any other
+// Migration is a task that is to run on another machine. It is a preference only: the task waits like any other
 // between its stop and its start, and may run elsewhere.
-type Move struct {
+type Migration struct {
 	Task         TaskID
 	Team         string
 	From, To     string
@@ -99,7 +99,7 @@
 type Balancer struct {
 	params   Params
 	since    clock.Micros
-	moves    map[TaskID]*Move
+	moves    map[TaskID]*Migration
 	moved    map[TaskID]clock.Micros // when a task was last moved
 	refusals []Refusal
 	outcomes Outcomes
@@ -107,10 +107,10 @@
 
 // New makes the balancer of a leader that began at that time.
 func New(p Params, since clock.Micros) *Balancer {
-	return &Balancer{params: p, since: since, moves: map[TaskID]*Move{}, moved: map[TaskID]clock.Micros{}}
+	return &Balancer{params: p, since: since, moves: map[TaskID]*Migration{}, moved: map[TaskID]clock.Micros{}}
 }
 
-func (b *Balancer) begin(m Move) {
+func (b *Balancer) begin(m Migration) {
 	b.moves[m.Task] = &m
 	b.moved[m.Task] = m.Since
 	b.outcomes.Begun++
@@ -142,10 +142,10 @@
 }
 
 // Runs takes in that a task runs on a machine, which ends its move; false when it was none.
-func (b *Balancer) Runs(t TaskID, machine string) (Move, bool) {
+func (b *Balancer) Runs(t TaskID, machine string) (Migration, bool) {
 	m := b.moves[t]
 	if m == nil || m.Stage == Stopping {
-		return Move{}, false
+		return Migration{}, false
 	}
 	delete(b.moves, t)
 	m.At = machine
@@ -158,11 +158,11 @@
 }
 
 // Ended takes in that a task is over, and gives the move that this ends, if any.
-func (b *Balancer) Ended(t TaskID) (Move, bool) {
+func (b *Balancer) Ended(t TaskID) (Migration, bool) {
 	delete(b.moved, t)
 	m := b.moves[t]
 	if m == nil {
-		return Move{}, false
+		return Migration{}, false
 	}
 	delete(b.moves, t)
 	b.outcomes.Cancelled++
@@ -170,7 +170,7 @@
 }
 
 // Forget takes in that a job is over or cancelled, and gives the moves that this ends.
-func (b *Balancer) Forget(job string) (out []Move) {
+func (b *Balancer) Forget(job string) (out []Migration) {
 	for _, m := range b.InFlight() {
 		if m.Task.Job == job {
 			b.Ended(m.Task)
@@ -186,7 +186,7 @@
 }
 
 // Expire drops the moves that have not come to an end in time, and gives them.
-func (b *Balancer) Expire(now clock.Micros) (out []Move) {
+func (b *Balancer) Expire(now clock.Micros) (out []Migration) {
 	for _, m := range b.InFlight() {
 		if now-m.Since > b.params.GiveUp {
 			delete(b.moves, m.Task)
@@ -209,8 +209,8 @@
 func (b *Balancer) Moving(t TaskID) bool { return b.moves[t] != nil }
 
 // InFlight are the moves under way, by task.
-func (b *Balancer) InFlight() []Move {
-	out := make([]Move, 0, len(b.moves))
+func (b *Balancer) InFlight() []Migration {
+	out := make([]Migration, 0, len(b.moves))
 	for _, t := range slices.SortedFunc(maps.Keys(b.moves), TaskID.compare) {
 		out = append(out, *b.moves[t])
 	}
--- a/internal/balance/plan.go
+++ b/internal/balance/plan.go
@@ -10,15 +10,15 @@
 
 // Params are the operators' settings of moves.
 type Params struct {
-	Bound     Bound
-	MoveAbove float64      // tasks are moved off machines above this many times the mean
-	LeastLoad float64      // but not off machines at or below this load
-	LeastRun  clock.Micros // nor within this of a task's start, or when less is left of it
-	Pause     clock.Micros // nor a task again within this
-	Calm      clock.Micros // nor within this of a change of leader
-	MovesPart float64      // moves in flight, as a part of the machines that take work
-	TeamPart  float64      // of these, for one team
-	GiveUp    clock.Micros // a move without an end by then has failed
+	Bound           Bound
+	MoveAbove       float64      // tasks are moved off machines above this many times the mean
+	LeastLoad       float64      // but not off machines at or below this load
+	LeastRun        clock.Micros // nor within this of a task's start, or when less is left of it
+	Pause           clock.Micros // nor a task again within this
+	Calm            clock.Micros // nor within this of a change of leader
+	MigrationBudget float64      // moves in flight, as a part of the machines that take work
+	TeamPart        float64      // of these, for one team
+	GiveUp          clock.Micros // a move without an end by then has failed
 }
 
 const (
@@ -88,14 +88,14 @@
 }
 
 // Plan decides which tasks to move now and remembers them as moves in flight.
-func (b *Balancer) Plan(now clock.Micros, v View) []Move {
+func (b *Balancer) Plan(now clock.Micros, v View) []Migration {
 	b.refusals = nil
 	if why := b.held(now, v); why != "" {
 		b.refuse("", why, TaskID{})
 		return nil
 	}
 	r := b.newRound(now, v)
-	var moves []Move
+	var moves []Migration
 	for _, m := range r.overloaded() {
 		if r.budget <= 0 {
 			b.refuse(m.Name, FleetBudget, TaskID{})
@@ -163,14 +163,14 @@
 
 // mostMoves is how many moves may be in flight in a fleet of that many machines.
 func (b *Balancer) mostMoves(machines int) int {
-	if b.params.MovesPart <= 0 {
+	if b.params.MigrationBudget <= 0 {
 		return 0
 	}
-	return max(leastMoves, int(float64(machines)*b.params.MovesPart))
+	return max(leastMoves, int(float64(machines)*b.params.MigrationBudget))
 }
 
 // begun takes a new move into the reckoning of the round.
-func (r *round) begun(move Move) {
+func (r *round) begun(move Migration) {
 	r.busy[move.From], r.busy[move.To] = true, true
 	r.byTeam[move.Team]++
 	r.budget--
@@ -187,19 +187,19 @@
 }
 
 // moveOff finds the task whose move off a machine gains most.
-func (r *round) moveOff(m *Machine) (best Move, ok bool) {
+func (r *round) moveOff(m *Machine) (best Migration, ok bool) {
 	switch {
 	case m.Unsettled:
 		r.b.refuse(m.Name, Unsettled, TaskID{})
-		return Move{}, false
+		return Migration{}, false
 	case r.busy[m.Name]:
 		r.b.refuse(m.Name, MachineBusy, TaskID{})
-		return Move{}, false
+		return Migration{}, false
 	}
 	tasks := r.view.Tasks(m)
 	if len(tasks) < 2 {
 		r.b.refuse(m.Name, OnlyTask, TaskID{})
-		return Move{}, false
+		return Migration{}, false
 	}
 	for i := range tasks {
 		t := &tasks[i]
@@ -220,7 +220,7 @@
 }
 
 // better orders moves by what they gain, then by their tasks.
-func better(a, b Move) bool {
+func better(a, b Migration) bool {
 	return cmp.Or(cmp.Compare(b.GainS-b.CostS, a.GainS-a.CostS), a.Task.compare(b.Task)) < 0
 }
 
@@ -252,7 +252,7 @@
 }
 
 // moveOf finds the best machine for a task to move to, of the least loaded ones.
-func (r *round) moveOf(t *Task, from *Machine) (best Move, why Reason) {
+func (r *round) moveOf(t *Task, from *Machine) (best Migration, why Reason) {
 	why = NoTarget
 	tried := 0
 	for _, to := range r.targets {
@@ -281,14 +281,16 @@
 }
 
 // judge reckons a move in seconds of image fetch: what less imbalance is worth, and what the move costs.
-func (r *round) judge(t *Task, from, to *Machine, after float64) Move {
+func (r *round) judge(t *Task, from, to *Machine, after float64) Migration {
 	cost := t.SaveS
 	if !slices.Contains(to.Images, t.Image) {
 		cost += r.view.Fetch.Seconds(to.Type, t.ImageGB)
 	}
 	gain := (from.Load() - after) / r.mean * r.b.params.Bound.ImbalanceS
-	return Move{Task: t.ID, Team: t.Team, From: from.Name, To: to.Name, Since: r.now, GainS: gain, CostS: cost}
+	return Migration{Task: t.ID, Team: t.Team, From: from.Name, To: to.Name, Since: r.now, GainS: gain, CostS: cost}
 }
 
 // worth says whether a move gains more than it costs, and enough is left of the task.
-func (r *round) worth(t *Task, m Move) bool { return m.GainS > m.CostS && t.LeftS >= worthLeft*m.CostS }
+func (r *round) worth(t *Task, m Migration) bool {
+	return m.GainS > m.CostS && t.LeftS >= worthLeft*m.CostS
+}
--- a/internal/balance/plan_test.go
+++ b/internal/balance/plan_test.go
@@ -27,7 +27,7 @@
 
 func params() Params {
 	return Params{Bound: Bound{Relative: 1.5, ImbalanceS: 20}, MoveAbove: 1.75, LeastLoad: 0.1, LeastRun: 30 * second, Pause: 120 * second,
-		Calm: 20 * second, MovesPart: 0.02, TeamPart: 0.5, GiveUp: 90 * second}
+		Calm: 20 * second, MigrationBudget: 0.02, TeamPart: 0.5, GiveUp: 90 * second}
 }
 
 // cluster is a fleet whose moves are carried out as the planner advises.
@@ -111,7 +111,7 @@
 		{NewLeader, func(p *Params, _ *cluster) { p.Calm = later + 1 }},
 		{StaleView, func(_ *Params, c *cluster) { c.view.Stale = true }},
 		{WorkWaits, func(_ *Params, c *cluster) { c.view.Waiting = true }},
-		{FleetBudget, func(p *Params, _ *cluster) { p.MovesPart = 0 }},
+		{FleetBudget, func(p *Params, _ *cluster) { p.MigrationBudget = 0 }},
 		{Unsettled, func(_ *Params, c *cluster) { c.machines[0].Unsettled = true }},
 		{Overcommitted, func(_ *Params, c *cluster) { c.machines[0].Used.CPUs = 5 }},
 		{ImpossibleFigures, func(_ *Params, c *cluster) { c.machines[0].Used.CPUs = math.NaN() }},
@@ -231,7 +231,7 @@
 func TestMovesComeToRest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := params()
-		p.MovesPart = rapid.SampledFrom([]float64{0.02, 0.1, 0.25}).Draw(t, "part")
+		p.MigrationBudget = rapid.SampledFrom([]float64{0.02, 0.1, 0.25}).Draw(t, "part")
 		p.Pause = rapid.SampledFrom([]clock.Micros{0, 120 * second}).Draw(t, "pause")
 		c := newCluster()
 		same := rapid.Bool().Draw(t, "same size")
--- a/internal/block/dialogue.go
+++ b/internal/block/dialogue.go
@@ -18,7 +18,7 @@
 func (h *Holder) blind(now clock.Micros) bool {
 	// Each reports at least every 1.25 report times.
 	long := h.p.HeartbeatInterval*3/2 + clock.Second/2
-	if now-h.pauses.Awake(h.heard) < long {
+	if now-h.pauses.ExcludePause(h.heard) < long {
 		return false
 	}
 	n := 0
--- a/internal/block/holder.go
+++ b/internal/block/holder.go
@@ -33,7 +33,7 @@
 	heard   clock.Micros // when any worker was last heard
 	ticked  clock.Micros // when the last Tick was handled
 	late    clock.Micros // when a Tick was last handled late
-	pauses  standstill.Watch
+	pauses  standstill.Detector
 	storeOK func() bool
 	fx      []any
 }
--- a/internal/block/tick.go
+++ b/internal/block/tick.go
@@ -102,7 +102,7 @@
 	if m.notice {
 		quiet = min(quiet, h.p.HeartbeatInterval*5/2) // announced, so it needs no second look
 	}
-	since := h.pauses.Awake(max(m.heard, b.since))
+	since := h.pauses.ExcludePause(max(m.heard, b.since))
 	return (knows || m.known) && now-since > quiet || m.deaf > 0 && now-m.deaf > quiet
 }
 
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -82,8 +82,8 @@
 	return out, c.call("GET", "/catalog", nil, &out)
 }
 
-// Rent asks for machines; the same request name gives the same machines.
-func (c *Client) Rent(r wire.ProvisionRequest) ([]string, error) {
+// Provision asks for machines; the same request name gives the same machines.
+func (c *Client) Provision(r wire.ProvisionRequest) ([]string, error) {
 	var out wire.MachineNames
 	err := c.call("POST", "/hosts", r, &out)
 	return out.Names, err
--- a/internal/compat/errors_test.go
+++ b/internal/compat/errors_test.go
@@ -84,7 +84,7 @@
 func serveAPI(t *testing.T) string {
 	t.Helper()
 	cfg := &config.Config{Settings: platformSettings()}
-	directory := api.NewDirectory(cfg, func() clock.Micros { return 0 })
+	directory := api.NewJobCache(cfg, func() clock.Micros { return 0 })
 	go directory.Run(t.Context())
 	answer := func(*wire.Heartbeat) block.HeartbeatReply { return block.HeartbeatReply{Status: 200} }
 	service := api.New(cfg, nil, nil, directory, func() bool { return true }, answer, nil, slog.New(slog.DiscardHandler))
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -36,18 +36,18 @@
 	return o.Type.Price
 }
 
-// Need is work of one shape that wants machines.
-type Need struct {
-	CPUs, GPUs, Memory float64 // of one task
-	Types              []string
-	Zone               string
-	Spot               bool
-	Tasks              int     // that could run at once, within the teams' limits
-	Seconds            float64 // task-seconds left
+// Demand is work of one shape that wants machines.
+type Demand struct {
+	CPUs, GPUs, MemoryGB float64 // of one task
+	Types                []string
+	Zone                 string
+	Spot                 bool
+	Tasks                int     // that could run at once, within the teams' limits
+	Seconds              float64 // task-seconds left
 }
 
 // Slots is how many tasks of the need one machine of the option takes; 0 if none may.
-func (n *Need) Slots(t *wire.MachineType, zone string, spot bool) int {
+func (n *Demand) Slots(t *wire.MachineType, zone string, spot bool) int {
 	if spot && !n.Spot || n.Zone != "" && n.Zone != zone || len(n.Types) > 0 && !slices.Contains(n.Types, t.Name) {
 		return 0
 	}
@@ -58,14 +58,14 @@
 	if n.GPUs > 0 {
 		s = min(s, t.GPUs/n.GPUs)
 	}
-	if n.Memory > 0 {
-		s = min(s, t.MemoryGB/n.Memory)
+	if n.MemoryGB > 0 {
+		s = min(s, t.MemoryGB/n.MemoryGB)
 	}
 	return int(s + 1e-9)
 }
 
-// Supply is a machine that is there or coming.
-type Supply struct {
+// Capacity is a machine that is there or coming.
+type Capacity struct {
 	Option
 	Name string
 	Up   bool
@@ -82,8 +82,8 @@
 // that are there are given up: less would rent and return in turns.
 const keepOrdinary = 1.4
 
-// Order is one rental to make.
-type Order struct {
+// Launch is one rental to make.
+type Launch struct {
 	Option
 	Count int
 }
@@ -92,22 +92,22 @@
 // to give no more work, so that they can be returned, and which busy cheap ones to
 // leave alone while others have room, so that they empty.
 type Decision struct {
-	Rent   []Order
-	Return []string
-	Cordon []string
-	Rest   []string
+	ScaleOut     []Launch
+	ScaleIn      []string
+	Cordon       []string
+	Deprioritize []string
 }
 
 // pool hands out the machines' room to needs, in a fixed order of preference.
 type pool struct {
-	supply []Supply
+	supply []Capacity
 	kind   []int // of each machine, among the options that occur
 	order  []int
 	free   []float64 // part of each machine not yet spoken for
 	from   int       // all before it in the order is spoken for
 }
 
-func newPool(supply []Supply, kind, order []int) *pool {
+func newPool(supply []Capacity, kind, order []int) *pool {
 	p := &pool{supply: supply, kind: kind, order: order, free: make([]float64, len(supply))}
 	for i := range p.free {
 		p.free[i] = 1
@@ -151,7 +151,7 @@
 }
 
 // Plan decides about the fleet. allowed says whether an option may be asked for now.
-func Plan(needs []Need, supply []Supply, options []Option, p Params, allowed func(Option) bool) Decision {
+func Plan(needs []Demand, supply []Capacity, options []Option, p Params, allowed func(Option) bool) Decision {
 	var d Decision
 	var kinds []Option
 	kind := make([]int, len(supply))
@@ -199,9 +199,9 @@
 		have, up := wanted.take(slots, wantSpot, min(wantSpot, wantOrdinary*keepOrdinary))
 		room := math.Ceil(float64(n.Tasks) * (1 + p.Reserve))
 		all.take(slots, room, room)
-		d.Rent = rent(d.Rent, n, options, p, allowed, have, up)
+		d.ScaleOut = rent(d.ScaleOut, n, options, p, allowed, have, up)
 	}
-	d.Rent = merge(d.Rent)
+	d.ScaleOut = merge(d.ScaleOut)
 	for _, j := range slices.Backward(order) {
 		s := &supply[j]
 		if s.Name == "" || !s.Up {
@@ -214,19 +214,19 @@
 		switch {
 		case !surplus:
 		case s.Idle && !s.Keep:
-			d.Return = append(d.Return, s.Name)
+			d.ScaleIn = append(d.ScaleIn, s.Name)
 		case s.Idle:
 		case !s.Spot:
 			d.Cordon = append(d.Cordon, s.Name)
 		default:
-			d.Rest = append(d.Rest, s.Name)
+			d.Deprioritize = append(d.Deprioritize, s.Name)
 		}
 	}
 	return d
 }
 
 // rent adds the orders that one need asks for beyond the slots it has.
-func rent(out []Order, n *Need, options []Option, p Params, allowed func(Option) bool, have, up float64) []Order {
+func rent(out []Launch, n *Demand, options []Option, p Params, allowed func(Option) bool, have, up float64) []Launch {
 	opts := slices.Clone(options)
 	slices.SortStableFunc(opts, func(a, b Option) int {
 		return cmp.Compare(perSlot(n, a), perSlot(n, b))
@@ -257,18 +257,18 @@
 			count, more = most, true
 		}
 		if count > 0 {
-			out = append(out, Order{o, count})
+			out = append(out, Launch{o, count})
 			have += float64(count * k)
 		}
 	}
 	return out
 }
 
-// MostAtOnce is how many machines one request may ask for, mostARound how many are
+// MaxMachinesPerRequest is how many machines one request may ask for, mostARound how many are
 // asked of one option before its answers are seen.
-const MostAtOnce, mostARound = 50, 100
+const MaxMachinesPerRequest, mostARound = 50, 100
 
-func ordered(orders []Order, o Option) (n int) {
+func ordered(orders []Launch, o Option) (n int) {
 	for _, x := range orders {
 		if x.Key() == o.Key() {
 			n += x.Count
@@ -279,17 +279,17 @@
 
 // merge makes one order of all for the same option, the largest first: the cloud
 // takes few requests a second.
-func merge(orders []Order) []Order {
-	var out []Order
+func merge(orders []Launch) []Launch {
+	var out []Launch
 	for _, o := range orders {
 		if ordered(out, o.Option) > 0 {
 			continue
 		}
-		for n := ordered(orders, o.Option); n > 0; n -= MostAtOnce {
-			out = append(out, Order{o.Option, min(n, MostAtOnce)})
+		for n := ordered(orders, o.Option); n > 0; n -= MaxMachinesPerRequest {
+			out = append(out, Launch{o.Option, min(n, MaxMachinesPerRequest)})
 		}
 	}
-	slices.SortStableFunc(out, func(a, b Order) int {
+	slices.SortStableFunc(out, func(a, b Launch) int {
 		return cmp.Compare(float64(b.Count)*b.Type.CPUs, float64(a.Count)*a.Type.CPUs)
 	})
 	return out
@@ -316,7 +316,7 @@
 // which is paid for too, is spread over its price.
 const usedFor = 120
 
-func perSlot(n *Need, o Option) float64 {
+func perSlot(n *Demand, o Option) float64 {
 	k := n.Slots(&o.Type, o.Zone, o.Spot)
 	if k == 0 {
 		return math.Inf(1)
--- a/internal/leader/assign.go
+++ b/internal/leader/assign.go
@@ -52,7 +52,7 @@
 		if n.slow {
 			limit = quietTimeSlow
 		}
-		if now-l.pauses.Awake(n.heard) > limit {
+		if now-l.pauses.ExcludePause(n.heard) > limit {
 			delete(l.nodes, n.name)
 		}
 	}
--- a/internal/leader/fleet.go
+++ b/internal/leader/fleet.go
@@ -146,7 +146,7 @@
 	for _, k := range kinds {
 		names := byKind[k]
 		// As many as a rental has at most: more might not fit into a value.
-		for part := range slices.Chunk(names, fleet.MostAtOnce) {
+		for part := range slices.Chunk(names, fleet.MaxMachinesPerRequest) {
 			l.rentSeq++
 			rt := &rental{key: fmt.Sprintf("%sfound-%d-%d", InstanceGroupPrefix, l.epoch, l.rentSeq), busy: true,
 				record: InstanceGroupRecord{Request: k, Machines: part, Answered: true}}
@@ -241,7 +241,7 @@
 // plan rents what the queues need, if it may, and names idle machines to return.
 func (l *Leader) plan(now clock.Micros, rent bool) []string {
 	flat := l.needs(now)
-	var supply []fleet.Supply
+	var supply []fleet.Capacity
 	idleFor := clock.FromSeconds(l.cfg.Tuning.Fleet.IdleS)
 	targets := l.moveTargets()
 	for _, name := range slices.Sorted(maps.Keys(l.machines)) {
@@ -254,7 +254,7 @@
 		if !m.opt.Spot {
 			wait = idleFor / 5
 		}
-		s := fleet.Supply{Option: m.opt, Name: name, Up: m.up, Idle: idle, Keep: idle && now-m.idle < wait || now-m.born < 55*clock.Second || targets[name]}
+		s := fleet.Capacity{Option: m.opt, Name: name, Up: m.up, Idle: idle, Keep: idle && now-m.idle < wait || now-m.born < 55*clock.Second || targets[name]}
 		if m.up && m.opt.Type.CPUs > 0 {
 			s.Load = 1 - m.state.CPUs/m.opt.Type.CPUs
 		}
@@ -265,7 +265,7 @@
 		if !rt.record.Answered {
 			stuck = stuck || now-rt.since > stuckAfter
 			for range rt.record.Request.Count {
-				supply = append(supply, fleet.Supply{Option: l.option(rt.record.Request)})
+				supply = append(supply, fleet.Capacity{Option: l.option(rt.record.Request)})
 			}
 		}
 	}
@@ -281,16 +281,16 @@
 	l.rest(d, stuck)
 	l.stirred = true // what is no longer cordoned has room again
 	if !rent {
-		return d.Return
+		return d.ScaleIn
 	}
-	for _, o := range d.Rent {
+	for _, o := range d.ScaleOut {
 		l.rentSeq++
 		req := fmt.Sprintf("r-%d-%d", l.epoch, l.rentSeq)
 		rt := &rental{key: InstanceGroupPrefix + req, since: now, record: InstanceGroupRecord{Request: wire.ProvisionRequest{RequestID: req, Type: o.Type.Name, Zone: o.Zone, Spot: o.Spot, Count: o.Count}}}
 		l.rentals[rt.key] = rt
 		l.writeRental(rt)
 	}
-	return d.Return
+	return d.ScaleIn
 }
 
 // stuckAfter is how long a rental is without an answer before the cloud counts as away.
@@ -308,7 +308,7 @@
 	for _, name := range d.Cordon {
 		l.machines[name].cordoned, l.machines[name].rest = !stuck, stuck
 	}
-	for _, name := range d.Rest {
+	for _, name := range d.Deprioritize {
 		l.machines[name].rest = true
 	}
 	for _, name := range slices.Sorted(maps.Keys(l.machines)) {
--- a/internal/leader/fleet_test.go
+++ b/internal/leader/fleet_test.go
@@ -75,7 +75,7 @@
 	if l.warm() != nil {
 		t.Error("room is kept for a class that has come")
 	}
-	n := &needs{byKey: map[needKey]*fleet.Need{}}
+	n := &needs{byKey: map[needKey]*fleet.Demand{}}
 	if l.reserve(began, n); len(n.list) != 1 || n.list[0].Tasks <= 6 {
 		t.Errorf("room kept for services like one of 6 replicas that has just come: %+v, want for more than as many", n.list)
 	}
@@ -89,7 +89,7 @@
 	// What must be spread over zones needs room in each.
 	l.setTypes([]wire.MachineType{{Name: "small", CPUs: 4, MemoryGB: 8, BootS: 30, ZoneNames: []string{"a", "b", "c"}}})
 	j.record.Spec.Spread = true
-	n = &needs{byKey: map[needKey]*fleet.Need{}}
+	n = &needs{byKey: map[needKey]*fleet.Demand{}}
 	l.needStanding(began, n, j, 6)
 	for _, need := range n.list {
 		if need.Tasks != 2 || need.Zone == "" {
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -44,7 +44,7 @@
 	settings
 	epochState
 	fx     []any // effects of the step under way
-	pauses standstill.Watch
+	pauses standstill.Detector
 }
 
 // settings are what stays the same for as long as the process runs.
--- a/internal/leader/spread.go
+++ b/internal/leader/spread.go
@@ -33,7 +33,7 @@
 	}
 	bound := balance.Bound{Relative: s.Bound, ImbalanceS: s.ImbalanceS}
 	p := balance.Params{
-		Bound: bound, MoveAbove: s.MoveAbove, LeastLoad: s.LeastLoad, MovesPart: s.MovesPart, TeamPart: s.TeamPart,
+		Bound: bound, MoveAbove: s.MoveAbove, LeastLoad: s.LeastLoad, MigrationBudget: s.MovesPart, TeamPart: s.TeamPart,
 		LeastRun: clock.FromSeconds(s.LeastRunS), Pause: clock.FromSeconds(s.PauseS),
 		Calm: clock.FromSeconds(s.CalmS), GiveUp: clock.FromSeconds(s.GiveUpS),
 	}
@@ -177,7 +177,7 @@
 
 // moveTask tells a task to stop with time to save. It waits like any other once its attempt is proven
 // gone.
-func (l *Leader) moveTask(now clock.Micros, m balance.Move) {
+func (l *Leader) moveTask(now clock.Micros, m balance.Migration) {
 	t := peer.Task{Job: m.Task.Job, Index: m.Task.Index}
 	b := l.machines[m.From].block
 	h := b.tasks[t]
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -121,7 +121,7 @@
 	return out
 }
 
-func moveStatus(now clock.Micros, moves []balance.Move) (out []peer.MigrationStatus) {
+func moveStatus(now clock.Micros, moves []balance.Migration) (out []peer.MigrationStatus) {
 	for _, m := range moves {
 		out = append(out, peer.MigrationStatus{Task: m.Task.String(), Team: m.Team, From: m.From, To: m.To, Stage: m.Stage.String(),
 			AgeS: (now - m.Since).Seconds(), GainS: m.GainS, CostS: m.CostS})
--- a/internal/leader/trace.go
+++ b/internal/leader/trace.go
@@ -40,7 +40,7 @@
 }
 
 // traceMove tells of a move that has ended: the decision, the stop up to the proof, and the start.
-func (l *Leader) traceMove(now clock.Micros, m balance.Move, outcome string) {
+func (l *Leader) traceMove(now clock.Micros, m balance.Migration, outcome string) {
 	seconds := func(s float64) string { return strconv.FormatFloat(s, 'f', 1, 64) }
 	span := trace.Span{Job: m.Task.Job, Task: m.Task.String(), Name: "move", Begin: m.Since, End: now, Attributes: []trace.Attribute{
 		{Key: "from", Value: m.From}, {Key: "to", Value: m.To}, {Key: "at", Value: m.At}, {Key: "outcome", Value: outcome},
--- a/internal/loopback/services.go
+++ b/internal/loopback/services.go
@@ -116,7 +116,7 @@
 		return err
 	}
 	var id uint64
-	s.do(func() { id = s.store.Grant(s.clock.Now(), clock.Micros(f.TTLMs)*clock.Millisecond) })
+	s.do(func() { id = s.store.GrantLease(s.clock.Now(), clock.Micros(f.TTLMs)*clock.Millisecond) })
 	return c.JSON(wire.LeaseResponse{Lease: id})
 }
 
@@ -137,7 +137,7 @@
 	}
 	s.do(func() {
 		_, before := s.store.List(" ")
-		s.store.End(id)
+		s.store.RevokeLease(id)
 		s.noteChange(before)
 	})
 	return c.SendStatus(200)
@@ -193,7 +193,7 @@
 	}
 	var names []string
 	ok := false
-	s.do(func() { names, ok = s.cloud.Rent(s.clock.Now(), r) })
+	s.do(func() { names, ok = s.cloud.Provision(s.clock.Now(), r) })
 	if !ok {
 		return c.Status(503).JSON(wire.ErrorResponse{Error: "no capacity"})
 	}
--- a/internal/loopback/worker.go
+++ b/internal/loopback/worker.go
@@ -16,7 +16,7 @@
 type worker struct {
 	*standin.Worker
 	site     *site
-	rented   *standin.Rented
+	rented   *standin.Instance
 	up       bool
 	dead     bool
 	target   int          // the controller that it reports to
@@ -34,7 +34,7 @@
 	leastGap = clock.Second / 2
 )
 
-func newWorker(s *site, m *standin.Rented) *worker {
+func newWorker(s *site, m *standin.Instance) *worker {
 	w := &worker{site: s, rented: m, client: &fasthttp.Client{MaxIdemponentCallAttempts: 1}}
 	w.Worker = &standin.Worker{Name: m.Name, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Lease: clock.FromSeconds(s.shape.LeaseS),
 		CPUs: s.shape.Type.CPUs, Memory: s.shape.Type.MemoryGB, FetchS: 1, Kept: s.kept, Progress: s.saved,
--- a/internal/node/cloud.go
+++ b/internal/node/cloud.go
@@ -7,7 +7,7 @@
 	"swiftledge/wire"
 )
 
-func (n *Node) toCloud(f func()) {
+func (n *Controller) toCloud(f func()) {
 	select {
 	case n.cloudWork <- f:
 	default:
@@ -19,7 +19,7 @@
 // refused must not hold up the others.
 const cloudCalls = 4
 
-func (n *Node) runCloud(ctx context.Context) {
+func (n *Controller) runCloud(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -30,7 +30,7 @@
 	}
 }
 
-func (n *Node) list() {
+func (n *Controller) list() {
 	var all []wire.Machine
 	after := ""
 	for {
--- a/internal/node/elector.go
+++ b/internal/node/elector.go
@@ -16,8 +16,8 @@
 // askEpoch asks the elector for the epoch that this node leads; 0: none.
 type askEpoch struct{ answer chan uint64 }
 
-func (n *Node) runElector(ctx context.Context) {
-	e := election.New(election.Record{Controller: n.cfg.Name, Incarnation: n.run}, clock.FromSeconds(n.cfg.Tuning.Election.TTLS))
+func (n *Controller) runElector(ctx context.Context) {
+	e := election.New(election.Record{Controller: n.cfg.Name, Incarnation: n.incarnation}, clock.FromSeconds(n.cfg.Tuning.Election.TTLS))
 	for msg := range n.elector {
 		if q, ok := msg.(askEpoch); ok {
 			q.answer <- e.Term()
@@ -29,7 +29,7 @@
 	}
 }
 
-func (n *Node) electorEffect(ctx context.Context, fx any) {
+func (n *Controller) electorEffect(ctx context.Context, fx any) {
 	switch x := fx.(type) {
 	case election.RequestLease:
 		go func() {
@@ -59,7 +59,7 @@
 		go n.look(ctx)
 	case election.AcquireLeadership:
 		n.store.SetBudget(n.share(true))
-		n.leader <- leader.LeadershipAcquired{Term: x.Term, Incarnation: n.run}
+		n.leader <- leader.LeadershipAcquired{Term: x.Term, Incarnation: n.incarnation}
 		n.leader <- leader.LeadershipExtended{Until: x.Until}
 	case election.ExtendLeadership:
 		n.leader <- leader.LeadershipExtended{Until: x.Until}
@@ -69,7 +69,7 @@
 		n.leader <- leader.LeadershipLost{}
 	case election.FollowLeader:
 		n.log.Info("following", "leader", x.Controller, "epoch", x.Term)
-		n.directory.Post(api.Following{Epoch: x.Term, Node: x.Controller})
+		n.jobCache.Post(api.LeaderChanged{Term: x.Term, Controller: x.Controller})
 		if x.Term > 0 {
 			go n.follow(ctx, x.Term, x.Controller)
 		}
@@ -83,7 +83,7 @@
 	return c
 }
 
-func (n *Node) look(ctx context.Context) (uint64, bool) {
+func (n *Controller) look(ctx context.Context) (uint64, bool) {
 	items, rev, err := n.store.List(short(ctx), store.PriorityUrgent, leader.Key)
 	if err != nil {
 		time.Sleep(200 * time.Millisecond)
@@ -105,7 +105,7 @@
 }
 
 // watchLeader tells the elector of every change of the leader key.
-func (n *Node) watchLeader(ctx context.Context) {
+func (n *Controller) watchLeader(ctx context.Context) {
 	for ctx.Err() == nil {
 		rev, ok := n.look(ctx)
 		for ok && ctx.Err() == nil {
--- a/internal/node/holder.go
+++ b/internal/node/holder.go
@@ -30,7 +30,7 @@
 	}
 )
 
-func (n *Node) runHolder(ctx context.Context) {
+func (n *Controller) runHolder(ctx context.Context) {
 	h := block.FromConfig(n.cfg, n.health.ok)
 	var link any
 	for msg := range n.holder {
@@ -58,7 +58,7 @@
 	}
 }
 
-func (n *Node) holderEffect(ctx context.Context, link, fx any) {
+func (n *Controller) holderEffect(ctx context.Context, link, fx any) {
 	switch x := fx.(type) {
 	case block.SendToLeader:
 		switch l := link.(type) {
@@ -95,9 +95,9 @@
 }
 
 // direct sends a command to a worker and brings back what became of it.
-func (n *Node) direct(o block.SendCommands) {
-	n.directs <- struct{}{}
-	defer func() { <-n.directs }()
+func (n *Controller) direct(o block.SendCommands) {
+	n.commandSlots <- struct{}{}
+	defer func() { <-n.commandSlots }()
 	req, res := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(res)
@@ -128,9 +128,9 @@
 }
 
 // inspect asks a worker for its report.
-func (n *Node) inspect(x block.InspectAgent) {
-	n.directs <- struct{}{}
-	defer func() { <-n.directs }()
+func (n *Controller) inspect(x block.InspectAgent) {
+	n.commandSlots <- struct{}{}
+	defer func() { <-n.commandSlots }()
 	done := block.InspectionAnswered{InspectAgent: x}
 	status, body, err := n.workers.GetTimeout(nil, "http://"+x.Address+"/inspect", 2*time.Second)
 	var r wire.Heartbeat
@@ -141,7 +141,7 @@
 }
 
 // keep writes start records and tells the holder what became of it.
-func (n *Node) keep(ctx context.Context, prio int, txn func() (wire.Txn, error), settled func(store.TxnResult) any) {
+func (n *Controller) keep(ctx context.Context, prio int, txn func() (wire.Txn, error), settled func(store.TxnResult) any) {
 	ctx, cancel := context.WithTimeout(ctx, 8*time.Second)
 	defer cancel()
 	t, err := txn()
--- a/internal/node/leader.go
+++ b/internal/node/leader.go
@@ -21,7 +21,7 @@
 	return epoch{c, end}
 }
 
-func (n *Node) runLeader(ctx context.Context) {
+func (n *Controller) runLeader(ctx context.Context) {
 	l := leader.New(n.cfg, n.health.ok)
 	// What an epoch has under way ends with it.
 	ep := newEpoch(ctx)
@@ -37,14 +37,14 @@
 	}
 }
 
-func (n *Node) leaderEffect(ctx context.Context, fx any) {
+func (n *Controller) leaderEffect(ctx context.Context, fx any) {
 	switch x := fx.(type) {
 	case leader.SendToHolder:
 		switch l := x.Link.(type) {
 		case *peer.Link:
 			l.Send(&x.Message)
 		case localLink:
-			n.directory.Post(&x.Message)
+			n.jobCache.Post(&x.Message)
 			n.holder <- &x.Message
 		}
 	case leader.LoadState:
@@ -103,11 +103,11 @@
 }
 
 // cloudEffect has the cloud asked.
-func (n *Node) cloudEffect(fx any) {
+func (n *Controller) cloudEffect(fx any) {
 	switch x := fx.(type) {
 	case leader.ProvisionMachines:
 		n.toCloud(func() {
-			names, err := n.cloud.Rent(x.Request)
+			names, err := n.cloud.Provision(x.Request)
 			n.leader <- leader.MachinesProvisioned{Term: x.Term, RequestID: x.Request.RequestID, Machines: names,
 				NoCapacity: errors.Is(err, cloud.ErrNoCapacity), Err: err}
 		})
--- a/internal/node/links.go
+++ b/internal/node/links.go
@@ -14,10 +14,10 @@
 )
 
 // follow keeps a link to the leader of an epoch until another epoch begins.
-func (n *Node) follow(ctx context.Context, epoch uint64, name string) {
+func (n *Controller) follow(ctx context.Context, epoch uint64, name string) {
 	if name == n.cfg.Name {
 		l := localLink{epoch}
-		n.leader <- leader.PeerConnected{Controller: n.cfg.Name, Incarnation: n.run, Link: l}
+		n.leader <- leader.PeerConnected{Controller: n.cfg.Name, Incarnation: n.incarnation, Link: l}
 		n.holder <- holderUp{epoch, l}
 		return
 	}
@@ -31,16 +31,16 @@
 		n.log.Error("leader is not among the known controllers", "leader", name)
 		return
 	}
-	for fails := 0; ctx.Err() == nil && n.directory.Epoch() == epoch; {
-		l, err := peer.Dial(addr, peer.Hello{Controller: n.cfg.Name, Incarnation: n.run, Term: epoch})
+	for fails := 0; ctx.Err() == nil && n.jobCache.Term() == epoch; {
+		l, err := peer.Dial(addr, peer.Hello{Controller: n.cfg.Name, Incarnation: n.incarnation, Term: epoch})
 		switch {
 		case err == nil:
 			fails = 0
-			n.directory.Post(api.PeerReached{})
+			n.jobCache.Post(api.PeerContacted{})
 			n.linked(epoch, l)
 			continue
 		case errors.Is(err, peer.ErrNotLeading):
-			n.directory.Post(api.PeerReached{})
+			n.jobCache.Post(api.PeerContacted{})
 		default:
 			fails++
 		}
@@ -58,8 +58,8 @@
 const dialFailuresBeforeRelay = 4
 
 // followByRelay speaks to the leader through the state service until it can be reached again.
-func (n *Node) followByRelay(ctx context.Context, epoch uint64, name, addr string) {
-	l, err := n.relay.Dial(ctx, name, peer.Hello{Controller: n.cfg.Name, Incarnation: n.run, Term: epoch})
+func (n *Controller) followByRelay(ctx context.Context, epoch uint64, name, addr string) {
+	l, err := n.storeTransport.Dial(ctx, name, peer.Hello{Controller: n.cfg.Name, Incarnation: n.incarnation, Term: epoch})
 	if err != nil {
 		n.log.Debug("no answer to frames", "leader", name, "error", err)
 		return
@@ -85,11 +85,11 @@
 }
 
 // linked serves a link to the leader until it ends.
-func (n *Node) linked(epoch uint64, l *peer.Link) {
+func (n *Controller) linked(epoch uint64, l *peer.Link) {
 	n.holder <- holderUp{epoch, l}
 	l.Follow(func(d *peer.FromLeader) {
-		n.directory.Post(api.PeerReached{})
-		n.directory.Post(d)
+		n.jobCache.Post(api.PeerContacted{})
+		n.jobCache.Post(d)
 		n.holder <- d
 	})
 	n.holder <- holderDown{epoch, l}
@@ -99,7 +99,7 @@
 const statusWithin = 3 * time.Second
 
 // status answers an operator's question: the leader actor's word, and whom this node follows.
-func (n *Node) status() peer.Status {
+func (n *Controller) status() peer.Status {
 	answer := make(chan peer.Status, 1)
 	s := peer.Status{Controller: n.cfg.Name}
 	select {
@@ -111,12 +111,12 @@
 	default: // its mailbox is full; what little is known here has to do
 	}
 	s.Pauses, s.LastPause = n.pausesSeen()
-	v := n.directory.Look("")
-	s.Leader, s.Term = v.Leader, v.Epoch
+	v := n.jobCache.Lookup("")
+	s.Leader, s.Term = v.Leader, v.Term
 	return s
 }
 
-func (n *Node) acceptPeers(l net.Listener) {
+func (n *Controller) acceptPeers(l net.Listener) {
 	for {
 		c, err := l.Accept()
 		if err != nil {
@@ -128,9 +128,9 @@
 	}
 }
 
-func (n *Node) acceptPeer(c net.Conn, slow bool) {
-	peer.Accept(c, slow, peer.Hello{Controller: n.cfg.Name, Incarnation: n.run}, n.status, func(h peer.Hello) bool {
-		n.directory.Post(api.PeerReached{})
+func (n *Controller) acceptPeer(c net.Conn, slow bool) {
+	peer.Accept(c, slow, peer.Hello{Controller: n.cfg.Name, Incarnation: n.incarnation}, n.status, func(h peer.Hello) bool {
+		n.jobCache.Post(api.PeerContacted{})
 		q := askEpoch{make(chan uint64, 1)}
 		n.elector <- q
 		epoch := <-q.answer
@@ -138,7 +138,7 @@
 	}, func(l *peer.Link) {
 		n.leader <- leader.PeerConnected{Controller: l.Peer.Controller, Incarnation: l.Peer.Incarnation, Link: l, ViaStore: slow}
 	}, func(l *peer.Link, u *peer.ToLeader) {
-		n.directory.Post(api.PeerReached{})
+		n.jobCache.Post(api.PeerContacted{})
 		n.leader <- leader.HolderMessage{Controller: l.Peer.Controller, Link: l, Message: u}
 	}, func(l *peer.Link) {
 		n.leader <- leader.PeerDisconnected{Controller: l.Peer.Controller, Link: l}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -43,32 +43,32 @@
 // takes a second or more, and a zone of thousands may be out of reach while others are to be told.
 func mostDirects(cfg *config.Config) int { return max(leastDirects, cfg.CommandSockets()/4) }
 
-// Node is one controller.
-type Node struct {
-	cfg       *config.Config
-	log       *slog.Logger
-	clock     clock.Steady
-	run       uint64
-	store     *store.Client
-	health    *health
-	cloud     *cloud.Client
-	workers   *fasthttp.Client
-	dialled   dialled
-	directory *api.Directory
-	relay     *peer.StoreTransport
-	tracer    *trace.Tracer // nil: nothing is traced
+// Controller is one controller.
+type Controller struct {
+	cfg            *config.Config
+	log            *slog.Logger
+	clock          clock.Steady
+	incarnation    uint64
+	store          *store.Client
+	health         *health
+	cloud          *cloud.Client
+	workers        *fasthttp.Client
+	dialled        dialled
+	jobCache       *api.JobCache
+	storeTransport *peer.StoreTransport
+	tracer         *trace.Tracer // nil: nothing is traced
 
 	elector, leader, holder mailbox
 	pauses                  mailbox
 	cloudWork               chan func()
-	directs                 chan struct{}
+	commandSlots            chan struct{}
 }
 
 // New makes a node; Serve runs it.
-func New(cfg *config.Config, log *slog.Logger) *Node {
-	n := &Node{cfg: cfg, log: log, clock: clock.NewSteady(), run: rand.Uint64() >> 1,
+func New(cfg *config.Config, log *slog.Logger) *Controller {
+	n := &Controller{cfg: cfg, log: log, clock: clock.NewSteady(), incarnation: rand.Uint64() >> 1,
 		elector: make(mailbox, leastMailbox), leader: make(mailbox, mailboxSize(cfg)), holder: make(mailbox, mailboxSize(cfg)),
-		pauses: make(mailbox, 16), cloudWork: make(chan func(), 64), directs: make(chan struct{}, mostDirects(cfg))}
+		pauses: make(mailbox, 16), cloudWork: make(chan func(), 64), commandSlots: make(chan struct{}, mostDirects(cfg))}
 	n.health = newHealth()
 	n.store = store.New(cfg.Endpoints.State, n.share(false), n.health.note)
 	n.cloud = cloud.New(cfg.Endpoints.Cloud, cfg.Facts.Cloud.RPS)
@@ -76,14 +76,14 @@
 		RetryIfErr:               func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
 		NoDefaultUserAgentHeader: true, ReadBufferSize: 2048, WriteBufferSize: 2048,
 		Dial: n.dialled.dial}
-	n.directory = api.NewDirectory(cfg, n.clock.Now)
-	n.relay = peer.NewStoreTransport(cfg.Name, n.store, cfg.ValueBytes(), cfg.RelayBacklog(), peer.FrameInterval)
+	n.jobCache = api.NewJobCache(cfg, n.clock.Now)
+	n.storeTransport = peer.NewStoreTransport(cfg.Name, n.store, cfg.ValueBytes(), cfg.RelayBacklog(), peer.FrameInterval)
 	return n
 }
 
 // share is this node's part of the store's budget: the leader writes most. The
 // parts add up to more than the whole, since bursts seldom meet; see store.Budget.
-func (n *Node) share(leads bool) store.Budget {
+func (n *Controller) share(leads bool) store.Budget {
 	part := 0.35
 	switch {
 	case len(n.cfg.Peers) == 0:
@@ -96,7 +96,7 @@
 }
 
 // Serve runs the node until ctx ends or a listener fails.
-func (n *Node) Serve(ctx context.Context) error {
+func (n *Controller) Serve(ctx context.Context) error {
 	back, err := netio.Listen(n.cfg.Back)
 	if err != nil {
 		return fmt.Errorf("listen for controllers: %w", err)
@@ -118,16 +118,16 @@
 	}
 	go n.watchLeader(ctx)
 	go n.acceptPeers(back)
-	go n.relay.Run(ctx, func(c net.Conn) { go n.acceptPeer(c, true) })
-	go n.directory.Run(ctx)
-	svc := api.New(n.cfg, n.store, store.Backoff, n.directory, n.health.ok, n.report, clock.Wall, n.log)
-	svc.Trace(n.tracer)
+	go n.storeTransport.Run(ctx, func(c net.Conn) { go n.acceptPeer(c, true) })
+	go n.jobCache.Run(ctx)
+	svc := api.New(n.cfg, n.store, store.Backoff, n.jobCache, n.health.ok, n.report, clock.Wall, n.log)
+	svc.SetTracer(n.tracer)
 	n.log.Info("serving", "node", n.cfg.Name, "on", n.cfg.ServeOn)
 	return svc.Serve(front)
 }
 
 // startTracer starts what writes spans, if the settings name a file.
-func (n *Node) startTracer(ctx context.Context) (err error) {
+func (n *Controller) startTracer(ctx context.Context) (err error) {
 	t := n.cfg.Tuning.Trace
 	if t.File == "" {
 		return nil
@@ -141,7 +141,7 @@
 }
 
 // report hands a worker's report to the holder and waits for its answer.
-func (n *Node) report(r *wire.Heartbeat) block.HeartbeatReply {
+func (n *Controller) report(r *wire.Heartbeat) block.HeartbeatReply {
 	ch := make(chan block.HeartbeatReply, 1)
 	n.holder <- block.HeartbeatReceived{ReplyTo: ch, Heartbeat: r}
 	return <-ch
@@ -151,7 +151,7 @@
 // small machine each wake-up costs more than what is then done.
 const tickEvery = 250 * time.Millisecond
 
-func (n *Node) tick(ctx context.Context) {
+func (n *Controller) tick(ctx context.Context) {
 	t := time.NewTicker(tickEvery)
 	defer t.Stop()
 	for {
--- a/internal/node/pauses.go
+++ b/internal/node/pauses.go
@@ -19,7 +19,7 @@
 }
 
 // runPauses is the actor that remembers when this process stood still, and logs each pause once.
-func (n *Node) runPauses(ctx context.Context) {
+func (n *Controller) runPauses(ctx context.Context) {
 	var recorder standstill.Recorder
 	var gathered <-chan time.Time
 	for {
@@ -44,7 +44,7 @@
 }
 
 // pausesSeen is what an operator is told of the pauses of this process; nil without any.
-func (n *Node) pausesSeen() (int, *peer.PauseStatus) {
+func (n *Controller) pausesSeen() (int, *peer.PauseStatus) {
 	q := askPauses{make(chan pausesSeen, 1)}
 	n.pauses <- q
 	seen := <-q.answer
--- a/internal/node/state.go
+++ b/internal/node/state.go
@@ -15,7 +15,7 @@
 )
 
 // load reads what an epoch starts from and then watches the jobs.
-func (n *Node) load(ctx context.Context, epoch uint64) {
+func (n *Controller) load(ctx context.Context, epoch uint64) {
 	for i := 0; ; i++ {
 		asked := n.clock.Now()
 		items, revision, err := n.readState(ctx)
@@ -35,7 +35,7 @@
 // behind with its work would wait for each answer in turn, for longer than its lease lasts.
 // Their order does not matter, as only users change jobs while this epoch lasts: all other
 // keys are written under a guard on the leader key.
-func (n *Node) readState(ctx context.Context) ([]wire.Item, uint64, error) {
+func (n *Controller) readState(ctx context.Context) ([]wire.Item, uint64, error) {
 	prefixes := []string{leader.JobPrefix, leader.LayoutKey, leader.CatalogKey, block.KeyPrefix, leader.ProgressPrefix, leader.InstanceGroupPrefix}
 	type listing struct {
 		items    []wire.Item
@@ -61,7 +61,7 @@
 	return all, listings[0].revision, nil
 }
 
-func (n *Node) watchJobs(ctx context.Context, epoch, rev uint64) {
+func (n *Controller) watchJobs(ctx context.Context, epoch, rev uint64) {
 	// Two answers, one behind the other, have to come within the time that a view may be old.
 	wait := n.cfg.ViewTime() / 3
 	for i := 0; ctx.Err() == nil; {
@@ -85,7 +85,7 @@
 	}
 }
 
-func (n *Node) loadRecords(ctx context.Context, x leader.LoadAttempts) {
+func (n *Controller) loadRecords(ctx context.Context, x leader.LoadAttempts) {
 	logged := false
 	for i := 0; ; i++ {
 		items, _, err := n.store.List(ctx, store.PriorityUrgent, block.AttemptPrefix(x.Shard))
--- a/internal/scenario/network_test.go
+++ b/internal/scenario/network_test.go
@@ -209,8 +209,8 @@
 		to := w.nodes[i]
 		away := to.away(n)
 		if to.alive && !away && to != n {
-			n.directory.Post(api.PeerReached{})
-			to.directory.Post(api.PeerReached{})
+			n.directory.Post(api.PeerContacted{})
+			to.directory.Post(api.PeerContacted{})
 		}
 		if !to.alive || to.elector.Term() != epoch || away {
 			w.after(300*clock.Millisecond, n.still(func() { n.follow(epoch, name) }))
--- a/internal/scenario/node_test.go
+++ b/internal/scenario/node_test.go
@@ -42,7 +42,7 @@
 	elector     *election.Elector
 	leader      *leader.Leader
 	holder      *block.Holder
-	directory   *api.Directory
+	directory   *api.JobCache
 	svc         *api.Service
 	epoch       uint64 // that it follows
 	link        *simLink
@@ -67,7 +67,7 @@
 	n.elector = election.New(election.Record{Controller: n.name, Incarnation: uint64(n.gen)*100 + uint64(n.i)}, clock.FromSeconds(n.cfg.Tuning.Election.TTLS))
 	n.leader = leader.New(&n.cfg, ok)
 	n.holder = block.FromConfig(&n.cfg, ok)
-	n.directory = api.NewDirectory(&n.cfg, func() clock.Micros { return n.w.now })
+	n.directory = api.NewJobCache(&n.cfg, func() clock.Micros { return n.w.now })
 	go n.directory.Run(n.w.ctx)
 	n.svc = api.New(&n.cfg, n, func(_ context.Context, try int) bool { return try < 3 }, n.directory, ok, nil, func() clock.Micros { return n.w.now }, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	n.look()
@@ -157,7 +157,7 @@
 		sent := w.now
 		var id uint64
 		n.sendsGrant(x.TTL)
-		n.ask(func() { id = w.store.Grant(w.now, x.TTL) }, func(err error) {
+		n.ask(func() { id = w.store.GrantLease(w.now, x.TTL) }, func(err error) {
 			n.electorStep(election.LeaseGranted{Lease: id, Sent: sent, Err: err})
 		})
 	case election.Campaign:
@@ -178,7 +178,7 @@
 		})
 	case election.RevokeLease:
 		n.sendsDrop(x.Lease)
-		n.ask(func() { w.store.End(x.Lease) }, func(error) {})
+		n.ask(func() { w.store.RevokeLease(x.Lease) }, func(error) {})
 	case election.ReadLeaderKey:
 		n.look()
 	case election.AcquireLeadership:
@@ -191,7 +191,7 @@
 		n.jobEpoch = 0
 		n.leaderStep(leader.LeadershipLost{})
 	case election.FollowLeader:
-		n.directory.Post(api.Following{Epoch: x.Term, Node: x.Controller})
+		n.directory.Post(api.LeaderChanged{Term: x.Term, Controller: x.Controller})
 		n.epoch = x.Term
 		if x.Term > 0 {
 			n.follow(x.Term, x.Controller)
@@ -329,7 +329,7 @@
 
 // lookUp has a user ask for a job.
 func (n *simNode) lookUp(ref string) api.Result {
-	return n.answersUser("GET /api/jobs/"+ref, n.svc.Look(ref))
+	return n.answersUser("GET /api/jobs/"+ref, n.svc.Status(ref))
 }
 
 // cancel has a user cancel a job.
@@ -384,8 +384,8 @@
 		l := x.Link.(*simLink)
 		n.sendsFrame(l.follower, &x.Message)
 		l.carry(l.follower, func() {
-			l.follower.directory.Post(api.PeerReached{})
-			l.leader.directory.Post(api.PeerReached{})
+			l.follower.directory.Post(api.PeerContacted{})
+			l.leader.directory.Post(api.PeerContacted{})
 			l.follower.directory.Post(&x.Message)
 			l.follower.holderStep(&x.Message)
 		})
@@ -405,7 +405,7 @@
 	case leader.ProvisionMachines:
 		n.sendsJSON(toCloud, "POST /hosts", x.Request)
 		cloud(func() any {
-			names, ok := w.cloud.Rent(w.now, x.Request)
+			names, ok := w.cloud.Provision(w.now, x.Request)
 			m := leader.MachinesProvisioned{Term: x.Term, RequestID: x.Request.RequestID, Machines: names, NoCapacity: !ok}
 			if !ok {
 				m.Err = errors.New("no capacity")
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -116,7 +116,7 @@
 		w.hear(j.Ref, r)
 	}
 	if r.Code >= 400 {
-		return fmt.Sprintf("%d %s", r.Code, r.Why)
+		return fmt.Sprintf("%d %s", r.Code, r.Reason)
 	}
 	must(json.Unmarshal(body, &j))
 	w.jobs[j.Ref] = j
--- a/internal/scenario/transcript_test.go
+++ b/internal/scenario/transcript_test.go
@@ -225,7 +225,7 @@
 func (n *simNode) answersUser(request string, r api.Result) api.Result {
 	var body any = r.Status
 	if r.Code >= 400 {
-		body = wire.ErrorResponse{Error: r.Why}
+		body = wire.ErrorResponse{Error: r.Reason}
 	}
 	n.sendsJSON(toUser, request+": "+strconv.Itoa(r.Code), body)
 	return r
--- a/internal/scenario/worker_test.go
+++ b/internal/scenario/worker_test.go
@@ -11,7 +11,7 @@
 
 type simWorker struct {
 	*standin.Worker
-	rented *standin.Rented
+	rented *standin.Instance
 	target int
 	nextAt clock.Micros
 	lastAt clock.Micros
@@ -30,7 +30,7 @@
 
 func (w *world) worker(name string) *simWorker { return w.byName[name] }
 
-func (w *world) boot(m *standin.Rented) {
+func (w *world) boot(m *standin.Instance) {
 	var t wire.MachineType
 	for _, x := range w.cloud.Types {
 		if x.Name == m.Type {
--- a/internal/scenario/world_test.go
+++ b/internal/scenario/world_test.go
@@ -26,9 +26,9 @@
 	nodes       []*simNode
 	workers     []*simWorker
 	byName      map[string]*simWorker
-	coming      []*standin.Rented // rented and not up yet
-	rented      int               // how many of the cloud's machines were taken in
-	holds       map[string][]held // by team: what was on machines when last looked at
+	coming      []*standin.Instance // rented and not up yet
+	rented      int                 // how many of the cloud's machines were taken in
+	holds       map[string][]held   // by team: what was on machines when last looked at
 	jobs        map[string]wire.Job
 	runS        map[string]float64
 	aborted     map[string]clock.Micros // when the user was told
@@ -107,7 +107,7 @@
 	}
 	w.coming = append(w.coming, w.cloud.Order[w.rented:]...)
 	w.rented = len(w.cloud.Order)
-	w.coming = slices.DeleteFunc(w.coming, func(m *standin.Rented) bool {
+	w.coming = slices.DeleteFunc(w.coming, func(m *standin.Instance) bool {
 		up := !m.Gone && !m.Dead && !m.Never && !m.Quiet && w.now >= m.UpAt
 		if up {
 			w.boot(m)
--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -7,8 +7,8 @@
 	"swiftledge/wire"
 )
 
-// Rented is a machine of the cloud.
-type Rented struct {
+// Instance is a machine of the cloud.
+type Instance struct {
 	wire.Machine
 	Since, UpAt, Listed clock.Micros
 	Never               bool // it will not come up
@@ -26,8 +26,8 @@
 	NoReport int // how many of the next machines come up and never report
 	// BootFactor makes the next machines boot in so many times the usual time; 0: in the usual time.
 	BootFactor float64
-	Machines   map[string]*Rented
-	Order      []*Rented // all of them, in the order of creation, which is that of their names
+	Machines   map[string]*Instance
+	Order      []*Instance // all of them, in the order of creation, which is that of their names
 
 	requests map[string][]string
 	n        int
@@ -35,7 +35,7 @@
 
 // NewCloud makes a cloud without machines.
 func NewCloud(types []wire.MachineType, lag clock.Micros) *Cloud {
-	return &Cloud{Types: types, Lag: lag, Machines: map[string]*Rented{}, requests: map[string][]string{}}
+	return &Cloud{Types: types, Lag: lag, Machines: map[string]*Instance{}, requests: map[string][]string{}}
 }
 
 func (c *Cloud) typ(name string) *wire.MachineType {
@@ -47,8 +47,8 @@
 	return nil
 }
 
-// Rent carries out a request, once for each name; false: no capacity.
-func (c *Cloud) Rent(now clock.Micros, r wire.ProvisionRequest) ([]string, bool) {
+// Provision carries out a request, once for each name; false: no capacity.
+func (c *Cloud) Provision(now clock.Micros, r wire.ProvisionRequest) ([]string, bool) {
 	if names, ok := c.requests[r.RequestID]; ok {
 		return names, true
 	}
@@ -75,9 +75,9 @@
 }
 
 // Add starts a machine.
-func (c *Cloud) Add(now clock.Micros, typ, zone string, spot bool) *Rented {
+func (c *Cloud) Add(now clock.Micros, typ, zone string, spot bool) *Instance {
 	t := c.typ(typ)
-	m := &Rented{Machine: wire.Machine{Name: fmt.Sprintf("host-%06d", c.n), Address: fmt.Sprintf("10.1.0.%d:9000", c.n),
+	m := &Instance{Machine: wire.Machine{Name: fmt.Sprintf("host-%06d", c.n), Address: fmt.Sprintf("10.1.0.%d:9000", c.n),
 		Type: typ, Zone: zone, Spot: spot, State: wire.MachineStarting},
 		Since: now, UpAt: now + clock.FromSeconds(t.BootS), Listed: now + c.Lag}
 	c.n++
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -55,7 +55,7 @@
 	}
 	for _, id := range slices.Sorted(maps.Keys(s.leases)) {
 		if now >= s.leases[id].ends {
-			s.End(id)
+			s.RevokeLease(id)
 		}
 	}
 }
@@ -68,8 +68,8 @@
 	}
 }
 
-// Grant makes a lease.
-func (s *Store) Grant(now, ttl clock.Micros) uint64 {
+// GrantLease makes a lease.
+func (s *Store) GrantLease(now, ttl clock.Micros) uint64 {
 	s.nextID++
 	s.leases[s.nextID] = &lease{ttl, now + ttl}
 	return s.nextID
@@ -85,8 +85,8 @@
 	return true
 }
 
-// End ends a lease and removes its keys.
-func (s *Store) End(id uint64) {
+// RevokeLease ends a lease and removes its keys.
+func (s *Store) RevokeLease(id uint64) {
 	if s.leases[id] == nil {
 		return
 	}
--- a/internal/standstill/standstill.go
+++ b/internal/standstill/standstill.go
@@ -13,14 +13,14 @@
 // several times a second.
 const Threshold = 2 * clock.Second
 
-// Watch notices pauses of one actor. The zero value has seen nothing yet.
-type Watch struct {
+// Detector notices pauses of one actor. The zero value has seen nothing yet.
+type Detector struct {
 	last    clock.Micros // when the last message was handled
 	resumed clock.Micros // when the last pause ended
 }
 
 // Observe takes in that a message is handled now. After a pause it gives when the pause began, and true.
-func (w *Watch) Observe(now clock.Micros) (began clock.Micros, paused bool) {
+func (w *Detector) Observe(now clock.Micros) (began clock.Micros, paused bool) {
 	began = w.last
 	w.last = now
 	if began == 0 || now-began < Threshold {
@@ -30,9 +30,9 @@
 	return began, true
 }
 
-// Awake is the time from which silence since a moment may be counted: what others sent during a pause is only
+// ExcludePause is the time from which silence since a moment may be counted: what others sent during a pause is only
 // read after it.
-func (w *Watch) Awake(since clock.Micros) clock.Micros { return max(since, w.resumed) }
+func (w *Detector) ExcludePause(since clock.Micros) clock.Micros { return max(since, w.resumed) }
 
 // Pause is a time in which a controller stood still.
 type Pause struct {
--- a/internal/standstill/standstill_test.go
+++ b/internal/standstill/standstill_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestWatch(t *testing.T) {
-	var w Watch
+	var w Detector
 	for _, now := range []clock.Micros{5 * clock.Second, 6 * clock.Second, 6*clock.Second + Threshold - 1} {
 		if _, paused := w.Observe(now); paused {
 			t.Errorf("a pause at %v", now)
@@ -18,7 +18,7 @@
 	if !paused || began != 6*clock.Second+Threshold-1 {
 		t.Errorf("pause from %v, %v", began, paused)
 	}
-	if w.Awake(8*clock.Second) != 20*clock.Second || w.Awake(21*clock.Second) != 21*clock.Second {
+	if w.ExcludePause(8*clock.Second) != 20*clock.Second || w.ExcludePause(21*clock.Second) != 21*clock.Second {
 		t.Error("silence is counted from before the end of the pause")
 	}
 }
