--- a/cmd/swiftledge/main.go
+++ b/cmd/swiftledge/main.go
@@ -13,7 +13,7 @@
 	"github.com/spf13/cobra"
 
 	"swiftledge/internal/config"
-	"swiftledge/internal/node"
+	"swiftledge/internal/controller"
 )
 
 // version is what `swiftledge version` prints.
@@ -99,5 +99,5 @@
 		level = slog.LevelError
 	}
 	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
-	return node.New(cfg, log).Serve(ctx)
+	return controller.New(cfg, log).Serve(ctx)
 }
--- a/internal/api/answers_test.go
+++ b/internal/api/answers_test.go
@@ -10,15 +10,15 @@
 
 	"swiftledge/internal/clock"
 	"swiftledge/internal/config"
+	"swiftledge/internal/fake"
 	"swiftledge/internal/leader"
-	"swiftledge/internal/standin"
 	"swiftledge/internal/store"
 	"swiftledge/wire"
 )
 
 // between is a state service in which others write between two requests of ours.
 type between struct {
-	*standin.Store
+	*fake.Store
 	hook  map[string]func() // before a key is read, once
 	lost  int               // of the next transactions, carried out without an answer
 	then  func()            // after such a one
@@ -117,7 +117,7 @@
 		}, 200, wire.JobQueued},
 	}
 	for _, c := range cases {
-		b := &between{Store: standin.NewStore(4, 8), hook: map[string]func(){}}
+		b := &between{Store: fake.NewStore(4, 8), hook: map[string]func(){}}
 		s := service(t, b)
 		if r := s.Submit(body); r.Code != 201 {
 			t.Fatalf("%s: submission gets %d %s", c.name, r.Code, r.Reason)
@@ -131,7 +131,7 @@
 		}
 	}
 	// Accepted by a write whose answer was lost, and over before it is tried again.
-	b := &between{Store: standin.NewStore(4, 8), hook: map[string]func(){}, lost: 1}
+	b := &between{Store: fake.NewStore(4, 8), hook: map[string]func(){}, lost: 1}
 	b.then = func() { b.ends(t, ref, wire.JobCancelled) }
 	if r := service(t, b).Submit(body); r.Code != 200 || r.Status.State != wire.JobCancelled {
 		t.Errorf("accepted, cancelled by another node, tried again: %d %s", r.Code, r.Status.State)
@@ -157,7 +157,7 @@
 // job unanswered for a minute: once they were refused for a while, the next goes first.
 func TestStarvedQuestionsGoFirst(t *testing.T) {
 	const ref = "j-000001"
-	st := &refusing{between: between{Store: standin.NewStore(4, 8)}, refuse: true}
+	st := &refusing{between: between{Store: fake.NewStore(4, 8)}, refuse: true}
 	var now clock.Micros
 	s := serviceAt(t, st, func() clock.Micros { return now })
 	ask := func(at clock.Micros) int {
@@ -183,7 +183,7 @@
 // Jobs that were refused once and are then asked for elsewhere must not use up the room for those
 // that starve here.
 func TestStarvedQuestionsAreRememberedAfterManyOthers(t *testing.T) {
-	st := &refusing{between: between{Store: standin.NewStore(4, 8)}, refuse: true}
+	st := &refusing{between: between{Store: fake.NewStore(4, 8)}, refuse: true}
 	var now clock.Micros
 	s := serviceAt(t, st, func() clock.Micros { return now })
 	for i := range leastRemembered {
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -15,9 +15,9 @@
 	"github.com/goccy/go-json"
 	"github.com/gofiber/fiber/v3"
 
-	"swiftledge/internal/block"
 	"swiftledge/internal/clock"
 	"swiftledge/internal/config"
+	"swiftledge/internal/shard"
 	"swiftledge/internal/trace"
 	"swiftledge/wire"
 )
@@ -31,7 +31,7 @@
 	pause   func(ctx context.Context, n int) bool // before try n+1
 	jobs    *JobCache
 	storeOK func() bool
-	report  func(*wire.Heartbeat) block.HeartbeatReply
+	report  func(*wire.Heartbeat) shard.HeartbeatReply
 	wall    func() clock.Micros // time of day
 	log     *slog.Logger
 	form    formChecker
@@ -41,7 +41,7 @@
 }
 
 // New makes the service; report answers a worker.
-func New(cfg *config.Config, s Store, pause func(context.Context, int) bool, d *JobCache, storeOK func() bool, report func(*wire.Heartbeat) block.HeartbeatReply, wall func() clock.Micros, log *slog.Logger) *Service {
+func New(cfg *config.Config, s Store, pause func(context.Context, int) bool, d *JobCache, storeOK func() bool, report func(*wire.Heartbeat) shard.HeartbeatReply, wall func() clock.Micros, log *slog.Logger) *Service {
 	return &Service{cfg: cfg, store: s, pause: pause, jobs: d, storeOK: storeOK, report: report, wall: wall, log: log, form: newFormChecker(), reports: newAdmission()}
 }
 
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -11,19 +11,19 @@
 
 	"github.com/valyala/fasthttp"
 
-	"swiftledge/internal/block"
 	"swiftledge/internal/clock"
 	"swiftledge/internal/config"
+	"swiftledge/internal/shard"
 	"swiftledge/wire"
 )
 
 // served starts a service whose workers' reports all get one answer, and gives the way to ask it
 // something on a connection of its own.
-func served(t *testing.T, cfg *config.Config, answer block.HeartbeatReply) (ask func(request string) *fasthttp.Response) {
+func served(t *testing.T, cfg *config.Config, answer shard.HeartbeatReply) (ask func(request string) *fasthttp.Response) {
 	t.Helper()
 	directory := NewJobCache(cfg, func() clock.Micros { return 0 })
 	go directory.Run(t.Context())
-	s := New(cfg, nil, nil, directory, func() bool { return true }, func(*wire.Heartbeat) block.HeartbeatReply { return answer },
+	s := New(cfg, nil, nil, directory, func() bool { return true }, func(*wire.Heartbeat) shard.HeartbeatReply { return answer },
 		nil, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -66,7 +66,7 @@
 // the workers' connections are given up first, after an answer.
 func TestWorkersLeaveConnectionsToUsers(t *testing.T) {
 	cfg := smallConfig()
-	ask := served(t, cfg, block.HeartbeatReply{Status: 200})
+	ask := served(t, cfg, shard.HeartbeatReply{Status: 200})
 	kept := 0
 	for range 2 * cfg.HTTPSockets() {
 		res := ask(beatRequest())
@@ -94,7 +94,7 @@
 // the answer spares a controller that is left alone hundreds of wake-ups a second.
 func TestRefusedWorkersConnectionIsClosed(t *testing.T) {
 	for _, status := range []int{200, 421, 503} {
-		ask := served(t, smallConfig(), block.HeartbeatReply{Status: status})
+		ask := served(t, smallConfig(), shard.HeartbeatReply{Status: status})
 		res := ask(beatRequest())
 		if res.StatusCode() != status || res.ConnectionClose() != (status != 200) {
 			t.Errorf("status %d, want %d; connection closed: %v", res.StatusCode(), status, res.ConnectionClose())
--- a/internal/api/report_test.go
+++ b/internal/api/report_test.go
@@ -15,12 +15,12 @@
 	"github.com/goccy/go-json"
 	"github.com/valyala/fasthttp"
 
-	"swiftledge/internal/block"
 	"swiftledge/internal/clock"
 	"swiftledge/internal/config"
 	"swiftledge/internal/netio"
 	"swiftledge/internal/peer"
 	"swiftledge/internal/placement"
+	"swiftledge/internal/shard"
 	"swiftledge/wire"
 )
 
@@ -62,17 +62,17 @@
 	tb.Helper()
 	cfg := &config.Config{Tuning: config.DefaultTuning()}
 	cfg.Facts.Quota.MaxSockets = 1500
-	h := block.New(block.Params{Controller: "n0", GrantTime: 20 * clock.Second, LongestGrant: 20 * clock.Second, AgentLease: 20 * clock.Second,
+	h := shard.New(shard.Params{Controller: "n0", GrantTime: 20 * clock.Second, LongestGrant: 20 * clock.Second, AgentLease: 20 * clock.Second,
 		HeartbeatInterval: 3 * clock.Second, ValueBytes: 4000, TxnOps: 8}, placement.Params{K: 0.001, Eta: 0.05, Epsilon: 0.01, Small: 0.5}, func() bool { return true })
-	h.Step(0, block.LeaderConnected{Term: 9})
+	h.Step(0, shard.LeaderConnected{Term: 9})
 	h.Step(0, &peer.FromLeader{Term: 9, Holders: []string{"n0"}, Grants: []peer.ShardGrant{{Shard: 0, FencingToken: 50, KeyVersion: 7}}})
 	h.Step(0, &peer.FromLeader{Term: 9, RenewedSeq: 2, FencingTokens: map[int]uint64{0: 50}})
-	box := make(chan block.HeartbeatReceived)
+	box := make(chan shard.HeartbeatReceived)
 	go func() {
 		for r := range box {
 			for _, fx := range h.Step(clock.Second, r) {
-				if a, ok := fx.(block.HeartbeatReply); ok {
-					a.ReplyTo.(chan block.HeartbeatReply) <- a
+				if a, ok := fx.(shard.HeartbeatReply); ok {
+					a.ReplyTo.(chan shard.HeartbeatReply) <- a
 				}
 			}
 		}
@@ -81,9 +81,9 @@
 	tb.Cleanup(stop)
 	directory := NewJobCache(cfg, func() clock.Micros { return 0 })
 	go directory.Run(ctx)
-	s := New(cfg, nil, nil, directory, func() bool { return true }, func(r *wire.Heartbeat) block.HeartbeatReply {
-		ch := make(chan block.HeartbeatReply, 1)
-		box <- block.HeartbeatReceived{ReplyTo: ch, Heartbeat: r}
+	s := New(cfg, nil, nil, directory, func() bool { return true }, func(r *wire.Heartbeat) shard.HeartbeatReply {
+		ch := make(chan shard.HeartbeatReply, 1)
+		box <- shard.HeartbeatReceived{ReplyTo: ch, Heartbeat: r}
 		return <-ch
 	}, nil, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	l, err := netio.Listen("127.0.0.1:0")
--- a/internal/fleet/fleet.go
+++ b/internal/autoscaler/fleet.go
@@ -1,5 +1,5 @@
 // Package fleet decides, without I/O, what to rent and what to return.
-package fleet
+package autoscaler
 
 import (
 	"cmp"
--- a/internal/fleet/fleet_test.go
+++ b/internal/autoscaler/fleet_test.go
@@ -1,4 +1,4 @@
-package fleet
+package autoscaler
 
 import (
 	"testing"
--- a/internal/compat/errors_test.go
+++ b/internal/compat/errors_test.go
@@ -15,9 +15,9 @@
 	"github.com/valyala/fasthttp"
 
 	"swiftledge/internal/api"
-	"swiftledge/internal/block"
 	"swiftledge/internal/clock"
 	"swiftledge/internal/config"
+	"swiftledge/internal/shard"
 	"swiftledge/wire"
 )
 
@@ -86,7 +86,7 @@
 	cfg := &config.Config{Settings: platformSettings()}
 	directory := api.NewJobCache(cfg, func() clock.Micros { return 0 })
 	go directory.Run(t.Context())
-	answer := func(*wire.Heartbeat) block.HeartbeatReply { return block.HeartbeatReply{Status: 200} }
+	answer := func(*wire.Heartbeat) shard.HeartbeatReply { return shard.HeartbeatReply{Status: 200} }
 	service := api.New(cfg, nil, nil, directory, func() bool { return true }, answer, nil, slog.New(slog.DiscardHandler))
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
--- a/internal/compat/samples_test.go
+++ b/internal/compat/samples_test.go
@@ -9,11 +9,11 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 
-	"swiftledge/internal/block"
 	"swiftledge/internal/config"
 	"swiftledge/internal/election"
 	"swiftledge/internal/leader"
 	"swiftledge/internal/peer"
+	"swiftledge/internal/shard"
 	"swiftledge/wire"
 )
 
@@ -80,10 +80,10 @@
 }
 
 func ours() choices {
-	c := choices{Blocks: map[string]int{}, BlockKey: block.Key(2), RecordKeys: block.AttemptPrefix(2), AttemptBits: peer.AttemptBits,
-		ChunkTasks: leader.TasksPerChunk, TaskName: block.TaskName(peer.Task{Job: "j-000412", Index: 3})}
+	c := choices{Blocks: map[string]int{}, BlockKey: shard.Key(2), RecordKeys: shard.AttemptPrefix(2), AttemptBits: peer.AttemptBits,
+		ChunkTasks: leader.TasksPerChunk, TaskName: shard.TaskName(peer.Task{Job: "j-000412", Index: 3})}
 	for _, m := range []string{"host-000000", "host-000001", "host-000231", "host-123456"} {
-		c.Blocks[m] = block.ForMachine(m, 6)
+		c.Blocks[m] = shard.ForMachine(m, 6)
 	}
 	cfg := config.Config{Tuning: config.DefaultTuning()}
 	cfg.Facts.Workers.LeaseS, cfg.Facts.Workers.CancelS = 22, 52
--- a/internal/node/holder.go
+++ b/internal/controller/holder.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"context"
@@ -8,9 +8,9 @@
 	"github.com/goccy/go-json"
 	"github.com/valyala/fasthttp"
 
-	"swiftledge/internal/block"
 	"swiftledge/internal/leader"
 	"swiftledge/internal/peer"
+	"swiftledge/internal/shard"
 	"swiftledge/internal/store"
 	"swiftledge/wire"
 )
@@ -31,7 +31,7 @@
 )
 
 func (n *Controller) runHolder(ctx context.Context) {
-	h := block.FromConfig(n.cfg, n.health.ok)
+	h := shard.FromConfig(n.cfg, n.health.ok)
 	var link any
 	for msg := range n.holder {
 		switch m := msg.(type) {
@@ -44,13 +44,13 @@
 			if l, ok := m.link.(*peer.Link); ok {
 				slow = l.ViaStore()
 			}
-			msg = block.LeaderConnected{Term: m.epoch, ViaStore: slow}
+			msg = shard.LeaderConnected{Term: m.epoch, ViaStore: slow}
 		case holderDown:
 			if link != m.link {
 				continue
 			}
 			link = nil
-			msg = block.LeaderDisconnected{Term: m.epoch}
+			msg = shard.LeaderDisconnected{Term: m.epoch}
 		}
 		for _, fx := range h.Step(n.clock.Now(), msg) {
 			n.holderEffect(ctx, link, fx)
@@ -60,31 +60,31 @@
 
 func (n *Controller) holderEffect(ctx context.Context, link, fx any) {
 	switch x := fx.(type) {
-	case block.SendToLeader:
+	case shard.SendToLeader:
 		switch l := link.(type) {
 		case *peer.Link:
 			l.Send(&x.Message)
 		case localLink:
 			n.leader <- leader.HolderMessage{Controller: n.cfg.Name, Link: l, Message: &x.Message}
 		}
-	case block.HeartbeatReply:
-		x.ReplyTo.(chan block.HeartbeatReply) <- x
-	case block.RecordSpan:
+	case shard.HeartbeatReply:
+		x.ReplyTo.(chan shard.HeartbeatReply) <- x
+	case shard.RecordSpan:
 		n.tracer.Post(x.Span)
-	case block.PauseDetected:
+	case shard.PauseDetected:
 		n.pauses <- x.Pause
-	case block.Log:
+	case shard.Log:
 		n.log.Warn(x.Message, x.Attributes...)
-	case block.SendCommands:
+	case shard.SendCommands:
 		go n.direct(x)
-	case block.InspectAgent:
+	case shard.InspectAgent:
 		go n.inspect(x)
-	case block.WriteAttempts:
+	case shard.WriteAttempts:
 		// No task of it is ordered before the store has said yes.
 		go n.keep(ctx, store.PriorityAttempts, x.Txn, func(o store.TxnResult) any { return x.Result(o) })
-	case block.CompactPages:
+	case shard.CompactPages:
 		go n.keep(ctx, store.PriorityBackground, x.Txn, func(o store.TxnResult) any { return x.Result(o) })
-	case block.DeletePages:
+	case shard.DeletePages:
 		go func() {
 			if _, err := n.store.TryCommit(ctx, store.PriorityBackground, x.Txn()); err != nil {
 				// They stay as upper bounds until the block's next grant.
@@ -95,13 +95,13 @@
 }
 
 // direct sends a command to a worker and brings back what became of it.
-func (n *Controller) direct(o block.SendCommands) {
+func (n *Controller) direct(o shard.SendCommands) {
 	n.commandSlots <- struct{}{}
 	defer func() { <-n.commandSlots }()
 	req, res := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(res)
-	done := block.CommandsAnswered{SendCommands: o}
+	done := shard.CommandsAnswered{SendCommands: o}
 	raw, err := json.Marshal(o.Body)
 	if err != nil {
 		n.log.Error("encode orders", "error", err)
@@ -116,7 +116,7 @@
 	}
 	switch err := n.workers.DoTimeout(req, res, 3*time.Second); {
 	case errors.Is(err, errDial):
-		done.Code = block.NotSent
+		done.Code = shard.NotSent
 	case err == nil:
 		done.Code = res.StatusCode()
 		var r wire.Heartbeat
@@ -128,10 +128,10 @@
 }
 
 // inspect asks a worker for its report.
-func (n *Controller) inspect(x block.InspectAgent) {
+func (n *Controller) inspect(x shard.InspectAgent) {
 	n.commandSlots <- struct{}{}
 	defer func() { <-n.commandSlots }()
-	done := block.InspectionAnswered{InspectAgent: x}
+	done := shard.InspectionAnswered{InspectAgent: x}
 	status, body, err := n.workers.GetTimeout(nil, "http://"+x.Address+"/inspect", 2*time.Second)
 	var r wire.Heartbeat
 	if err == nil && status == 200 && json.Unmarshal(body, &r) == nil && r.Machine == x.Machine {
--- a/internal/node/leader.go
+++ b/internal/controller/leader.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"context"
--- a/internal/node/node.go
+++ b/internal/controller/node.go
@@ -1,6 +1,6 @@
 // Package node wires the actors of one controller: it carries out their effects
 // and brings the results back to them as messages.
-package node
+package controller
 
 import (
 	"context"
@@ -13,7 +13,6 @@
 	"github.com/valyala/fasthttp"
 
 	"swiftledge/internal/api"
-	"swiftledge/internal/block"
 	"swiftledge/internal/clock"
 	"swiftledge/internal/cloud"
 	"swiftledge/internal/config"
@@ -21,6 +20,7 @@
 	"swiftledge/internal/leader"
 	"swiftledge/internal/netio"
 	"swiftledge/internal/peer"
+	"swiftledge/internal/shard"
 	"swiftledge/internal/store"
 	"swiftledge/internal/trace"
 	"swiftledge/wire"
@@ -141,9 +141,9 @@
 }
 
 // report hands a worker's report to the holder and waits for its answer.
-func (n *Controller) report(r *wire.Heartbeat) block.HeartbeatReply {
-	ch := make(chan block.HeartbeatReply, 1)
-	n.holder <- block.HeartbeatReceived{ReplyTo: ch, Heartbeat: r}
+func (n *Controller) report(r *wire.Heartbeat) shard.HeartbeatReply {
+	ch := make(chan shard.HeartbeatReply, 1)
+	n.holder <- shard.HeartbeatReceived{ReplyTo: ch, Heartbeat: r}
 	return <-ch
 }
 
@@ -163,7 +163,7 @@
 		for _, to := range []struct {
 			box mailbox
 			msg any
-		}{{n.elector, election.Tick{}}, {n.leader, leader.Tick{}}, {n.holder, block.Tick{}}} {
+		}{{n.elector, election.Tick{}}, {n.leader, leader.Tick{}}, {n.holder, shard.Tick{}}} {
 			select {
 			case to.box <- to.msg:
 			default:
--- a/internal/node/pauses.go
+++ b/internal/controller/pauses.go
@@ -1,12 +1,12 @@
-package node
+package controller
 
 import (
 	"context"
 	"time"
 
 	"swiftledge/internal/clock"
+	"swiftledge/internal/pausedetect"
 	"swiftledge/internal/peer"
-	"swiftledge/internal/standstill"
 )
 
 // askPauses asks for the pauses of this process.
@@ -15,12 +15,12 @@
 // pausesSeen are how often this process stood still, and the last time.
 type pausesSeen struct {
 	count int
-	last  standstill.Pause
+	last  pausedetect.Pause
 }
 
 // runPauses is the actor that remembers when this process stood still, and logs each pause once.
 func (n *Controller) runPauses(ctx context.Context) {
-	var recorder standstill.Recorder
+	var recorder pausedetect.Recorder
 	var gathered <-chan time.Time
 	for {
 		select {
@@ -28,9 +28,9 @@
 			return
 		case msg := <-n.pauses:
 			switch m := msg.(type) {
-			case standstill.Pause:
+			case pausedetect.Pause:
 				if recorder.Add(m) {
-					gathered = time.After(time.Duration(standstill.GatherTime) * time.Microsecond)
+					gathered = time.After(time.Duration(pausedetect.GatherTime) * time.Microsecond)
 				}
 			case askPauses:
 				last, count := recorder.Last()
@@ -38,7 +38,7 @@
 			}
 		case <-gathered:
 			p := recorder.Close()
-			n.log.Warn("stood still", "length_s", p.Length().Seconds(), "expired", standstill.ExpiredText(p.Expired))
+			n.log.Warn("stood still", "length_s", p.Length().Seconds(), "expired", pausedetect.ExpiredText(p.Expired))
 		}
 	}
 }
--- a/internal/node/state.go
+++ b/internal/controller/state.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"context"
@@ -6,10 +6,10 @@
 	"sync"
 	"time"
 
-	"swiftledge/internal/block"
 	"swiftledge/internal/clock"
 	"swiftledge/internal/election"
 	"swiftledge/internal/leader"
+	"swiftledge/internal/shard"
 	"swiftledge/internal/store"
 	"swiftledge/wire"
 )
@@ -36,7 +36,7 @@
 // Their order does not matter, as only users change jobs while this epoch lasts: all other
 // keys are written under a guard on the leader key.
 func (n *Controller) readState(ctx context.Context) ([]wire.Item, uint64, error) {
-	prefixes := []string{leader.JobPrefix, leader.LayoutKey, leader.CatalogKey, block.KeyPrefix, leader.ProgressPrefix, leader.InstanceGroupPrefix}
+	prefixes := []string{leader.JobPrefix, leader.LayoutKey, leader.CatalogKey, shard.KeyPrefix, leader.ProgressPrefix, leader.InstanceGroupPrefix}
 	type listing struct {
 		items    []wire.Item
 		revision uint64
@@ -88,9 +88,9 @@
 func (n *Controller) loadRecords(ctx context.Context, x leader.LoadAttempts) {
 	logged := false
 	for i := 0; ; i++ {
-		items, _, err := n.store.List(ctx, store.PriorityUrgent, block.AttemptPrefix(x.Shard))
+		items, _, err := n.store.List(ctx, store.PriorityUrgent, shard.AttemptPrefix(x.Shard))
 		if err == nil {
-			pages, err := block.DecodeAttemptPages(items)
+			pages, err := shard.DecodeAttemptPages(items)
 			if err != nil {
 				// What may run is not known, so the block is not granted.
 				if !logged {
--- a/internal/standin/cloud.go
+++ b/internal/fake/cloud.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"fmt"
--- a/internal/standin/worker.go
+++ b/internal/fake/worker.go
@@ -1,12 +1,12 @@
-package standin
+package fake
 
 import (
 	"math"
 	"strconv"
 	"strings"
 
-	"swiftledge/internal/balance"
 	"swiftledge/internal/clock"
+	"swiftledge/internal/rebalancer"
 	"swiftledge/wire"
 )
 
@@ -77,13 +77,13 @@
 
 // Load is the dominant share of the machine that its tasks take.
 func (w *Worker) Load() float64 {
-	var used balance.Resources
+	var used rebalancer.Resources
 	for _, t := range w.Tasks {
 		if t.State != wire.TaskExited {
-			used = used.Plus(balance.Resources{CPUs: t.Job.CPUs, Memory: t.Job.MemoryGB})
+			used = used.Plus(rebalancer.Resources{CPUs: t.Job.CPUs, Memory: t.Job.MemoryGB})
 		}
 	}
-	return used.DominantShare(balance.Resources{CPUs: w.CPUs, Memory: w.Memory})
+	return used.DominantShare(rebalancer.Resources{CPUs: w.CPUs, Memory: w.Memory})
 }
 
 // Advance lets time pass: images arrive, tasks end, the lease runs out. It says whether something changed.
--- a/internal/leader/assign_test.go
+++ b/internal/leader/assign_test.go
@@ -6,9 +6,9 @@
 	"strings"
 	"testing"
 
-	"swiftledge/internal/block"
 	"swiftledge/internal/clock"
 	"swiftledge/internal/peer"
+	"swiftledge/internal/shard"
 )
 
 // Blocks stay with a controller that can answer their workers while the others are linked
@@ -67,7 +67,7 @@
 			continue
 		}
 		for _, w := range c.Txn.Writes {
-			if !strings.HasPrefix(w.Put, block.KeyPrefix) {
+			if !strings.HasPrefix(w.Put, shard.KeyPrefix) {
 				continue
 			}
 			var r ShardRecord
--- a/internal/leader/failures.go
+++ b/internal/leader/failures.go
@@ -4,10 +4,10 @@
 	"maps"
 	"slices"
 
-	"swiftledge/internal/block"
 	"swiftledge/internal/clock"
 	"swiftledge/internal/failures"
 	"swiftledge/internal/peer"
+	"swiftledge/internal/shard"
 )
 
 // errored takes in that a task failed: its job may be at fault for it, its machine, or the task alone. A failure of
@@ -90,7 +90,7 @@
 	}
 	l.eachHeld(j, func(t peer.Task, h *grantedTask) {
 		if h.running && j.failures.Survived(now-h.since) {
-			l.info("job is suspect no more", "job", t.Job, "task", block.TaskName(t), "ran_s", (now - h.since).Seconds())
+			l.info("job is suspect no more", "job", t.Job, "task", shard.TaskName(t), "ran_s", (now - h.since).Seconds())
 			l.stirred = true
 		}
 	})
--- a/internal/leader/failures_test.go
+++ b/internal/leader/failures_test.go
@@ -4,9 +4,9 @@
 	"slices"
 	"testing"
 
-	"swiftledge/internal/block"
 	"swiftledge/internal/clock"
 	"swiftledge/internal/peer"
+	"swiftledge/internal/shard"
 	"swiftledge/wire"
 )
 
@@ -17,7 +17,7 @@
 	s := spec
 	s.Ref, s.Tasks = "j-000300", 8
 	j := l.addJob(JobRecord{Spec: s}, 5)
-	b := l.blocks[block.ForMachine(names[0], 2)]
+	b := l.blocks[shard.ForMachine(names[0], 2)]
 	for i := range 4 {
 		task := peer.Task{Job: s.Ref, Index: i}
 		b.tasks[task] = &grantedTask{team: s.Team, cpus: 1, running: i == 3, since: began, machine: names[0]}
--- a/internal/leader/fleet.go
+++ b/internal/leader/fleet.go
@@ -6,8 +6,8 @@
 	"slices"
 	"strings"
 
+	"swiftledge/internal/autoscaler"
 	"swiftledge/internal/clock"
-	"swiftledge/internal/fleet"
 	"swiftledge/wire"
 )
 
@@ -146,7 +146,7 @@
 	for _, k := range kinds {
 		names := byKind[k]
 		// As many as a rental has at most: more might not fit into a value.
-		for part := range slices.Chunk(names, fleet.MaxMachinesPerRequest) {
+		for part := range slices.Chunk(names, autoscaler.MaxMachinesPerRequest) {
 			l.rentSeq++
 			rt := &rental{key: fmt.Sprintf("%sfound-%d-%d", InstanceGroupPrefix, l.epoch, l.rentSeq), busy: true,
 				record: InstanceGroupRecord{Request: k, Machines: part, Answered: true}}
@@ -201,7 +201,7 @@
 
 // expected is an option with how late its machines are expected: a boot time for each that did not come up since one
 // last did.
-func (l *Leader) expected(o fleet.Option) fleet.Option {
+func (l *Leader) expected(o autoscaler.Option) autoscaler.Option {
 	o.LateS = o.Type.BootS * float64(min(l.noBoots[o.Key()], mostNoBoots))
 	return o
 }
@@ -241,7 +241,7 @@
 // plan rents what the queues need, if it may, and names idle machines to return.
 func (l *Leader) plan(now clock.Micros, rent bool) []string {
 	flat := l.needs(now)
-	var supply []fleet.Capacity
+	var supply []autoscaler.Capacity
 	idleFor := clock.FromSeconds(l.cfg.Tuning.Fleet.IdleS)
 	targets := l.moveTargets()
 	for _, name := range slices.Sorted(maps.Keys(l.machines)) {
@@ -254,7 +254,7 @@
 		if !m.opt.Spot {
 			wait = idleFor / 5
 		}
-		s := fleet.Capacity{Option: m.opt, Name: name, Up: m.up, Idle: idle, Keep: idle && now-m.idle < wait || now-m.born < 55*clock.Second || targets[name]}
+		s := autoscaler.Capacity{Option: m.opt, Name: name, Up: m.up, Idle: idle, Keep: idle && now-m.idle < wait || now-m.born < 55*clock.Second || targets[name]}
 		if m.up && m.opt.Type.CPUs > 0 {
 			s.Load = 1 - m.state.CPUs/m.opt.Type.CPUs
 		}
@@ -265,19 +265,19 @@
 		if !rt.record.Answered {
 			stuck = stuck || now-rt.since > stuckAfter
 			for range rt.record.Request.Count {
-				supply = append(supply, fleet.Capacity{Option: l.option(rt.record.Request)})
+				supply = append(supply, autoscaler.Capacity{Option: l.option(rt.record.Request)})
 			}
 		}
 	}
-	var opts []fleet.Option
+	var opts []autoscaler.Option
 	for _, t := range l.typeList {
 		for _, z := range t.ZoneNames {
-			opts = append(opts, l.expected(fleet.Option{Type: t, Zone: z}), l.expected(fleet.Option{Type: t, Zone: z, Spot: true}))
+			opts = append(opts, l.expected(autoscaler.Option{Type: t, Zone: z}), l.expected(autoscaler.Option{Type: t, Zone: z, Spot: true}))
 		}
 	}
 	tune := l.cfg.Tuning.Fleet
-	d := fleet.Plan(flat, supply, opts, fleet.Params{SpotClearS: tune.SpotClearS, OrdinaryClearS: tune.OrdinaryClearS, Reserve: tune.Reserve},
-		func(o fleet.Option) bool { return now >= l.refused[o.Key()].until })
+	d := autoscaler.Plan(flat, supply, opts, autoscaler.Params{SpotClearS: tune.SpotClearS, OrdinaryClearS: tune.OrdinaryClearS, Reserve: tune.Reserve},
+		func(o autoscaler.Option) bool { return now >= l.refused[o.Key()].until })
 	l.rest(d, stuck)
 	l.stirred = true // what is no longer cordoned has room again
 	if !rent {
@@ -301,7 +301,7 @@
 // again as soon as the others have no room.
 //
 // While the cloud does not answer, nothing cheaper comes: what is there serves, too.
-func (l *Leader) rest(d fleet.Decision, stuck bool) {
+func (l *Leader) rest(d autoscaler.Decision, stuck bool) {
 	for _, m := range l.machines {
 		m.cordoned, m.rest = false, false
 	}
--- a/internal/leader/fleet_test.go
+++ b/internal/leader/fleet_test.go
@@ -4,9 +4,9 @@
 	"fmt"
 	"testing"
 
+	"swiftledge/internal/autoscaler"
 	"swiftledge/internal/clock"
 	"swiftledge/internal/config"
-	"swiftledge/internal/fleet"
 	"swiftledge/internal/peer"
 	"swiftledge/internal/store"
 	"swiftledge/wire"
@@ -42,7 +42,7 @@
 	b := &leasedBlock{state: granted}
 	m := &machine{name: "m", block: b}
 	l := &Leader{epochState: epochState{machines: map[string]*machine{"m": m}}}
-	d := fleet.Decision{Cordon: []string{"m"}}
+	d := autoscaler.Decision{Cordon: []string{"m"}}
 	if l.rest(d, false); !m.cordoned || m.rest {
 		t.Errorf("cordoned %v, at rest %v; want cordoned", m.cordoned, m.rest)
 	}
@@ -75,7 +75,7 @@
 	if l.warm() != nil {
 		t.Error("room is kept for a class that has come")
 	}
-	n := &needs{byKey: map[needKey]*fleet.Demand{}}
+	n := &needs{byKey: map[needKey]*autoscaler.Demand{}}
 	if l.reserve(began, n); len(n.list) != 1 || n.list[0].Tasks <= 6 {
 		t.Errorf("room kept for services like one of 6 replicas that has just come: %+v, want for more than as many", n.list)
 	}
@@ -89,7 +89,7 @@
 	// What must be spread over zones needs room in each.
 	l.setTypes([]wire.MachineType{{Name: "small", CPUs: 4, MemoryGB: 8, BootS: 30, ZoneNames: []string{"a", "b", "c"}}})
 	j.record.Spec.Spread = true
-	n = &needs{byKey: map[needKey]*fleet.Demand{}}
+	n = &needs{byKey: map[needKey]*autoscaler.Demand{}}
 	l.needStanding(began, n, j, 6)
 	for _, need := range n.list {
 		if need.Tasks != 2 || need.Zone == "" {
--- a/internal/leader/grants.go
+++ b/internal/leader/grants.go
@@ -4,9 +4,9 @@
 	"maps"
 	"slices"
 
-	"swiftledge/internal/block"
 	"swiftledge/internal/clock"
 	"swiftledge/internal/peer"
+	"swiftledge/internal/shard"
 	"swiftledge/internal/store"
 	"swiftledge/wire"
 )
@@ -162,8 +162,8 @@
 			b.link, run = n.link, n.run
 		}
 		tag.tokens[b.id] = b.token
-		guards = append(guards, wire.Condition{Key: block.Key(b.id), Version: b.stamp})
-		writes = append(writes, put(block.Key(b.id), ShardRecord{FencingToken: b.token, Holder: b.holder, Incarnation: run}))
+		guards = append(guards, wire.Condition{Key: shard.Key(b.id), Version: b.stamp})
+		writes = append(writes, put(shard.Key(b.id), ShardRecord{FencingToken: b.token, Holder: b.holder, Incarnation: run}))
 	}
 	l.commit(store.PriorityUrgent, tag, guards, writes)
 }
@@ -181,7 +181,7 @@
 			continue
 		}
 		// Only a try of our own that got no answer can have changed the key.
-		l.emit(ReadKey{l.epoch, block.Key(id), tag})
+		l.emit(ReadKey{l.epoch, shard.Key(id), tag})
 	}
 }
 
--- a/internal/leader/job.go
+++ b/internal/leader/job.go
@@ -8,10 +8,10 @@
 
 	"github.com/goccy/go-json"
 
-	"swiftledge/internal/block"
 	"swiftledge/internal/clock"
 	"swiftledge/internal/failures"
 	"swiftledge/internal/peer"
+	"swiftledge/internal/shard"
 	"swiftledge/internal/store"
 	"swiftledge/wire"
 )
@@ -308,7 +308,7 @@
 		if e.Kind == peer.EventReleased && h.stopped != "" {
 			r.cause = h.stopped
 		}
-		l.info("replica ended", "task", block.TaskName(e.Task), "machine", h.machine, "cause", r.cause, "ran_s", up)
+		l.info("replica ended", "task", shard.TaskName(e.Task), "machine", h.machine, "cause", r.cause, "ran_s", up)
 	}
 	l.urgent = true
 	if e.Kind == peer.EventReleased {
@@ -327,12 +327,12 @@
 	r := j.replicas[t.Index]
 	if r == nil || r.since == 0 {
 		if !h.inherited {
-			l.emit(Log{Debug: true, Message: "replica runs", Attributes: []any{"task", block.TaskName(t), "machine", h.machine,
+			l.emit(Log{Debug: true, Message: "replica runs", Attributes: []any{"task", shard.TaskName(t), "machine", h.machine,
 				"after_s", (now + l.wall - j.record.AcceptedAt).Seconds()}})
 		}
 		return
 	}
-	l.info("replica runs again", "task", block.TaskName(t), "machine", h.machine, "cause", r.cause, "down_s", (now - r.since).Seconds())
+	l.info("replica runs again", "task", shard.TaskName(t), "machine", h.machine, "cause", r.cause, "down_s", (now - r.since).Seconds())
 	r.since = 0
 }
 
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -8,12 +8,12 @@
 
 	"github.com/goccy/go-json"
 
-	"swiftledge/internal/block"
+	"swiftledge/internal/autoscaler"
 	"swiftledge/internal/clock"
 	"swiftledge/internal/config"
-	"swiftledge/internal/fleet"
+	"swiftledge/internal/pausedetect"
 	"swiftledge/internal/peer"
-	"swiftledge/internal/standstill"
+	"swiftledge/internal/shard"
 	"swiftledge/internal/store"
 	"swiftledge/wire"
 )
@@ -44,7 +44,7 @@
 	settings
 	epochState
 	fx     []any // effects of the step under way
-	pauses standstill.Detector
+	pauses pausedetect.Detector
 }
 
 // settings are what stays the same for as long as the process runs.
@@ -98,8 +98,8 @@
 	doubtful   map[string]bool         // machines that only start records name meanwhile
 	types      map[string]wire.MachineType
 	typeList   []wire.MachineType
-	refused    map[fleet.OptionKey]refusal
-	noBoots    map[fleet.OptionKey]int // how many machines in a row did not come up
+	refused    map[autoscaler.OptionKey]refusal
+	noBoots    map[autoscaler.OptionKey]int // how many machines in a row did not come up
 	listing    bool
 	deleting   int        // deletions under way
 	spread     *spreading // nil while spreading is off
@@ -153,7 +153,7 @@
 		jobs:  map[string]*job{}, usage: map[string]*use{}, classes: map[string]*classStat{}, classesSeen: map[string]bool{}, counts: map[string]peer.TaskCount{},
 		machines: map[string]*machine{}, rentals: map[string]*rental{}, gone: map[string]bool{}, found: map[string]wire.Machine{},
 		unanswered: map[string]bool{}, doubtful: map[string]bool{},
-		types: map[string]wire.MachineType{}, refused: map[fleet.OptionKey]refusal{}, noBoots: map[fleet.OptionKey]int{},
+		types: map[string]wire.MachineType{}, refused: map[autoscaler.OptionKey]refusal{}, noBoots: map[autoscaler.OptionKey]int{},
 	}
 }
 
@@ -366,7 +366,7 @@
 	case blocksTag:
 		for _, id := range slices.Sorted(maps.Keys(tag.tokens)) {
 			b, token := l.blocks[id], tag.tokens[id]
-			if block.Key(id) != m.Item.Key || b.state != writing || b.token != token {
+			if shard.Key(id) != m.Item.Key || b.state != writing || b.token != token {
 				continue
 			}
 			b.stamp = m.Item.Version
--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -5,10 +5,10 @@
 	"strings"
 	"testing"
 
-	"swiftledge/internal/block"
 	"swiftledge/internal/clock"
 	"swiftledge/internal/config"
 	"swiftledge/internal/peer"
+	"swiftledge/internal/shard"
 	"swiftledge/internal/store"
 	"swiftledge/wire"
 )
@@ -93,7 +93,7 @@
 	up := func(b int) []any {
 		u := peer.ShardUpdate{Shard: b, FencingToken: l.blocks[b].token}
 		for _, n := range names {
-			if block.ForMachine(n, 2) == b {
+			if shard.ForMachine(n, 2) == b {
 				u.Machines = append(u.Machines, peer.MachineState{Name: n, Type: "small", Zone: "a", Schedulable: true, CPUs: 4, MemoryGB: 8})
 			}
 		}
@@ -115,7 +115,7 @@
 func TestAbortDuringProgressWrite(t *testing.T) {
 	l := leading(t)
 	page := peer.AttemptPage{Machines: names[:1], Groups: []peer.AttemptGroup{{Job: spec.Ref, Team: "red", CPUs: 1, Attempts: []int{0, 1, 0, 1, 2, 0}}}}
-	b := block.ForMachine(names[0], 2)
+	b := shard.ForMachine(names[0], 2)
 	l.Step(began, AttemptsLoaded{Term: 5, Shard: b, FencingToken: l.blocks[b].token, Pages: map[string]peer.AttemptPage{"p": page}})
 	l.Step(began, AttemptsLoaded{Term: 5, Shard: 1 - b, FencingToken: l.blocks[1-b].token})
 	fx := l.Step(began, HolderMessage{Controller: "n0", Link: "link", Message: &peer.ToLeader{Term: 5, Updates: []peer.ShardUpdate{{Shard: b, FencingToken: l.blocks[b].token,
@@ -179,7 +179,7 @@
 	l := leading(t)
 	for b := range l.blocks {
 		m := AttemptsLoaded{Term: 5, Shard: b, FencingToken: l.blocks[b].token}
-		if b == block.ForMachine(names[0], 2) {
+		if b == shard.ForMachine(names[0], 2) {
 			m.Pages = pages
 		}
 		l.Step(began, m)
@@ -187,7 +187,7 @@
 	for b := range l.blocks {
 		u := peer.ShardUpdate{Shard: b, FencingToken: l.blocks[b].token}
 		for _, n := range names {
-			if block.ForMachine(n, 2) == b {
+			if shard.ForMachine(n, 2) == b {
 				u.Machines = append(u.Machines, peer.MachineState{Name: n, Type: "small", Zone: "a", Schedulable: true, TokenConfirmed: true, CPUs: 4, MemoryGB: 8})
 			}
 		}
--- a/internal/leader/load.go
+++ b/internal/leader/load.go
@@ -3,9 +3,9 @@
 import (
 	"strings"
 
-	"swiftledge/internal/block"
 	"swiftledge/internal/clock"
 	"swiftledge/internal/peer"
+	"swiftledge/internal/shard"
 	"swiftledge/internal/store"
 	"swiftledge/wire"
 )
@@ -56,14 +56,14 @@
 			if c, ok := decode[wire.Catalog](l, it); ok {
 				l.setTypes(c.Types)
 			}
-		case strings.HasPrefix(it.Key, block.KeyPrefix):
+		case strings.HasPrefix(it.Key, shard.KeyPrefix):
 			if r, ok := decode[ShardRecord](l, it); ok {
 				stamps[it.Key], holders[it.Key] = it.Version, r
 			}
 		}
 	}
 	for i := range n {
-		key := block.Key(i)
+		key := shard.Key(i)
 		l.blocks = append(l.blocks, &leasedBlock{id: i, stamp: stamps[key], holder: holders[key].Holder, tasks: map[peer.Task]*grantedTask{}})
 	}
 	if !haveLayout {
--- a/internal/leader/machines.go
+++ b/internal/leader/machines.go
@@ -5,9 +5,9 @@
 	"slices"
 	"strings"
 
+	"swiftledge/internal/autoscaler"
 	"swiftledge/internal/clock"
 	"swiftledge/internal/failures"
-	"swiftledge/internal/fleet"
 	"swiftledge/internal/peer"
 	"swiftledge/wire"
 )
@@ -16,7 +16,7 @@
 type machine struct {
 	name     string
 	rental   string
-	opt      fleet.Option
+	opt      autoscaler.Option
 	block    *leasedBlock
 	born     clock.Micros
 	address  string
--- a/internal/leader/messages.go
+++ b/internal/leader/messages.go
@@ -5,8 +5,8 @@
 import (
 	"swiftledge/internal/clock"
 	"swiftledge/internal/election"
+	"swiftledge/internal/pausedetect"
 	"swiftledge/internal/peer"
-	"swiftledge/internal/standstill"
 	"swiftledge/internal/store"
 	"swiftledge/internal/trace"
 	"swiftledge/wire"
@@ -201,7 +201,7 @@
 	// LoadCatalog asks for the catalog.
 	LoadCatalog struct{}
 	// PauseDetected tells that the controller stood still.
-	PauseDetected struct{ Pause standstill.Pause }
+	PauseDetected struct{ Pause pausedetect.Pause }
 	// ReplyStatus answers an operator's question.
 	ReplyStatus struct {
 		ReplyTo any
--- a/internal/leader/needs.go
+++ b/internal/leader/needs.go
@@ -5,8 +5,8 @@
 	"math"
 	"slices"
 
+	"swiftledge/internal/autoscaler"
 	"swiftledge/internal/clock"
-	"swiftledge/internal/fleet"
 	"swiftledge/wire"
 )
 
@@ -20,16 +20,16 @@
 // needs gathers what is wanted, services first: they cannot wait, and few machines are
 // theirs to choose from.
 type needs struct {
-	byKey map[needKey]*fleet.Demand
-	list  []*fleet.Demand
+	byKey map[needKey]*autoscaler.Demand
+	list  []*autoscaler.Demand
 }
 
-func (n *needs) of(j *job, zone string) *fleet.Demand {
+func (n *needs) of(j *job, zone string) *autoscaler.Demand {
 	s := &j.record.Spec
 	key := needKey{j.shape, s.IsService(), zone}
 	need := n.byKey[key]
 	if need == nil {
-		need = &fleet.Demand{CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.MemoryGB, Types: s.Types, Zone: zone, Spot: s.Spot}
+		need = &autoscaler.Demand{CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.MemoryGB, Types: s.Types, Zone: zone, Spot: s.Spot}
 		if zone == "" {
 			need.Zone = s.Zone
 		}
@@ -40,8 +40,8 @@
 }
 
 // needs is what machines are wanted for.
-func (l *Leader) needs(now clock.Micros) []fleet.Demand {
-	n := &needs{byKey: map[needKey]*fleet.Demand{}}
+func (l *Leader) needs(now clock.Micros) []autoscaler.Demand {
+	n := &needs{byKey: map[needKey]*autoscaler.Demand{}}
 	room := map[string]float64{}
 	refs := slices.Sorted(maps.Keys(l.jobs))
 	for _, standing := range []bool{true, false} {
@@ -78,7 +78,7 @@
 	if warm := l.warm(); warm != nil {
 		n.list = append(n.list, warm)
 	}
-	out := make([]fleet.Demand, len(n.list))
+	out := make([]autoscaler.Demand, len(n.list))
 	for i, need := range n.list {
 		out[i] = *need
 	}
@@ -116,11 +116,11 @@
 	if !s.Spread || s.Zone != "" {
 		return nil
 	}
-	need := fleet.Demand{CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.MemoryGB, Types: s.Types, Spot: s.Spot}
+	need := autoscaler.Demand{CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.MemoryGB, Types: s.Types, Spot: s.Spot}
 	for _, t := range l.typeList {
 		for _, z := range t.ZoneNames {
 			for _, spot := range []bool{false, true} {
-				o := fleet.Option{Type: t, Zone: z, Spot: spot}
+				o := autoscaler.Option{Type: t, Zone: z, Spot: spot}
 				if need.Slots(&t, z, spot) > 0 && now >= l.refused[o.Key()].until && !slices.Contains(out, z) {
 					out = append(out, z)
 				}
@@ -180,7 +180,7 @@
 
 // bootTime is the longest usual boot time of the machines that a job may run on.
 func (l *Leader) bootTime(s *wire.Job) (boot float64) {
-	need := fleet.Demand{CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.MemoryGB, Types: s.Types}
+	need := autoscaler.Demand{CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.MemoryGB, Types: s.Types}
 	for _, t := range l.typeList {
 		if need.Slots(&t, "", false) > 0 {
 			boot = max(boot, t.BootS)
@@ -198,7 +198,7 @@
 	warmPart = 0.08
 )
 
-func (l *Leader) warm() *fleet.Demand {
+func (l *Leader) warm() *autoscaler.Demand {
 	boot := math.Inf(1)
 	for _, t := range l.typeList {
 		boot = min(boot, t.BootS)
@@ -217,5 +217,5 @@
 	if n == 0 {
 		return nil
 	}
-	return &fleet.Demand{CPUs: 1, MemoryGB: 2, Tasks: n, Seconds: math.Inf(1)}
+	return &autoscaler.Demand{CPUs: 1, MemoryGB: 2, Tasks: n, Seconds: math.Inf(1)}
 }
--- a/internal/leader/pauses.go
+++ b/internal/leader/pauses.go
@@ -4,12 +4,12 @@
 	"fmt"
 
 	"swiftledge/internal/clock"
-	"swiftledge/internal/standstill"
+	"swiftledge/internal/pausedetect"
 )
 
 // paused tells that this controller stood still, and what of its leadership ran out meanwhile.
 func (l *Leader) paused(began, now clock.Micros) {
-	p := standstill.Pause{Began: began, Ended: now}
+	p := pausedetect.Pause{Began: began, Ended: now}
 	if l.leading && l.until > began && !l.authorised(now) {
 		p.Expired = append(p.Expired, fmt.Sprintf("authority of epoch %d", l.epoch))
 	}
--- a/internal/leader/preempt_test.go
+++ b/internal/leader/preempt_test.go
@@ -3,10 +3,10 @@
 import (
 	"testing"
 
-	"swiftledge/internal/block"
 	"swiftledge/internal/clock"
 	"swiftledge/internal/config"
 	"swiftledge/internal/peer"
+	"swiftledge/internal/shard"
 	"swiftledge/wire"
 )
 
@@ -124,7 +124,7 @@
 	l := granting(t, nil)
 	j := l.jobs[spec.Ref]
 	for _, name := range names[:3] {
-		b := l.blocks[block.ForMachine(name, 2)]
+		b := l.blocks[shard.ForMachine(name, 2)]
 		l.event(began, b, peer.TaskEvent{Task: peer.Task{Job: spec.Ref, Index: 0}, Kind: peer.EventFailed, Machine: name})
 	}
 	if j.failures.Suspect() || len(j.failures.Machines()) > 0 {
--- a/internal/leader/proofs_test.go
+++ b/internal/leader/proofs_test.go
@@ -5,9 +5,9 @@
 	"slices"
 	"testing"
 
-	"swiftledge/internal/block"
 	"swiftledge/internal/clock"
 	"swiftledge/internal/peer"
+	"swiftledge/internal/shard"
 	"swiftledge/internal/store"
 	"swiftledge/wire"
 )
@@ -33,7 +33,7 @@
 // What a holder said of an earlier grant, or over an earlier link, gives nothing back.
 func TestEventsOfAnEarlierGrantChangeNothing(t *testing.T) {
 	l := granting(t, recordsOf(names[0], 0, 1))
-	b := l.blocks[block.ForMachine(names[0], 2)]
+	b := l.blocks[shard.ForMachine(names[0], 2)]
 	l.Step(began+clock.Second, saying(b, b.token-1, eventOf(0, peer.EventReleased)))
 	other := saying(b, b.token, eventOf(0, peer.EventReleased))
 	other.Link = "an earlier link"
@@ -52,7 +52,7 @@
 func TestTaskWaitsWhenItHasLeftItsLastGrant(t *testing.T) {
 	l := leading(t)
 	for _, b := range l.blocks {
-		machine := names[slices.IndexFunc(names, func(n string) bool { return block.ForMachine(n, 2) == b.id })]
+		machine := names[slices.IndexFunc(names, func(n string) bool { return shard.ForMachine(n, 2) == b.id })]
 		l.Step(began, AttemptsLoaded{Term: 5, Shard: b.id, FencingToken: b.token, Pages: recordsOf(machine, 0)})
 	}
 	j := l.jobs[spec.Ref]
@@ -74,7 +74,7 @@
 // When a block is granted anew, what its records name stays out; only what has none comes back.
 func TestRecordedTasksStayOutWhenABlockIsGrantedAnew(t *testing.T) {
 	l := leading(t)
-	b := l.blocks[block.ForMachine(names[0], 2)]
+	b := l.blocks[shard.ForMachine(names[0], 2)]
 	l.Step(began, AttemptsLoaded{Term: 5, Shard: b.id, FencingToken: b.token, Pages: recordsOf(names[0], 0, 1)})
 	j := l.jobs[spec.Ref]
 	b.state = reading
@@ -105,7 +105,7 @@
 		b := l.blocks[0]
 		b.state = writing
 		tag := blocksTag{map[int]uint64{b.id: b.token}}
-		key := block.Key(b.id)
+		key := shard.Key(b.id)
 		l.Step(began, TxnCompleted{Term: 5, Tag: tag, Result: store.TxnResult{Ambiguous: true, FailedKeys: []string{key}}})
 		if b.state != writing {
 			t.Error("taken for written by a failed guard")
@@ -152,7 +152,7 @@
 // A completion is acknowledged only once it is stored, by a write that no late copy can take back.
 func TestCompletionIsAcknowledgedOnceStored(t *testing.T) {
 	l := granting(t, recordsOf(names[0], 0, 1))
-	b := l.blocks[block.ForMachine(names[0], 2)]
+	b := l.blocks[shard.ForMachine(names[0], 2)]
 	acknowledged := func(fx []any) (n int) {
 		for _, o := range toldOf(fx) {
 			n += len(o.Persisted)
--- a/internal/leader/queue.go
+++ b/internal/leader/queue.go
@@ -6,9 +6,9 @@
 	"math"
 	"slices"
 
+	"swiftledge/internal/autoscaler"
 	"swiftledge/internal/clock"
 	"swiftledge/internal/config"
-	"swiftledge/internal/fleet"
 	"swiftledge/wire"
 )
 
@@ -24,7 +24,7 @@
 // compare orders those that can still be in time before those that cannot, then by priority, then
 // by the latest start that is in time, then by submission.
 func (o jobOrder) compare(x jobOrder) int {
-	return cmp.Or(fleet.FalseFirst(o.late, x.late), cmp.Compare(o.rank, x.rank), cmp.Compare(o.slack, x.slack), cmp.Compare(x.age, o.age))
+	return cmp.Or(autoscaler.FalseFirst(o.late, x.late), cmp.Compare(o.rank, x.rank), cmp.Compare(o.slack, x.slack), cmp.Compare(x.age, o.age))
 }
 
 // order is a job's place in its team's queue. A job without a deadline of its own has that of its
@@ -59,7 +59,7 @@
 }
 
 func (o teamOrder) compare(x teamOrder) int {
-	return cmp.Or(fleet.FalseFirst(x.belated, o.belated), fleet.FalseFirst(o.overGuarantee, x.overGuarantee),
+	return cmp.Or(autoscaler.FalseFirst(x.belated, o.belated), autoscaler.FalseFirst(o.overGuarantee, x.overGuarantee),
 		cmp.Compare(o.rank, x.rank), cmp.Compare(o.guaranteeInUse, x.guaranteeInUse))
 }
 
--- a/internal/leader/rentals.go
+++ b/internal/leader/rentals.go
@@ -3,8 +3,8 @@
 import (
 	"slices"
 
+	"swiftledge/internal/autoscaler"
 	"swiftledge/internal/clock"
-	"swiftledge/internal/fleet"
 	"swiftledge/internal/store"
 	"swiftledge/wire"
 )
@@ -41,12 +41,12 @@
 	}
 }
 
-func (l *Leader) option(r wire.ProvisionRequest) fleet.Option {
+func (l *Leader) option(r wire.ProvisionRequest) autoscaler.Option {
 	t, ok := l.types[r.Type]
 	if !ok {
 		t = wire.MachineType{Name: r.Type}
 	}
-	return fleet.Option{Type: t, Zone: r.Zone, Spot: r.Spot}
+	return autoscaler.Option{Type: t, Zone: r.Zone, Spot: r.Spot}
 }
 
 func (l *Leader) writeRental(rt *rental) {
--- a/internal/leader/roster_test.go
+++ b/internal/leader/roster_test.go
@@ -4,9 +4,9 @@
 	"slices"
 	"testing"
 
-	"swiftledge/internal/block"
 	"swiftledge/internal/clock"
 	"swiftledge/internal/peer"
+	"swiftledge/internal/shard"
 	"swiftledge/internal/store"
 	"swiftledge/wire"
 )
@@ -107,7 +107,7 @@
 		asked := wire.ProvisionRequest{RequestID: "r-3-1", Type: "small", Zone: "a", Spot: true, Count: 1}
 		key := InstanceGroupPrefix + asked.RequestID
 		l.loadRental(began, item(t, key, 3, InstanceGroupRecord{Request: asked}), InstanceGroupRecord{Request: asked})
-		b := block.ForMachine(unknown, 2)
+		b := shard.ForMachine(unknown, 2)
 		fx := l.Step(began, AttemptsLoaded{Term: 5, Shard: b, FencingToken: l.blocks[b].token, Pages: recordsOf(unknown, 0)})
 		drained, _, roster := orderedOf(fx, b)
 		if !slices.Contains(roster, unknown) || !slices.Contains(drained, unknown) {
@@ -148,7 +148,7 @@
 // and its tasks are not waited for.
 func TestMachinesThatLeftTheRosterAreNotGranted(t *testing.T) {
 	l := leading(t)
-	b := block.ForMachine("host-000009", 2)
+	b := shard.ForMachine("host-000009", 2)
 	fx := l.Step(began, AttemptsLoaded{Term: 5, Shard: b, FencingToken: l.blocks[b].token, Pages: recordsOf("host-000009", 0)})
 	if _, _, roster := orderedOf(fx, b); slices.Contains(roster, "host-000009") {
 		t.Errorf("granted %v", roster)
@@ -159,7 +159,7 @@
 func TestTasksThatAreNotThere(t *testing.T) {
 	page := peer.AttemptPage{Machines: names[:1], Groups: []peer.AttemptGroup{{Job: spec.Ref, Team: "red", CPUs: 1, Attempts: []int{900, 1, 0, -1, 2, 0, 1, 3, 0}}}}
 	l := granting(t, map[string]peer.AttemptPage{"p": page})
-	b := l.blocks[block.ForMachine(names[0], 2)]
+	b := l.blocks[shard.ForMachine(names[0], 2)]
 	if len(b.tasks) != 3 || l.jobs[spec.Ref].out[1] != 1 || len(l.jobs[spec.Ref].out) != 1 {
 		t.Errorf("%d tasks counted, in grants %v: want all three, of which the job has one", len(b.tasks), l.jobs[spec.Ref].out)
 	}
--- a/internal/leader/schedule.go
+++ b/internal/leader/schedule.go
@@ -3,9 +3,9 @@
 import (
 	"slices"
 
-	"swiftledge/internal/block"
 	"swiftledge/internal/clock"
 	"swiftledge/internal/peer"
+	"swiftledge/internal/shard"
 )
 
 // batchDelay is how long room that comes free is collected before it is offered, so
@@ -139,5 +139,5 @@
 }
 
 func (l *Leader) blockOf(machine string) *leasedBlock {
-	return l.blocks[block.ForMachine(machine, len(l.blocks))]
+	return l.blocks[shard.ForMachine(machine, len(l.blocks))]
 }
--- a/internal/leader/service_test.go
+++ b/internal/leader/service_test.go
@@ -3,9 +3,9 @@
 import (
 	"testing"
 
-	"swiftledge/internal/block"
 	"swiftledge/internal/clock"
 	"swiftledge/internal/peer"
+	"swiftledge/internal/shard"
 	"swiftledge/wire"
 )
 
@@ -16,7 +16,7 @@
 	page := peer.AttemptPage{Machines: names[:1], Groups: []peer.AttemptGroup{{Job: spec.Ref, Team: "red", CPUs: 1, Attempts: []int{0, 1, 0, 0, 2, 0, 1, 3, 0}}}}
 	l := granting(t, map[string]peer.AttemptPage{"p": page})
 	l.jobs[spec.Ref].record.Spec.Shape = wire.ShapeService
-	b := l.blocks[block.ForMachine(names[0], 2)]
+	b := l.blocks[shard.ForMachine(names[0], 2)]
 	one := peer.Task{Job: spec.Ref, Index: 0}
 	say := func(kinds ...string) []any {
 		u := peer.ShardUpdate{Shard: b.id, FencingToken: b.token}
@@ -45,7 +45,7 @@
 	l := granting(t, map[string]peer.AttemptPage{"p": page})
 	j := l.jobs[spec.Ref]
 	j.record.Spec.Shape = wire.ShapeService
-	b := l.blocks[block.ForMachine(names[0], 2)]
+	b := l.blocks[shard.ForMachine(names[0], 2)]
 	one := peer.Task{Job: spec.Ref, Index: 0}
 	fx := l.Step(began+clock.Second, HolderMessage{Controller: "n0", Link: "link", Message: &peer.ToLeader{Term: 5, Updates: []peer.ShardUpdate{{Shard: b.id, FencingToken: b.token,
 		Events: []peer.TaskEvent{{Task: one, Kind: peer.EventCompleted, Machine: names[0]}}}}}})
@@ -82,7 +82,7 @@
 	l := granting(t, map[string]peer.AttemptPage{"p": page})
 	j := l.jobs[spec.Ref]
 	j.record.Spec.Shape = wire.ShapeService
-	b := l.blocks[block.ForMachine(names[0], 2)]
+	b := l.blocks[shard.ForMachine(names[0], 2)]
 	l.Step(began, HolderMessage{Controller: "n0", Link: "link", Message: &peer.ToLeader{Term: 5, Updates: []peer.ShardUpdate{{Shard: b.id, FencingToken: b.token,
 		Events: []peer.TaskEvent{{Task: peer.Task{Job: spec.Ref, Index: 0}, Kind: peer.EventRunning, Machine: names[0]}}}}}})
 	l.errored(began+2*steady, j, peer.TaskEvent{Task: peer.Task{Job: spec.Ref, Index: 1}, Machine: names[1]}, &grantedTask{})
--- a/internal/leader/spread.go
+++ b/internal/leader/spread.go
@@ -4,11 +4,11 @@
 	"maps"
 	"slices"
 
-	"swiftledge/internal/balance"
-	"swiftledge/internal/block"
 	"swiftledge/internal/clock"
 	"swiftledge/internal/config"
 	"swiftledge/internal/peer"
+	"swiftledge/internal/rebalancer"
+	"swiftledge/internal/shard"
 	"swiftledge/wire"
 )
 
@@ -18,9 +18,9 @@
 // spreading is the leader's part in keeping work even: it bounds the room that is offered, and has
 // running tasks moved. It is soft state; nil while spreading is off.
 type spreading struct {
-	*balance.Balancer
-	bound   balance.Bound
-	fetches *balance.FetchRates
+	*rebalancer.Balancer
+	bound   rebalancer.Bound
+	fetches *rebalancer.FetchRates
 	every   clock.Micros
 	looked  clock.Micros
 	// machines whose figures cannot be true and that were logged
@@ -31,30 +31,30 @@
 	if !s.Enabled {
 		return nil
 	}
-	bound := balance.Bound{Relative: s.Bound, ImbalanceS: s.ImbalanceS}
-	p := balance.Params{
+	bound := rebalancer.Bound{Relative: s.Bound, ImbalanceS: s.ImbalanceS}
+	p := rebalancer.Params{
 		Bound: bound, MoveAbove: s.MoveAbove, LeastLoad: s.LeastLoad, MigrationBudget: s.MovesPart, TeamPart: s.TeamPart,
 		LeastRun: clock.FromSeconds(s.LeastRunS), Pause: clock.FromSeconds(s.PauseS),
 		Calm: clock.FromSeconds(s.CalmS), GiveUp: clock.FromSeconds(s.GiveUpS),
 	}
-	return &spreading{Balancer: balance.New(p, now), bound: bound, fetches: balance.NewFetchRates(),
+	return &spreading{Balancer: rebalancer.New(p, now), bound: bound, fetches: rebalancer.NewFetchRates(),
 		every: clock.FromSeconds(s.EveryS), impossible: map[string]bool{}}
 }
 
-func taskID(t peer.Task) balance.TaskID { return balance.TaskID{Job: t.Job, Index: t.Index} }
+func taskID(t peer.Task) rebalancer.TaskID { return rebalancer.TaskID{Job: t.Job, Index: t.Index} }
 
-func takes(s *wire.Job) balance.Resources {
-	return balance.Resources{CPUs: s.CPUs, GPUs: s.GPUs, Memory: s.MemoryGB}
+func takes(s *wire.Job) rebalancer.Resources {
+	return rebalancer.Resources{CPUs: s.CPUs, GPUs: s.GPUs, Memory: s.MemoryGB}
 }
 
-func (m *machine) capacity() balance.Resources {
+func (m *machine) capacity() rebalancer.Resources {
 	t := &m.opt.Type
-	return balance.Resources{CPUs: t.CPUs, GPUs: t.GPUs, Memory: t.MemoryGB}
+	return rebalancer.Resources{CPUs: t.CPUs, GPUs: t.GPUs, Memory: t.MemoryGB}
 }
 
 // used is what the holder says is taken of the machine, by what is ordered and runs.
-func (m *machine) used() balance.Resources {
-	return m.capacity().Minus(balance.Resources{CPUs: m.state.CPUs, GPUs: m.state.GPUs, Memory: m.state.MemoryGB})
+func (m *machine) used() rebalancer.Resources {
+	return m.capacity().Minus(rebalancer.Resources{CPUs: m.state.CPUs, GPUs: m.state.GPUs, Memory: m.state.MemoryGB})
 }
 
 // takesWork says whether new tasks are to go to the machine: it serves, and fleet upkeep does not empty
@@ -64,9 +64,9 @@
 
 // evenness bounds the room of one round of offers by the load of machines.
 type evenness struct {
-	bound   balance.Bound
-	fetches *balance.FetchRates
-	mean    balance.Mean
+	bound   rebalancer.Bound
+	fetches *rebalancer.FetchRates
+	mean    rebalancer.Mean
 }
 
 // evenness of the machines that take work, as a round of offers begins; nil while spreading is off.
@@ -84,8 +84,8 @@
 }
 
 // offered is what is taken of the machine with what was offered in this round.
-func (m *machine) offered() balance.Resources {
-	return m.capacity().Minus(balance.Resources{CPUs: m.cpus, GPUs: m.gpus, Memory: m.mem})
+func (m *machine) offered() rebalancer.Resources {
+	return m.capacity().Minus(rebalancer.Resources{CPUs: m.cpus, GPUs: m.gpus, Memory: m.mem})
 }
 
 // loadWith is the machine's load with what was offered in this round and one more task.
@@ -102,7 +102,7 @@
 	if m.reserve() > 0 {
 		return false
 	}
-	c := balance.Candidate{Load: m.loadWith(s), Alone: takes(s).DominantShare(m.capacity())}
+	c := rebalancer.Candidate{Load: m.loadWith(s), Alone: takes(s).DominantShare(m.capacity())}
 	if slices.Contains(m.state.Images, s.Image) {
 		c.SavedS = e.fetches.Seconds(m.opt.Type.Name, s.ImageGB)
 	}
@@ -135,7 +135,7 @@
 	if l.spread == nil {
 		return nil
 	}
-	m := l.machines[l.spread.Preferred(balance.TaskID{Job: j.record.Spec.Ref, Index: j.first()})]
+	m := l.machines[l.spread.Preferred(rebalancer.TaskID{Job: j.record.Spec.Ref, Index: j.first()})]
 	s := &j.record.Spec
 	if m == nil || !room.has(m) || !m.holds(s) || !m.allowed(room.now, j) || !room.even.within(m, s) {
 		return nil
@@ -177,19 +177,19 @@
 
 // moveTask tells a task to stop with time to save. It waits like any other once its attempt is proven
 // gone.
-func (l *Leader) moveTask(now clock.Micros, m balance.Migration) {
+func (l *Leader) moveTask(now clock.Micros, m rebalancer.Migration) {
 	t := peer.Task{Job: m.Task.Job, Index: m.Task.Index}
 	b := l.machines[m.From].block
 	h := b.tasks[t]
 	h.stopped, h.stoppedAt = moved, now
 	b.orders.Stop = append(b.orders.Stop, peer.StopTask{Task: t, Checkpoint: true})
-	l.emit(Log{Debug: true, Message: "moving task", Attributes: []any{"task", block.TaskName(t), "from", m.From, "to", m.To, "gain_s", m.GainS, "cost_s", m.CostS}})
+	l.emit(Log{Debug: true, Message: "moving task", Attributes: []any{"task", shard.TaskName(t), "from", m.From, "to", m.To, "gain_s", m.GainS, "cost_s", m.CostS}})
 }
 
 // logImpossible tells once of each machine whose figures cannot be true.
 func (l *Leader) logImpossible() {
 	for _, r := range l.spread.Refusals() {
-		if r.Reason == balance.ImpossibleFigures && !l.spread.impossible[r.Machine] {
+		if r.Reason == rebalancer.ImpossibleFigures && !l.spread.impossible[r.Machine] {
 			l.spread.impossible[r.Machine] = true
 			m := l.machines[r.Machine]
 			l.info("machine gets no moves", "machine", r.Machine, "why", r.Reason, "type", m.state.Type, "rented", m.opt.Type.Name,
@@ -199,23 +199,23 @@
 }
 
 // balanceView is what moves are decided on.
-func (l *Leader) balanceView(now clock.Micros) balance.View {
-	v := balance.View{Stale: !l.current(now), Fetch: l.spread.fetches}
+func (l *Leader) balanceView(now clock.Micros) rebalancer.View {
+	v := rebalancer.View{Stale: !l.current(now), Fetch: l.spread.fetches}
 	atLimit := l.waitingAtLimit(now, &v)
 	for _, name := range slices.Sorted(maps.Keys(l.machines)) {
 		m := l.machines[name]
 		if !m.up || m.state.Silent || m.state.PreemptionNotice {
 			continue
 		}
-		bm := &balance.Machine{Name: name, Type: m.opt.Type.Name, Capacity: m.capacity(), Used: m.used(),
+		bm := &rebalancer.Machine{Name: name, Type: m.opt.Type.Name, Capacity: m.capacity(), Used: m.used(),
 			Serving: m.takesWork(), Unsettled: m.block.offered, Images: m.state.Images}
 		if m.state.Type != m.opt.Type.Name {
-			bm.Capacity = balance.Resources{} // it is not what was rented
+			bm.Capacity = rebalancer.Resources{} // it is not what was rented
 		}
 		v.Machines = append(v.Machines, bm)
 	}
 	var on map[string][]heldTask
-	v.Tasks = func(m *balance.Machine) []balance.Task {
+	v.Tasks = func(m *rebalancer.Machine) []rebalancer.Task {
 		if on == nil {
 			on = l.tasksByMachine()
 		}
@@ -226,10 +226,10 @@
 
 // waitingAtLimit notes whether work waits that would take the room of a stopped task, and names the teams
 // that have some waiting at their limit.
-func (l *Leader) waitingAtLimit(now clock.Micros, v *balance.View) map[string]bool {
+func (l *Leader) waitingAtLimit(now clock.Micros, v *rebalancer.View) map[string]bool {
 	moving := map[string]int{}
 	for _, m := range l.spread.InFlight() {
-		if m.Stage == balance.Stopped {
+		if m.Stage == rebalancer.Stopped {
 			moving[m.Task.Job]++
 		}
 	}
@@ -269,24 +269,24 @@
 }
 
 // movableTasks describes a machine's tasks to the planner, in a fixed order.
-func (l *Leader) movableTasks(now clock.Micros, on []heldTask, atLimit map[string]bool) []balance.Task {
-	var out []balance.Task
+func (l *Leader) movableTasks(now clock.Micros, on []heldTask, atLimit map[string]bool) []rebalancer.Task {
+	var out []rebalancer.Task
 	for _, t := range on {
 		if j := l.jobs[t.task.Job]; j != nil {
 			out = append(out, l.movable(now, t.task, t.held, j, atLimit[t.held.team]))
 		}
 	}
-	slices.SortFunc(out, balance.Task.Compare)
+	slices.SortFunc(out, rebalancer.Task.Compare)
 	return out
 }
 
 // movable describes a task to the planner.
-func (l *Leader) movable(now clock.Micros, t peer.Task, h *grantedTask, j *job, atLimit bool) balance.Task {
+func (l *Leader) movable(now clock.Micros, t peer.Task, h *grantedTask, j *job, atLimit bool) rebalancer.Task {
 	s := &j.record.Spec
-	out := balance.Task{
+	out := rebalancer.Task{
 		ID: taskID(t), Team: s.Team, Takes: takes(s), Image: s.Image, ImageGB: s.ImageGB, SaveS: s.SaveS, Saves: s.CheckpointS > 0,
 		Gang: s.OneZone || s.Spread, Standing: s.IsService(), Stopping: h.stopped != "" || j.cancelled, AtLimit: atLimit,
-		Allows: func(m *balance.Machine) bool {
+		Allows: func(m *rebalancer.Machine) bool {
 			to := l.machines[m.Name]
 			_, failedThere := j.failures.FailedOn(m.Name)
 			return !failedThere && to.allowed(now, j)
@@ -321,7 +321,7 @@
 		l.spread.fetches.Saw(m.opt.Type.Name, j.record.Spec.ImageGB, now-h.givenAt)
 	}
 	if m, ok := l.spread.Runs(taskID(t), h.machine); ok {
-		l.emit(Log{Debug: true, Message: "task moved", Attributes: []any{"task", block.TaskName(t), "from", m.From, "to", h.machine, "meant", m.To,
+		l.emit(Log{Debug: true, Message: "task moved", Attributes: []any{"task", shard.TaskName(t), "from", m.From, "to", h.machine, "meant", m.To,
 			"took_s", (now - m.Since).Seconds()}})
 		l.traceMove(now, m, "done")
 	}
--- a/internal/leader/spread_test.go
+++ b/internal/leader/spread_test.go
@@ -4,11 +4,11 @@
 	"fmt"
 	"testing"
 
-	"swiftledge/internal/balance"
-	"swiftledge/internal/block"
 	"swiftledge/internal/clock"
 	"swiftledge/internal/config"
 	"swiftledge/internal/peer"
+	"swiftledge/internal/rebalancer"
+	"swiftledge/internal/shard"
 	"swiftledge/wire"
 )
 
@@ -29,7 +29,7 @@
 	}
 	l.finish(began, l.jobs[spec.Ref])
 	l.addJob(JobRecord{Spec: savable}, 30)
-	first := block.ForMachine(names[0], 2)
+	first := shard.ForMachine(names[0], 2)
 	starts := []int{}
 	for i := range savable.Tasks {
 		starts = append(starts, i, i+1, 0)
@@ -54,11 +54,11 @@
 	up := &peer.ToLeader{Term: 5, StoreOK: true}
 	for b := range l.blocks {
 		u := peer.ShardUpdate{Shard: b, FencingToken: l.blocks[b].token, SettledOfferSeq: l.blocks[b].offerSeq}
-		if b == block.ForMachine(names[0], 2) {
+		if b == shard.ForMachine(names[0], 2) {
 			u.Events = events
 		}
 		for _, n := range names {
-			if block.ForMachine(n, 2) == b {
+			if shard.ForMachine(n, 2) == b {
 				s := peer.MachineState{Name: n, Type: "small", Zone: "a", Schedulable: true, TokenConfirmed: true, CPUs: 4, MemoryGB: 8}
 				change(&s)
 				u.Machines = append(u.Machines, s)
@@ -113,14 +113,14 @@
 	waiting := wire.Job{Ref: "j-000003", Team: "red", Priority: wire.PriorityBestEffort, Tasks: 1, CPUs: 1, MemoryGB: 1, Types: []string{"not to be had"}, Spot: true, EstimateS: 10}
 	l := unevenFleet(t, true)
 	l.addJob(JobRecord{Spec: waiting}, 31).fillWaiting()
-	if got, _ := stops(l); len(got) != 0 || l.spread.Refusals()[0].Reason != balance.WorkWaits {
+	if got, _ := stops(l); len(got) != 0 || l.spread.Refusals()[0].Reason != rebalancer.WorkWaits {
 		t.Errorf("stops %v, refusals %v", got, l.spread.Refusals())
 	}
 	// At the team's limit its own other work would take the place.
 	l = unevenFleet(t, true)
 	waiting.CPUs = 13
 	l.addJob(JobRecord{Spec: waiting}, 31).fillWaiting()
-	if got, _ := stops(l); len(got) != 0 || l.spread.Refusals()[0].Reason != balance.TeamAtLimit {
+	if got, _ := stops(l); len(got) != 0 || l.spread.Refusals()[0].Reason != rebalancer.TeamAtLimit {
 		t.Errorf("stops %v, refusals %v", got, l.spread.Refusals())
 	}
 }
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -4,9 +4,9 @@
 	"maps"
 	"slices"
 
-	"swiftledge/internal/balance"
 	"swiftledge/internal/clock"
 	"swiftledge/internal/peer"
+	"swiftledge/internal/rebalancer"
 )
 
 // status tells an operator what the leader knows of loads, waiting work and moves.
@@ -36,8 +36,8 @@
 
 // blockLoads sums up loads by block; the means are of the machines that take work.
 func (l *Leader) blockLoads() (float64, []peer.ShardStatus) {
-	var all balance.Mean
-	means := make([]balance.Mean, len(l.blocks))
+	var all rebalancer.Mean
+	means := make([]rebalancer.Mean, len(l.blocks))
 	out := make([]peer.ShardStatus, len(l.blocks))
 	for i, b := range l.blocks {
 		out[i] = peer.ShardStatus{Shard: i, Holder: b.holder, Granted: b.state == granted, Tasks: len(b.tasks)}
@@ -121,7 +121,7 @@
 	return out
 }
 
-func moveStatus(now clock.Micros, moves []balance.Migration) (out []peer.MigrationStatus) {
+func moveStatus(now clock.Micros, moves []rebalancer.Migration) (out []peer.MigrationStatus) {
 	for _, m := range moves {
 		out = append(out, peer.MigrationStatus{Task: m.Task.String(), Team: m.Team, From: m.From, To: m.To, Stage: m.Stage.String(),
 			AgeS: (now - m.Since).Seconds(), GainS: m.GainS, CostS: m.CostS})
@@ -129,7 +129,7 @@
 	return out
 }
 
-func refusalStatus(refusals []balance.Refusal) (out []peer.RefusalStatus) {
+func refusalStatus(refusals []rebalancer.Refusal) (out []peer.RefusalStatus) {
 	for _, r := range refusals {
 		s := peer.RefusalStatus{Machine: r.Machine, Reason: string(r.Reason), Tasks: r.Tasks}
 		if r.Task.Job != "" {
--- a/internal/leader/trace.go
+++ b/internal/leader/trace.go
@@ -3,10 +3,10 @@
 import (
 	"strconv"
 
-	"swiftledge/internal/balance"
-	"swiftledge/internal/block"
 	"swiftledge/internal/clock"
 	"swiftledge/internal/peer"
+	"swiftledge/internal/rebalancer"
+	"swiftledge/internal/shard"
 	"swiftledge/internal/trace"
 )
 
@@ -30,7 +30,7 @@
 // traceStarted tells how long a task took from its machine's choice to its run.
 func (l *Leader) traceStarted(now clock.Micros, t peer.Task, h *grantedTask) {
 	if h.givenAt > 0 {
-		l.span(trace.Span{Job: t.Job, Task: block.TaskName(t), Name: "start", Begin: h.givenAt, End: now, Attributes: []trace.Attribute{{Key: "machine", Value: h.machine}}})
+		l.span(trace.Span{Job: t.Job, Task: shard.TaskName(t), Name: "start", Begin: h.givenAt, End: now, Attributes: []trace.Attribute{{Key: "machine", Value: h.machine}}})
 	}
 }
 
@@ -40,7 +40,7 @@
 }
 
 // traceMove tells of a move that has ended: the decision, the stop up to the proof, and the start.
-func (l *Leader) traceMove(now clock.Micros, m balance.Migration, outcome string) {
+func (l *Leader) traceMove(now clock.Micros, m rebalancer.Migration, outcome string) {
 	seconds := func(s float64) string { return strconv.FormatFloat(s, 'f', 1, 64) }
 	span := trace.Span{Job: m.Task.Job, Task: m.Task.String(), Name: "move", Begin: m.Since, End: now, Attributes: []trace.Attribute{
 		{Key: "from", Value: m.From}, {Key: "to", Value: m.To}, {Key: "at", Value: m.At}, {Key: "outcome", Value: outcome},
--- a/internal/loopback/site.go
+++ b/internal/loopback/site.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"swiftledge/internal/clock"
-	"swiftledge/internal/standin"
+	"swiftledge/internal/fake"
 	"swiftledge/wire"
 )
 
@@ -48,10 +48,10 @@
 	done  chan struct{}
 	stop  func()
 
-	store   *standin.Store
+	store   *fake.Store
 	connect func(*worker) error // lays a new worker's links
 	changed chan struct{}       // closed at the next change of the store
-	cloud   *standin.Cloud
+	cloud   *fake.Cloud
 	workers []*worker
 	byName  map[string]*worker
 	jobs    map[string]*jobRun
@@ -71,8 +71,8 @@
 
 func newSite(shape Shape) *site {
 	s := &site{shape: shape, clock: clock.NewSteady(), calls: make(chan func()), done: make(chan struct{}),
-		store: standin.NewStore(valueKB, txnOps), changed: make(chan struct{}),
-		cloud: standin.NewCloud([]wire.MachineType{shape.Type}, clock.Second), byName: map[string]*worker{},
+		store: fake.NewStore(valueKB, txnOps), changed: make(chan struct{}),
+		cloud: fake.NewCloud([]wire.MachineType{shape.Type}, clock.Second), byName: map[string]*worker{},
 		jobs: map[string]*jobRun{}, kept: map[string]bool{}, saved: map[string]float64{}}
 	s.stop = sync.OnceFunc(func() { close(s.done) })
 	s.cloud.Capacity = shape.Workers
--- a/internal/loopback/worker.go
+++ b/internal/loopback/worker.go
@@ -8,15 +8,15 @@
 	"github.com/valyala/fasthttp"
 
 	"swiftledge/internal/clock"
-	"swiftledge/internal/standin"
+	"swiftledge/internal/fake"
 	"swiftledge/wire"
 )
 
 // worker is a machine with its worker; the site owns its state.
 type worker struct {
-	*standin.Worker
+	*fake.Worker
 	site     *site
-	rented   *standin.Instance
+	rented   *fake.Instance
 	up       bool
 	dead     bool
 	target   int          // the controller that it reports to
@@ -34,9 +34,9 @@
 	leastGap = clock.Second / 2
 )
 
-func newWorker(s *site, m *standin.Instance) *worker {
+func newWorker(s *site, m *fake.Instance) *worker {
 	w := &worker{site: s, rented: m, client: &fasthttp.Client{MaxIdemponentCallAttempts: 1}}
-	w.Worker = &standin.Worker{Name: m.Name, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Lease: clock.FromSeconds(s.shape.LeaseS),
+	w.Worker = &fake.Worker{Name: m.Name, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Lease: clock.FromSeconds(s.shape.LeaseS),
 		CPUs: s.shape.Type.CPUs, Memory: s.shape.Type.MemoryGB, FetchS: 1, Kept: s.kept, Progress: s.saved,
 		Find: func(ref string) (wire.Job, bool) {
 			j := s.jobs[ref]
@@ -47,14 +47,14 @@
 		},
 		RunS:      func(j *wire.Job, _ int) float64 { return s.jobs[j.Ref].runS },
 		Fails:     func(j *wire.Job, _ int) bool { return s.jobs[j.Ref].mistaken },
-		Ordered:   func(*standin.Task) {},
-		Restarted: func(*standin.Task) {},
-		Started: func(t *standin.Task) {
+		Ordered:   func(*fake.Task) {},
+		Restarted: func(*fake.Task) {},
+		Started: func(t *fake.Task) {
 			if j := s.jobs[t.Job.Ref]; j.began == 0 {
 				j.began = s.clock.Now()
 			}
 		},
-		Ended: func(t *standin.Task) {
+		Ended: func(t *fake.Task) {
 			if t.Cause == wire.ExitDone {
 				s.jobs[t.Job.Ref].ran[t.Index]++
 			}
--- a/internal/naming/naming_test.go
+++ b/internal/naming/naming_test.go
@@ -31,16 +31,16 @@
 // ceilings are how many refused names each directory still declares. A number here is lowered when names are
 // replaced, and never raised; a directory that is not listed declares none.
 var ceilings = map[string]int{
-	"internal/api":      2,
-	"internal/balance":  1,
-	"internal/block":    38,
-	"internal/compat":   1,
-	"internal/election": 4,
-	"internal/fleet":    1,
-	"internal/leader":   63,
-	"internal/node":     8,
-	"internal/peer":     2,
-	"internal/scenario": 16,
+	"internal/api":        2,
+	"internal/rebalancer": 1,
+	"internal/shard":      38,
+	"internal/compat":     1,
+	"internal/election":   4,
+	"internal/autoscaler": 1,
+	"internal/leader":     63,
+	"internal/controller": 8,
+	"internal/peer":       2,
+	"internal/scenario":   16,
 }
 
 // TestDeclaredNames counts the refused names by directory and compares them with the ceilings.
--- a/internal/standstill/standstill.go
+++ b/internal/pausedetect/standstill.go
@@ -1,6 +1,6 @@
 // Package standstill notices that a process stood still while its clocks went on: it was stopped and resumed, or
 // got no processor time. It holds no I/O; the time is passed in.
-package standstill
+package pausedetect
 
 import (
 	"slices"
--- a/internal/standstill/standstill_test.go
+++ b/internal/pausedetect/standstill_test.go
@@ -1,4 +1,4 @@
-package standstill
+package pausedetect
 
 import (
 	"slices"
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -7,8 +7,8 @@
 	"math"
 	"slices"
 
-	"swiftledge/internal/balance"
 	"swiftledge/internal/clock"
+	"swiftledge/internal/rebalancer"
 )
 
 // Params are the values that the design leaves open.
@@ -74,7 +74,7 @@
 	Name, Type, Zone   string
 	Spot               bool
 	CPUs, GPUs, Memory float64 // free
-	Capacity           balance.Resources
+	Capacity           rebalancer.Resources
 	Unstarted          int
 	Images             *Cache   // what it is known to hold; nil: nothing
 	Fetches            []string // images that its unstarted tasks wait for
@@ -249,7 +249,7 @@
 	owner    []int // of each machine: who bids highest; -1: nobody
 	price    []float64
 	cached   map[string][]bool // by image: which machines are known to hold or fetch it
-	bound    balance.Bound     // with spreading
+	bound    rebalancer.Bound  // with spreading
 }
 
 // interleaved are the groups' tasks, so that each auction has its share of every group.
--- a/internal/placement/spread.go
+++ b/internal/placement/spread.go
@@ -3,15 +3,15 @@
 import (
 	"math"
 
-	"swiftledge/internal/balance"
+	"swiftledge/internal/rebalancer"
 )
 
 // Spread bounds which machines are candidates of a cycle's auctions, by their load over the mean.
 type Spread struct {
-	Bound balance.Bound
-	Fetch *balance.FetchRates
+	Bound rebalancer.Bound
+	Fetch *rebalancer.FetchRates
 	// Mean is the load of the block's machines that take work, also of those without room for any.
-	Mean balance.Mean
+	Mean rebalancer.Mean
 	// Fleet is the mean load of the whole fleet once all that is offered is placed; 0: not known.
 	Fleet float64
 }
@@ -27,15 +27,15 @@
 // Load is the dominant share of the machine that is held.
 func (m *Machine) Load() float64 { return m.used().DominantShare(m.Capacity) }
 
-func (m *Machine) used() balance.Resources {
-	return m.Capacity.Minus(balance.Resources{CPUs: m.CPUs, GPUs: m.GPUs, Memory: m.Memory})
+func (m *Machine) used() rebalancer.Resources {
+	return m.Capacity.Minus(rebalancer.Resources{CPUs: m.CPUs, GPUs: m.GPUs, Memory: m.Memory})
 }
 
 // candidate is what a machine's load would be with a task of the group, which fits there.
-func (c *cycle) candidate(g *Group, at int) balance.Candidate {
+func (c *cycle) candidate(g *Group, at int) rebalancer.Candidate {
 	m := c.machines[at]
-	takes := balance.Resources{CPUs: g.CPUs, GPUs: g.GPUs, Memory: g.Memory}
-	candidate := balance.Candidate{Load: m.used().Plus(takes).DominantShare(m.Capacity), Alone: takes.DominantShare(m.Capacity)}
+	takes := rebalancer.Resources{CPUs: g.CPUs, GPUs: g.GPUs, Memory: g.Memory}
+	candidate := rebalancer.Candidate{Load: m.used().Plus(takes).DominantShare(m.Capacity), Alone: takes.DominantShare(m.Capacity)}
 	if c.holders(g.Image)[at] {
 		candidate.SavedS = c.p.Spread.Fetch.Seconds(m.Type, g.ImageGB)
 	}
@@ -51,7 +51,7 @@
 // widen widens the bound as far as the least loaded machine takes one of the tasks, which have room beyond
 // it only.
 func (c *cycle) widen(tasks []bidder) {
-	least := balance.Candidate{Load: math.Inf(1)}
+	least := rebalancer.Candidate{Load: math.Inf(1)}
 	seen := map[*Group]bool{}
 	for _, t := range tasks {
 		if seen[t.g] {
--- a/internal/placement/spread_test.go
+++ b/internal/placement/spread_test.go
@@ -9,8 +9,8 @@
 
 	"pgregory.net/rapid"
 
-	"swiftledge/internal/balance"
 	"swiftledge/internal/clock"
+	"swiftledge/internal/rebalancer"
 )
 
 // TestMain fixes what the property tests draw: the same on every run.
@@ -35,7 +35,7 @@
 	for i := range rapid.IntRange(1, 25).Draw(t, "machines") {
 		cpus := rapid.SampledFrom([]float64{4, 4, 16}).Draw(t, "cpus")
 		m := Machine{Name: fmt.Sprintf("m%02d", i), Type: "t", Zone: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "zone"),
-			CPUs: cpus, Memory: 2 * cpus, Capacity: balance.Resources{CPUs: cpus, Memory: 2 * cpus}}
+			CPUs: cpus, Memory: 2 * cpus, Capacity: rebalancer.Resources{CPUs: cpus, Memory: 2 * cpus}}
 		used := float64(rapid.IntRange(0, int(cpus)).Draw(t, "used"))
 		m.CPUs -= used
 		m.Memory -= used
@@ -89,7 +89,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		d := draw(t)
 		_, off := d.cycle(nil)
-		_, on := d.cycle(&Spread{Bound: balance.Bound{Relative: 1e9, ImbalanceS: 1}, Fetch: balance.NewFetchRates(), Fleet: 1})
+		_, on := d.cycle(&Spread{Bound: rebalancer.Bound{Relative: 1e9, ImbalanceS: 1}, Fetch: rebalancer.NewFetchRates(), Fleet: 1})
 		if !reflect.DeepEqual(names(off), names(on)) {
 			t.Fatalf("without a bound %v, with one that is never reached %v", names(off), names(on))
 		}
@@ -102,7 +102,7 @@
 	const slack = 1.06 // the bound is widened by 5% at least
 	rapid.Check(t, func(t *rapid.T) {
 		d := draw(t)
-		s := &Spread{Bound: balance.Bound{Relative: rapid.SampledFrom([]float64{1.05, 1.5, 3}).Draw(t, "bound"), ImbalanceS: 1e9}, Fetch: balance.NewFetchRates()}
+		s := &Spread{Bound: rebalancer.Bound{Relative: rapid.SampledFrom([]float64{1.05, 1.5, 3}).Draw(t, "bound"), ImbalanceS: 1e9}, Fetch: rebalancer.NewFetchRates()}
 		machines, matches := d.cycle(s)
 		mean := s.mean()
 		placed := map[string]map[int]bool{}
@@ -116,7 +116,7 @@
 		}
 		for _, m := range last {
 			load := m.Machine.Load()
-			alone := balance.Resources{CPUs: m.Group.CPUs, Memory: m.Group.Memory}.DominantShare(m.Machine.Capacity)
+			alone := rebalancer.Resources{CPUs: m.Group.CPUs, Memory: m.Group.Memory}.DominantShare(m.Machine.Capacity)
 			if load <= max(s.Bound.Relative*mean, alone)*slack+1e-9 {
 				continue
 			}
@@ -124,7 +124,7 @@
 				if o == m.Machine || !m.Group.Fits(o) {
 					continue
 				}
-				with := o.used().Plus(balance.Resources{CPUs: m.Group.CPUs, Memory: m.Group.Memory}).DominantShare(o.Capacity)
+				with := o.used().Plus(rebalancer.Resources{CPUs: m.Group.CPUs, Memory: m.Group.Memory}).DominantShare(o.Capacity)
 				if with*slack+1e-9 < load {
 					t.Fatalf("%s has %.2f, over %.1f times the mean %.2f, while %s with another task would have %.2f", m.Machine.Name, load, s.Bound.Relative, mean, o.Name, with)
 				}
@@ -150,7 +150,7 @@
 	block := func() []*Machine {
 		book := []*Machine{}
 		for i, free := range []float64{2, 4} {
-			book = append(book, &Machine{Name: fmt.Sprint("m", i), CPUs: free, Memory: free, Capacity: balance.Resources{CPUs: 4, Memory: 4}})
+			book = append(book, &Machine{Name: fmt.Sprint("m", i), CPUs: free, Memory: free, Capacity: rebalancer.Resources{CPUs: 4, Memory: 4}})
 		}
 		return book
 	}
@@ -158,7 +158,7 @@
 		book := NewBook()
 		book.Visit("a", "m0", 0)
 		ms := block()
-		s := &Spread{Bound: balance.Bound{Relative: 3, ImbalanceS: 1e9}, Fetch: balance.NewFetchRates(), Fleet: fleet}
+		s := &Spread{Bound: rebalancer.Bound{Relative: 3, ImbalanceS: 1e9}, Fetch: rebalancer.NewFetchRates(), Fleet: fleet}
 		for _, m := range ms {
 			s.Mean.Add(m.Load())
 		}
@@ -174,8 +174,8 @@
 
 // A bound that lets nothing in, however wide, ends the cycle all the same.
 func TestBoundThatLetsNothingInEndsTheCycle(t *testing.T) {
-	m := &Machine{Name: "m0", CPUs: 2, Memory: 2, Capacity: balance.Resources{CPUs: 4, Memory: 4}}
-	s := &Spread{Bound: balance.Bound{Relative: 1.5}, Fetch: balance.NewFetchRates(), Fleet: 0.1} // no worth of a fetch: 0/0
+	m := &Machine{Name: "m0", CPUs: 2, Memory: 2, Capacity: rebalancer.Resources{CPUs: 4, Memory: 4}}
+	s := &Spread{Bound: rebalancer.Bound{Relative: 1.5}, Fetch: rebalancer.NewFetchRates(), Fleet: 0.1} // no worth of a fetch: 0/0
 	g := &Group{Key: "j", Indexes: []int{0, 1}, Image: "a", Spot: true, CPUs: 1, Memory: 1}
 	if got := Cycle([]*Group{g}, []*Machine{m}, NewBook(), Params{Epsilon: 0.01, Small: 0.5, Spread: s}, clock.Second); len(got) != 0 {
 		t.Errorf("placed %v", names(got))
--- a/internal/balance/bound.go
+++ b/internal/rebalancer/bound.go
@@ -1,4 +1,4 @@
-package balance
+package rebalancer
 
 // Bound limits which machines may take a task: those whose load stays within a multiple of the mean, as in
 // consistent hashing with bounded loads. A fetch that is saved widens it: a machine that holds the task's
--- a/internal/balance/load.go
+++ b/internal/rebalancer/load.go
@@ -2,7 +2,7 @@
 // take new work, and decides which running tasks are worth moving. It holds no I/O and no authority: what
 // machines hold, what waits, and the time go in; advice with its reasons comes out, which the leader and
 // the holders of blocks carry out by the orders that they have anyway.
-package balance
+package rebalancer
 
 import "math"
 
--- a/internal/balance/moves.go
+++ b/internal/rebalancer/moves.go
@@ -1,4 +1,4 @@
-package balance
+package rebalancer
 
 import (
 	"cmp"
--- a/internal/scenario/history_checks_test.go
+++ b/internal/scenario/history_checks_test.go
@@ -5,9 +5,9 @@
 	"strings"
 	"testing"
 
+	"swiftledge/internal/fake"
 	"swiftledge/internal/leader"
 	"swiftledge/internal/peer"
-	"swiftledge/internal/standin"
 	"swiftledge/wire"
 )
 
@@ -24,8 +24,8 @@
 // Each check of the history fires on what breaks it, and on nothing else.
 func TestHistoryNotices(t *testing.T) {
 	const token, machine = 7, "host-000001"
-	attempt := func(n uint64) *standin.Task {
-		return &standin.Task{TaskStatus: wire.TaskStatus{Task: "j-000001/3", Attempt: token<<peer.AttemptBits | n}, Job: wire.Job{Ref: "j-000001", Tasks: 8}, Index: 3}
+	attempt := func(n uint64) *fake.Task {
+		return &fake.Task{TaskStatus: wire.TaskStatus{Task: "j-000001/3", Attempt: token<<peer.AttemptBits | n}, Job: wire.Job{Ref: "j-000001", Tasks: 8}, Index: 3}
 	}
 	page := peer.AttemptPage{FencingToken: token, Prefix: "host-", Machines: []string{"000001"}, Groups: []peer.AttemptGroup{{Job: "j-000001", Attempts: []int{3, 1, 0}}}}
 	roster := leader.InstanceGroupRecord{Machines: []string{machine}, Answered: true}
--- a/internal/scenario/history_test.go
+++ b/internal/scenario/history_test.go
@@ -5,10 +5,10 @@
 	"slices"
 	"strings"
 
-	"swiftledge/internal/block"
+	"swiftledge/internal/fake"
 	"swiftledge/internal/leader"
 	"swiftledge/internal/peer"
-	"swiftledge/internal/standin"
+	"swiftledge/internal/shard"
 	"swiftledge/wire"
 )
 
@@ -104,7 +104,7 @@
 func (h *history) storedPage(key string, value []byte) {
 	var attempts []attemptOn
 	if value != nil {
-		pages, err := block.DecodeAttemptPages([]wire.Item{{Key: key, Value: value}})
+		pages, err := shard.DecodeAttemptPages([]wire.Item{{Key: key, Value: value}})
 		must(err)
 		page := pages[key]
 		for i := range page.Groups {
@@ -112,7 +112,7 @@
 			records, err := page.Records(group)
 			must(err)
 			for _, r := range records {
-				attempts = append(attempts, attemptOn{block.TaskName(peer.Task{Job: group.Job, Index: r.Index}), r.Attempt, r.Machine})
+				attempts = append(attempts, attemptOn{shard.TaskName(peer.Task{Job: group.Job, Index: r.Index}), r.Attempt, r.Machine})
 			}
 		}
 	}
@@ -128,7 +128,7 @@
 }
 
 // order judges a run order that a machine carries out for the first time: attempts never repeat.
-func (h *history) order(machine string, t *standin.Task) {
+func (h *history) order(machine string, t *fake.Task) {
 	a := attemptOn{t.Task, t.Attempt, machine}
 	if before, ok := h.ordered[t.Attempt]; ok && before != a {
 		h.w.breaks("attempt_repeated: %d is %s on %s and %s on %s", t.Attempt, before.task, before.machine, a.task, a.machine)
@@ -146,7 +146,7 @@
 
 // start judges the start of a task that now has its image: it is recorded, its machine is in the
 // durable roster, and its completion is not stored.
-func (h *history) start(machine string, t *standin.Task) {
+func (h *history) start(machine string, t *fake.Task) {
 	h.sync()
 	if h.recorded.times[attemptOn{t.Task, t.Attempt, machine}] == 0 {
 		h.w.breaks("unrecorded: %s runs as attempt %d on %s", t.Task, t.Attempt, machine)
@@ -159,7 +159,7 @@
 // restart judges the start of a task whose result is kept, which exits at once. A late copy of an
 // order may do that whose attempt has completed already (PROTOCOL, "forget"), and so may a new attempt
 // as long as nobody has stored the completion.
-func (h *history) restart(t *standin.Task) {
+func (h *history) restart(t *fake.Task) {
 	h.sync()
 	h.restarted++
 	if !h.completed[t.Attempt] && h.completionStored(t.Job.Ref, t.Index) {
@@ -169,7 +169,7 @@
 }
 
 // complete notes that an attempt has completed its task.
-func (h *history) complete(t *standin.Task) { h.completed[t.Attempt] = true }
+func (h *history) complete(t *fake.Task) { h.completed[t.Attempt] = true }
 
 // completionStored says whether the state service knows that a task has completed.
 func (h *history) completionStored(ref string, index int) bool {
--- a/internal/scenario/network_test.go
+++ b/internal/scenario/network_test.go
@@ -6,11 +6,11 @@
 	"slices"
 
 	"swiftledge/internal/api"
-	"swiftledge/internal/block"
 	"swiftledge/internal/clock"
 	"swiftledge/internal/election"
+	"swiftledge/internal/fake"
 	"swiftledge/internal/leader"
-	"swiftledge/internal/standin"
+	"swiftledge/internal/shard"
 	"swiftledge/internal/store"
 	"swiftledge/wire"
 )
@@ -23,7 +23,7 @@
 // held is a task on a machine.
 type held struct {
 	s *simWorker
-	t *standin.Task
+	t *fake.Task
 }
 
 // simLink is a connection from a follower to the leader.
@@ -189,7 +189,7 @@
 				for _, d := range []clock.Micros{clock.Millisecond, 300 * clock.Millisecond, 2 * clock.Second, 6 * clock.Second} {
 					w.after(d+clock.Micros(i), func() {
 						if o.alive && !o.blind {
-							o.still(func() { o.report(r, func(block.HeartbeatReply) {}) })()
+							o.still(func() { o.report(r, func(shard.HeartbeatReply) {}) })()
 						}
 					})
 				}
@@ -222,7 +222,7 @@
 		l := &simLink{epoch: epoch, follower: n, leader: to, fgen: n.gen, lgen: to.gen, last: map[*simNode]clock.Micros{}}
 		n.link = l
 		to.leaderStep(leader.PeerConnected{Controller: n.name, Incarnation: uint64(n.gen), Link: l})
-		n.holderStep(block.LeaderConnected{Term: epoch})
+		n.holderStep(shard.LeaderConnected{Term: epoch})
 	}))
 }
 
@@ -241,7 +241,7 @@
 	f.awake(func() {
 		if f.alive && f.gen == l.fgen && f.link == l {
 			f.link = nil
-			f.holderStep(block.LeaderDisconnected{Term: l.epoch})
+			f.holderStep(shard.LeaderDisconnected{Term: l.epoch})
 			if f.epoch == l.epoch {
 				f.follow(l.epoch, to.name)
 			}
--- a/internal/scenario/node_test.go
+++ b/internal/scenario/node_test.go
@@ -11,13 +11,13 @@
 	"strings"
 
 	"swiftledge/internal/api"
-	"swiftledge/internal/block"
 	"swiftledge/internal/clock"
 	"swiftledge/internal/config"
 	"swiftledge/internal/election"
 	"swiftledge/internal/leader"
+	"swiftledge/internal/pausedetect"
 	"swiftledge/internal/peer"
-	"swiftledge/internal/standstill"
+	"swiftledge/internal/shard"
 	"swiftledge/internal/store"
 	"swiftledge/wire"
 )
@@ -41,7 +41,7 @@
 	cfg         config.Config
 	elector     *election.Elector
 	leader      *leader.Leader
-	holder      *block.Holder
+	holder      *shard.Holder
 	directory   *api.JobCache
 	svc         *api.Service
 	epoch       uint64 // that it follows
@@ -49,7 +49,7 @@
 	leaderRev   uint64
 	jobEpoch    uint64
 	jobRev      uint64
-	pauses      standstill.Recorder
+	pauses      pausedetect.Recorder
 }
 
 // Controllers.
@@ -66,7 +66,7 @@
 	ok := n.reaches
 	n.elector = election.New(election.Record{Controller: n.name, Incarnation: uint64(n.gen)*100 + uint64(n.i)}, clock.FromSeconds(n.cfg.Tuning.Election.TTLS))
 	n.leader = leader.New(&n.cfg, ok)
-	n.holder = block.FromConfig(&n.cfg, ok)
+	n.holder = shard.FromConfig(&n.cfg, ok)
 	n.directory = api.NewJobCache(&n.cfg, func() clock.Micros { return n.w.now })
 	go n.directory.Run(n.w.ctx)
 	n.svc = api.New(&n.cfg, n, func(_ context.Context, try int) bool { return try < 3 }, n.directory, ok, nil, func() clock.Micros { return n.w.now }, slog.New(slog.NewTextHandler(io.Discard, nil)))
@@ -141,7 +141,7 @@
 	}
 	n.electorStep(election.Tick{})
 	n.leaderStep(leader.Tick{})
-	n.holderStep(block.Tick{})
+	n.holderStep(shard.Tick{})
 }
 
 func (n *simNode) electorStep(msg any) {
@@ -207,27 +207,27 @@
 
 func (n *simNode) holderEffect(fx any) {
 	switch x := fx.(type) {
-	case block.SendToLeader:
+	case shard.SendToLeader:
 		if l := n.link; l != nil {
 			n.sendsFrame(l.leader, &x.Message)
 			l.carry(l.leader, func() { l.leader.leaderStep(leader.HolderMessage{Controller: n.name, Link: l, Message: &x.Message}) })
 		}
-	case block.HeartbeatReply:
-		x.ReplyTo.(func(block.HeartbeatReply))(x)
-	case block.RecordSpan:
-	case block.PauseDetected:
+	case shard.HeartbeatReply:
+		x.ReplyTo.(func(shard.HeartbeatReply))(x)
+	case shard.RecordSpan:
+	case shard.PauseDetected:
 		n.pauses.Add(x.Pause)
-	case block.Log:
+	case shard.Log:
 		n.w.breaks("%s: %v", x.Message, x.Attributes) // the stand-ins never contradict themselves
-	case block.SendCommands:
+	case shard.SendCommands:
 		n.direct(x)
-	case block.InspectAgent:
+	case shard.InspectAgent:
 		n.inspect(x)
-	case block.WriteAttempts:
+	case shard.WriteAttempts:
 		n.keep(x.Txn, func(o store.TxnResult) any { return x.Result(o) })
-	case block.CompactPages:
+	case shard.CompactPages:
 		n.keep(x.Txn, func(o store.TxnResult) any { return x.Result(o) })
-	case block.DeletePages:
+	case shard.DeletePages:
 		n.txn(x.Txn(), func(store.TxnResult, error) {})
 	default:
 		panic(fmt.Sprintf("unknown effect %T", fx))
@@ -246,14 +246,14 @@
 	n.commit(t, false, func() bool { return true }, func(o store.TxnResult, _ error) { n.holderStep(settled(o)) })
 }
 
-func (n *simNode) inspect(x block.InspectAgent) {
+func (n *simNode) inspect(x shard.InspectAgent) {
 	n.sends(toWorker(x.Machine), "GET /inspect")
 	s := n.w.worker(x.Machine)
 	settled := false
 	settle := func(r *wire.Heartbeat) {
 		if !settled {
 			settled = true
-			n.holderStep(block.InspectionAnswered{InspectAgent: x, Status: r})
+			n.holderStep(shard.InspectionAnswered{InspectAgent: x, Status: r})
 		}
 	}
 	n.w.after(2*clock.Second, n.still(func() { settle(nil) }))
@@ -269,13 +269,13 @@
 	})
 }
 
-func (n *simNode) direct(o block.SendCommands) {
+func (n *simNode) direct(o shard.SendCommands) {
 	n.sendsJSON(toWorker(o.Machine), "POST /orders", &o.Body)
 	w := n.w
 	s := w.worker(o.Machine)
-	done := block.CommandsAnswered{SendCommands: o}
+	done := shard.CommandsAnswered{SendCommands: o}
 	if s == nil || s.dead || n.blind || (s.cut && s.holdUntil <= w.now) {
-		done.Code = block.NotSent
+		done.Code = shard.NotSent
 		w.after(clock.Second, n.still(func() { n.holderStep(done) }))
 		return
 	}
@@ -315,8 +315,8 @@
 }
 
 // report brings a worker's report to the controller.
-func (n *simNode) report(r *wire.Heartbeat, answer func(block.HeartbeatReply)) {
-	n.holderStep(block.HeartbeatReceived{Heartbeat: r, ReplyTo: func(a block.HeartbeatReply) {
+func (n *simNode) report(r *wire.Heartbeat, answer func(shard.HeartbeatReply)) {
+	n.holderStep(shard.HeartbeatReceived{Heartbeat: r, ReplyTo: func(a shard.HeartbeatReply) {
 		n.answersReport(r.Machine, a)
 		answer(a)
 	}})
@@ -465,8 +465,8 @@
 
 func (n *simNode) loadRecords(x leader.LoadAttempts) {
 	var items []wire.Item
-	n.sendsList(block.AttemptPrefix(x.Shard))
-	n.ask(func() { items, _ = n.w.store.List(block.AttemptPrefix(x.Shard)) }, func(err error) {
+	n.sendsList(shard.AttemptPrefix(x.Shard))
+	n.ask(func() { items, _ = n.w.store.List(shard.AttemptPrefix(x.Shard)) }, func(err error) {
 		if n.elector.Term() != x.Term {
 			return
 		}
@@ -474,7 +474,7 @@
 			n.w.after(100*clock.Millisecond, n.still(func() { n.loadRecords(x) }))
 			return
 		}
-		pages, err := block.DecodeAttemptPages(items)
+		pages, err := shard.DecodeAttemptPages(items)
 		must(err)
 		n.leaderStep(leader.AttemptsLoaded{Term: x.Term, Shard: x.Shard, FencingToken: x.FencingToken, Pages: pages})
 	})
--- a/internal/scenario/random_faults_test.go
+++ b/internal/scenario/random_faults_test.go
@@ -14,8 +14,8 @@
 
 	"swiftledge/internal/clock"
 	"swiftledge/internal/config"
+	"swiftledge/internal/fake"
 	"swiftledge/internal/leader"
-	"swiftledge/internal/standin"
 	"swiftledge/wire"
 )
 
@@ -434,7 +434,7 @@
 			continue
 		}
 		for _, s := range w.workers {
-			if !s.dead && slices.ContainsFunc(s.Tasks, func(t *standin.Task) bool { return t.Job.Ref == ref && t.Holds() }) {
+			if !s.dead && slices.ContainsFunc(s.Tasks, func(t *fake.Task) bool { return t.Job.Ref == ref && t.Holds() }) {
 				w.breaks("goes on: %s on %s", ref, s.Name)
 			}
 		}
--- a/internal/scenario/rules_test.go
+++ b/internal/scenario/rules_test.go
@@ -7,8 +7,8 @@
 
 	"swiftledge/internal/api"
 	"swiftledge/internal/clock"
+	"swiftledge/internal/fake"
 	"swiftledge/internal/leader"
-	"swiftledge/internal/standin"
 	"swiftledge/wire"
 )
 
@@ -145,7 +145,7 @@
 }
 
 // started judges the rules that can break when a task begins to run.
-func (w *world) started(at *simWorker, t *standin.Task) {
+func (w *world) started(at *simWorker, t *fake.Task) {
 	w.history.start(at.Name, t)
 	w.tried[t.Job.Ref] = w.now
 	if _, ok := w.begun[t.Job.Ref]; !ok {
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -11,7 +11,7 @@
 
 	"swiftledge/internal/clock"
 	"swiftledge/internal/config"
-	"swiftledge/internal/standin"
+	"swiftledge/internal/fake"
 	"swiftledge/wire"
 )
 
@@ -240,7 +240,7 @@
 // where lists the machines that a job's tasks are on.
 func (w *world) where(ref string) (out []*simWorker) {
 	for _, s := range w.workers {
-		if !s.dead && slices.ContainsFunc(s.Tasks, func(t *standin.Task) bool { return t.Job.Ref == ref && t.Holds() }) {
+		if !s.dead && slices.ContainsFunc(s.Tasks, func(t *fake.Task) bool { return t.Job.Ref == ref && t.Holds() }) {
 			out = append(out, s)
 		}
 	}
--- a/internal/scenario/transcript_test.go
+++ b/internal/scenario/transcript_test.go
@@ -22,8 +22,8 @@
 	"github.com/vmihailenco/msgpack/v5"
 
 	"swiftledge/internal/api"
-	"swiftledge/internal/block"
 	"swiftledge/internal/clock"
+	"swiftledge/internal/shard"
 	"swiftledge/wire"
 )
 
@@ -209,7 +209,7 @@
 }
 
 // answersReport records the answer to a worker's report.
-func (n *simNode) answersReport(machine string, a block.HeartbeatReply) {
+func (n *simNode) answersReport(machine string, a shard.HeartbeatReply) {
 	message := "answer " + strconv.Itoa(a.Status)
 	switch a.Status {
 	case 200:
--- a/internal/scenario/worker_test.go
+++ b/internal/scenario/worker_test.go
@@ -3,15 +3,15 @@
 import (
 	"slices"
 
-	"swiftledge/internal/block"
 	"swiftledge/internal/clock"
-	"swiftledge/internal/standin"
+	"swiftledge/internal/fake"
+	"swiftledge/internal/shard"
 	"swiftledge/wire"
 )
 
 type simWorker struct {
-	*standin.Worker
-	rented *standin.Instance
+	*fake.Worker
+	rented *fake.Instance
 	target int
 	nextAt clock.Micros
 	lastAt clock.Micros
@@ -30,23 +30,23 @@
 
 func (w *world) worker(name string) *simWorker { return w.byName[name] }
 
-func (w *world) boot(m *standin.Instance) {
+func (w *world) boot(m *fake.Instance) {
 	var t wire.MachineType
 	for _, x := range w.cloud.Types {
 		if x.Name == m.Type {
 			t = x
 		}
 	}
-	s := &simWorker{rented: m, Worker: &standin.Worker{Name: m.Name, Address: m.Address, Type: m.Type, Zone: m.Zone, Spot: m.Spot,
+	s := &simWorker{rented: m, Worker: &fake.Worker{Name: m.Name, Address: m.Address, Type: m.Type, Zone: m.Zone, Spot: m.Spot,
 		Lease: w.cfg.LeaseTime(), CPUs: t.CPUs, Memory: t.MemoryGB, FetchS: 1,
 		Find:  func(ref string) (wire.Job, bool) { j, ok := w.jobs[ref]; return j, ok },
 		RunS:  func(j *wire.Job, i int) float64 { return w.runS[j.Ref] },
 		Fails: func(j *wire.Job, i int) bool { return w.mistaken[j.Ref] > 0 && i%w.mistaken[j.Ref] == 0 }}}
 	s.Kept, s.Progress = w.kept, w.progress
-	s.Ordered = func(t *standin.Task) { w.history.order(s.Name, t) }
-	s.Started = func(t *standin.Task) { w.started(s, t) }
+	s.Ordered = func(t *fake.Task) { w.history.order(s.Name, t) }
+	s.Started = func(t *fake.Task) { w.started(s, t) }
 	s.Restarted = w.history.restart
-	s.Ended = func(t *standin.Task) {
+	s.Ended = func(t *fake.Task) {
 		if t.Cause == wire.ExitDone {
 			w.ran[t.Task]++
 			w.history.complete(t)
@@ -112,7 +112,7 @@
 	s.again(w, func() {
 		// Whichever controller it reaches, nobody waits for the answer.
 		if o := w.nodes[w.rng.IntN(len(w.nodes))]; o.alive && !o.blind && !w.apart(s.Zone, o.cfg.Zone) {
-			o.still(func() { o.report(r, func(block.HeartbeatReply) {}) })()
+			o.still(func() { o.report(r, func(shard.HeartbeatReply) {}) })()
 		}
 	})
 	s.deliver(w, n, func() {
@@ -124,7 +124,7 @@
 			return
 		}
 		n.still(func() {
-			n.report(r, func(a block.HeartbeatReply) {
+			n.report(r, func(a shard.HeartbeatReply) {
 				s.deliver(w, n, func() {
 					if settled || s.dead || s.deaf {
 						return
--- a/internal/scenario/world_test.go
+++ b/internal/scenario/world_test.go
@@ -9,7 +9,7 @@
 
 	"swiftledge/internal/clock"
 	"swiftledge/internal/config"
-	"swiftledge/internal/standin"
+	"swiftledge/internal/fake"
 	"swiftledge/wire"
 )
 
@@ -21,14 +21,14 @@
 	events      events
 	rng         *rand.Rand
 	cfg         config.Config
-	store       *standin.Store
-	cloud       *standin.Cloud
+	store       *fake.Store
+	cloud       *fake.Cloud
 	nodes       []*simNode
 	workers     []*simWorker
 	byName      map[string]*simWorker
-	coming      []*standin.Instance // rented and not up yet
-	rented      int                 // how many of the cloud's machines were taken in
-	holds       map[string][]held   // by team: what was on machines when last looked at
+	coming      []*fake.Instance  // rented and not up yet
+	rented      int               // how many of the cloud's machines were taken in
+	holds       map[string][]held // by team: what was on machines when last looked at
 	jobs        map[string]wire.Job
 	runS        map[string]float64
 	aborted     map[string]clock.Micros // when the user was told
@@ -68,8 +68,8 @@
 func newWorld(name string, cfg config.Config, types []wire.MachineType, seed uint64) *world {
 	ctx, stop := context.WithCancel(context.Background())
 	w := &world{transcript: transcripts.open(name), rng: rand.New(rand.NewPCG(seed, 1)), cfg: cfg, ctx: ctx, stop: stop,
-		store:  standin.NewStore(cfg.Facts.State.ValueKB, cfg.Facts.State.TxnOps),
-		cloud:  standin.NewCloud(types, clock.FromSeconds(cfg.Facts.Cloud.ListLagS)),
+		store:  fake.NewStore(cfg.Facts.State.ValueKB, cfg.Facts.State.TxnOps),
+		cloud:  fake.NewCloud(types, clock.FromSeconds(cfg.Facts.Cloud.ListLagS)),
 		byName: map[string]*simWorker{}, holds: map[string][]held{},
 		jobs: map[string]wire.Job{}, runS: map[string]float64{}, aborted: map[string]clock.Micros{}, ran: map[string]int{}, next: cfg.Facts.State.Next, sent: map[string]clock.Micros{}, begun: map[string]clock.Micros{},
 		told: map[string]string{}, fits: map[string]clock.Micros{}, bodies: map[string][]byte{}, mistaken: map[string]int{}, tried: map[string]clock.Micros{}}
@@ -107,7 +107,7 @@
 	}
 	w.coming = append(w.coming, w.cloud.Order[w.rented:]...)
 	w.rented = len(w.cloud.Order)
-	w.coming = slices.DeleteFunc(w.coming, func(m *standin.Instance) bool {
+	w.coming = slices.DeleteFunc(w.coming, func(m *fake.Instance) bool {
 		up := !m.Gone && !m.Dead && !m.Never && !m.Quiet && w.now >= m.UpAt
 		if up {
 			w.boot(m)
--- a/internal/block/dialogue.go
+++ b/internal/shard/dialogue.go
@@ -1,4 +1,4 @@
-package block
+package shard
 
 import (
 	"slices"
--- a/internal/block/holder.go
+++ b/internal/shard/holder.go
@@ -1,16 +1,16 @@
-package block
+package shard
 
 import (
 	"fmt"
 	"maps"
 	"slices"
 
-	"swiftledge/internal/balance"
 	"swiftledge/internal/clock"
 	"swiftledge/internal/config"
+	"swiftledge/internal/pausedetect"
 	"swiftledge/internal/peer"
 	"swiftledge/internal/placement"
-	"swiftledge/internal/standstill"
+	"swiftledge/internal/rebalancer"
 	"swiftledge/wire"
 )
 
@@ -25,7 +25,7 @@
 	holders []string
 	types   map[string]wire.MachineType
 	book    *placement.Book
-	fetches *balance.FetchRates // as seen on this controller's machines
+	fetches *rebalancer.FetchRates // as seen on this controller's machines
 	renew   uint64
 	sentAt  map[uint64]clock.Micros
 	renewed clock.Micros
@@ -33,7 +33,7 @@
 	heard   clock.Micros // when any worker was last heard
 	ticked  clock.Micros // when the last Tick was handled
 	late    clock.Micros // when a Tick was last handled late
-	pauses  standstill.Detector
+	pauses  pausedetect.Detector
 	storeOK func() bool
 	fx      []any
 }
@@ -42,7 +42,7 @@
 // by it whether the state service fails one node or all.
 func New(p Params, t placement.Params, storeOK func() bool) *Holder {
 	return &Holder{p: p, tuning: t, blocks: map[int]*heldBlock{}, types: map[string]wire.MachineType{},
-		book: placement.NewBook(), fetches: balance.NewFetchRates(), sentAt: map[uint64]clock.Micros{}, storeOK: storeOK}
+		book: placement.NewBook(), fetches: rebalancer.NewFetchRates(), sentAt: map[uint64]clock.Micros{}, storeOK: storeOK}
 }
 
 // FromConfig makes a controller's holder.
@@ -52,7 +52,7 @@
 		ValueBytes: cfg.ValueBytes(), TxnOps: cfg.TxnOps()}
 	p.TracingEnabled = cfg.Tuning.Trace.File != ""
 	if s := cfg.Tuning.Spread; s.Enabled {
-		p.Bound = &balance.Bound{Relative: s.Bound, ImbalanceS: s.ImbalanceS}
+		p.Bound = &rebalancer.Bound{Relative: s.Bound, ImbalanceS: s.ImbalanceS}
 	}
 	return New(p, placement.Params{K: t.K, Eta: t.Eta, Epsilon: t.Epsilon, Small: t.Small}, storeOK)
 }
@@ -95,7 +95,7 @@
 
 // paused tells that this controller stood still, and which grants ran out meanwhile.
 func (h *Holder) paused(began, now clock.Micros) {
-	p := standstill.Pause{Began: began, Ended: now}
+	p := pausedetect.Pause{Began: began, Ended: now}
 	for _, id := range slices.Sorted(maps.Keys(h.blocks)) {
 		if e := h.blocks[id].expires; e > began && e <= now {
 			p.Expired = append(p.Expired, fmt.Sprintf("grant of block %d", id))
@@ -257,7 +257,7 @@
 	}
 	t := h.types[m.typ]
 	pm := &placement.Machine{Name: m.name, Type: m.typ, Zone: m.zone, Spot: m.spot, CPUs: t.CPUs, GPUs: t.GPUs, Memory: t.MemoryGB, Images: m.images,
-		Capacity: balance.Resources{CPUs: t.CPUs, GPUs: t.GPUs, Memory: t.MemoryGB}}
+		Capacity: rebalancer.Resources{CPUs: t.CPUs, GPUs: t.GPUs, Memory: t.MemoryGB}}
 	for _, r := range m.recs {
 		if r.state == exited {
 			continue
--- a/internal/block/messages.go
+++ b/internal/shard/messages.go
@@ -1,7 +1,7 @@
 // Package block is one controller's part as a holder of machine blocks: the
 // dialogue with its workers, the placement cycles and the start records. It
 // holds no I/O: a message and the time give effects.
-package block
+package shard
 
 import (
 	"fmt"
@@ -9,10 +9,10 @@
 
 	"github.com/goccy/go-json"
 
-	"swiftledge/internal/balance"
 	"swiftledge/internal/clock"
+	"swiftledge/internal/pausedetect"
 	"swiftledge/internal/peer"
-	"swiftledge/internal/standstill"
+	"swiftledge/internal/rebalancer"
 	"swiftledge/internal/store"
 	"swiftledge/internal/trace"
 	"swiftledge/wire"
@@ -125,7 +125,7 @@
 	// RecordSpan is a span to be written.
 	RecordSpan struct{ Span trace.Span }
 	// PauseDetected tells that the controller stood still.
-	PauseDetected struct{ Pause standstill.Pause }
+	PauseDetected struct{ Pause pausedetect.Pause }
 	// Log is a line for the log.
 	Log struct {
 		Message    string
@@ -204,7 +204,7 @@
 	ValueBytes        int
 	TxnOps            int
 	// Bound limits where tasks are placed, by load; nil: nothing does.
-	Bound *balance.Bound
+	Bound *rebalancer.Bound
 	// TracingEnabled has spans made of the attempts.
 	TracingEnabled bool
 }
--- a/internal/block/pauses_test.go
+++ b/internal/shard/pauses_test.go
@@ -1,12 +1,12 @@
-package block
+package shard
 
 import (
 	"slices"
 	"testing"
 
 	"swiftledge/internal/clock"
+	"swiftledge/internal/pausedetect"
 	"swiftledge/internal/placement"
-	"swiftledge/internal/standstill"
 	"swiftledge/wire"
 )
 
@@ -34,7 +34,7 @@
 		t.Errorf("%+v", p)
 	}
 	silentFor := 3 * h.p.HeartbeatInterval
-	for at := thawed; at <= thawed+silentFor; at += standstill.Threshold / 4 {
+	for at := thawed; at <= thawed+silentFor; at += pausedetect.Threshold / 4 {
 		h.Step(at, Tick{})
 	}
 	if !h.blind(thawed + silentFor) {
--- a/internal/status/status.go
+++ b/internal/status/status.go
@@ -10,8 +10,8 @@
 	"text/tabwriter"
 
 	"swiftledge/internal/config"
+	"swiftledge/internal/pausedetect"
 	"swiftledge/internal/peer"
-	"swiftledge/internal/standstill"
 )
 
 // Controller is one controller's answer, or why there is none.
@@ -176,7 +176,7 @@
 			headed = true
 		}
 		p := c.Status.LastPause
-		t.row(c.Name, c.Status.Pauses, p.AgoS, p.LengthS, standstill.ExpiredText(p.Expired))
+		t.row(c.Name, c.Status.Pauses, p.AgoS, p.LengthS, pausedetect.ExpiredText(p.Expired))
 	}
 }
 
