--- a/internal/api/answers_test.go
+++ b/internal/api/answers_test.go
@@ -54,7 +54,7 @@
 }
 
 // ends moves a job to its final state, as its leader or another node does.
-func (b *between) ends(t *testing.T, ref, state string) {
+func (b *between) ends(t *testing.T, ref string, state wire.JobState) {
 	t.Helper()
 	raw, err := json.Marshal(leader.FinalStateRecord{State: state, Tasks: 1})
 	if err != nil {
@@ -77,20 +77,20 @@
 		name string
 		play func(b *between, s *Service) Result
 		code int
-		want string
+		want wire.JobState
 	}{
 		{"done between the two reads of a question", func(b *between, s *Service) Result {
 			// Whichever is read first, the job moves right after.
-			b.after = func() { b.ends(t, ref, wire.Done) }
+			b.after = func() { b.ends(t, ref, wire.JobDone) }
 			if r := s.Status(ref); r.Code == 404 {
 				return r
 			}
 			return s.Status(ref)
-		}, 200, wire.Done},
+		}, 200, wire.JobDone},
 		{"done while a cancellation is under way", func(b *between, s *Service) Result {
-			b.hook[leader.JobPrefix+ref] = func() { b.ends(t, ref, wire.Done) }
+			b.hook[leader.JobPrefix+ref] = func() { b.ends(t, ref, wire.JobDone) }
 			return s.Cancel(ref)
-		}, 200, wire.Done},
+		}, 200, wire.JobDone},
 		{"cancelled, and only the answer is lost", func(b *between, s *Service) Result {
 			b.lost = 1
 			return s.Cancel(ref)
@@ -100,9 +100,9 @@
 			return s.Submit(body)
 		}, 200, wire.JobCancelled},
 		{"submitted again malformed, once it is over", func(b *between, s *Service) Result {
-			b.ends(t, ref, wire.Done)
+			b.ends(t, ref, wire.JobDone)
 			return s.Submit([]byte(`{"ref":"` + ref + `"}`))
-		}, 200, wire.Done},
+		}, 200, wire.JobDone},
 		{"submitted again by an unknown team", func(b *between, s *Service) Result {
 			var form map[string]any
 			if err := json.Unmarshal(body, &form); err != nil {
--- a/internal/api/directory.go
+++ b/internal/api/directory.go
@@ -4,6 +4,7 @@
 	"context"
 
 	"swiftledge/internal/clock"
+	"swiftledge/internal/cluster"
 	"swiftledge/internal/config"
 	"swiftledge/internal/leader"
 	"swiftledge/internal/peer"
@@ -12,7 +13,7 @@
 
 // LeaderChanged says who leads now.
 type LeaderChanged struct {
-	Term       uint64
+	Term       cluster.Term
 	Controller string
 }
 
@@ -50,7 +51,7 @@
 
 // View is what the directory knows, at one moment, of one job and in general.
 type View struct {
-	Term       uint64
+	Term       cluster.Term
 	Leader     string
 	Types      []wire.MachineType
 	Count      peer.TaskCount
@@ -98,7 +99,7 @@
 }
 
 // Term is the leader's, as far as known.
-func (d *JobCache) Term() uint64 { return d.Lookup("").Term }
+func (d *JobCache) Term() cluster.Term { return d.Lookup("").Term }
 
 // Run is the actor.
 func (d *JobCache) Run(ctx context.Context) {
--- a/internal/api/jobs.go
+++ b/internal/api/jobs.go
@@ -180,7 +180,7 @@
 
 func endStatus(ref string, e leader.FinalStateRecord) wire.JobStatus {
 	st := wire.JobStatus{Ref: ref, State: e.State}
-	if e.State == wire.Done {
+	if e.State == wire.JobDone {
 		st.Done = e.Tasks
 	}
 	return st
@@ -231,7 +231,7 @@
 	if err == nil {
 		st := wire.JobStatus{Ref: ref, State: wire.JobQueued, Done: v.Count.Done, Running: v.Count.Running}
 		if st.Running > 0 {
-			st.State = wire.Running
+			st.State = wire.JobRunning
 		}
 		return Result{Code: 200, Status: st}, nil
 	}
--- a/internal/api/report_test.go
+++ b/internal/api/report_test.go
@@ -66,7 +66,7 @@
 		HeartbeatInterval: 3 * clock.Second, ValueBytes: 4000, TxnOps: 8}, placement.Params{K: 0.001, Eta: 0.05, Epsilon: 0.01, Small: 0.5}, func() bool { return true })
 	h.Step(0, shard.LeaderConnected{Term: 9})
 	h.Step(0, &peer.FromLeader{Term: 9, Holders: []string{"n0"}, Grants: []peer.ShardGrant{{Shard: 0, FencingToken: 50, KeyVersion: 7}}})
-	h.Step(0, &peer.FromLeader{Term: 9, RenewedSeq: 2, FencingTokens: map[int]uint64{0: 50}})
+	h.Step(0, &peer.FromLeader{Term: 9, RenewedSeq: 2, FencingTokens: map[int]wire.FencingToken{0: 50}})
 	box := make(chan shard.HeartbeatReceived)
 	go func() {
 		for r := range box {
@@ -100,7 +100,7 @@
 	w := &reporting{conn: c, in: bufio.NewReader(c), reads: n.reads, writes: n.writes, addr: l.Addr().String(), rep: wire.Heartbeat{Machine: "host-000001", Address: "10.1.0.1:9000", Type: "small", Zone: "a", AgentEpoch: 1, FencingToken: 50}}
 	for i := range tasks {
 		// No record names them, and they have ended: the answer is the same each time.
-		w.rep.Tasks = append(w.rep.Tasks, wire.TaskStatus{Task: fmt.Sprintf("j-000412/%d", i), Attempt: uint64(i + 1), State: wire.TaskExited, Cause: wire.ExitDone})
+		w.rep.Tasks = append(w.rep.Tasks, wire.TaskStatus{Task: fmt.Sprintf("j-000412/%d", i), Attempt: wire.AttemptID(i + 1), State: wire.TaskExited, Cause: wire.ExitDone})
 	}
 	return w
 }
--- a/internal/compat/exact_test.go
+++ b/internal/compat/exact_test.go
@@ -42,7 +42,7 @@
 func protocolForms() []exactForm {
 	return []exactForm{
 		{"Job", batch}, {"Job/empty", wire.Job{}},
-		{"JobStatus", wire.JobStatus{Ref: "j-000412", State: wire.Running, Done: 3, Running: 13}}, {"JobStatus/empty", wire.JobStatus{}},
+		{"JobStatus", wire.JobStatus{Ref: "j-000412", State: wire.JobRunning, Done: 3, Running: 13}}, {"JobStatus/empty", wire.JobStatus{}},
 		{"Problem", wire.ErrorResponse{Error: "no <such> job"}},
 		{"Report", wire.Heartbeat{Machine: "host-000001", Address: "10.1.0.1:9000", Type: "g8", Zone: "a", Spot: true, AgentEpoch: 5, Seq: 6, FencingToken: 7<<12 | 3,
 			PreemptionNoticeS: &notice, Tasks: []wire.TaskStatus{{Task: "j-000412/3", Attempt: 9, State: wire.TaskExited, Cause: wire.ExitDone, Checkpointed: true}}}},
--- a/internal/controller/elector.go
+++ b/internal/controller/elector.go
@@ -7,6 +7,7 @@
 
 	"swiftledge/internal/api"
 	"swiftledge/internal/clock"
+	"swiftledge/internal/cluster"
 	"swiftledge/internal/election"
 	"swiftledge/internal/leader"
 	"swiftledge/internal/store"
@@ -14,7 +15,7 @@
 )
 
 // askEpoch asks the elector for the epoch that this node leads; 0: none.
-type askEpoch struct{ answer chan uint64 }
+type askEpoch struct{ answer chan cluster.Term }
 
 func (n *Controller) runElector(ctx context.Context) {
 	e := election.New(election.Record{Controller: n.cfg.Name, Incarnation: n.incarnation}, clock.FromSeconds(n.cfg.Tuning.Election.TTLS))
--- a/internal/controller/holder.go
+++ b/internal/controller/holder.go
@@ -8,6 +8,7 @@
 	"github.com/goccy/go-json"
 	"github.com/valyala/fasthttp"
 
+	"swiftledge/internal/cluster"
 	"swiftledge/internal/leader"
 	"swiftledge/internal/peer"
 	"swiftledge/internal/shard"
@@ -16,16 +17,16 @@
 )
 
 // localLink stands for the way from the leader to the holder of the same process.
-type localLink struct{ epoch uint64 }
+type localLink struct{ epoch cluster.Term }
 
 // holderUp and holderDown change who the holder speaks to: a *peer.Link or a localLink.
 type (
 	holderUp struct {
-		epoch uint64
+		epoch cluster.Term
 		link  any
 	}
 	holderDown struct {
-		epoch uint64
+		epoch cluster.Term
 		link  any
 	}
 )
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -5,6 +5,7 @@
 	"errors"
 
 	"swiftledge/internal/cloud"
+	"swiftledge/internal/cluster"
 	"swiftledge/internal/election"
 	"swiftledge/internal/leader"
 	"swiftledge/internal/peer"
@@ -83,7 +84,7 @@
 	case leader.Resign:
 		n.log.Info("resigning", "why", x.Reason)
 		go func() {
-			q := askEpoch{make(chan uint64, 1)}
+			q := askEpoch{make(chan cluster.Term, 1)}
 			n.elector <- q
 			if e := <-q.answer; e > 0 {
 				n.elector <- election.Resign{Term: e}
--- a/internal/controller/links.go
+++ b/internal/controller/links.go
@@ -8,13 +8,14 @@
 	"time"
 
 	"swiftledge/internal/api"
+	"swiftledge/internal/cluster"
 	"swiftledge/internal/leader"
 	"swiftledge/internal/netio"
 	"swiftledge/internal/peer"
 )
 
 // follow keeps a link to the leader of an epoch until another epoch begins.
-func (n *Controller) follow(ctx context.Context, epoch uint64, name string) {
+func (n *Controller) follow(ctx context.Context, epoch cluster.Term, name string) {
 	if name == n.cfg.Name {
 		l := localLink{epoch}
 		n.leader <- leader.PeerConnected{Controller: n.cfg.Name, Incarnation: n.incarnation, Link: l}
@@ -58,7 +59,7 @@
 const dialFailuresBeforeRelay = 4
 
 // followByRelay speaks to the leader through the state service until it can be reached again.
-func (n *Controller) followByRelay(ctx context.Context, epoch uint64, name, addr string) {
+func (n *Controller) followByRelay(ctx context.Context, epoch cluster.Term, name, addr string) {
 	l, err := n.storeTransport.Dial(ctx, name, peer.Hello{Controller: n.cfg.Name, Incarnation: n.incarnation, Term: epoch})
 	if err != nil {
 		n.log.Debug("no answer to frames", "leader", name, "error", err)
@@ -85,7 +86,7 @@
 }
 
 // linked serves a link to the leader until it ends.
-func (n *Controller) linked(epoch uint64, l *peer.Link) {
+func (n *Controller) linked(epoch cluster.Term, l *peer.Link) {
 	n.holder <- holderUp{epoch, l}
 	l.Follow(func(d *peer.FromLeader) {
 		n.jobCache.Post(api.PeerContacted{})
@@ -131,7 +132,7 @@
 func (n *Controller) acceptPeer(c net.Conn, slow bool) {
 	peer.Accept(c, slow, peer.Hello{Controller: n.cfg.Name, Incarnation: n.incarnation}, n.status, func(h peer.Hello) bool {
 		n.jobCache.Post(api.PeerContacted{})
-		q := askEpoch{make(chan uint64, 1)}
+		q := askEpoch{make(chan cluster.Term, 1)}
 		n.elector <- q
 		epoch := <-q.answer
 		return epoch > 0 && epoch == h.Term
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -15,6 +15,7 @@
 	"swiftledge/internal/api"
 	"swiftledge/internal/clock"
 	"swiftledge/internal/cloud"
+	"swiftledge/internal/cluster"
 	"swiftledge/internal/config"
 	"swiftledge/internal/election"
 	"swiftledge/internal/leader"
@@ -48,7 +49,7 @@
 	cfg            *config.Config
 	log            *slog.Logger
 	clock          clock.Steady
-	incarnation    uint64
+	incarnation    cluster.Incarnation
 	store          *store.Client
 	health         *health
 	cloud          *cloud.Client
@@ -66,7 +67,7 @@
 
 // New makes a node; Serve runs it.
 func New(cfg *config.Config, log *slog.Logger) *Controller {
-	n := &Controller{cfg: cfg, log: log, clock: clock.NewSteady(), incarnation: rand.Uint64() >> 1,
+	n := &Controller{cfg: cfg, log: log, clock: clock.NewSteady(), incarnation: cluster.Incarnation(rand.Uint64() >> 1),
 		elector: make(mailbox, leastMailbox), leader: make(mailbox, mailboxSize(cfg)), holder: make(mailbox, mailboxSize(cfg)),
 		pauses: make(mailbox, 16), cloudWork: make(chan func(), 64), commandSlots: make(chan struct{}, mostDirects(cfg))}
 	n.health = newHealth()
--- a/internal/controller/state.go
+++ b/internal/controller/state.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"swiftledge/internal/clock"
+	"swiftledge/internal/cluster"
 	"swiftledge/internal/election"
 	"swiftledge/internal/leader"
 	"swiftledge/internal/shard"
@@ -15,7 +16,7 @@
 )
 
 // load reads what an epoch starts from and then watches the jobs.
-func (n *Controller) load(ctx context.Context, epoch uint64) {
+func (n *Controller) load(ctx context.Context, epoch cluster.Term) {
 	for i := 0; ; i++ {
 		asked := n.clock.Now()
 		items, revision, err := n.readState(ctx)
@@ -61,7 +62,7 @@
 	return all, listings[0].revision, nil
 }
 
-func (n *Controller) watchJobs(ctx context.Context, epoch, rev uint64) {
+func (n *Controller) watchJobs(ctx context.Context, epoch cluster.Term, rev uint64) {
 	// Two answers, one behind the other, have to come within the time that a view may be old.
 	wait := n.cfg.ViewTime() / 3
 	for i := 0; ctx.Err() == nil; {
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -8,14 +8,15 @@
 	"fmt"
 
 	"swiftledge/internal/clock"
+	"swiftledge/internal/cluster"
 	"swiftledge/internal/store"
 	"swiftledge/wire"
 )
 
 // Record is the value of the leader key.
 type Record struct {
-	Controller  string `json:"node"`
-	Incarnation uint64 `json:"run"`
+	Controller  string              `json:"node"`
+	Incarnation cluster.Incarnation `json:"run"`
 }
 
 // Messages to an Elector.
@@ -45,7 +46,7 @@
 		Err   error
 	}
 	// Resign gives the epoch up.
-	Resign struct{ Term uint64 }
+	Resign struct{ Term cluster.Term }
 	// Tick lets time pass.
 	Tick struct{}
 )
@@ -67,16 +68,16 @@
 	ReadLeaderKey struct{}
 	// AcquireLeadership begins an epoch of ours.
 	AcquireLeadership struct {
-		Term  uint64
+		Term  cluster.Term
 		Until clock.Micros
 	}
 	// ExtendLeadership says until when we may act.
 	ExtendLeadership struct{ Until clock.Micros }
 	// LoseLeadership ends our epoch.
-	LoseLeadership struct{ Term uint64 }
+	LoseLeadership struct{ Term cluster.Term }
 	// FollowLeader names the leader; Epoch 0: nobody leads.
 	FollowLeader struct {
-		Term       uint64
+		Term       cluster.Term
 		Controller string
 	}
 )
@@ -127,9 +128,9 @@
 	leaseAt                  clock.Micros
 	requestingLease          bool
 	campaigning              bool
-	campaignUnanswered       bool   // a claim under the present lease got no answer
-	formerCampaignUnanswered bool   // so did one under an earlier lease: a key of ours may hang on that one
-	term                     uint64 // ours; 0: we do not lead
+	campaignUnanswered       bool         // a claim under the present lease got no answer
+	formerCampaignUnanswered bool         // so did one under an earlier lease: a key of ours may hang on that one
+	term                     cluster.Term // ours; 0: we do not lead
 	until                    clock.Micros
 	followed                 FollowLeader // what was last said of who leads
 	renewAt                  clock.Micros
@@ -142,7 +143,7 @@
 func New(me Record, ttl clock.Micros) *Elector { return &Elector{self: me, ttl: ttl} }
 
 // Term is ours while we lead, else 0.
-func (e *Elector) Term() uint64 { return e.term }
+func (e *Elector) Term() cluster.Term { return e.term }
 
 // Step takes one message at a time.
 func (e *Elector) Step(now clock.Micros, msg any) []any {
@@ -201,42 +202,42 @@
 		return // what the watch saw before a later read
 	}
 	e.leaderKeyKnown, e.leaderKey = true, m
-	if e.term > 0 && m.Version != e.term {
+	if e.term > 0 && cluster.Term(m.Version) != e.term {
 		e.loseLeadership() // the key has gone with its lease, or is another's
 	}
 	// A claim whose answer was lost.
 	if e.term == 0 && m.Version > 0 && m.Record == e.self && e.lease > 0 {
 		if !e.formerCampaignUnanswered {
-			e.acquireLeadership(now, m.Version)
+			e.acquireLeadership(now, cluster.Term(m.Version))
 			return
 		}
 		// Renewed under the wrong lease, the key would go while we lead. So none is, and it goes now.
 		e.revokeLease()
 	}
 	if e.term == 0 {
-		e.follow(m.Version, m.Record.Controller)
+		e.follow(cluster.Term(m.Version), m.Record.Controller)
 	}
 }
 
 // follow says who leads, once: a second link to the same leader would cut the first.
-func (e *Elector) follow(epoch uint64, node string) {
-	if f := (FollowLeader{epoch, node}); f != e.followed {
+func (e *Elector) follow(term cluster.Term, node string) {
+	if f := (FollowLeader{term, node}); f != e.followed {
 		e.followed = f
 		e.emit(f)
 	}
 }
 
-func (e *Elector) acquireLeadership(now clock.Micros, epoch uint64) {
+func (e *Elector) acquireLeadership(now clock.Micros, term cluster.Term) {
 	until := e.leaseAt + e.ttl.Shorter()
 	if now >= until {
 		// Too slow: the lease may be over already.
 		e.revokeLease()
 		return
 	}
-	e.term, e.until = epoch, until
+	e.term, e.until = term, until
 	e.renewAt = now
-	e.emit(AcquireLeadership{epoch, until})
-	e.follow(epoch, e.self.Controller)
+	e.emit(AcquireLeadership{term, until})
+	e.follow(term, e.self.Controller)
 }
 
 func (e *Elector) onCampaignResult(now clock.Micros, m CampaignResult) {
@@ -247,7 +248,7 @@
 	switch {
 	case m.Err == nil && m.Result.Committed:
 		e.leaderKey = LeaderKeyObserved{m.Result.Revision, e.self, m.Result.Revision}
-		e.acquireLeadership(now, m.Result.Revision)
+		e.acquireLeadership(now, cluster.Term(m.Result.Revision))
 	case m.Result.LeaseExpired:
 		e.lease, e.campaignUnanswered = 0, false
 	case errors.Is(m.Err, store.ErrOutcomeUnknown):
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -4,11 +4,12 @@
 	"testing"
 
 	"swiftledge/internal/clock"
+	"swiftledge/internal/cluster"
 	"swiftledge/internal/store"
 )
 
 // leads says whether an effect begins an epoch of ours, and which.
-func leads(fx []any) uint64 {
+func leads(fx []any) cluster.Term {
 	for _, f := range fx {
 		if l, ok := f.(AcquireLeadership); ok {
 			return l.Term
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -20,7 +20,7 @@
 }
 
 // Holds says whether the task counts as on the machine: it has its image and has not exited.
-func (t *Task) Holds() bool { return t.State == wire.Running || t.State == wire.TaskSaving }
+func (t *Task) Holds() bool { return t.State == wire.TaskRunning || t.State == wire.TaskSaving }
 
 // Worker runs tasks as its protocol page says.
 type Worker struct {
@@ -31,7 +31,9 @@
 	FetchS                    float64
 	Sick                      bool // every task fails
 	NoticeS                   *float64
-	Session, Seq, Token       uint64
+	AgentEpoch                wire.AgentEpoch
+	Seq                       uint64
+	FencingToken              wire.FencingToken
 	Tasks                     []*Task
 	// Find gives a job's description, as its user uploaded it.
 	Find func(ref string) (wire.Job, bool)
@@ -57,7 +59,7 @@
 
 // Boot begins the first session.
 func (w *Worker) Boot(now clock.Micros) {
-	w.Session, w.renewed = 1, now
+	w.AgentEpoch, w.renewed = 1, now
 	w.images = map[string]bool{}
 	w.Tried = map[string]int{}
 }
@@ -71,7 +73,7 @@
 		w.end(now, t, "lost")
 	}
 	w.Tasks = nil
-	w.Seq, w.Token = 0, 0
+	w.Seq, w.FencingToken = 0, 0
 	w.Boot(now)
 }
 
@@ -94,7 +96,7 @@
 			w.end(now, t, "lost")
 		}
 		w.Tasks = nil
-		w.Session++
+		w.AgentEpoch++
 		w.renewed = now
 		changed = true
 	}
@@ -114,7 +116,7 @@
 				w.end(now, t, wire.ExitDone)
 				continue
 			}
-			t.State, t.began = wire.Running, now
+			t.State, t.began = wire.TaskRunning, now
 			t.until = now + clock.FromSeconds(max(0, w.RunS(&t.Job, t.Index)-w.Progress[t.Task]))
 			if t.Job.IsService() && t.until == now {
 				t.until = 0 // until it is stopped
@@ -123,7 +125,7 @@
 				t.until = now + clock.Second
 			}
 			w.Started(t)
-		case wire.Running:
+		case wire.TaskRunning:
 			if w.fails(t) {
 				w.end(now, t, wire.ExitError)
 			} else {
@@ -152,7 +154,7 @@
 
 // end ends a task. Of one that neither completed nor saved, what it saved by itself every interval is kept,
 // and the rest has to be done again.
-func (w *Worker) end(now clock.Micros, t *Task, cause string) {
+func (w *Worker) end(now clock.Micros, t *Task, cause wire.ExitCause) {
 	if t.State == wire.TaskExited {
 		return
 	}
@@ -175,7 +177,7 @@
 func (w *Worker) Report() *wire.Heartbeat {
 	w.Seq++
 	r := &wire.Heartbeat{Machine: w.Name, Address: w.Address, Type: w.Type, Zone: w.Zone, Spot: w.Spot,
-		AgentEpoch: w.Session, Seq: w.Seq, FencingToken: w.Token, PreemptionNoticeS: w.NoticeS}
+		AgentEpoch: w.AgentEpoch, Seq: w.Seq, FencingToken: w.FencingToken, PreemptionNoticeS: w.NoticeS}
 	for _, t := range w.Tasks {
 		r.Tasks = append(r.Tasks, t.TaskStatus)
 	}
@@ -183,23 +185,23 @@
 }
 
 // Answered takes a 200 to the report that was sent at the given time in the given session.
-func (w *Worker) Answered(now, sent clock.Micros, session uint64, a wire.HeartbeatResponse) (changed bool) {
-	if session != w.Session || a.FencingToken < w.Token || now-sent > 4*clock.Second {
+func (w *Worker) Answered(now, sent clock.Micros, epoch wire.AgentEpoch, a wire.HeartbeatResponse) (changed bool) {
+	if epoch != w.AgentEpoch || a.FencingToken < w.FencingToken || now-sent > 4*clock.Second {
 		return false
 	}
-	changed = a.FencingToken > w.Token
-	w.Token = a.FencingToken
+	changed = a.FencingToken > w.FencingToken
+	w.FencingToken = a.FencingToken
 	w.renewed = max(w.renewed, sent)
 	return w.execute(now, a.Commands) || changed
 }
 
 // Orders takes a direct command and answers 200 or 409.
 func (w *Worker) Orders(now clock.Micros, o wire.CommandBatch) (int, *wire.Heartbeat, bool) {
-	if o.FencingToken < w.Token || o.AgentEpoch != w.Session {
+	if o.FencingToken < w.FencingToken || o.AgentEpoch != w.AgentEpoch {
 		return 409, w.Report(), false
 	}
-	changed := o.FencingToken > w.Token
-	w.Token = o.FencingToken
+	changed := o.FencingToken > w.FencingToken
+	w.FencingToken = o.FencingToken
 	changed = w.execute(now, o.Commands) || changed
 	return 200, w.Report(), changed
 }
@@ -226,7 +228,7 @@
 				grace = *c.GraceS
 			}
 			switch {
-			case at.State == wire.Running && at.Job.CheckpointS > 0 && grace >= at.Job.SaveS:
+			case at.State == wire.TaskRunning && at.Job.CheckpointS > 0 && grace >= at.Job.SaveS:
 				at.State, at.until = wire.TaskSaving, now+clock.FromSeconds(at.Job.SaveS)
 			case at.State == wire.TaskSaving && grace > 0:
 			default:
--- a/internal/leader/failures_test.go
+++ b/internal/leader/failures_test.go
@@ -88,7 +88,7 @@
 		m.up, m.opt.Type.BootS = false, 20
 	}
 	list := func(at clock.Micros) {
-		l.listedMachines(at, []wire.Machine{{Name: silent.name, State: wire.Running}, {Name: booting.name, State: wire.MachineStarting}, {Name: healthy.name, State: wire.Running}})
+		l.listedMachines(at, []wire.Machine{{Name: silent.name, State: wire.MachineRunning}, {Name: booting.name, State: wire.MachineStarting}, {Name: healthy.name, State: wire.MachineRunning}})
 	}
 	list(began)
 	l.machineState(began+clock.Second, peer.MachineState{Name: healthy.name, Type: "small", Schedulable: true})
--- a/internal/leader/fleet_test.go
+++ b/internal/leader/fleet_test.go
@@ -175,7 +175,7 @@
 func TestListsAloneCostNoMachineThatRunsWork(t *testing.T) {
 	l := granting(t, nil)
 	works, idle, silent := l.machines[names[0]], l.machines[names[1]], l.machines[names[2]]
-	all := []wire.Machine{{Name: works.name, State: wire.Running}, {Name: idle.name, State: wire.Running}, {Name: silent.name, State: wire.Running}}
+	all := []wire.Machine{{Name: works.name, State: wire.MachineRunning}, {Name: idle.name, State: wire.MachineRunning}, {Name: silent.name, State: wire.MachineRunning}}
 	l.listedMachines(began, all)
 	for _, m := range []*machine{works, idle, silent} {
 		m.up, m.state.Silent = true, m == silent
--- a/internal/leader/grants.go
+++ b/internal/leader/grants.go
@@ -5,6 +5,7 @@
 	"slices"
 
 	"swiftledge/internal/clock"
+	"swiftledge/internal/cluster"
 	"swiftledge/internal/peer"
 	"swiftledge/internal/shard"
 	"swiftledge/internal/store"
@@ -39,7 +40,7 @@
 type leasedBlock struct {
 	id       int
 	state    blockState
-	token    uint64
+	token    wire.FencingToken
 	stamp    uint64
 	holder   string
 	link     any
@@ -139,13 +140,14 @@
 // leader key. So the count may run over its bits as far as that revision's tokens go: each grant
 // that is written makes room for thousands more, and an epoch does not use its tokens up.
 func (l *Leader) tokensLeft(more int) bool {
-	return l.epoch<<tokenBits+l.tokens+uint64(more) < (max(l.epoch, l.written)+1)<<tokenBits
+	first := uint64(l.epoch) << tokenBits
+	return first+l.tokens+uint64(more) < (max(uint64(l.epoch), l.written)+1)<<tokenBits
 }
 
-type blocksTag struct{ tokens map[int]uint64 }
+type blocksTag struct{ tokens map[int]wire.FencingToken }
 
 func (l *Leader) writeBlocks(bs []*leasedBlock) {
-	tag := blocksTag{map[int]uint64{}}
+	tag := blocksTag{map[int]wire.FencingToken{}}
 	var guards []wire.Condition
 	var writes []wire.Write
 	if !l.tokensLeft(len(bs)) {
@@ -155,8 +157,8 @@
 	for _, b := range bs {
 		l.tokens++
 		b.state = writing
-		b.token = l.epoch<<tokenBits + l.tokens
-		var run uint64
+		b.token = wire.FencingToken(uint64(l.epoch)<<tokenBits + l.tokens)
+		var run cluster.Incarnation
 		b.link = nil
 		if n := l.nodes[b.holder]; n != nil {
 			b.link, run = n.link, n.run
--- a/internal/leader/holders.go
+++ b/internal/leader/holders.go
@@ -6,6 +6,7 @@
 
 	"swiftledge/internal/clock"
 	"swiftledge/internal/peer"
+	"swiftledge/wire"
 )
 
 func (l *Leader) said(now clock.Micros, m HolderMessage) {
@@ -23,7 +24,7 @@
 		n.refusedSince = now
 	}
 	if m.Message.RenewSeq > 0 && l.loaded && l.authorised(now) && l.current(now) {
-		d := peer.FromLeader{Term: l.epoch, RenewedSeq: m.Message.RenewSeq, FencingTokens: map[int]uint64{}, StoreOK: l.storeOK()}
+		d := peer.FromLeader{Term: l.epoch, RenewedSeq: m.Message.RenewSeq, FencingTokens: map[int]wire.FencingToken{}, StoreOK: l.storeOK()}
 		for _, b := range l.blocks {
 			if b.state == granted && b.link == m.Link {
 				d.FencingTokens[b.id] = b.token
--- a/internal/leader/job.go
+++ b/internal/leader/job.go
@@ -240,7 +240,7 @@
 	ref := j.record.Spec.Ref
 	j.ending = true
 	l.commit(store.PriorityAttempts, endTag{ref}, []wire.Condition{{Key: JobPrefix + ref, Version: j.stamp}},
-		[]wire.Write{put(FinalStatePrefix+ref, FinalStateRecord{State: wire.Done, Tasks: j.nDone}), {Delete: JobPrefix + ref}})
+		[]wire.Write{put(FinalStatePrefix+ref, FinalStateRecord{State: wire.JobDone, Tasks: j.nDone}), {Delete: JobPrefix + ref}})
 }
 
 func (l *Leader) ended(now clock.Micros, tag endTag, m TxnCompleted) {
@@ -267,7 +267,7 @@
 	j.ending = false
 	var r FinalStateRecord
 	if m.Found && json.Unmarshal(m.Item.Value, &r) == nil {
-		if r.State == wire.Done {
+		if r.State == wire.JobDone {
 			l.finish(now, j)
 		} else {
 			l.cancel(now, j)
@@ -277,7 +277,7 @@
 
 func (l *Leader) finish(now clock.Micros, j *job) {
 	ref := j.record.Spec.Ref
-	l.jobOver(now, j, wire.Done)
+	l.jobOver(now, j, wire.JobDone)
 	delete(l.jobs, ref)
 	delete(l.counts, ref)
 	for _, b := range l.blocks {
@@ -304,7 +304,7 @@
 		if h.running {
 			up = (now - h.since).Seconds()
 		}
-		r.since, r.cause = now, e.Kind
+		r.since, r.cause = now, string(e.Kind)
 		if e.Kind == peer.EventReleased && h.stopped != "" {
 			r.cause = h.stopped
 		}
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -10,6 +10,7 @@
 
 	"swiftledge/internal/autoscaler"
 	"swiftledge/internal/clock"
+	"swiftledge/internal/cluster"
 	"swiftledge/internal/config"
 	"swiftledge/internal/pausedetect"
 	"swiftledge/internal/peer"
@@ -20,7 +21,7 @@
 
 type node struct {
 	name    string
-	run     uint64
+	run     cluster.Incarnation
 	link    any
 	slow    bool // messages take seconds
 	joined  clock.Micros
@@ -59,8 +60,8 @@
 
 // epochState is made anew for each epoch.
 type epochState struct {
-	epoch   uint64
-	run     uint64
+	epoch   cluster.Term
+	run     cluster.Incarnation
 	leading bool
 	loaded  bool
 	until   clock.Micros // of our authority
@@ -279,7 +280,7 @@
 
 // commit guards a transaction on the epoch, so that one of an older leader fails however late it is applied.
 func (l *Leader) commit(prio int, tag any, guards []wire.Condition, writes []wire.Write) {
-	guards = append([]wire.Condition{{Key: Key, Version: l.epoch}}, guards...)
+	guards = append([]wire.Condition{{Key: Key, Version: uint64(l.epoch)}}, guards...)
 	l.emit(CommitTxn{Term: l.epoch, Priority: prio, Txn: wire.Txn{Conditions: guards, Writes: writes}, Tag: tag})
 }
 
--- a/internal/leader/limits_test.go
+++ b/internal/leader/limits_test.go
@@ -10,7 +10,7 @@
 
 // regrant has a block granted anew, at a revision of the state service, and gives its token; false when
 // the leader resigned instead.
-func regrant(l *Leader, now clock.Micros, revision uint64) (uint64, bool) {
+func regrant(l *Leader, now clock.Micros, revision uint64) (wire.FencingToken, bool) {
 	l.blocks[0].state = loose
 	for _, e := range l.Step(now, Tick{}) {
 		switch x := e.(type) {
@@ -31,7 +31,7 @@
 // its tokens have bits for, and a leader that resigned for that would do so again and again.
 func TestTokensOutlastTheirBits(t *testing.T) {
 	l := leading(t)
-	now, revision, last := began, uint64(20), uint64(0)
+	now, revision, last := began, uint64(20), wire.FencingToken(0)
 	for i := range 3 << tokenBits {
 		revision++
 		l.blocks[0].homeless, l.nodes["n0"].heard, l.nodes["n0"].busyUntil = 0, now, 0
@@ -43,7 +43,7 @@
 			t.Fatalf("token %d after %d", token, last)
 		}
 		// The next leader's key has a later revision than any write of this epoch.
-		if next := (revision + 1) << tokenBits; token > next {
+		if next := wire.FencingToken(revision+1) << tokenBits; token > next {
 			t.Fatalf("token %d is higher than a later leader's %d", token, next)
 		}
 		last = token
--- a/internal/leader/machines.go
+++ b/internal/leader/machines.go
@@ -143,7 +143,7 @@
 		}
 		m.listed, m.missing, m.address = now, 0, w.Address
 		m.booting = w.State == wire.MachineStarting
-		if w.State != wire.Running {
+		if w.State != wire.MachineRunning {
 			m.running = 0
 		} else if m.running == 0 {
 			m.running = now
--- a/internal/leader/messages.go
+++ b/internal/leader/messages.go
@@ -4,6 +4,7 @@
 
 import (
 	"swiftledge/internal/clock"
+	"swiftledge/internal/cluster"
 	"swiftledge/internal/election"
 	"swiftledge/internal/pausedetect"
 	"swiftledge/internal/peer"
@@ -31,8 +32,8 @@
 
 // FinalStateRecord is the value of over/<ref>: a final state, kept for ever.
 type FinalStateRecord struct {
-	State string `json:"state"`
-	Tasks int    `json:"tasks"`
+	State wire.JobState `json:"state"`
+	Tasks int           `json:"tasks"`
 }
 
 // ProgressRecord is the value of a prog/ key: completed tasks of several jobs.
@@ -52,9 +53,9 @@
 
 // ShardRecord is the value of block/<n>.
 type ShardRecord struct {
-	FencingToken uint64 `json:"token"`
-	Holder       string `json:"holder"`
-	Incarnation  uint64 `json:"run"`
+	FencingToken wire.FencingToken   `json:"token"`
+	Holder       string              `json:"holder"`
+	Incarnation  cluster.Incarnation `json:"run"`
 }
 
 // LayoutRecord fixes how machines are split into blocks.
@@ -73,8 +74,8 @@
 type (
 	// LeadershipAcquired begins an epoch; every write guards on Epoch, the leader key's version.
 	LeadershipAcquired struct {
-		Term        uint64
-		Incarnation uint64
+		Term        cluster.Term
+		Incarnation cluster.Incarnation
 	}
 	// LeadershipExtended says until when the leader may act without a further renewal.
 	LeadershipExtended struct{ Until clock.Micros }
@@ -82,7 +83,7 @@
 	LeadershipLost struct{}
 	// StateLoaded is the store's content at the start of an epoch.
 	StateLoaded struct {
-		Term        uint64
+		Term        cluster.Term
 		Items       []wire.Item
 		Revision    uint64
 		TimeOfDay   clock.Micros // time of day
@@ -91,7 +92,7 @@
 	// PeerConnected is a new link to a controller, maybe to ourselves.
 	PeerConnected struct {
 		Controller  string
-		Incarnation uint64
+		Incarnation cluster.Incarnation
 		Link        any
 		ViaStore    bool // through the state service: messages take seconds
 	}
@@ -109,27 +110,27 @@
 	// JobsChanged are changes of jobs, maybe none: all that there were until Asked, when they
 	// were asked for.
 	JobsChanged struct {
-		Term        uint64
+		Term        cluster.Term
 		Events      []wire.Event
 		RequestedAt clock.Micros
 	}
 	// TxnCompleted is the end of a transaction.
 	TxnCompleted struct {
-		Term   uint64
+		Term   cluster.Term
 		Tag    any
 		Result store.TxnResult
 		Err    error
 	}
 	// AttemptsLoaded are a block's start records, read after its key was written.
 	AttemptsLoaded struct {
-		Term         uint64
+		Term         cluster.Term
 		Shard        int
-		FencingToken uint64
+		FencingToken wire.FencingToken
 		Pages        map[string]peer.AttemptPage
 	}
 	// KeyRead is one key that was asked for.
 	KeyRead struct {
-		Term  uint64
+		Term  cluster.Term
 		Tag   any
 		Item  wire.Item
 		Found bool
@@ -140,7 +141,7 @@
 	MachinesListed struct{ Machines []wire.Machine }
 	// MachinesProvisioned is a rental's end.
 	MachinesProvisioned struct {
-		Term       uint64
+		Term       cluster.Term
 		RequestID  string
 		Machines   []string
 		NoCapacity bool
@@ -148,7 +149,7 @@
 	}
 	// MachinesDeleted is a deletion's end; when Err is nil the machines are gone.
 	MachinesDeleted struct {
-		Term     uint64
+		Term     cluster.Term
 		Machines []string
 		Err      error
 	}
@@ -166,34 +167,34 @@
 		Message peer.FromLeader
 	}
 	// LoadState asks for all that the store holds of ours, and a watch of the jobs from there on.
-	LoadState struct{ Term uint64 }
+	LoadState struct{ Term cluster.Term }
 	// LoadAttempts asks for a block's start records.
 	LoadAttempts struct {
-		Term         uint64
+		Term         cluster.Term
 		Shard        int
-		FencingToken uint64
+		FencingToken wire.FencingToken
 	}
 	// CommitTxn is a transaction; Guards on the epoch are part of it.
 	CommitTxn struct {
-		Term     uint64
+		Term     cluster.Term
 		Priority int
 		Txn      wire.Txn
 		Tag      any
 	}
 	// ReadKey asks for one key.
 	ReadKey struct {
-		Term uint64
+		Term cluster.Term
 		Key  string
 		Tag  any
 	}
 	// ProvisionMachines asks the cloud for machines.
 	ProvisionMachines struct {
-		Term    uint64
+		Term    cluster.Term
 		Request wire.ProvisionRequest
 	}
 	// DeleteMachines returns machines.
 	DeleteMachines struct {
-		Term     uint64
+		Term     cluster.Term
 		Machines []string
 	}
 	// ListMachines asks for the machine list.
--- a/internal/leader/preempt.go
+++ b/internal/leader/preempt.go
@@ -75,7 +75,7 @@
 		for _, j := range t.entitled {
 			if j.nWant > 0 {
 				waiting = true
-				p.urgent = p.urgent || wire.PriorityRank(j.record.Spec.Priority) == wire.PriorityRank(wire.PriorityProduction)
+				p.urgent = p.urgent || j.record.Spec.Priority.Rank() == wire.PriorityProduction.Rank()
 			}
 		}
 	}
@@ -101,7 +101,7 @@
 func (p *preemption) findLong() {
 	p.long = map[string]float64{}
 	for ref, j := range p.l.jobs {
-		if len(j.out) == 0 || wire.PriorityRank(j.record.Spec.Priority) == wire.PriorityRank(wire.PriorityProduction) {
+		if len(j.out) == 0 || j.record.Spec.Priority.Rank() == wire.PriorityProduction.Rank() {
 			continue
 		}
 		if boot := p.l.bootTime(&j.record.Spec); j.record.Spec.IsService() || p.l.remaining(j) > bootsWaited*boot {
@@ -115,7 +115,7 @@
 	if j.failures.Suspect() {
 		return false
 	}
-	return wire.PriorityRank(j.record.Spec.Priority) <= wire.PriorityRank(wire.PriorityHigh) || t.team.CPUs > 0
+	return j.record.Spec.Priority.Rank() <= wire.PriorityHigh.Rank() || t.team.CPUs > 0
 }
 
 // uses is what teams' tasks will give back, less what is to come.
@@ -155,7 +155,7 @@
 			}
 			v := l.victim(p.now, t, h, j)
 			v.endsSoon = !long || !j.record.Spec.IsService() && l.remaining(j)-v.ran < bootsWaited*boot
-			if h.stopped == "" && (p.urgent || !v.endsSoon) && v.rank > wire.PriorityRank(wire.PriorityProduction) {
+			if h.stopped == "" && (p.urgent || !v.endsSoon) && v.rank > wire.PriorityProduction.Rank() {
 				at.victims = append(at.victims, v)
 			}
 		}
@@ -176,7 +176,7 @@
 // victim weighs a task that may be stopped. What it saved by itself at its last interval is not lost.
 func (l *Leader) victim(now clock.Micros, t peer.Task, h *grantedTask, j *job) victim {
 	s := &j.record.Spec
-	rank, ran := wire.PriorityRank(s.Priority), 0.0
+	rank, ran := s.Priority.Rank(), 0.0
 	if h.running {
 		ran = (now - h.since).Seconds()
 	}
@@ -218,9 +218,9 @@
 func (p *preemption) claim(t *teamQueue, s *wire.Job) (claim, bool) {
 	left := p.leaving[s.Team]
 	u := use{t.u.cpus - left.cpus, t.u.gpus - left.gpus}
-	c := claim{team: s.Team, rank: wire.PriorityRank(s.Priority), guarantee: u.takes(s, t.team.CPUs, t.team.GPUs),
+	c := claim{team: s.Team, rank: s.Priority.Rank(), guarantee: u.takes(s, t.team.CPUs, t.team.GPUs),
 		own: !u.takes(s, t.team.CPULimit(), t.team.GPULimit())}
-	return c, c.guarantee || c.rank <= wire.PriorityRank(wire.PriorityHigh)
+	return c, c.guarantee || c.rank <= wire.PriorityHigh.Rank()
 }
 
 // mayStop says whether a task may be stopped for a claim. Production work stops whatever is less important. Anything
@@ -230,7 +230,7 @@
 	switch {
 	case c.own && v.held.team != c.team:
 		return false
-	case c.rank == wire.PriorityRank(wire.PriorityProduction):
+	case c.rank == wire.PriorityProduction.Rank():
 		return c.rank < v.rank
 	case v.endsSoon || !p.borrowed(v.held):
 		return false
--- a/internal/leader/progress.go
+++ b/internal/leader/progress.go
@@ -44,7 +44,7 @@
 		}
 	}
 	l.progressPageSeq++
-	s := &progressPage{key: ProgressPrefix + strconv.FormatUint(l.epoch, 10) + "-" + strconv.Itoa(l.progressPageSeq), size: 32}
+	s := &progressPage{key: ProgressPrefix + strconv.FormatUint(uint64(l.epoch), 10) + "-" + strconv.Itoa(l.progressPageSeq), size: 32}
 	l.progressPages = append(l.progressPages, s)
 	s.put(j, c)
 	return s
--- a/internal/leader/proofs_test.go
+++ b/internal/leader/proofs_test.go
@@ -22,11 +22,11 @@
 }
 
 // saying is what a holder says of a block under a token.
-func saying(b *leasedBlock, token uint64, events ...peer.TaskEvent) HolderMessage {
+func saying(b *leasedBlock, token wire.FencingToken, events ...peer.TaskEvent) HolderMessage {
 	return HolderMessage{Controller: "n0", Link: "link", Message: &peer.ToLeader{Term: 5, Updates: []peer.ShardUpdate{{Shard: b.id, FencingToken: token, Events: events}}}}
 }
 
-func eventOf(index int, kind string) peer.TaskEvent {
+func eventOf(index int, kind peer.EventKind) peer.TaskEvent {
 	return peer.TaskEvent{Task: peer.Task{Job: spec.Ref, Index: index}, Kind: kind, Machine: names[0]}
 }
 
@@ -104,7 +104,7 @@
 		l := leading(t)
 		b := l.blocks[0]
 		b.state = writing
-		tag := blocksTag{map[int]uint64{b.id: b.token}}
+		tag := blocksTag{map[int]wire.FencingToken{b.id: b.token}}
 		key := shard.Key(b.id)
 		l.Step(began, TxnCompleted{Term: 5, Tag: tag, Result: store.TxnResult{Ambiguous: true, FailedKeys: []string{key}}})
 		if b.state != writing {
--- a/internal/leader/queue.go
+++ b/internal/leader/queue.go
@@ -42,12 +42,12 @@
 	if most := l.teams[s.Team].CPUsMax; most > 0 {
 		need = max(need, float64(s.Tasks-j.nDone)*s.CPUs*need/most)
 	}
-	rank := wire.PriorityRank(s.Priority)
+	rank := s.Priority.Rank()
 	slack := due - age - need
 	if s.DeadlineS == nil {
 		slack = need
 	}
-	return jobOrder{late: rank >= wire.PriorityRank(wire.PriorityStandard) && age+need > due, rank: rank, slack: slack, age: age}
+	return jobOrder{late: rank >= wire.PriorityStandard.Rank() && age+need > due, rank: rank, slack: slack, age: age}
 }
 
 // teamOrder is a team's place among the others.
--- a/internal/leader/roster_test.go
+++ b/internal/leader/roster_test.go
@@ -165,7 +165,7 @@
 	}
 	var events []peer.TaskEvent
 	for _, index := range []int{900, -1, 2, 64} {
-		for _, kind := range []string{peer.EventAssigned, peer.EventRunning, peer.EventAttemptRemains, peer.EventCompleted, peer.EventFailed, peer.EventReleased} {
+		for _, kind := range []peer.EventKind{peer.EventAssigned, peer.EventRunning, peer.EventAttemptRemains, peer.EventCompleted, peer.EventFailed, peer.EventReleased} {
 			events = append(events, peer.TaskEvent{Task: peer.Task{Job: spec.Ref, Index: index}, Kind: kind, Machine: names[0]})
 		}
 	}
--- a/internal/leader/service_test.go
+++ b/internal/leader/service_test.go
@@ -18,7 +18,7 @@
 	l.jobs[spec.Ref].record.Spec.Shape = wire.ShapeService
 	b := l.blocks[shard.ForMachine(names[0], 2)]
 	one := peer.Task{Job: spec.Ref, Index: 0}
-	say := func(kinds ...string) []any {
+	say := func(kinds ...peer.EventKind) []any {
 		u := peer.ShardUpdate{Shard: b.id, FencingToken: b.token}
 		for _, kind := range kinds {
 			u.Events = append(u.Events, peer.TaskEvent{Task: one, Kind: kind, Machine: names[0]})
--- a/internal/leader/spread.go
+++ b/internal/leader/spread.go
@@ -344,12 +344,12 @@
 }
 
 // jobOver takes in that a job is done or cancelled.
-func (l *Leader) jobOver(now clock.Micros, j *job, state string) {
+func (l *Leader) jobOver(now clock.Micros, j *job, state wire.JobState) {
 	l.traceJob(now, j, state)
 	if l.spread == nil {
 		return
 	}
 	for _, m := range l.spread.Forget(j.record.Spec.Ref) {
-		l.traceMove(now, m, "its job is "+state)
+		l.traceMove(now, m, "its job is "+string(state))
 	}
 }
--- a/internal/leader/trace.go
+++ b/internal/leader/trace.go
@@ -8,6 +8,7 @@
 	"swiftledge/internal/rebalancer"
 	"swiftledge/internal/shard"
 	"swiftledge/internal/trace"
+	"swiftledge/wire"
 )
 
 // span has a span written, if anything is traced.
@@ -35,8 +36,8 @@
 }
 
 // traceJob tells of a job from its acceptance to its end.
-func (l *Leader) traceJob(now clock.Micros, j *job, state string) {
-	l.span(trace.Span{Job: j.record.Spec.Ref, Name: "job", Begin: l.submitted(j), End: now, Attributes: []trace.Attribute{{Key: "state", Value: state}}})
+func (l *Leader) traceJob(now clock.Micros, j *job, state wire.JobState) {
+	l.span(trace.Span{Job: j.record.Spec.Ref, Name: "job", Begin: l.submitted(j), End: now, Attributes: []trace.Attribute{{Key: "state", Value: string(state)}}})
 }
 
 // traceMove tells of a move that has ended: the decision, the stop up to the proof, and the start.
--- a/internal/loopback/cluster.go
+++ b/internal/loopback/cluster.go
@@ -378,7 +378,7 @@
 }
 
 // State asks a controller for a job's state; "" without an answer.
-func (c *Cluster) State(k *Controller, ref string) string {
+func (c *Cluster) State(k *Controller, ref string) wire.JobState {
 	code, body, err := c.client.GetTimeout(nil, "http://"+k.Serves+"/api/jobs/"+ref, 2*time.Second)
 	var s wire.JobStatus
 	if err != nil || code != 200 || json.Unmarshal(body, &s) != nil {
--- a/internal/loopback/loopback_test.go
+++ b/internal/loopback/loopback_test.go
@@ -57,7 +57,7 @@
 func allDone(t *testing.T, c *Cluster, refs []string, tasks int) {
 	t.Helper()
 	for _, ref := range refs {
-		eventually(t, ref+" is done", func() bool { return c.State(c.Controllers[0], ref) == wire.Done })
+		eventually(t, ref+" is done", func() bool { return c.State(c.Controllers[0], ref) == wire.JobDone })
 		if ran, again := c.Ran(ref); ran != tasks || again > 0 {
 			t.Errorf("%s: %d of %d tasks have run, %d more than once", ref, ran, tasks, again)
 		}
@@ -114,7 +114,7 @@
 	})
 	allDone(t, c, long, 4)
 	allDone(t, c, more, 4)
-	eventually(t, "the cut controller knows the ends, too", func() bool { return c.State(cut, long[0]) == wire.Done })
+	eventually(t, "the cut controller knows the ends, too", func() bool { return c.State(cut, long[0]) == wire.JobDone })
 	allDone(t, c, submitAll(t, c, 21, 3, 4, 1), 4)
 	c.Stop()
 	tracedAcross(t, c, long[0])
--- a/internal/loopback/worker.go
+++ b/internal/loopback/worker.go
@@ -121,11 +121,11 @@
 // send reports to the controller whose turn it is.
 func (w *worker) send(now clock.Micros) {
 	w.busy, w.last, w.next = true, now, now+jitter(clock.FromSeconds(w.site.shape.ReportS))
-	r, session := w.Report(), w.Session
+	r, epoch := w.Report(), w.AgentEpoch
 	link := w.links[w.target]
 	go func() {
 		status, answer, redirect := w.post(link, r)
-		w.site.do(func() { w.answered(now, session, status, answer, redirect) })
+		w.site.do(func() { w.answered(now, epoch, status, answer, redirect) })
 	}()
 }
 
@@ -153,12 +153,12 @@
 }
 
 // answered goes on after a report: the actor calls it.
-func (w *worker) answered(sent clock.Micros, session uint64, status int, a wire.HeartbeatResponse, to wire.Redirect) {
+func (w *worker) answered(sent clock.Micros, epoch wire.AgentEpoch, status int, a wire.HeartbeatResponse, to wire.Redirect) {
 	now := w.site.clock.Now()
 	w.busy = false
 	switch {
 	case status == 200:
-		if w.Answered(now, sent, session, a) {
+		if w.Answered(now, sent, epoch, a) {
 			w.hasChanged()
 		}
 	case status == 421 && w.redirected(to.Controller):
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -12,6 +12,7 @@
 	"fmt"
 	"slices"
 
+	"swiftledge/internal/cluster"
 	"swiftledge/wire"
 )
 
@@ -19,8 +20,8 @@
 type Hello struct {
 	_msgpack    struct{} `msgpack:",as_array"`
 	Controller  string
-	Incarnation uint64 // differs with each start of the process
-	Term        uint64 // of the leader that is meant
+	Incarnation cluster.Incarnation // differs with each start of the process
+	Term        cluster.Term        // of the leader that is meant
 }
 
 // Task names one task.
@@ -33,13 +34,18 @@
 // AttemptRecord says that an attempt of a task may run on a machine.
 type AttemptRecord struct {
 	Index   int
-	Attempt uint64
+	Attempt wire.AttemptID
 	Machine string
 }
 
 // AttemptBits is how many low bits of an attempt count within a grant; the rest is its token.
 const AttemptBits = 20
 
+// NewAttemptID is the attempt that has the given count within a grant.
+func NewAttemptID(token wire.FencingToken, count uint64) wire.AttemptID {
+	return wire.AttemptID(token)<<AttemptBits | wire.AttemptID(count)
+}
+
 // AttemptGroup holds a job's records with what each of its tasks takes, so that
 // they count in full also when the job is no longer known.
 type AttemptGroup struct {
@@ -62,11 +68,11 @@
 // of records go into a few kilobytes: machines are named once, less what their
 // names begin with alike.
 type AttemptPage struct {
-	_msgpack     struct{}       `msgpack:",as_array"`
-	FencingToken uint64         `json:"n"`
-	Prefix       string         `json:"p,omitempty"`
-	Machines     []string       `json:"m"`
-	Groups       []AttemptGroup `json:"g"`
+	_msgpack     struct{}          `msgpack:",as_array"`
+	FencingToken wire.FencingToken `json:"n"`
+	Prefix       string            `json:"p,omitempty"`
+	Machines     []string          `json:"m"`
+	Groups       []AttemptGroup    `json:"g"`
 }
 
 // Records are the records of one of the page's groups.
@@ -80,7 +86,7 @@
 		if m < 0 || m >= len(p.Machines) {
 			return nil, fmt.Errorf("start records of %s name no machine", g.Job)
 		}
-		out = append(out, AttemptRecord{Index: g.Attempts[i], Attempt: p.FencingToken<<AttemptBits | uint64(g.Attempts[i+1]), Machine: p.Prefix + p.Machines[m]})
+		out = append(out, AttemptRecord{Index: g.Attempts[i], Attempt: NewAttemptID(p.FencingToken, uint64(g.Attempts[i+1])), Machine: p.Prefix + p.Machines[m]})
 	}
 	return out, nil
 }
@@ -97,7 +103,7 @@
 
 // AttemptPager gathers records into pages of a bounded size.
 type AttemptPager struct {
-	token  uint64
+	token  wire.FencingToken
 	most   int
 	size   int
 	page   AttemptPage
@@ -106,12 +112,12 @@
 }
 
 // NewAttemptPager makes pages for a grant's token whose JSON takes at most the given number of bytes.
-func NewAttemptPager(token uint64, bytes int) *AttemptPager {
+func NewAttemptPager(token wire.FencingToken, bytes int) *AttemptPager {
 	return &AttemptPager{token: token, most: bytes, size: 64, groups: map[string]int{}, places: map[string]int{}}
 }
 
 // Add takes one record in if it fits.
-func (p *AttemptPager) Add(g *AttemptGroup, index int, attempt uint64, machine string) bool {
+func (p *AttemptPager) Add(g *AttemptGroup, index int, attempt wire.AttemptID, machine string) bool {
 	count := int(attempt & (1<<AttemptBits - 1))
 	more := 3 + digits(index) + digits(count) + 4
 	gi, known := p.groups[g.Job]
@@ -190,7 +196,7 @@
 type ShardGrant struct {
 	_msgpack     struct{} `msgpack:",as_array"`
 	Shard        int
-	FencingToken uint64
+	FencingToken wire.FencingToken
 	KeyVersion   uint64 // version of the block's key, which guards start records
 	Pages        map[string]AttemptPage
 	Machines     []InventoryMachine
@@ -208,7 +214,7 @@
 type ShardOrders struct {
 	_msgpack     struct{} `msgpack:",as_array"`
 	Shard        int
-	FencingToken uint64
+	FencingToken wire.FencingToken
 	Offers       []TaskOffer
 	OfferSeq     uint64 // of the offers, if any; the holder names it back
 	Stop         []StopTask
@@ -237,9 +243,9 @@
 // FromLeader is what the leader says.
 type FromLeader struct {
 	_msgpack      struct{} `msgpack:",as_array"`
-	Term          uint64
+	Term          cluster.Term
 	RenewedSeq    uint64 // the Renew that is granted
-	FencingTokens map[int]uint64
+	FencingTokens map[int]wire.FencingToken
 	Grants        []ShardGrant
 	Orders        []ShardOrders
 	Holders       []string // by block: who answers its machines
@@ -248,24 +254,27 @@
 	StoreOK       bool // with Renewed: the state service serves the leader
 }
 
-// Event kinds.
+// EventKind says what became of a task in a shard.
+type EventKind string
+
+// Kinds of task events.
 const (
-	EventCompleted = "done"     // the task completed
-	EventReleased  = "back"     // it is not on any machine of the block
-	EventAssigned  = "started"  // it has been given to a machine
-	EventRunning   = "running"  // it has its image
-	EventFailed    = "errored"  // it failed and is gone from the machine
-	EventUnplaced  = "unplaced" // no room was found
+	EventCompleted EventKind = "done"     // the task completed
+	EventReleased  EventKind = "back"     // it is not on any machine of the block
+	EventAssigned  EventKind = "started"  // it has been given to a machine
+	EventRunning   EventKind = "running"  // it has its image
+	EventFailed    EventKind = "errored"  // it failed and is gone from the machine
+	EventUnplaced  EventKind = "unplaced" // no room was found
 	// EventAttemptRemains comes before a Done that is not the end of the task's last attempt: another may run in
 	// the block, and its end will be told. The version in production neither sends nor knows it.
-	EventAttemptRemains = "remains"
+	EventAttemptRemains EventKind = "remains"
 )
 
 // TaskEvent is a change of a task in a block.
 type TaskEvent struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Task
-	Kind       string
+	Kind       EventKind
 	Machine    string
 	RunSeconds float64 // of run time, with Done
 }
@@ -288,7 +297,7 @@
 type ShardUpdate struct {
 	_msgpack        struct{} `msgpack:",as_array"`
 	Shard           int
-	FencingToken    uint64
+	FencingToken    wire.FencingToken
 	SettledOfferSeq uint64 // the last offers that are settled
 	Events          []TaskEvent
 	Machines        []MachineState
@@ -298,7 +307,7 @@
 // ToLeader is what a holder says.
 type ToLeader struct {
 	_msgpack       struct{} `msgpack:",as_array"`
-	Term           uint64
+	Term           cluster.Term
 	RenewSeq       uint64
 	StoreOK        bool
 	NoAgentContact bool // with Renew: none of its workers has been heard for long
--- a/internal/peer/status.go
+++ b/internal/peer/status.go
@@ -10,6 +10,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 
 	"swiftledge/internal/clock"
+	"swiftledge/internal/cluster"
 	"swiftledge/internal/netio"
 )
 
@@ -19,10 +20,10 @@
 
 // Status is what a controller tells an operator. It travels as maps and may grow.
 type Status struct {
-	Controller string `msgpack:"node" json:"node"`
-	Leader     string `msgpack:"leader" json:"leader"` // whom it follows; "" if nobody
-	Term       uint64 `msgpack:"epoch" json:"epoch"`
-	Leading    bool   `msgpack:"leads" json:"leads"`
+	Controller string       `msgpack:"node" json:"node"`
+	Leader     string       `msgpack:"leader" json:"leader"` // whom it follows; "" if nobody
+	Term       cluster.Term `msgpack:"epoch" json:"epoch"`
+	Leading    bool         `msgpack:"leads" json:"leads"`
 	// How often it stood still since it was started, and the last time.
 	Pauses    int          `msgpack:"pauses" json:"pauses"`
 	LastPause *PauseStatus `msgpack:"last_pause" json:"last_pause,omitempty"`
--- a/internal/scenario/commands_questions_test.go
+++ b/internal/scenario/commands_questions_test.go
@@ -25,7 +25,7 @@
 // lostCommand tells whether sessions have ended because a lease ran out.
 func lostCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	for _, s := range w.workers {
-		if s.Session > 1 {
+		if s.AgentEpoch > 1 {
 			return "leases"
 		}
 	}
@@ -85,7 +85,7 @@
 	for _, r := range sortedKeys(w.jobs) {
 		if j := w.jobs[r]; j.Class == arg(t, d, "class", j.Class) && j.Team == arg(t, d, "team", j.Team) {
 			all++
-			if s := w.nodeOf(t, d).lookUp(r); s.Code == 200 && s.Status.State == wire.Done {
+			if s := w.nodeOf(t, d).lookUp(r); s.Code == 200 && s.Status.State == wire.JobDone {
 				done++
 			}
 		}
--- a/internal/scenario/commands_users_test.go
+++ b/internal/scenario/commands_users_test.go
@@ -46,7 +46,7 @@
 	if r.Code != 200 {
 		return fmt.Sprint(r.Code)
 	}
-	return r.Status.State
+	return string(r.Status.State)
 }
 
 // abortCommand cancels a job.
@@ -60,7 +60,7 @@
 	ref := arg(t, d, "ref", "")
 	for i, end := 0, w.now+span(t, d, "within"); w.now < end; i++ {
 		if n := w.nodes[i%len(w.nodes)]; n.alive {
-			if state := w.callOff(n, ref); state == wire.JobCancelled || state == wire.Done {
+			if state := w.callOff(n, ref); state == string(wire.JobCancelled) || state == string(wire.JobDone) {
 				return state
 			}
 		}
@@ -72,7 +72,7 @@
 // awaitCommand waits for a job to come to a state.
 func awaitCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	ref := arg(t, d, "ref", "")
-	return w.await(w.nodeOf(t, d), ref, arg(t, d, "state", wire.Done), span(t, d, "within"))
+	return w.await(w.nodeOf(t, d), ref, arg(t, d, "state", string(wire.JobDone)), span(t, d, "within"))
 }
 
 // looksCommand has users ask everywhere as soon as something was told.
--- a/internal/scenario/history_checks_test.go
+++ b/internal/scenario/history_checks_test.go
@@ -25,7 +25,7 @@
 func TestHistoryNotices(t *testing.T) {
 	const token, machine = 7, "host-000001"
 	attempt := func(n uint64) *fake.Task {
-		return &fake.Task{TaskStatus: wire.TaskStatus{Task: "j-000001/3", Attempt: token<<peer.AttemptBits | n}, Job: wire.Job{Ref: "j-000001", Tasks: 8}, Index: 3}
+		return &fake.Task{TaskStatus: wire.TaskStatus{Task: "j-000001/3", Attempt: peer.NewAttemptID(token, n)}, Job: wire.Job{Ref: "j-000001", Tasks: 8}, Index: 3}
 	}
 	page := peer.AttemptPage{FencingToken: token, Prefix: "host-", Machines: []string{"000001"}, Groups: []peer.AttemptGroup{{Job: "j-000001", Attempts: []int{3, 1, 0}}}}
 	roster := leader.InstanceGroupRecord{Machines: []string{machine}, Answered: true}
@@ -80,7 +80,7 @@
 		}},
 		{"a new attempt after the job was stored as done", "ran_again", func(w *world, h *history) {
 			h.complete(attempt(1))
-			w.put(t, leader.FinalStatePrefix+"j-000001", leader.FinalStateRecord{State: wire.Done, Tasks: 8})
+			w.put(t, leader.FinalStatePrefix+"j-000001", leader.FinalStateRecord{State: wire.JobDone, Tasks: 8})
 			h.restart(attempt(2))
 		}},
 		{"a new attempt before the completion is stored", "", func(w *world, h *history) {
--- a/internal/scenario/history_test.go
+++ b/internal/scenario/history_test.go
@@ -15,7 +15,7 @@
 // attemptOn is one attempt of a task on one machine.
 type attemptOn struct {
 	task    string
-	attempt uint64
+	attempt wire.AttemptID
 	machine string
 }
 
@@ -27,15 +27,15 @@
 	recorded  named[attemptOn] // by pages of start records
 	rostered  named[string]    // machines, by roster records
 	progress  map[string]leader.ProgressRecord
-	ordered   map[uint64]attemptOn // by number
-	granted   map[uint64]int       // by token: the block
-	completed map[uint64]bool      // attempts that have completed
+	ordered   map[wire.AttemptID]attemptOn // by number
+	granted   map[wire.FencingToken]int    // by token: the block
+	completed map[wire.AttemptID]bool      // attempts that have completed
 	// restarted counts starts of completed tasks, which exit at once, as their result is kept.
 	restarted int
 }
 
 func newHistory(w *world) *history {
-	h := &history{w: w, ordered: map[uint64]attemptOn{}, granted: map[uint64]int{}, completed: map[uint64]bool{}}
+	h := &history{w: w, ordered: map[wire.AttemptID]attemptOn{}, granted: map[wire.FencingToken]int{}, completed: map[wire.AttemptID]bool{}}
 	h.forgetStored()
 	return h
 }
--- a/internal/scenario/network_test.go
+++ b/internal/scenario/network_test.go
@@ -7,6 +7,7 @@
 
 	"swiftledge/internal/api"
 	"swiftledge/internal/clock"
+	"swiftledge/internal/cluster"
 	"swiftledge/internal/election"
 	"swiftledge/internal/fake"
 	"swiftledge/internal/leader"
@@ -28,7 +29,7 @@
 
 // simLink is a connection from a follower to the leader.
 type simLink struct {
-	epoch            uint64
+	epoch            cluster.Term
 	follower, leader *simNode
 	fgen, lgen       int
 	broken           bool
@@ -199,7 +200,7 @@
 	}
 }
 
-func (n *simNode) follow(epoch uint64, name string) {
+func (n *simNode) follow(epoch cluster.Term, name string) {
 	w := n.w
 	w.after(w.lat(), n.still(func() {
 		if n.epoch != epoch {
@@ -221,7 +222,7 @@
 		}
 		l := &simLink{epoch: epoch, follower: n, leader: to, fgen: n.gen, lgen: to.gen, last: map[*simNode]clock.Micros{}}
 		n.link = l
-		to.leaderStep(leader.PeerConnected{Controller: n.name, Incarnation: uint64(n.gen), Link: l})
+		to.leaderStep(leader.PeerConnected{Controller: n.name, Incarnation: cluster.Incarnation(n.gen), Link: l})
 		n.holderStep(shard.LeaderConnected{Term: epoch})
 	}))
 }
--- a/internal/scenario/node_test.go
+++ b/internal/scenario/node_test.go
@@ -12,6 +12,7 @@
 
 	"swiftledge/internal/api"
 	"swiftledge/internal/clock"
+	"swiftledge/internal/cluster"
 	"swiftledge/internal/config"
 	"swiftledge/internal/election"
 	"swiftledge/internal/leader"
@@ -44,10 +45,10 @@
 	holder      *shard.Holder
 	directory   *api.JobCache
 	svc         *api.Service
-	epoch       uint64 // that it follows
+	epoch       cluster.Term // that it follows
 	link        *simLink
 	leaderRev   uint64
-	jobEpoch    uint64
+	jobEpoch    cluster.Term
 	jobRev      uint64
 	pauses      pausedetect.Recorder
 }
@@ -64,7 +65,7 @@
 	}
 	n.epoch, n.link, n.leaderRev, n.jobEpoch = 0, nil, 0, 0
 	ok := n.reaches
-	n.elector = election.New(election.Record{Controller: n.name, Incarnation: uint64(n.gen)*100 + uint64(n.i)}, clock.FromSeconds(n.cfg.Tuning.Election.TTLS))
+	n.elector = election.New(election.Record{Controller: n.name, Incarnation: cluster.Incarnation(n.gen)*100 + cluster.Incarnation(n.i)}, clock.FromSeconds(n.cfg.Tuning.Election.TTLS))
 	n.leader = leader.New(&n.cfg, ok)
 	n.holder = shard.FromConfig(&n.cfg, ok)
 	n.directory = api.NewJobCache(&n.cfg, func() clock.Micros { return n.w.now })
@@ -183,7 +184,7 @@
 		n.look()
 	case election.AcquireLeadership:
 		w.release()
-		n.leaderStep(leader.LeadershipAcquired{Term: x.Term, Incarnation: uint64(n.gen)})
+		n.leaderStep(leader.LeadershipAcquired{Term: x.Term, Incarnation: cluster.Incarnation(n.gen)})
 		n.leaderStep(leader.LeadershipExtended{Until: x.Until})
 	case election.ExtendLeadership:
 		n.leaderStep(leader.LeadershipExtended{Until: x.Until})
@@ -354,7 +355,7 @@
 
 func (n *simNode) leaderEffect(fx any) {
 	w := n.w
-	during := func(epoch uint64) func() bool { return func() bool { return n.elector.Term() == epoch } }
+	during := func(epoch cluster.Term) func() bool { return func() bool { return n.elector.Term() == epoch } }
 	// The cloud answers within a quarter of a second, also a leader that is none any more; or a
 	// request is carried out late, when nobody waits for it any more.
 	cloud := func(f func() any, failed any) {
@@ -394,7 +395,7 @@
 	case leader.LoadAttempts:
 		n.loadRecords(x)
 	case leader.CommitTxn:
-		if !slices.Contains(x.Txn.Conditions, wire.Condition{Key: leader.Key, Version: x.Term}) {
+		if !slices.Contains(x.Txn.Conditions, wire.Condition{Key: leader.Key, Version: uint64(x.Term)}) {
 			w.breaks("unguarded: a leader's write is not bound to its epoch")
 		}
 		n.commit(x.Txn, false, during(x.Term), func(o store.TxnResult, err error) {
@@ -436,7 +437,7 @@
 	}
 }
 
-func (n *simNode) load(epoch uint64) {
+func (n *simNode) load(epoch cluster.Term) {
 	var items []wire.Item
 	var rev uint64
 	asked := n.w.now
--- a/internal/scenario/random_faults_test.go
+++ b/internal/scenario/random_faults_test.go
@@ -221,7 +221,7 @@
 func (w *world) submitRandom(i, tasks, run int) {
 	w.submitted++
 	j := wire.Job{Ref: fmt.Sprintf("j-%06d", w.submitted), Class: "l", Team: []string{"red", "blue"}[i%2], Shape: wire.ShapeBatch,
-		Priority: []string{wire.PriorityStandard, wire.PriorityHigh}[i/2%2], Tasks: tasks, CPUs: 1, MemoryGB: 1,
+		Priority: []wire.Priority{wire.PriorityStandard, wire.PriorityHigh}[i/2%2], Tasks: tasks, CPUs: 1, MemoryGB: 1,
 		Image: fmt.Sprint("img", i%4), ImageGB: 1, Spot: true, EstimateS: float64(run)}
 	if i%5 == 4 {
 		j.Shape, j.Priority, j.Tasks, j.EstimateS, j.Spot = wire.ShapeService, wire.PriorityProduction, 2+tasks%6, 0, false
@@ -263,7 +263,7 @@
 func (w *world) callOffAgain(ref string, i int) {
 	n := w.nodes[i%len(w.nodes)]
 	_, accepted := w.jobs[ref]
-	if accepted && n.alive && n.frozenUntil <= w.now && w.callOff(n, ref) == wire.JobCancelled {
+	if accepted && n.alive && n.frozenUntil <= w.now && w.callOff(n, ref) == string(wire.JobCancelled) {
 		return
 	}
 	w.after(clock.Second, func() { w.callOffAgain(ref, i+1) })
@@ -427,7 +427,7 @@
 		switch {
 		case r.Code != 200:
 			w.breaks("forgotten: %s is answered %d", ref, r.Code)
-		case !j.IsService() && r.Status.State != wire.Done && r.Status.State != wire.JobCancelled:
+		case !j.IsService() && r.Status.State != wire.JobDone && r.Status.State != wire.JobCancelled:
 			w.breaks("unfinished: %s is %s", ref, r.Status.State)
 		}
 		if _, over := w.store.Get(leader.FinalStatePrefix + ref); !over {
--- a/internal/scenario/rules_test.go
+++ b/internal/scenario/rules_test.go
@@ -95,7 +95,7 @@
 
 // hear judges an answer to a user by what any node has told before: none may be older.
 func (w *world) hear(ref string, r api.Result) api.Result {
-	state := ""
+	state := wire.JobState("")
 	switch {
 	case r.Code == 200 || r.Code == 201:
 		state = r.Status.State
@@ -106,14 +106,14 @@
 		return r
 	}
 	before := w.told[ref]
-	final := before == wire.Done || before == wire.JobCancelled
+	final := before == wire.JobDone || before == wire.JobCancelled
 	if state == "unknown" || final && state != before {
 		w.breaks("went_back: %s is %s after %s", ref, state, before)
 	}
 	if !final {
 		w.told[ref] = state
 	}
-	if w.looks && (before == "" || !final && w.told[ref] != before && (state == wire.Done || state == wire.JobCancelled)) {
+	if w.looks && (before == "" || !final && w.told[ref] != before && (state == wire.JobDone || state == wire.JobCancelled)) {
 		w.lookClosely(ref)
 	}
 	return r
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -32,7 +32,7 @@
 				if w != nil {
 					w.stop()
 				}
-				w = cluster(t, d)
+				w = clusterWorld(t, d)
 				return ""
 			}
 			c, ok := known[d.Cmd]
@@ -57,7 +57,7 @@
 	return clock.Micros(v / time.Microsecond)
 }
 
-func cluster(t *testing.T, d *datadriven.TestData) *world {
+func clusterWorld(t *testing.T, d *datadriven.TestData) *world {
 	cfg := config.Config{Tuning: config.DefaultTuning()}
 	f := &cfg.Facts
 	f.InitialSize = arg(t, d, "nodes", 3)
@@ -145,7 +145,7 @@
 	w.bodies[ref] = body
 	w.mistaken[ref] = arg(t, d, "mistaken", 0)
 	w.runS[ref] = float64(arg(t, d, "run", 10))
-	if arg(t, d, "shape", wire.ShapeBatch) == wire.ShapeService {
+	if arg(t, d, "shape", string(wire.ShapeBatch)) == string(wire.ShapeService) {
 		w.runS[ref] = float64(arg(t, d, "ends", 0))
 	}
 	return body
@@ -160,7 +160,7 @@
 	if _, ok := w.aborted[ref]; !ok && r.Status.State == wire.JobCancelled {
 		w.aborted[ref] = w.now
 	}
-	return r.Status.State
+	return string(r.Status.State)
 }
 
 // command carries out one line of a scenario.
@@ -268,7 +268,7 @@
 			continue
 		}
 		w.run(clock.Second / 4)
-		if r := w.hear(ref, n.lookUp(ref)); r.Code == 200 && r.Status.State == state {
+		if r := w.hear(ref, n.lookUp(ref)); r.Code == 200 && string(r.Status.State) == state {
 			return state
 		}
 	}
--- a/internal/scenario/size_test.go
+++ b/internal/scenario/size_test.go
@@ -7,6 +7,7 @@
 	"testing"
 
 	"swiftledge/internal/clock"
+	"swiftledge/internal/cluster"
 	"swiftledge/internal/config"
 	"swiftledge/wire"
 )
@@ -176,7 +177,7 @@
 func (w *world) keptLeases(t *testing.T, took clock.Micros) {
 	t.Helper()
 	for _, s := range w.workers {
-		if s.Session > 1 && !s.dead {
+		if s.AgentEpoch > 1 && !s.dead {
 			t.Fatalf("%s lost its lease while the controllers were back after %.1f s", s.Name, took.Seconds())
 		}
 	}
@@ -310,8 +311,8 @@
 	if n := len(w.workers); n < z.machines*9/10 {
 		t.Fatalf("%d of %d machines are up", n, z.machines)
 	}
-	epochs := func() map[uint64]bool {
-		led := map[uint64]bool{}
+	epochs := func() map[cluster.Term]bool {
+		led := map[cluster.Term]bool{}
 		for _, n := range w.leaders() {
 			led[n.elector.Term()] = true
 		}
--- a/internal/scenario/worker_test.go
+++ b/internal/scenario/worker_test.go
@@ -93,7 +93,7 @@
 	every := clock.FromSeconds(w.cfg.Facts.Workers.ReportS)
 	s.nextAt = w.now + every*3/4 + clock.Micros(w.rng.Int64N(int64(every/2)))
 	r := s.Report()
-	sent, session, n := w.now, s.Session, w.nodes[s.target]
+	sent, session, n := w.now, s.AgentEpoch, w.nodes[s.target]
 	settled := false
 	next := func(to int, wait clock.Micros) {
 		if settled {
--- a/internal/scenario/world_test.go
+++ b/internal/scenario/world_test.go
@@ -49,17 +49,17 @@
 	cutUntil clock.Micros
 	// The cloud answers 503 to everything.
 	cloudDown    bool
-	cloudLate    float64                 // share of its requests that get no answer and are carried out seconds later
-	commandsLate float64                 // the same of the direct commands
-	submitted    int                     // jobs that random worlds have submitted
-	told         map[string]string       // by job: the latest state that any node told
-	fits         map[string]clock.Micros // by job: since when it waits beside room for it
-	bodies       map[string][]byte       // submissions
-	mistaken     map[string]int          // by job: each how many-eth task fails wherever it runs
-	tried        map[string]clock.Micros // by job: when a task of it last began to run
-	asked        int                     // requests of controllers to the state service
-	said         int                     // messages between different controllers
-	looks        bool                    // users ask everywhere, and submit again, as soon as something was told
+	cloudLate    float64                  // share of its requests that get no answer and are carried out seconds later
+	commandsLate float64                  // the same of the direct commands
+	submitted    int                      // jobs that random worlds have submitted
+	told         map[string]wire.JobState // by job: the latest state that any node told
+	fits         map[string]clock.Micros  // by job: since when it waits beside room for it
+	bodies       map[string][]byte        // submissions
+	mistaken     map[string]int           // by job: each how many-eth task fails wherever it runs
+	tried        map[string]clock.Micros  // by job: when a task of it last began to run
+	asked        int                      // requests of controllers to the state service
+	said         int                      // messages between different controllers
+	looks        bool                     // users ask everywhere, and submit again, as soon as something was told
 }
 
 const step = 50 * clock.Millisecond
@@ -72,7 +72,7 @@
 		cloud:  fake.NewCloud(types, clock.FromSeconds(cfg.Facts.Cloud.ListLagS)),
 		byName: map[string]*simWorker{}, holds: map[string][]held{},
 		jobs: map[string]wire.Job{}, runS: map[string]float64{}, aborted: map[string]clock.Micros{}, ran: map[string]int{}, next: cfg.Facts.State.Next, sent: map[string]clock.Micros{}, begun: map[string]clock.Micros{},
-		told: map[string]string{}, fits: map[string]clock.Micros{}, bodies: map[string][]byte{}, mistaken: map[string]int{}, tried: map[string]clock.Micros{}}
+		told: map[string]wire.JobState{}, fits: map[string]clock.Micros{}, bodies: map[string][]byte{}, mistaken: map[string]int{}, tried: map[string]clock.Micros{}}
 	w.kept, w.progress, w.history = map[string]bool{}, map[string]float64{}, newHistory(w)
 	for i := range cfg.Facts.InitialSize {
 		n := &simNode{w: w, i: i, name: fmt.Sprintf("n%d", i), cfg: cfg}
@@ -131,7 +131,7 @@
 	w.watchWaiting()
 	if w.looks {
 		for i, ref := range sortedKeys(w.jobs) {
-			if n := w.nodes[(int(w.now/step)+i)%len(w.nodes)]; n.alive && n.frozenUntil <= w.now && w.told[ref] != wire.Done && w.told[ref] != wire.JobCancelled {
+			if n := w.nodes[(int(w.now/step)+i)%len(w.nodes)]; n.alive && n.frozenUntil <= w.now && w.told[ref] != wire.JobDone && w.told[ref] != wire.JobCancelled {
 				w.hear(ref, n.lookUp(ref))
 			}
 		}
--- a/internal/shard/compact.go
+++ b/internal/shard/compact.go
@@ -22,7 +22,7 @@
 // in full, are read at each takeover and sent with each grant.
 type CompactPages struct {
 	Shard        int
-	FencingToken uint64
+	FencingToken wire.FencingToken
 	KeyVersion   uint64
 	Put          PageWrite
 	Delete       []string
@@ -31,7 +31,7 @@
 // PagesCompacted is its end; Revision is the new page's version, or 0 when it is not known.
 type PagesCompacted struct {
 	Shard        int
-	FencingToken uint64
+	FencingToken wire.FencingToken
 	Committed    bool
 	Fenced       bool
 	Revision     uint64
--- a/internal/shard/cycle.go
+++ b/internal/shard/cycle.go
@@ -17,19 +17,19 @@
 type page struct {
 	key     string
 	version uint64
-	recs    []*taskAttempt // whose attempts are not proven gone
-	fixed   bool           // never written again
-	token   uint64         // of the grant whose attempts it names
-	stored  int            // how many records its stored value has
-	also    []string       // keys that may hold its records, too
-	busy    bool           // it is being written in place of others
+	recs    []*taskAttempt    // whose attempts are not proven gone
+	fixed   bool              // never written again
+	token   wire.FencingToken // of the grant whose attempts it names
+	stored  int               // how many records its stored value has
+	also    []string          // keys that may hold its records, too
+	busy    bool              // it is being written in place of others
 	empty   clock.Micros
 }
 
 // newPage is a page of this grant's for records of that or an earlier token.
-func (b *heldBlock) newPage(token uint64) *page {
+func (b *heldBlock) newPage(token wire.FencingToken) *page {
 	b.pageSeq++
-	return &page{key: AttemptPrefix(b.id) + strconv.FormatUint(b.token, 10) + "-" + strconv.Itoa(b.pageSeq), token: token}
+	return &page{key: AttemptPrefix(b.id) + strconv.FormatUint(uint64(b.token), 10) + "-" + strconv.Itoa(b.pageSeq), token: token}
 }
 
 // fits adds what the page holds to a pager; false when not all of it fits.
@@ -97,7 +97,7 @@
 	for _, mt := range matches {
 		m := b.machines[mt.Machine.Name]
 		m.free = nil // the auction has taken from it
-		r := &taskAttempt{task: peer.Task{Job: mt.Group.Key, Index: mt.Index}, attempt: b.token<<peer.AttemptBits | (b.counter + 1), m: m,
+		r := &taskAttempt{task: peer.Task{Job: mt.Group.Key, Index: mt.Index}, attempt: peer.NewAttemptID(b.token, b.counter+1), m: m,
 			group: specs[mt.Group], session: m.session}
 		if !w.add(r) {
 			continue // more than one transaction holds: another cycle's
@@ -253,7 +253,7 @@
 }
 
 // answeredFor is the block whose write of start records has ended, if it still is ours.
-func (h *Holder) answeredFor(id int, token uint64, fenced bool) *heldBlock {
+func (h *Holder) answeredFor(id int, token wire.FencingToken, fenced bool) *heldBlock {
 	b := h.blocks[id]
 	if b == nil || b.token != token {
 		return nil
--- a/internal/shard/cycle_test.go
+++ b/internal/shard/cycle_test.go
@@ -115,10 +115,10 @@
 				g.Attempts = append(g.Attempts, 100*p+i, 100*p+i+1, 0)
 			}
 			pages["run/000/1-"+strconv.Itoa(p)] = peer.AttemptPage{FencingToken: 40, Machines: []string{"m1"}, Groups: []peer.AttemptGroup{g}}
-			run = append(run, wire.TaskStatus{Task: TaskName(peer.Task{Job: task.Job, Index: 100 * p}), Attempt: 40<<peer.AttemptBits | uint64(100*p+1), State: wire.Running})
+			run = append(run, wire.TaskStatus{Task: TaskName(peer.Task{Job: task.Job, Index: 100 * p}), Attempt: peer.NewAttemptID(40, uint64(100*p+1)), State: wire.TaskRunning})
 		}
 		h.Step(now, &peer.FromLeader{Term: 10, Grants: []peer.ShardGrant{{Shard: 0, FencingToken: 60, KeyVersion: 8, Machines: []peer.InventoryMachine{{Name: "m1", Address: "a1"}}, Pages: pages}}})
-		h.Step(now, &peer.FromLeader{Term: 10, RenewedSeq: h.renew, FencingTokens: map[int]uint64{0: 60}})
+		h.Step(now, &peer.FromLeader{Term: 10, RenewedSeq: h.renew, FencingTokens: map[int]wire.FencingToken{0: 60}})
 		h.Step(later(10), beat("m1", 1, 60, run...))
 		var got *CompactPages
 		for _, e := range h.Step(later(11), Tick{}) {
@@ -152,7 +152,7 @@
 					}
 				}
 			}
-			h.Step(later(20+10*i), &peer.FromLeader{Term: 10, RenewedSeq: h.renew, FencingTokens: map[int]uint64{0: 60}})
+			h.Step(later(20+10*i), &peer.FromLeader{Term: 10, RenewedSeq: h.renew, FencingTokens: map[int]wire.FencingToken{0: 60}})
 		}
 		if !keys[got.Put.Key] || len(keys) != c.erased {
 			t.Errorf("%s: erased %v, want %d keys", c.name, keys, c.erased)
--- a/internal/shard/holder.go
+++ b/internal/shard/holder.go
@@ -6,6 +6,7 @@
 	"slices"
 
 	"swiftledge/internal/clock"
+	"swiftledge/internal/cluster"
 	"swiftledge/internal/config"
 	"swiftledge/internal/pausedetect"
 	"swiftledge/internal/peer"
@@ -18,7 +19,7 @@
 type Holder struct {
 	p       Params
 	tuning  placement.Params
-	epoch   uint64
+	epoch   cluster.Term
 	linked  bool
 	slow    bool // the link's messages take seconds
 	blocks  map[int]*heldBlock
--- a/internal/shard/holder_test.go
+++ b/internal/shard/holder_test.go
@@ -25,18 +25,18 @@
 	page := peer.AttemptPage{Machines: []string{"m1", "m2"}, Groups: []peer.AttemptGroup{{Job: task.Job, Team: "red", CPUs: 1, Attempts: []int{3, 1, 0, 3, 2, 1}}}}
 	h.Step(now, &peer.FromLeader{Term: 9, Holders: []string{"n0"}, Types: []wire.MachineType{{Name: "small", CPUs: 4, MemoryGB: 8}},
 		Grants: []peer.ShardGrant{{Shard: 0, FencingToken: 50, KeyVersion: 7, Machines: []peer.InventoryMachine{{Name: "m1", Address: "a1"}, {Name: "m2"}}, Pages: map[string]peer.AttemptPage{"run/000/1-1": page}}}})
-	h.Step(now, &peer.FromLeader{Term: 9, RenewedSeq: h.renew, FencingTokens: map[int]uint64{0: 50}})
+	h.Step(now, &peer.FromLeader{Term: 9, RenewedSeq: h.renew, FencingTokens: map[int]wire.FencingToken{0: 50}})
 	return h
 }
 
-func beat(machine string, seq, token uint64, tasks ...wire.TaskStatus) HeartbeatReceived {
+func beat(machine string, seq uint64, token wire.FencingToken, tasks ...wire.TaskStatus) HeartbeatReceived {
 	return HeartbeatReceived{ReplyTo: machine, Heartbeat: &wire.Heartbeat{Machine: machine, Address: "a", Type: "small", AgentEpoch: 1, Seq: seq, FencingToken: token, Tasks: tasks}}
 }
 
 // later is a time at which the leader is told of all that came before.
 func later(n int) clock.Micros { return now + clock.Micros(n)*flushEvery }
 
-func eventsOf(fx []any) (out []string) {
+func eventsOf(fx []any) (out []peer.EventKind) {
 	for _, e := range fx {
 		if s, ok := e.(SendToLeader); ok {
 			for _, u := range s.Message.Updates {
@@ -60,12 +60,12 @@
 	return HeartbeatReply{}
 }
 
-func exitedAs(attempt uint64, cause string) wire.TaskStatus {
+func exitedAs(attempt wire.AttemptID, cause wire.ExitCause) wire.TaskStatus {
 	return wire.TaskStatus{Task: TaskName(task), Attempt: attempt, State: wire.TaskExited, Cause: cause}
 }
 
-func running(attempt uint64) wire.TaskStatus {
-	return wire.TaskStatus{Task: TaskName(task), Attempt: attempt, State: wire.Running}
+func running(attempt wire.AttemptID) wire.TaskStatus {
+	return wire.TaskStatus{Task: TaskName(task), Attempt: attempt, State: wire.TaskRunning}
 }
 
 // A stale start record beside a live attempt of the same task: its end must not
@@ -123,7 +123,7 @@
 	h := holding(t)
 	exit := wire.TaskStatus{Task: TaskName(task), Attempt: 2, State: wire.TaskExited, Cause: wire.ExitDone}
 	fx := h.Step(later(1), beat("m2", 1, 50, exit))
-	if ev := eventsOf(fx); !slices.Equal(ev, []string{peer.EventAttemptRemains, peer.EventCompleted}) {
+	if ev := eventsOf(fx); !slices.Equal(ev, []peer.EventKind{peer.EventAttemptRemains, peer.EventCompleted}) {
 		t.Errorf("events %v, want done beside the record of another attempt", ev)
 	}
 	if a := answerOf(t, fx); len(a.Body.Commands) != 0 {
@@ -166,10 +166,10 @@
 // it shows nothing that the answer has not told better.
 func TestReportOlderThanAnAnswerProvesNothing(t *testing.T) {
 	h := holding(t)
-	h.Step(now, beat("m1", 1, 50, wire.TaskStatus{Task: TaskName(task), Attempt: 1, State: wire.Running}))
+	h.Step(now, beat("m1", 1, 50, wire.TaskStatus{Task: TaskName(task), Attempt: 1, State: wire.TaskRunning}))
 	ended := beat("m1", 3, 50, wire.TaskStatus{Task: TaskName(task), Attempt: 1, State: wire.TaskExited, Cause: wire.ExitDone}).Heartbeat
 	h.Step(now, CommandsAnswered{SendCommands: SendCommands{Shard: 0, Machine: "m1", Body: wire.CommandBatch{FencingToken: 50, AgentEpoch: 1}}, Code: 200, Status: ended})
-	h.Step(now, beat("m1", 2, 50, wire.TaskStatus{Task: TaskName(task), Attempt: 1, State: wire.Running}))
+	h.Step(now, beat("m1", 2, 50, wire.TaskStatus{Task: TaskName(task), Attempt: 1, State: wire.TaskRunning}))
 	if r := h.blocks[0].machines["m1"].find(1); r == nil || r.state != exited {
 		t.Error("an ended attempt runs again by an older report")
 	}
@@ -201,7 +201,7 @@
 // session's first report proves that nothing of the former one is left, whatever it had shown.
 func TestNextSessionProvesTheFormersTasksGone(t *testing.T) {
 	h := holding(t)
-	h.Step(now, beat("m1", 1, 50, wire.TaskStatus{Task: TaskName(task), Attempt: 1, State: wire.Running}))
+	h.Step(now, beat("m1", 1, 50, wire.TaskStatus{Task: TaskName(task), Attempt: 1, State: wire.TaskRunning}))
 	m := h.blocks[0].machines["m1"]
 	if h.Step(now+clock.Second, beat("m1", 2, 50)); m.find(1) == nil {
 		t.Error("taken for gone within its session")
@@ -243,11 +243,11 @@
 func TestCompletionBesideAnotherAttemptSaysSo(t *testing.T) {
 	h := holding(t)
 	ev := eventsOf(h.Step(later(1), beat("m1", 1, 50, exitedAs(1, wire.ExitDone))))
-	if !slices.Equal(ev, []string{peer.EventAttemptRemains, peer.EventCompleted}) {
+	if !slices.Equal(ev, []peer.EventKind{peer.EventAttemptRemains, peer.EventCompleted}) {
 		t.Errorf("events %v when one of two attempts completed", ev)
 	}
 	ev = eventsOf(h.Step(later(2), beat("m2", 1, 50, exitedAs(2, wire.ExitDone))))
-	if !slices.Equal(ev, []string{peer.EventCompleted}) {
+	if !slices.Equal(ev, []peer.EventKind{peer.EventCompleted}) {
 		t.Errorf("events %v when the last attempt completed", ev)
 	}
 }
@@ -270,7 +270,7 @@
 				logged++
 			}
 		}
-		ev := slices.DeleteFunc(eventsOf(fx), func(kind string) bool { return kind == peer.EventRunning })
+		ev := slices.DeleteFunc(eventsOf(fx), func(kind peer.EventKind) bool { return kind == peer.EventRunning })
 		if len(ev) != 0 || logged != 1 {
 			t.Errorf("%s: events %v, logged %d times", name, ev, logged)
 		}
--- a/internal/shard/keys_test.go
+++ b/internal/shard/keys_test.go
@@ -1,6 +1,10 @@
 package shard
 
-import "testing"
+import (
+	"testing"
+
+	"swiftledge/wire"
+)
 
 // The key of a page of start records names the grant that wrote it, and its count there; leaders of any
 // version find the pages of a block by the beginning of their keys.
@@ -8,7 +12,7 @@
 	b := &heldBlock{id: 2, token: 7<<12 | 3}
 	cases := []struct {
 		name, want string
-		token      uint64
+		token      wire.FencingToken
 	}{
 		{"of its own records", "run/002/28675-1", 7<<12 | 3},
 		{"of an earlier grant's", "run/002/28675-2", 6<<12 | 1},
--- a/internal/shard/limits_test.go
+++ b/internal/shard/limits_test.go
@@ -69,9 +69,9 @@
 	var stop []peer.StopTask
 	for i := range tasks {
 		task := peer.Task{Job: "j-000002", Index: i}
-		attempt := 50<<peer.AttemptBits | uint64(i+1)
+		attempt := peer.NewAttemptID(50, uint64(i+1))
 		b.add(&taskAttempt{task: task, attempt: attempt, m: b.machines["m1"], group: &peer.AttemptGroup{Job: task.Job}, state: shown, session: 1})
-		listed = append(listed, wire.TaskStatus{Task: TaskName(task), Attempt: attempt, State: wire.Running})
+		listed = append(listed, wire.TaskStatus{Task: TaskName(task), Attempt: attempt, State: wire.TaskRunning})
 		if i >= 2*mostCommands {
 			stop = append(stop, peer.StopTask{Task: task})
 		}
--- a/internal/shard/messages.go
+++ b/internal/shard/messages.go
@@ -10,6 +10,7 @@
 	"github.com/goccy/go-json"
 
 	"swiftledge/internal/clock"
+	"swiftledge/internal/cluster"
 	"swiftledge/internal/pausedetect"
 	"swiftledge/internal/peer"
 	"swiftledge/internal/rebalancer"
@@ -46,12 +47,12 @@
 	// LeaderConnected says that a link to the leader of an epoch is up; Slow, that its messages
 	// take seconds.
 	LeaderConnected struct {
-		Term     uint64
+		Term     cluster.Term
 		ViaStore bool
 	}
 	// LeaderDisconnected says that it ended.
-	LeaderDisconnected struct{ Term uint64 }
-	// HeartbeatReceived is a worker's report that waits for an answer under Tag.
+	LeaderDisconnected struct{ Term cluster.Term }
+	// HeartbeatReceived is a worker's heartbeat that waits for an answer under ReplyTo.
 	HeartbeatReceived struct {
 		ReplyTo   any
 		Heartbeat *wire.Heartbeat
@@ -71,7 +72,7 @@
 	// version of its pages, or 0 when it is not known.
 	AttemptsWritten struct {
 		Shard         int
-		FencingToken  uint64
+		FencingToken  wire.FencingToken
 		Seq           int
 		Committed     bool
 		Fenced        bool
@@ -104,14 +105,14 @@
 	// InspectAgent asks a worker for its report.
 	InspectAgent struct {
 		Shard        int
-		FencingToken uint64
+		FencingToken wire.FencingToken
 		Machine      string
 		Address      string
 	}
 	// WriteAttempts writes a cycle's start records before its tasks are ordered.
 	WriteAttempts struct {
 		Shard        int
-		FencingToken uint64
+		FencingToken wire.FencingToken
 		Seq          int
 		KeyVersion   uint64
 		Pages        []PageWrite
--- a/internal/shard/observe.go
+++ b/internal/shard/observe.go
@@ -138,7 +138,7 @@
 
 // findFrom gives the place of an attempt, or -1. It looks from a place on and around, as reports
 // mostly list the tasks in the order in which they were given.
-func findFrom(attempts []*taskAttempt, from int, attempt uint64) int {
+func findFrom(attempts []*taskAttempt, from int, attempt wire.AttemptID) int {
 	for k := range attempts {
 		if at := (from + k) % len(attempts); attempts[at].attempt == attempt {
 			return at
@@ -224,7 +224,7 @@
 		// worker that began anew.
 		rc.stop = stopAtOnce
 	}
-	if t.State == wire.Running && !rc.running {
+	if t.State == wire.TaskRunning && !rc.running {
 		rc.running, rc.startedAt = true, now
 		b.mark(m)
 		if rc.orderedAt > 0 && !m.images.Has(rc.group.Image) {
@@ -260,8 +260,8 @@
 	case rc.orderedAt > 0:
 		began = rc.orderedAt
 	}
-	span("run", began, now, trace.Attribute{Key: "cause", Value: t.Cause},
-		trace.Attribute{Key: "attempt", Value: strconv.FormatUint(rc.attempt, 10)}, trace.Attribute{Key: "inherited", Value: strconv.FormatBool(rc.inherited)})
+	span("run", began, now, trace.Attribute{Key: "cause", Value: string(t.Cause)},
+		trace.Attribute{Key: "attempt", Value: strconv.FormatUint(uint64(rc.attempt), 10)}, trace.Attribute{Key: "inherited", Value: strconv.FormatBool(rc.inherited)})
 }
 
 // end is what the leader is told of an attempt that has exited. What a completion proves has yet to be
--- a/internal/shard/proofs_test.go
+++ b/internal/shard/proofs_test.go
@@ -17,7 +17,7 @@
 	h.Step(now, beat("m1", 1, 50)) // the other attempt's record is stale
 	first := eventsOf(h.Step(later(1), beat("m2", 1, 50, exitedAs(2, wire.ExitStopped))))
 	again := eventsOf(h.Step(later(2), beat("m2", 2, 50, exitedAs(2, wire.ExitStopped))))
-	if !slices.Equal(first, []string{peer.EventReleased}) || len(again) != 0 {
+	if !slices.Equal(first, []peer.EventKind{peer.EventReleased}) || len(again) != 0 {
 		t.Errorf("events %v, then %v", first, again)
 	}
 }
@@ -88,7 +88,7 @@
 func TestGrantThatComesAgainIsTheSame(t *testing.T) {
 	h := holding(t)
 	b := h.blocks[0]
-	for _, token := range []uint64{50, 49} {
+	for _, token := range []wire.FencingToken{50, 49} {
 		h.Step(now, &peer.FromLeader{Term: 9, Grants: []peer.ShardGrant{{Shard: 0, FencingToken: token, KeyVersion: 7}}})
 		if h.blocks[0] != b {
 			t.Errorf("token %d begins a grant after 50", token)
@@ -111,7 +111,7 @@
 
 // What an older leader says, or what was said of an older grant, changes nothing.
 func TestOlderWordsChangeNothing(t *testing.T) {
-	gone := func(token uint64) []peer.ShardOrders {
+	gone := func(token wire.FencingToken) []peer.ShardOrders {
 		return []peer.ShardOrders{{Shard: 0, FencingToken: token, Terminated: []string{"m1"}}}
 	}
 	for name, d := range map[string]*peer.FromLeader{
@@ -129,7 +129,7 @@
 	h := holding(t)
 	expires := h.blocks[0].expires
 	h.Step(now+2*clock.Second, Tick{})
-	h.Step(now+2*clock.Second, &peer.FromLeader{Term: 9, RenewedSeq: h.renew, FencingTokens: map[int]uint64{0: 49}})
+	h.Step(now+2*clock.Second, &peer.FromLeader{Term: 9, RenewedSeq: h.renew, FencingTokens: map[int]wire.FencingToken{0: 49}})
 	if h.blocks[0].expires != expires {
 		t.Error("the renewal of an older grant prolongs this one")
 	}
--- a/internal/shard/state.go
+++ b/internal/shard/state.go
@@ -7,6 +7,7 @@
 	"swiftledge/internal/clock"
 	"swiftledge/internal/peer"
 	"swiftledge/internal/placement"
+	"swiftledge/wire"
 )
 
 type attemptState int
@@ -30,16 +31,16 @@
 // taskAttempt is one attempt that may be on a machine.
 type taskAttempt struct {
 	task      peer.Task
-	attempt   uint64
+	attempt   wire.AttemptID
 	m         *machine
 	group     *peer.AttemptGroup // what the task takes; Starts unused
 	page      *page              // where its record is; nil once it needs none
 	place     int                // in page.recs
 	state     attemptState
 	inherited bool
-	session   uint64 // in which it was ordered
-	inflight  int    // run orders sent directly and not answered: they may still be carried out
-	direct    bool   // a run order under our token went out directly: a copy of it may come late
+	session   wire.AgentEpoch // in which it was ordered
+	inflight  int             // run orders sent directly and not answered: they may still be carried out
+	direct    bool            // a run order under our token went out directly: a copy of it may come late
 	running   bool
 	done      bool         // it exited with its result kept
 	orderedAt clock.Micros // 0: by an earlier grant
@@ -53,10 +54,12 @@
 type machine struct {
 	name, address, typ, zone string
 	spot                     bool
-	session, seq             uint64
+	session                  wire.AgentEpoch
+	seq                      uint64
 	began                    clock.Micros // when we first saw the session
-	beatSession, beatSeq     uint64       // of the newest report of its own, not of an answer to us
-	shown                    bool         // has shown our token
+	beatSession              wire.AgentEpoch
+	beatSeq                  uint64 // of the newest report of its own, not of an answer to us
+	shown                    bool   // has shown our token
 	heard                    clock.Micros
 	answered                 clock.Micros
 	stale                    clock.Micros // when a report last came that is not newer than what is known
@@ -76,23 +79,24 @@
 }
 
 type heldBlock struct {
-	id           int
-	token, stamp uint64
-	since        clock.Micros
-	expires      clock.Micros
-	counter      uint64
-	pageSeq      int
-	writeSeq     int
-	pages        []*page // in the order in which they came
-	writing      *cycleWrite
-	compacting   *page
-	compactedAt  clock.Micros
-	erase        []string
-	erasedAt     clock.Micros
-	machines     map[string]*machine
-	order        []*machine // by name
-	changed      []*machine // that the leader is to be told of
-	byTask       map[peer.Task][]*taskAttempt
+	id          int
+	token       wire.FencingToken
+	stamp       uint64
+	since       clock.Micros
+	expires     clock.Micros
+	counter     uint64
+	pageSeq     int
+	writeSeq    int
+	pages       []*page // in the order in which they came
+	writing     *cycleWrite
+	compacting  *page
+	compactedAt clock.Micros
+	erase       []string
+	erasedAt    clock.Micros
+	machines    map[string]*machine
+	order       []*machine // by name
+	changed     []*machine // that the leader is to be told of
+	byTask      map[peer.Task][]*taskAttempt
 	// attempts counts, by task, those whose end the leader has not been told. A
 	// stale record may stand beside a live one: only the last end gives the task back.
 	attempts map[peer.Task]int
@@ -134,7 +138,7 @@
 }
 
 // find gives the machine's record of an attempt; attempts never repeat.
-func (m *machine) find(attempt uint64) *taskAttempt {
+func (m *machine) find(attempt wire.AttemptID) *taskAttempt {
 	for _, r := range m.recs {
 		if r.attempt == attempt {
 			return r
@@ -177,7 +181,7 @@
 }
 
 // lose takes off the books an attempt that is proven to be on the machine no more.
-func (b *heldBlock) lose(r *taskAttempt, kind string) {
+func (b *heldBlock) lose(r *taskAttempt, kind peer.EventKind) {
 	b.tellEnd(r, peer.TaskEvent{Task: r.task, Kind: kind, Machine: r.m.name})
 	b.settle(r)
 	r.m.recs = slices.DeleteFunc(r.m.recs, func(o *taskAttempt) bool { return o == r })
--- a/internal/shard/tokens_test.go
+++ b/internal/shard/tokens_test.go
@@ -39,7 +39,7 @@
 	h := holding(t)
 	h.Step(now, beat("m1", 1, 50))
 	b := h.blocks[0]
-	attempt := uint64(50<<peer.AttemptBits | 1)
+	attempt := peer.NewAttemptID(50, 1)
 	other := peer.Task{Job: "j-000002"}
 	b.add(&taskAttempt{task: other, attempt: attempt, m: b.machines["m1"], group: &peer.AttemptGroup{Job: other.Job}, state: ordered, session: 1, direct: true, stop: 2})
 	exit := wire.TaskStatus{Task: TaskName(other), Attempt: attempt, State: wire.TaskExited, Cause: wire.ExitStopped}
@@ -47,7 +47,7 @@
 		t.Errorf("commands %v while a copy of its order would be obeyed", a.Body.Commands)
 	}
 	h.Step(now, &peer.FromLeader{Term: 9, Grants: []peer.ShardGrant{{Shard: 0, FencingToken: 60, KeyVersion: 8, Machines: []peer.InventoryMachine{{Name: "m1", Address: "a1"}}}}})
-	h.Step(now, &peer.FromLeader{Term: 9, RenewedSeq: h.renew, FencingTokens: map[int]uint64{0: 60}})
+	h.Step(now, &peer.FromLeader{Term: 9, RenewedSeq: h.renew, FencingTokens: map[int]wire.FencingToken{0: 60}})
 	if a := answerOf(t, h.Step(now, beat("m1", 3, 60, exit))); len(a.Body.Commands) != 1 || a.Body.Commands[0].Verb != wire.VerbForget {
 		t.Errorf("commands %v under the higher token, want forget", a.Body.Commands)
 	}
@@ -58,7 +58,7 @@
 	h := holding(t)
 	b := h.blocks[0]
 	for i := range leastLingering + 1 {
-		b.add(&taskAttempt{task: peer.Task{Job: "j-000002", Index: i}, attempt: 50<<peer.AttemptBits | uint64(i+1), m: b.machines["m1"],
+		b.add(&taskAttempt{task: peer.Task{Job: "j-000002", Index: i}, attempt: peer.NewAttemptID(50, uint64(i+1)), m: b.machines["m1"],
 			group: &peer.AttemptGroup{Job: "j-000002"}, state: exited, direct: true, told: true, stored: true})
 	}
 	asked := 0
@@ -83,7 +83,7 @@
 func TestAnswerToAnUnfencedMachineEndsCancelledTasks(t *testing.T) {
 	h := holding(t)
 	h.Step(now, &peer.FromLeader{Term: 9, Orders: []peer.ShardOrders{{Shard: 0, FencingToken: 50, Stop: []peer.StopTask{{Task: task}}}}})
-	a := answerOf(t, h.Step(now, beat("m1", 1, 41, wire.TaskStatus{Task: TaskName(task), Attempt: 1, State: wire.Running})))
+	a := answerOf(t, h.Step(now, beat("m1", 1, 41, wire.TaskStatus{Task: TaskName(task), Attempt: 1, State: wire.TaskRunning})))
 	if len(a.Body.Commands) != 1 || a.Body.Commands[0].Verb != wire.VerbKill || a.Body.Commands[0].Attempt != 1 {
 		t.Errorf("status %d with %+v, want the task ended", a.Status, a.Body.Commands)
 	}
@@ -140,7 +140,7 @@
 		t.Error("asked for a token while the answer may come")
 	}
 	at := now + h.p.AgentLease + 2*clock.Second
-	h.Step(at-clock.Second, &peer.FromLeader{Term: 9, RenewedSeq: h.renew, FencingTokens: map[int]uint64{0: 50}})
+	h.Step(at-clock.Second, &peer.FromLeader{Term: 9, RenewedSeq: h.renew, FencingTokens: map[int]wire.FencingToken{0: 50}})
 	h.Step(at, beat(m.name, 3, 50, rest...))
 	if len(b.byTask[one]) != 1 {
 		t.Fatal("taken for gone while its order may be carried out")
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -5,17 +5,29 @@
 
 import "encoding/json"
 
+// FencingToken identifies who is entitled to command a worker; a worker obeys the highest that it has seen.
+type FencingToken uint64
+
+// AgentEpoch counts the incarnations of a worker's agent: a new one begins each time its lease expires.
+type AgentEpoch uint64
+
+// AttemptID tells the attempts to run a task apart; it never repeats for a task.
+type AttemptID uint64
+
+// Priority is how important a job is.
+type Priority string
+
 // Priorities, highest first.
 const (
-	PriorityProduction = "production"
-	PriorityHigh       = "high"
-	PriorityStandard   = "standard"
-	PriorityBestEffort = "best_effort"
+	PriorityProduction Priority = "production"
+	PriorityHigh       Priority = "high"
+	PriorityStandard   Priority = "standard"
+	PriorityBestEffort Priority = "best_effort"
 )
 
-// PriorityRank orders priorities: 0 is the most important, -1 is unknown.
-func PriorityRank(priority string) int {
-	switch priority {
+// Rank orders priorities: 0 is the most important, -1 is unknown.
+func (p Priority) Rank() int {
+	switch p {
 	case PriorityProduction:
 		return 0
 	case PriorityHigh:
@@ -28,46 +40,68 @@
 	return -1
 }
 
-// Shapes of jobs: a batch's tasks each run to completion, a service's replicas run
-// until its user cancels it.
+// Shape says how a job's tasks end.
+type Shape string
+
+// A batch's tasks each run to completion, a service's replicas run until its user cancels it.
 const (
-	ShapeBatch   = "batch"
-	ShapeService = "service"
+	ShapeBatch   Shape = "batch"
+	ShapeService Shape = "service"
 )
 
-// Job states as users see them.
+// JobState is a job's state as its user sees it.
+type JobState string
+
+// Job states.
 const (
-	JobQueued    = "queued"
-	Running      = "running"
-	Done         = "done"
-	JobCancelled = "cancelled"
+	JobQueued    JobState = "queued"
+	JobRunning   JobState = "running"
+	JobDone      JobState = "done"
+	JobCancelled JobState = "cancelled"
 )
 
-// Task states in a worker's report, and the causes of an exit.
+// TaskState is the state of a task on its machine.
+type TaskState string
+
+// Task states.
 const (
-	TaskFetching = "fetching"
-	TaskSaving   = "saving"
-	TaskExited   = "exited"
-
-	ExitDone    = "done"
-	ExitStopped = "stopped"
-	ExitError   = "error"
-	ExitFull    = "full"
-	ExitBusy    = "busy"
-	ExitUnknown = "unknown"
+	TaskFetching TaskState = "fetching"
+	TaskRunning  TaskState = "running"
+	TaskSaving   TaskState = "saving"
+	TaskExited   TaskState = "exited"
 )
 
-// Command verbs.
+// ExitCause says why a task exited.
+type ExitCause string
+
+// Exit causes.
+const (
+	ExitDone    ExitCause = "done"
+	ExitStopped ExitCause = "stopped"
+	ExitError   ExitCause = "error"
+	ExitFull    ExitCause = "full"
+	ExitBusy    ExitCause = "busy"
+	ExitUnknown ExitCause = "unknown"
+)
+
+// Verb is what a command tells a worker to do.
+type Verb string
+
+// Verbs of commands.
 const (
-	VerbRun    = "run"
-	VerbKill   = "kill"
-	VerbForget = "forget"
+	VerbRun    Verb = "run"
+	VerbKill   Verb = "kill"
+	VerbForget Verb = "forget"
 )
 
-// Machine states in the cloud's list.
+// MachineState is the state of a machine in the cloud's list.
+type MachineState string
+
+// Machine states.
 const (
-	MachineStarting = "starting"
-	MachineFailed   = "failed"
+	MachineStarting MachineState = "starting"
+	MachineRunning  MachineState = "running"
+	MachineFailed   MachineState = "failed"
 )
 
 // Job is what a user submits.
@@ -75,8 +109,8 @@
 	Ref         string   `json:"ref"`
 	Class       string   `json:"lane"`
 	Team        string   `json:"owner"`
-	Shape       string   `json:"shape"`
-	Priority    string   `json:"rank"`
+	Shape       Shape    `json:"shape"`
+	Priority    Priority `json:"rank"`
 	Tasks       int      `json:"lots"`
 	CPUs        float64  `json:"cpus"`
 	GPUs        float64  `json:"accelerators"`
@@ -126,7 +160,7 @@
 
 // Job makes the job of a form that has passed validation.
 func (f *JobSubmission) Job() Job {
-	j := Job{Ref: *f.Ref, Class: *f.Class, Team: *f.Team, Shape: *f.Shape, Priority: *f.Priority, Tasks: *f.Tasks,
+	j := Job{Ref: *f.Ref, Class: *f.Class, Team: *f.Team, Shape: Shape(*f.Shape), Priority: Priority(*f.Priority), Tasks: *f.Tasks,
 		CPUs: *f.CPUs, GPUs: *f.GPUs, MemoryGB: *f.MemoryGB, Image: *f.Image, ImageGB: *f.ImageGB,
 		OneZone: *f.OneZone, Spread: *f.Spread, Spot: *f.Spot, EstimateS: *f.EstimateS,
 		CheckpointS: *f.CheckpointS, SaveS: *f.SaveS, DeadlineS: f.DeadlineS}
@@ -141,10 +175,10 @@
 
 // JobStatus answers submissions, polls and aborts.
 type JobStatus struct {
-	Ref     string `json:"ref"`
-	State   string `json:"status"`
-	Done    int    `json:"done"`
-	Running int    `json:"running"`
+	Ref     string   `json:"ref"`
+	State   JobState `json:"status"`
+	Done    int      `json:"done"`
+	Running int      `json:"running"`
 }
 
 // ErrorResponse is the body of a refusal.
@@ -154,11 +188,11 @@
 
 // TaskStatus is one task in a worker's report.
 type TaskStatus struct {
-	Task         string `json:"lot"`
-	Attempt      uint64 `json:"try"`
-	State        string `json:"status"`
-	Cause        string `json:"cause,omitempty"`
-	Checkpointed bool   `json:"stored,omitempty"`
+	Task         string    `json:"lot"`
+	Attempt      AttemptID `json:"try"`
+	State        TaskState `json:"status"`
+	Cause        ExitCause `json:"cause,omitempty"`
+	Checkpointed bool      `json:"stored,omitempty"`
 }
 
 // Heartbeat is what a worker says of itself.
@@ -168,25 +202,25 @@
 	Type              string       `json:"breed"`
 	Zone              string       `json:"paddock"`
 	Spot              bool         `json:"stray"`
-	AgentEpoch        uint64       `json:"stint"`
+	AgentEpoch        AgentEpoch   `json:"stint"`
 	Seq               uint64       `json:"tally"`
-	FencingToken      uint64       `json:"baton"`
+	FencingToken      FencingToken `json:"baton"`
 	PreemptionNoticeS *float64     `json:"warningS"`
 	Tasks             []TaskStatus `json:"lots"`
 }
 
 // Command is one order to a worker.
 type Command struct {
-	Verb    string   `json:"verb"`
-	Task    string   `json:"lot"`
-	Attempt uint64   `json:"try"`
-	GraceS  *float64 `json:"leewayS,omitempty"`
+	Verb    Verb      `json:"verb"`
+	Task    string    `json:"lot"`
+	Attempt AttemptID `json:"try"`
+	GraceS  *float64  `json:"leewayS,omitempty"`
 }
 
 // HeartbeatResponse answers a report with 200.
 type HeartbeatResponse struct {
-	FencingToken uint64    `json:"baton"`
-	Commands     []Command `json:"orders"`
+	FencingToken FencingToken `json:"baton"`
+	Commands     []Command    `json:"orders"`
 }
 
 // Redirect answers a report with 421.
@@ -196,9 +230,9 @@
 
 // CommandBatch is a direct command to a worker.
 type CommandBatch struct {
-	FencingToken uint64    `json:"baton"`
-	AgentEpoch   uint64    `json:"stint"`
-	Commands     []Command `json:"orders"`
+	FencingToken FencingToken `json:"baton"`
+	AgentEpoch   AgentEpoch   `json:"stint"`
+	Commands     []Command    `json:"orders"`
 }
 
 // MachineType is one row of the cloud's catalog.
@@ -236,13 +270,13 @@
 
 // Machine is one row of the cloud's list.
 type Machine struct {
-	Name    string  `json:"ref"`
-	Address string  `json:"address"`
-	Type    string  `json:"breed"`
-	Zone    string  `json:"paddock"`
-	Spot    bool    `json:"stray"`
-	State   string  `json:"status"`
-	AgeS    float64 `json:"heldS"`
+	Name    string       `json:"ref"`
+	Address string       `json:"address"`
+	Type    string       `json:"breed"`
+	Zone    string       `json:"paddock"`
+	Spot    bool         `json:"stray"`
+	State   MachineState `json:"status"`
+	AgeS    float64      `json:"heldS"`
 }
 
 // MachineList is one page of the cloud's list.
