--- /dev/null
+++ b/wire/users.go
@@ -0,0 +1,167 @@
+package wire
+
+// The users' protocol, POST /api/jobs, GET /api/jobs/{ref} and POST /api/jobs/{ref}/abort. Its words in the
+// tags below, and the terms that they stand for:
+//
+//	lane          class: jobs with the same service-level objectives
+//	owner         team, whose quota the job counts against
+//	rank          priority
+//	lots          tasks: here their number
+//	accelerators  GPUs
+//	ramGb         memory
+//	kit           container image
+//	breeds        machine types that are allowed
+//	paddock       zone
+//	together      all tasks in one zone
+//	scatter       tasks spread over zones
+//	stray         spot machine
+//	reckonS       estimated run time
+//	waypointS     checkpoint interval
+//	stashS        time that saving a checkpoint takes
+//	dueS          deadline
+
+// Priority is how important a job is.
+type Priority string
+
+// Priorities, highest first.
+const (
+	PriorityProduction Priority = "production"
+	PriorityHigh       Priority = "high"
+	PriorityStandard   Priority = "standard"
+	PriorityBestEffort Priority = "best_effort"
+)
+
+// Rank orders priorities: 0 is the most important, -1 is unknown.
+func (p Priority) Rank() int {
+	switch p {
+	case PriorityProduction:
+		return 0
+	case PriorityHigh:
+		return 1
+	case PriorityStandard:
+		return 2
+	case PriorityBestEffort:
+		return 3
+	}
+	return -1
+}
+
+// Shape says how a job's tasks end.
+type Shape string
+
+// A batch's tasks each run to completion, a service's replicas run until its user cancels it.
+const (
+	ShapeBatch   Shape = "batch"
+	ShapeService Shape = "service"
+)
+
+// JobState is a job's state as its user sees it.
+type JobState string
+
+// Job states. The last two are final.
+const (
+	JobQueued    JobState = "queued"
+	JobRunning   JobState = "running"
+	JobDone      JobState = "done"
+	JobCancelled JobState = "cancelled"
+)
+
+// Job is the specification of a job, as its user submitted it. Controllers store it as JSON and send it to
+// each other as a msgpack map whose keys are the names of the fields.
+type Job struct {
+	Ref         string   `json:"ref"`
+	Class       string   `json:"lane"`
+	Team        string   `json:"owner"`
+	Shape       Shape    `json:"shape"`
+	Priority    Priority `json:"rank"`
+	Tasks       int      `json:"lots"`
+	CPUs        float64  `json:"cpus"`
+	GPUs        float64  `json:"accelerators"`
+	MemoryGB    float64  `json:"ramGb"`
+	Image       string   `json:"kit"`
+	ImageGB     float64  `json:"imageGb"`
+	Types       []string `json:"breeds"`
+	Zone        string   `json:"paddock,omitempty"`
+	OneZone     bool     `json:"together"`
+	Spread      bool     `json:"scatter"`
+	Spot        bool     `json:"stray"`
+	EstimateS   float64  `json:"reckonS"`
+	CheckpointS float64  `json:"waypointS"`
+	SaveS       float64  `json:"stashS"`
+	DeadlineS   *float64 `json:"dueS"`
+	// FleetLoad is between controllers only: with an offer, the mean load of the machines that take work
+	// (internal/rebalancer). Left out when load is not rebalanced; a version that does not know it ignores it.
+	FleetLoad float64 `json:"-" msgpack:",omitempty"`
+}
+
+// IsService reports whether the job's tasks run until it is cancelled.
+func (j *Job) IsService() bool { return j.Shape == ShapeService }
+
+// JobSubmission is a submission as received: pointers tell a missing field from zero.
+type JobSubmission struct {
+	Ref         *string   `json:"ref" validate:"required,jobref"`
+	Class       *string   `json:"lane" validate:"required"`
+	Team        *string   `json:"owner" validate:"required"`
+	Shape       *string   `json:"shape" validate:"required,oneof=batch service"`
+	Priority    *string   `json:"rank" validate:"required,oneof=production high standard best_effort"`
+	Tasks       *int      `json:"lots" validate:"required,min=1,max=100000"`
+	CPUs        *float64  `json:"cpus" validate:"required,min=0"`
+	GPUs        *float64  `json:"accelerators" validate:"required,min=0"`
+	MemoryGB    *float64  `json:"ramGb" validate:"required,min=0"`
+	Image       *string   `json:"kit" validate:"required"`
+	ImageGB     *float64  `json:"imageGb" validate:"required,min=0"`
+	Types       *[]string `json:"breeds"`
+	Zone        *string   `json:"paddock"`
+	OneZone     *bool     `json:"together" validate:"required"`
+	Spread      *bool     `json:"scatter" validate:"required"`
+	Spot        *bool     `json:"stray" validate:"required"`
+	EstimateS   *float64  `json:"reckonS" validate:"required,min=0"`
+	CheckpointS *float64  `json:"waypointS" validate:"required,min=0"`
+	SaveS       *float64  `json:"stashS" validate:"required,min=0"`
+	DeadlineS   *float64  `json:"dueS" validate:"omitempty,min=0"`
+}
+
+// Job converts a submission that has passed validation; on any other it may panic.
+func (s *JobSubmission) Job() Job {
+	job := Job{
+		Ref:         *s.Ref,
+		Class:       *s.Class,
+		Team:        *s.Team,
+		Shape:       Shape(*s.Shape),
+		Priority:    Priority(*s.Priority),
+		Tasks:       *s.Tasks,
+		CPUs:        *s.CPUs,
+		GPUs:        *s.GPUs,
+		MemoryGB:    *s.MemoryGB,
+		Image:       *s.Image,
+		ImageGB:     *s.ImageGB,
+		OneZone:     *s.OneZone,
+		Spread:      *s.Spread,
+		Spot:        *s.Spot,
+		EstimateS:   *s.EstimateS,
+		CheckpointS: *s.CheckpointS,
+		SaveS:       *s.SaveS,
+		DeadlineS:   s.DeadlineS,
+	}
+	if s.Types != nil {
+		job.Types = *s.Types
+	}
+	if s.Zone != nil {
+		job.Zone = *s.Zone
+	}
+	return job
+}
+
+// JobStatus answers submissions, polls and cancellations: the job's state and how many of its tasks are
+// completed and running.
+type JobStatus struct {
+	Ref     string   `json:"ref"`
+	State   JobState `json:"status"`
+	Done    int      `json:"done"`
+	Running int      `json:"running"`
+}
+
+// ErrorResponse is the body of an answer that refuses a request.
+type ErrorResponse struct {
+	Error string `json:"error"`
+}
