--- a/internal/autoscaler/fleet.go
+++ b/internal/autoscaler/fleet.go
@@ -1,4 +1,4 @@
-// Package fleet decides, without I/O, what to rent and what to return.
+// Package autoscaler decides, without I/O, what to rent and what to return.
 package autoscaler
 
 import (
--- a/internal/compat/errors_test.go
+++ b/internal/compat/errors_test.go
@@ -93,7 +93,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	go service.Serve(l)
+	go func() { _ = service.Serve(l) }() // ends with the listener
 	return l.Addr().String()
 }
 
--- a/internal/compat/exact_test.go
+++ b/internal/compat/exact_test.go
@@ -230,14 +230,15 @@
 
 // emptyFields names the fields of a value that hold nothing, each after its type.
 func emptyFields(v reflect.Value) (names []string) {
-	switch v.Kind() {
-	case reflect.Pointer:
+	kind := v.Kind()
+	switch {
+	case kind == reflect.Pointer:
 		return emptyFields(v.Elem())
-	case reflect.Slice, reflect.Map:
+	case kind == reflect.Slice || kind == reflect.Map:
 		for _, e := range elements(v) {
 			names = append(names, emptyFields(e)...)
 		}
-	case reflect.Struct:
+	case kind == reflect.Struct:
 		for field, value := range v.Fields() {
 			switch {
 			case !field.IsExported():
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -1,4 +1,4 @@
-// Package node wires the actors of one controller: it carries out their effects
+// Package controller wires the actors of one controller: it carries out their effects
 // and brings the results back to them as messages.
 package controller
 
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -91,7 +91,10 @@
 	if err != nil {
 		return wire.Txn{}, fmt.Errorf("leader record: %w", err)
 	}
-	return wire.Txn{Conditions: []wire.Condition{{Key: Key}}, Writes: []wire.Write{{Put: Key, Value: raw, Lease: c.Lease}}}, nil
+	return wire.Txn{
+		Conditions: []wire.Condition{{Key: Key}},
+		Writes:     []wire.Write{{Put: Key, Value: raw, Lease: c.Lease}},
+	}, nil
 }
 
 // ObserveKey is Seen for the leader key as it was at a revision; it.Version 0: absent.
--- a/internal/fake/store.go
+++ b/internal/fake/store.go
@@ -1,4 +1,4 @@
-// Package standin holds our own stand-ins for the state service, the cloud and
+// Package fake holds our own stand-ins for the state service, the cloud and
 // the workers, written from the protocol's pages. They know no time but what
 // they are told, so scenarios replay the same each time.
 package fake
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -136,6 +136,8 @@
 			t.Checkpointed = true
 			w.Progress[t.Task] += (t.until - t.began).Seconds() - t.Job.SaveS
 			w.end(now, t, wire.ExitStopped)
+		case wire.TaskExited:
+			// Passed over above.
 		}
 	}
 	return changed
--- a/internal/loopback/cluster.go
+++ b/internal/loopback/cluster.go
@@ -331,7 +331,7 @@
 	return nil, peer.Status{}
 }
 
-// ErrNotExecuted says that a submission was not accepted.
+// ErrRefused says that a submission was not accepted.
 var ErrRefused = errors.New("not accepted")
 
 // Submit submits a job at a controller, as its user; runS is how long its tasks really run. The first
--- a/internal/pausedetect/standstill.go
+++ b/internal/pausedetect/standstill.go
@@ -1,4 +1,4 @@
-// Package standstill notices that a process stood still while its clocks went on: it was stopped and resumed, or
+// Package pausedetect notices that a process stood still while its clocks went on: it was stopped and resumed, or
 // got no processor time. It holds no I/O; the time is passed in.
 package pausedetect
 
--- a/internal/rebalancer/load.go
+++ b/internal/rebalancer/load.go
@@ -1,4 +1,4 @@
-// Package balance keeps work even over the machines of a fleet. It defines load, bounds which machines may
+// Package rebalancer keeps work even over the machines of a fleet. It defines load, bounds which machines may
 // take new work, and decides which running tasks are worth moving. It holds no I/O and no authority: what
 // machines hold, what waits, and the time go in; advice with its reasons comes out, which the leader and
 // the holders of blocks carry out by the orders that they have anyway.
--- a/internal/shard/messages.go
+++ b/internal/shard/messages.go
@@ -1,4 +1,4 @@
-// Package block is one controller's part as a holder of machine blocks: the
+// Package shard is one controller's part as a holder of machine blocks: the
 // dialogue with its workers, the placement cycles and the start records. It
 // holds no I/O: a message and the time give effects.
 package shard
--- a/internal/shard/observe.go
+++ b/internal/shard/observe.go
@@ -279,7 +279,9 @@
 		e.Kind = peer.EventFailed
 		r.stored = true
 		r.m.noteFailure(r.task.Job)
-	default:
+	case wire.ExitStopped, wire.ExitFull, wire.ExitBusy:
+		fallthrough
+	default: // an exit cause that this version does not know
 		e.Kind = peer.EventReleased
 		r.stored = true
 	}
