--- a/internal/config/tuning.go
+++ b/internal/config/tuning.go
@@ -57,7 +57,7 @@
 	Reserve        float64 `yaml:"reserve" validate:"gte=0,lte=10" jsonschema_description:"room kept for work that comes, as a part of what runs and waits"`
 }
 
-// Spread tunes how evenly work is kept over the machines (docs/balance.md).
+// Spread tunes how evenly work is kept over the machines (docs/rebalancing.md).
 type Spread struct {
 	Enabled    bool    `yaml:"enabled" jsonschema_description:"keep work even over the machines that take it"`
 	Bound      float64 `yaml:"bound" validate:"gte=1.05,lte=10" jsonschema_description:"a machine takes new work up to this many times the mean load, while another has room"`
