--- a/internal/controller/holder.go
+++ b/internal/controller/holder.go
@@ -16,9 +16,6 @@
 	"swiftledge/wire"
 )
 
-// localLink stands for the way from the leader to the holder of the same process.
-type localLink struct{ epoch cluster.Term }
-
 // holderUp and holderDown change who the holder speaks to: a *peer.Link or a localLink.
 type (
 	holderUp struct {
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -27,8 +27,7 @@
 	// What an epoch has under way ends with it.
 	ep := newEpoch(ctx)
 	for msg := range n.leader {
-		switch msg.(type) {
-		case leader.LeadershipAcquired, leader.LeadershipLost:
+		if leader.EndsTerm(msg) {
 			ep.end()
 			ep = newEpoch(ctx)
 		}
@@ -38,80 +37,31 @@
 	}
 }
 
-func (n *Controller) leaderEffect(ctx context.Context, fx any) {
+func (n *Controller) leaderEffect(ctx context.Context, fx leader.Effect) {
 	switch x := fx.(type) {
 	case leader.SendToHolder:
-		switch l := x.Link.(type) {
-		case *peer.Link:
-			l.Send(&x.Message)
-		case localLink:
-			n.jobCache.Post(&x.Message)
-			n.holder <- &x.Message
-		}
+		x.Link.Send(&x.Message)
 	case leader.LoadState:
 		go n.load(ctx, x.Term)
 	case leader.LoadAttempts:
 		go n.loadRecords(ctx, x)
 	case leader.CommitTxn:
-		go func() {
-			o, err := n.store.Commit(ctx, x.Priority, x.Txn)
-			if ctx.Err() != nil {
-				return
-			}
-			if err != nil {
-				n.log.Error("transaction failed", "error", err)
-			}
-			n.leader <- leader.TxnCompleted{Term: x.Term, Tag: x.Tag, Result: o, Err: err}
-		}()
+		go n.commitForLeader(ctx, x)
 	case leader.ReadKey:
-		go func() {
-			for i := 0; ; i++ {
-				it, err := n.store.Get(ctx, store.PriorityAttempts, x.Key)
-				if err == nil || errors.Is(err, store.ErrNotFound) {
-					it.Key = x.Key
-					n.leader <- leader.KeyRead{Term: x.Term, Tag: x.Tag, Item: it, Found: err == nil}
-					return
-				}
-				if !store.Backoff(ctx, i) {
-					return
-				}
-			}
-		}()
+		go n.readForLeader(ctx, x)
 	case leader.RecordSpan:
 		n.tracer.Post(x.Span)
 	case leader.ReplyStatus:
-		x.ReplyTo.(chan peer.Status) <- x.Status
+		x.ReplyTo <- x.Status
 	case leader.Resign:
 		n.log.Info("resigning", "why", x.Reason)
-		go func() {
-			q := askEpoch{make(chan cluster.Term, 1)}
-			n.elector <- q
-			if e := <-q.answer; e > 0 {
-				n.elector <- election.Resign{Term: e}
-			}
-		}()
+		go n.resign()
 	case leader.PauseDetected:
 		n.pauses <- x.Pause
 	case leader.Log:
-		if x.Debug {
-			n.log.Debug(x.Message, x.Attributes...)
-		} else {
-			n.log.Info(x.Message, x.Attributes...)
-		}
-	default:
-		n.cloudEffect(fx)
-	}
-}
-
-// cloudEffect has the cloud asked.
-func (n *Controller) cloudEffect(fx any) {
-	switch x := fx.(type) {
+		n.logForLeader(x)
 	case leader.ProvisionMachines:
-		n.toCloud(func() {
-			names, err := n.cloud.Provision(x.Request)
-			n.leader <- leader.MachinesProvisioned{Term: x.Term, RequestID: x.Request.RequestID, Machines: names,
-				NoCapacity: errors.Is(err, cloud.ErrNoCapacity), Err: err}
-		})
+		n.toCloud(func() { n.provision(x) })
 	case leader.DeleteMachines:
 		n.toCloud(func() {
 			n.leader <- leader.MachinesDeleted{Term: x.Term, Machines: x.Machines, Err: n.cloud.Delete(x.Machines)}
@@ -119,12 +69,86 @@
 	case leader.ListMachines:
 		n.toCloud(n.list)
 	case leader.LoadCatalog:
-		n.toCloud(func() {
-			if c, err := n.cloud.Catalog(); err != nil {
-				n.log.Debug("catalog", "error", err)
-			} else {
-				n.leader <- leader.CatalogLoaded{Types: c.Types}
-			}
-		})
+		n.toCloud(n.loadCatalog)
+	}
+}
+
+// commitForLeader carries out a transaction.
+func (n *Controller) commitForLeader(ctx context.Context, x leader.CommitTxn) {
+	o, err := n.store.Commit(ctx, x.Priority, x.Txn)
+	if ctx.Err() != nil {
+		return
+	}
+	if err != nil {
+		n.log.Error("transaction failed", "error", err)
+	}
+	n.leader <- leader.TxnCompleted{Term: x.Term, Tag: x.Tag, Result: o, Err: err}
+}
+
+// readForLeader reads a key, again and again until the store answers or the term ends.
+func (n *Controller) readForLeader(ctx context.Context, x leader.ReadKey) {
+	for i := 0; ; i++ {
+		it, err := n.store.Get(ctx, store.PriorityAttempts, x.Key)
+		if err == nil || errors.Is(err, store.ErrNotFound) {
+			it.Key = x.Key
+			n.leader <- leader.KeyRead{Term: x.Term, Tag: x.Tag, Item: it, Found: err == nil}
+			return
+		}
+		if !store.Backoff(ctx, i) {
+			return
+		}
+	}
+}
+
+// resign gives up the leadership, if it is still held.
+func (n *Controller) resign() {
+	q := askEpoch{make(chan cluster.Term, 1)}
+	n.elector <- q
+	if term := <-q.answer; term > 0 {
+		n.elector <- election.Resign{Term: term}
+	}
+}
+
+// logForLeader writes a log line of the leader.
+func (n *Controller) logForLeader(x leader.Log) {
+	if x.Debug {
+		n.log.Debug(x.Message, x.Attributes...)
+	} else {
+		n.log.Info(x.Message, x.Attributes...)
+	}
+}
+
+// provision asks the cloud for machines.
+func (n *Controller) provision(x leader.ProvisionMachines) {
+	names, err := n.cloud.Provision(x.Request)
+	n.leader <- leader.MachinesProvisioned{Term: x.Term, RequestID: x.Request.RequestID, Machines: names,
+		NoCapacity: errors.Is(err, cloud.ErrNoCapacity), Err: err}
+}
+
+// loadCatalog asks the cloud for its catalog.
+func (n *Controller) loadCatalog() {
+	c, err := n.cloud.Catalog()
+	if err != nil {
+		n.log.Debug("catalog", "error", err)
+		return
 	}
+	n.leader <- leader.CatalogLoaded{Types: c.Types}
+}
+
+// remoteLink is the leader's connection to another controller.
+type remoteLink struct{ *peer.Link }
+
+// Send queues a message; see peer.Link.Send.
+func (l remoteLink) Send(message *peer.FromLeader) { l.Link.Send(message) }
+
+// localLink is the way from the leader to the holder of the same process.
+type localLink struct {
+	controller *Controller
+	term       cluster.Term
+}
+
+// Send hands a message to the holder and the job cache.
+func (l localLink) Send(message *peer.FromLeader) {
+	l.controller.jobCache.Post(message)
+	l.controller.holder <- message
 }
--- a/internal/controller/links.go
+++ b/internal/controller/links.go
@@ -17,7 +17,7 @@
 // follow keeps a link to the leader of an epoch until another epoch begins.
 func (n *Controller) follow(ctx context.Context, epoch cluster.Term, name string) {
 	if name == n.cfg.Name {
-		l := localLink{epoch}
+		l := localLink{n, epoch}
 		n.leader <- leader.PeerConnected{Controller: n.cfg.Name, Incarnation: n.incarnation, Link: l}
 		n.holder <- holderUp{epoch, l}
 		return
@@ -137,11 +137,11 @@
 		epoch := <-q.answer
 		return epoch > 0 && epoch == h.Term
 	}, func(l *peer.Link) {
-		n.leader <- leader.PeerConnected{Controller: l.Peer.Controller, Incarnation: l.Peer.Incarnation, Link: l, ViaStore: slow}
+		n.leader <- leader.PeerConnected{Controller: l.Peer.Controller, Incarnation: l.Peer.Incarnation, Link: remoteLink{l}, ViaStore: slow}
 	}, func(l *peer.Link, u *peer.ToLeader) {
 		n.jobCache.Post(api.PeerContacted{})
-		n.leader <- leader.HolderMessage{Controller: l.Peer.Controller, Link: l, Message: u}
+		n.leader <- leader.HolderMessage{Controller: l.Peer.Controller, Link: remoteLink{l}, Message: u}
 	}, func(l *peer.Link) {
-		n.leader <- leader.PeerDisconnected{Controller: l.Peer.Controller, Link: l}
+		n.leader <- leader.PeerDisconnected{Controller: l.Peer.Controller, Link: remoteLink{l}}
 	})
 }
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -59,8 +59,8 @@
 	storeTransport *peer.StoreTransport
 	tracer         *trace.Tracer // nil: nothing is traced
 
-	elector, leader, holder mailbox
-	pauses                  mailbox
+	elector, holder, pauses mailbox
+	leader                  chan leader.Message
 	cloudWork               chan func()
 	commandSlots            chan struct{}
 }
@@ -68,7 +68,7 @@
 // New makes a node; Serve runs it.
 func New(cfg *config.Config, log *slog.Logger) *Controller {
 	n := &Controller{cfg: cfg, log: log, clock: clock.NewSteady(), incarnation: cluster.Incarnation(rand.Uint64() >> 1),
-		elector: make(mailbox, leastMailbox), leader: make(mailbox, mailboxSize(cfg)), holder: make(mailbox, mailboxSize(cfg)),
+		elector: make(mailbox, leastMailbox), leader: make(chan leader.Message, mailboxSize(cfg)), holder: make(mailbox, mailboxSize(cfg)),
 		pauses: make(mailbox, 16), cloudWork: make(chan func(), 64), commandSlots: make(chan struct{}, mostDirects(cfg))}
 	n.health = newHealth()
 	n.store = store.New(cfg.Endpoints.State, n.share(false), n.health.note)
@@ -161,14 +161,16 @@
 			return
 		case <-t.C:
 		}
-		for _, to := range []struct {
-			box mailbox
-			msg any
-		}{{n.elector, election.Tick{}}, {n.leader, leader.Tick{}}, {n.holder, shard.Tick{}}} {
-			select {
-			case to.box <- to.msg:
-			default:
-			}
-		}
+		offer[any](n.elector, election.Tick{})
+		offer[leader.Message](n.leader, leader.Tick{})
+		offer[any](n.holder, shard.Tick{})
+	}
+}
+
+// offer hands a message to an actor that has room for it in its mailbox.
+func offer[T any](mailbox chan<- T, message T) {
+	select {
+	case mailbox <- message:
+	default:
 	}
 }
--- a/internal/leader/assign.go
+++ b/internal/leader/assign.go
@@ -25,13 +25,13 @@
 	now     clock.Micros
 	names   []string       // the controllers that may hold blocks
 	count   map[string]int // how many blocks each has, with those it gets in this round
-	changed []*leasedBlock // blocks whose keys are to be written
+	changed []*shardLease  // blocks whose keys are to be written
 }
 
 // assign finds holders for blocks that have none, and evens out.
 func (l *Leader) assign(now clock.Micros) {
 	l.dropQuietNodes(now)
-	if len(l.nodes) == 0 || len(l.nodes) < l.cfg.Facts.InitialSize && now-l.began < linkTime {
+	if len(l.shards.controllers) == 0 || len(l.shards.controllers) < l.cfg.Facts.InitialSize && now-l.startedAt < linkTime {
 		return
 	}
 	a := &assignment{l: l, now: now, names: l.ableNodes(now), count: map[string]int{}}
@@ -47,13 +47,13 @@
 
 // dropQuietNodes forgets controllers that have not been heard for too long.
 func (l *Leader) dropQuietNodes(now clock.Micros) {
-	for _, n := range l.nodes {
+	for _, n := range l.shards.controllers {
 		limit := quietTime
-		if n.slow {
+		if n.viaStore {
 			limit = quietTimeSlow
 		}
-		if now-l.pauses.ExcludePause(n.heard) > limit {
-			delete(l.nodes, n.name)
+		if now-l.pauses.ExcludePause(n.lastHeartbeat) > limit {
+			delete(l.shards.controllers, n.name)
 		}
 	}
 }
@@ -62,7 +62,7 @@
 // cannot record starts, one that hears no worker cannot keep their leases; if there are no others,
 // these have to do.
 func (l *Leader) ableNodes(now clock.Micros) []string {
-	names := slices.Sorted(maps.Keys(l.nodes))
+	names := slices.Sorted(maps.Keys(l.shards.controllers))
 	unable := func(n string) bool { return l.refusedByStore(n, now) || l.blind(n, now) }
 	if able := slices.DeleteFunc(slices.Clone(names), unable); len(able) > 0 {
 		return able
@@ -71,10 +71,10 @@
 }
 
 // homeless gives the blocks without a holder that may have them, and counts the others.
-func (a *assignment) homeless() []*leasedBlock {
-	var homeless []*leasedBlock
-	for _, b := range a.l.blocks {
-		n := a.l.nodes[b.holder]
+func (a *assignment) homeless() []*shardLease {
+	var homeless []*shardLease
+	for _, b := range a.l.shards.all {
+		n := a.l.shards.controllers[b.holder]
 		moving := b.state == writing || b.state == reading
 		held := b.state == granted && n != nil && n.link == b.link && slices.Contains(a.names, n.name)
 		switch {
@@ -89,12 +89,12 @@
 
 // giveBack returns blocks to their last holders, which still know the machines, and gives the
 // blocks that are left.
-func (a *assignment) giveBack(homeless []*leasedBlock) []*leasedBlock {
-	fair := (len(a.l.blocks) + len(a.names) - 1) / len(a.names)
-	var left []*leasedBlock
+func (a *assignment) giveBack(homeless []*shardLease) []*shardLease {
+	fair := (len(a.l.shards.all) + len(a.names) - 1) / len(a.names)
+	var left []*shardLease
 	for _, b := range homeless {
-		if b.homeless == 0 {
-			b.homeless = a.now
+		if b.unassignedSince == 0 {
+			b.unassignedSince = a.now
 		}
 		if slices.Contains(a.names, b.holder) && a.count[b.holder] < fair {
 			a.give(b, b.holder)
@@ -105,7 +105,7 @@
 	return left
 }
 
-func (a *assignment) give(b *leasedBlock, to string) {
+func (a *assignment) give(b *shardLease, to string) {
 	b.holder = to
 	a.count[to]++
 	a.changed = append(a.changed, b)
@@ -119,19 +119,19 @@
 }
 
 // spread gives blocks to the controllers that have the fewest, as many as these can take over now.
-func (a *assignment) spread(blocks []*leasedBlock) {
+func (a *assignment) spread(blocks []*shardLease) {
 	most := a.l.mostBlocks()
 	for _, b := range blocks {
 		to := a.least()
-		n := a.l.nodes[to]
-		tooMany := a.count[to] >= most && a.now-b.homeless < a.l.patience()
+		n := a.l.shards.controllers[to]
+		tooMany := a.count[to] >= most && a.now-b.unassignedSince < a.l.patience()
 		if a.now >= n.busyUntil && !tooMany {
 			n.busyUntil = a.now + a.l.takeoverTime()
 			a.give(b, to)
 			continue
 		}
 		// All that is needed now is what may run there, as it counts.
-		if !b.known {
+		if !b.attemptsRead {
 			b.holder = ""
 			a.changed = append(a.changed, b)
 		}
@@ -142,14 +142,14 @@
 // more. They move together, as whoever has many is often overloaded by them.
 func (a *assignment) even() {
 	to := a.least()
-	n := a.l.nodes[to]
-	careful := n.blindAt > 0
-	if a.now-n.joined <= settleTime || careful && a.now-n.tried < blindFor/2 {
+	n := a.l.shards.controllers[to]
+	careful := n.noAgentContactAt > 0
+	if a.now-n.joinedAt <= settleTime || careful && a.now-n.triedAt < blindFor/2 {
 		return
 	}
-	for _, b := range a.l.blocks {
+	for _, b := range a.l.shards.all {
 		// Through the state service a grant may take longer than its workers' leases last.
-		if n.slow && a.count[b.holder] <= a.l.answerable() {
+		if n.viaStore && a.count[b.holder] <= a.l.answerable() {
 			continue
 		}
 		if b.state != granted || a.count[b.holder] < a.count[to]+2 {
@@ -157,9 +157,9 @@
 		}
 		a.count[b.holder]--
 		a.give(b, to)
-		n.tried = a.now
+		n.triedAt = a.now
 		// One that heard no worker for a while is tried with a single block first.
-		if careful || n.slow {
+		if careful || n.viaStore {
 			return
 		}
 	}
--- a/internal/leader/assign_test.go
+++ b/internal/leader/assign_test.go
@@ -17,15 +17,15 @@
 	moved := func(slow bool) bool {
 		l := granting(t, nil)
 		l.cfg.Facts.Quota.CPU, l.cfg.Facts.Workers.ReportS = 0.1, 3
-		l.Step(began+clock.Second, PeerConnected{Controller: "n1", Link: "other", ViaStore: slow})
-		said := HolderMessage{Controller: "n1", Link: "other", Message: &peer.ToLeader{Term: 5, StoreOK: true}}
+		l.Step(began+clock.Second, PeerConnected{Controller: "n1", Link: testLink("other"), ViaStore: slow})
+		said := HolderMessage{Controller: "n1", Link: testLink("other"), Message: &peer.ToLeader{Term: 5, StoreOK: true}}
 		for i := range 20 {
 			now := began + clock.Second + clock.Micros(i)*clock.Second/4
 			l.Step(now, said)
-			l.Step(now, HolderMessage{Controller: "n0", Link: "link", Message: &peer.ToLeader{Term: 5, StoreOK: true}})
+			l.Step(now, HolderMessage{Controller: "n0", Link: testLink("link"), Message: &peer.ToLeader{Term: 5, StoreOK: true}})
 			l.Step(now, Tick{})
 		}
-		return l.blocks[0].holder == "n1" || l.blocks[1].holder == "n1"
+		return l.shards.all[0].holder == "n1" || l.shards.all[1].holder == "n1"
 	}
 	if moved(true) {
 		t.Error("a block goes to a controller with a slow link")
@@ -48,9 +48,9 @@
 	}{{0.029, 600, 3, 5, 6}, {0.029, 500, 3, 6, 6}, {0.029, 900, 3, 3, 4}, {0.029, 4000, 3, 3, 3}, {0.192, 1750, 5, 6, 6}} {
 		l := leading(t)
 		l.cfg.Facts.InitialSize, l.cfg.Facts.Quota.CPU, l.cfg.Facts.Workers.ReportS = 3, c.cpu, c.reportS
-		l.blocks = make([]*leasedBlock, 6)
+		l.shards.all = make([]*shardLease, 6)
 		for i := range c.machines {
-			l.machines[fmt.Sprint("more", i)] = &machine{}
+			l.inventory.machines[fmt.Sprint("more", i)] = &machine{}
 		}
 		if n := l.mostBlocks(); n < c.least || n > c.most {
 			t.Errorf("%g of a core and %d machines: %d of 6 blocks, want %d to %d", c.cpu, c.machines, n, c.least, c.most)
@@ -59,7 +59,7 @@
 }
 
 // blockWrites counts the blocks whose keys the effects write for a holder.
-func blockWrites(t *testing.T, fx []any, holder string) (n int) {
+func blockWrites(t *testing.T, fx []Effect, holder string) (n int) {
 	t.Helper()
 	for _, e := range fx {
 		c, ok := e.(CommitTxn)
@@ -88,16 +88,16 @@
 	l := leading(t)
 	f := &l.cfg.Facts
 	f.InitialSize, f.Quota.CPU, f.Workers.ReportS, f.Workers.LeaseS = 3, cpu, 3, 17
-	l.blocks = nil
+	l.shards.all = nil
 	for i, h := range holders {
-		l.blocks = append(l.blocks, &leasedBlock{id: i, holder: h, known: true, tasks: map[peer.Task]*grantedTask{}})
+		l.shards.all = append(l.shards.all, &shardLease{id: i, holder: h, attemptsRead: true, tasks: map[peer.Task]*grantedTask{}})
 	}
-	for _, m := range l.machines {
-		m.block = l.blocks[0]
+	for _, m := range l.inventory.machines {
+		m.shard = l.shards.all[0]
 	}
 	for i := range machines {
 		name := fmt.Sprint("more", i)
-		l.machines[name] = &machine{name: name, block: l.blocks[i%len(l.blocks)]}
+		l.inventory.machines[name] = &machine{name: name, shard: l.shards.all[i%len(l.shards.all)]}
 	}
 	return l
 }
@@ -116,12 +116,12 @@
 		within := 0
 		for at := began + 2*clock.Second; taken < 4 && at < began+10*clock.Second; at += clock.Second / 4 {
 			l.Step(at, LeadershipExtended{Until: at + 3*clock.Second})
-			l.nodes["n0"].heard = at
-			l.viewed = at
+			l.shards.controllers["n0"].lastHeartbeat = at
+			l.jobsViewedAt = at
 			before := taken
 			l.Step(at, Tick{})
 			taken = 0
-			for _, b := range l.blocks[2:] {
+			for _, b := range l.shards.all[2:] {
 				if b.holder == "n0" {
 					taken++
 				}
@@ -144,13 +144,13 @@
 // together: one after the other, each takes the overloaded leader a second or more.
 func TestBlocksMoveTogetherToAControllerThatIsBack(t *testing.T) {
 	l := withBlocks(t, 0.029, 500, []string{"n0", "n0", "n0", "n0", "n0", "n0"})
-	for _, b := range l.blocks {
-		b.state, b.link = granted, "link"
+	for _, b := range l.shards.all {
+		b.state, b.link = granted, testLink("link")
 	}
 	joined := began + 5*clock.Second
 	l.Step(joined, LeadershipExtended{Until: joined + 10*clock.Second})
-	l.nodes["n0"].heard = joined
-	l.Step(joined, PeerConnected{Controller: "n1", Link: "other"})
+	l.shards.controllers["n0"].lastHeartbeat = joined
+	l.Step(joined, PeerConnected{Controller: "n1", Link: testLink("other")})
 	if n := blockWrites(t, l.Step(joined+settleTime/2, Tick{}), "n1"); n != 0 {
 		t.Errorf("%d blocks move before the controller has settled", n)
 	}
--- a/internal/leader/failures.go
+++ b/internal/leader/failures.go
@@ -28,9 +28,9 @@
 		l.suspect(j)
 	}
 	if j.failures.Suspect() {
-		l.decisions.failedSuspect++
+		l.outcomes.failedSuspect++
 	} else {
-		l.decisions.failed++
+		l.outcomes.failed++
 	}
 	l.judgeMachine(now, e.Machine)
 	// A service's replicas have pauses of their own: see fell.
@@ -54,7 +54,7 @@
 
 // machineFailures is the evidence about a machine; nil if it is not known any more.
 func (l *Leader) machineFailures(name string) *failures.Machine {
-	if m := l.machines[name]; m != nil {
+	if m := l.inventory.machines[name]; m != nil {
 		return &m.failures
 	}
 	return nil
@@ -62,7 +62,7 @@
 
 // judgeMachine drains a machine that is at fault for what failed on it.
 func (l *Leader) judgeMachine(now clock.Micros, name string) {
-	if m := l.machines[name]; m != nil && !m.drain && m.failures.Faulty() {
+	if m := l.inventory.machines[name]; m != nil && !m.drain && m.failures.Faulty() {
 		l.drain(now, m, "fails its tasks")
 	}
 }
@@ -78,7 +78,7 @@
 		h.stopped = "its job is suspect"
 		return true
 	}
-	for _, b := range l.blocks {
+	for _, b := range l.shards.all {
 		b.stopThose(ref, unstarted)
 	}
 }
@@ -91,15 +91,15 @@
 	l.eachHeld(j, func(t peer.Task, h *grantedTask) {
 		if h.running && j.failures.Survived(now-h.since) {
 			l.info("job is suspect no more", "job", t.Job, "task", shard.TaskName(t), "ran_s", (now - h.since).Seconds())
-			l.stirred = true
+			l.scheduling.requested = true
 		}
 	})
 }
 
 // suspectStatus lists the suspect jobs for an operator.
 func (l *Leader) suspectStatus(now clock.Micros) (out []peer.SuspectStatus) {
-	for _, ref := range slices.Sorted(maps.Keys(l.jobs)) {
-		if j := l.jobs[ref]; j.failures.Suspect() {
+	for _, ref := range slices.Sorted(maps.Keys(l.jobs.byRef)) {
+		if j := l.jobs.byRef[ref]; j.failures.Suspect() {
 			out = append(out, peer.SuspectStatus{Job: ref, Team: j.record.Spec.Team, Machines: len(j.failures.Machines()),
 				Probes: j.failures.Probes(), NextS: max(0, (j.failures.ProbeAt() - now).Seconds())})
 		}
--- a/internal/leader/failures_test.go
+++ b/internal/leader/failures_test.go
@@ -17,7 +17,7 @@
 	s := spec
 	s.Ref, s.Tasks = "j-000300", 8
 	j := l.addJob(JobRecord{Spec: s}, 5)
-	b := l.blocks[shard.ForMachine(names[0], 2)]
+	b := l.shards.all[shard.ForMachine(names[0], 2)]
 	for i := range 4 {
 		task := peer.Task{Job: s.Ref, Index: i}
 		b.tasks[task] = &grantedTask{team: s.Team, cpus: 1, running: i == 3, since: began, machine: names[0]}
@@ -26,8 +26,8 @@
 	for i, name := range names[:2] {
 		l.errored(began, j, peer.TaskEvent{Task: peer.Task{Job: s.Ref, Index: 4 + i}, Machine: name}, &grantedTask{})
 	}
-	if want := (decisions{failed: 1, failedSuspect: 1}); l.decisions != want {
-		t.Errorf("counted %+v, want %+v", l.decisions, want)
+	if want := (taskOutcomes{failed: 1, failedSuspect: 1}); l.outcomes != want {
+		t.Errorf("counted %+v, want %+v", l.outcomes, want)
 	}
 	var stopped []int
 	for _, stop := range b.orders.Stop {
@@ -47,17 +47,17 @@
 // A job that completes a task after others of it failed makes those failures count against their machines.
 func TestCompletionJudgesTheMachinesWhereItsJobFailed(t *testing.T) {
 	l := granting(t, nil)
-	j := l.jobs[spec.Ref]
+	j := l.jobs.byRef[spec.Ref]
 	fail := func() {
 		l.errored(began, j, peer.TaskEvent{Task: peer.Task{Job: spec.Ref, Index: 0}, Machine: names[1]}, &grantedTask{})
 	}
-	if fail(); l.machines[names[1]].drain {
+	if fail(); l.inventory.machines[names[1]].drain {
 		t.Error("drained for a job of which nothing is known")
 	}
-	if fail(); l.machines[names[1]].drain {
+	if fail(); l.inventory.machines[names[1]].drain {
 		t.Error("drained for a job of which nothing is known")
 	}
-	if l.completed(began, j, peer.TaskEvent{Task: peer.Task{Job: spec.Ref, Index: 1}, Machine: names[2]}); !l.machines[names[1]].drain {
+	if l.completed(began, j, peer.TaskEvent{Task: peer.Task{Job: spec.Ref, Index: 1}, Machine: names[2]}); !l.inventory.machines[names[1]].drain {
 		t.Error("not drained when its job has completed elsewhere")
 	}
 }
@@ -74,7 +74,7 @@
 			l.cancel(began, j)
 		}
 	}
-	if l.machines[names[1]].drain {
+	if l.inventory.machines[names[1]].drain {
 		t.Error("drained")
 	}
 }
@@ -83,7 +83,7 @@
 // up make their option's boot time count for more, until one does.
 func TestMachinesThatNeverWork(t *testing.T) {
 	l := granting(t, nil)
-	silent, booting, healthy := l.machines[names[0]], l.machines[names[1]], l.machines[names[2]]
+	silent, booting, healthy := l.inventory.machines[names[0]], l.inventory.machines[names[1]], l.inventory.machines[names[2]]
 	for _, m := range []*machine{silent, booting, healthy} {
 		m.up, m.opt.Type.BootS = false, 20
 	}
--- a/internal/leader/fleet.go
+++ b/internal/leader/fleet.go
@@ -19,18 +19,18 @@
 
 // reconcileFleet rents, returns and gives up machines.
 func (l *Leader) reconcileFleet(now clock.Micros) {
-	if now-l.lastFleet < reconcileEvery {
+	if now-l.autoscaler.reconciledAt < reconcileEvery {
 		return
 	}
-	l.lastFleet = now
+	l.autoscaler.reconciledAt = now
 	pending := 0
-	for _, rt := range l.rentals {
+	for _, rt := range l.inventory.groups {
 		if !rt.record.Answered {
 			pending++
 		}
 	}
 	l.askCloud(now, pending > 0)
-	if len(l.types) == 0 {
+	if len(l.autoscaler.types) == 0 {
 		return
 	}
 	// While an answer is out, machines that nobody knows may be its rental's.
@@ -42,10 +42,10 @@
 	// planned with all the same.
 	doomed := l.doomed(now)
 	for _, name := range doomed {
-		l.machines[name].deleting = true
+		l.inventory.machines[name].deleting = true
 	}
-	if now-l.lastPlan >= planEvery {
-		l.lastPlan = now
+	if now-l.autoscaler.plannedAt >= planEvery {
+		l.autoscaler.plannedAt = now
 		doomed = append(doomed, l.plan(now, pending < 4)...)
 	}
 	l.deleteMachines(doomed)
@@ -58,19 +58,19 @@
 	if renting {
 		every *= 2
 	}
-	if !l.listing && now-l.lastList > every {
-		l.listing, l.lastList = true, now
+	if !l.inventory.listing && now-l.inventory.listedAt > every {
+		l.inventory.listing, l.inventory.listedAt = true, now
 		l.emit(ListMachines{})
 	}
-	if l.listing && now-l.lastList > 30*clock.Second {
-		l.listing = false
+	if l.inventory.listing && now-l.inventory.listedAt > 30*clock.Second {
+		l.inventory.listing = false
 	}
 	again := 60 * clock.Second
-	if len(l.types) == 0 {
+	if len(l.autoscaler.types) == 0 {
 		again = 3 * clock.Second
 	}
-	if now-l.catalogAt > again {
-		l.catalogAt = now
+	if now-l.autoscaler.catalogRequestedAt > again {
+		l.autoscaler.catalogRequestedAt = now
 		l.emit(LoadCatalog{})
 	}
 }
@@ -86,7 +86,7 @@
 
 // listCost is how far apart machine lists are for their pages to leave calls to rentals and deletions.
 func (l *Leader) listCost() clock.Micros {
-	pages := float64(len(l.machines)/listPage + 1)
+	pages := float64(len(l.inventory.machines)/listPage + 1)
 	return clock.FromSeconds(pages / (listShare * max(l.cfg.Facts.Cloud.RPS, leastCloudRate)))
 }
 
@@ -96,12 +96,12 @@
 // reconcileRentals asks again for rentals without an answer, and takes machines that are gone out of the
 // records of the others.
 func (l *Leader) reconcileRentals(now clock.Micros) {
-	for _, key := range slices.Sorted(maps.Keys(l.rentals)) {
-		rt := l.rentals[key]
+	for _, key := range slices.Sorted(maps.Keys(l.inventory.groups)) {
+		rt := l.inventory.groups[key]
 		if !rt.record.Answered {
-			if rt.busy && rt.asked > 0 && now-rt.asked > askAgainAfter {
-				rt.asked = now
-				l.emit(ProvisionMachines{l.epoch, rt.record.Request})
+			if rt.busy && rt.requestedAt > 0 && now-rt.requestedAt > askAgainAfter {
+				rt.requestedAt = now
+				l.emit(ProvisionMachines{l.term, rt.record.Request})
 			}
 		} else if !rt.busy {
 			l.pruneRental(now, rt)
@@ -120,37 +120,37 @@
 // comes later.
 func (l *Leader) deleteMachines(names []string) {
 	sent := 0
-	if len(names) > 0 && l.deleting < mostDeletions {
+	if len(names) > 0 && l.inventory.deletionsInFlight < mostDeletions {
 		sent = min(len(names), mostDeleted)
-		l.deleting++
-		l.emit(DeleteMachines{l.epoch, names[:sent]})
+		l.inventory.deletionsInFlight++
+		l.emit(DeleteMachines{l.term, names[:sent]})
 	}
 	for i, name := range names {
-		l.machines[name].deleting = i < sent
+		l.inventory.machines[name].deleting = i < sent
 	}
 }
 
 // adopt takes machines into the roster that nobody here knows to have rented.
 func (l *Leader) adopt(now clock.Micros) {
-	if len(l.found) == 0 {
+	if len(l.inventory.discovered) == 0 {
 		return
 	}
 	byKind := map[wire.ProvisionRequest][]string{}
-	for _, name := range slices.Sorted(maps.Keys(l.found)) {
-		w := l.found[name]
+	for _, name := range slices.Sorted(maps.Keys(l.inventory.discovered)) {
+		w := l.inventory.discovered[name]
 		k := wire.ProvisionRequest{Type: w.Type, Zone: w.Zone, Spot: w.Spot}
 		byKind[k] = append(byKind[k], name)
 	}
-	clear(l.found)
+	clear(l.inventory.discovered)
 	kinds := slices.SortedFunc(maps.Keys(byKind), func(a, c wire.ProvisionRequest) int { return strings.Compare(byKind[a][0], byKind[c][0]) })
 	for _, k := range kinds {
 		names := byKind[k]
 		// As many as a rental has at most: more might not fit into a value.
 		for part := range slices.Chunk(names, autoscaler.MaxMachinesPerRequest) {
-			l.rentSeq++
-			rt := &rental{key: fmt.Sprintf("%sfound-%d-%d", InstanceGroupPrefix, l.epoch, l.rentSeq), busy: true,
+			l.inventory.requestSeq++
+			rt := &instanceGroup{key: fmt.Sprintf("%sfound-%d-%d", InstanceGroupPrefix, l.term, l.inventory.requestSeq), busy: true,
 				record: InstanceGroupRecord{Request: k, Machines: part, Answered: true}}
-			l.rentals[rt.key] = rt
+			l.inventory.groups[rt.key] = rt
 			l.writeRental(rt)
 		}
 	}
@@ -158,10 +158,10 @@
 
 // doomed are machines that serve nobody any more.
 func (l *Leader) doomed(now clock.Micros) []string {
-	silent := map[*leasedBlock]int{}
-	up := map[*leasedBlock]int{}
-	for _, m := range l.machines {
-		b := m.block
+	silent := map[*shardLease]int{}
+	up := map[*shardLease]int{}
+	for _, m := range l.inventory.machines {
+		b := m.shard
 		// Those that gave notice are expected to fall silent, many at once too.
 		if m.up && !m.state.PreemptionNotice {
 			up[b]++
@@ -171,17 +171,17 @@
 		}
 	}
 	var out []string
-	for _, name := range slices.Sorted(maps.Keys(l.machines)) {
-		m := l.machines[name]
+	for _, name := range slices.Sorted(maps.Keys(l.inventory.machines)) {
+		m := l.inventory.machines[name]
 		if m.deleting {
 			continue
 		}
 		// Many silent machines at once point at the holder, not at them.
-		alone := silent[m.block]*2 < up[m.block] || silent[m.block] == 1
+		alone := silent[m.shard]*2 < up[m.shard] || silent[m.shard] == 1
 		if why := l.whyDoomed(now, m, alone); why != "" {
 			out = append(out, name)
 			if why == neverCameUp {
-				l.noBoots[m.opt.Key()]++
+				l.autoscaler.bootFailures[m.opt.Key()]++
 			}
 			l.emit(Log{Debug: true, Message: "giving machine up", Attributes: []any{"machine", name, "why", why}})
 		}
@@ -202,7 +202,7 @@
 // expected is an option with how late its machines are expected: a boot time for each that did not come up since one
 // last did.
 func (l *Leader) expected(o autoscaler.Option) autoscaler.Option {
-	o.LateS = o.Type.BootS * float64(min(l.noBoots[o.Key()], mostNoBoots))
+	o.LateS = o.Type.BootS * float64(min(l.autoscaler.bootFailures[o.Key()], mostNoBoots))
 	return o
 }
 
@@ -218,9 +218,9 @@
 		return "no longer listed"
 	case m.state.Silent && (m.state.PreemptionNotice || alone):
 		return "silent"
-	case m.drain && m.up && m.state.Tasks == 0 && !m.block.offered:
+	case m.drain && m.up && m.state.Tasks == 0 && !m.shard.offerPending:
 		return "drained"
-	case !m.up && m.block.state == granted:
+	case !m.up && m.shard.state == granted:
 		return l.whyNotUp(now, m)
 	}
 	return ""
@@ -230,9 +230,9 @@
 func (l *Leader) whyNotUp(now clock.Micros, m *machine) string {
 	late := clock.FromSeconds(m.opt.Type.BootS*l.cfg.Tuning.Fleet.LateFactor + l.cfg.Facts.Cloud.ListLagS)
 	switch {
-	case (m.booting || m.listed == 0) && now-m.born > late && now-l.began > late/2:
+	case (m.booting || m.listed == 0) && now-m.born > late && now-l.startedAt > late/2:
 		return neverCameUp
-	case m.running > 0 && now-max(m.running, l.began) > l.silentBoot(late):
+	case m.running > 0 && now-max(m.running, l.startedAt) > l.silentBoot(late):
 		return "never reported"
 	}
 	return ""
@@ -244,12 +244,12 @@
 	var supply []autoscaler.Capacity
 	idleFor := clock.FromSeconds(l.cfg.Tuning.Fleet.IdleS)
 	targets := l.moveTargets()
-	for _, name := range slices.Sorted(maps.Keys(l.machines)) {
-		m := l.machines[name]
+	for _, name := range slices.Sorted(maps.Keys(l.inventory.machines)) {
+		m := l.inventory.machines[name]
 		if m.deleting || m.drain || m.state.PreemptionNotice || m.state.Silent {
 			continue
 		}
-		idle := m.up && m.state.Tasks == 0 && !m.block.offered
+		idle := m.up && m.state.Tasks == 0 && !m.shard.offerPending
 		wait := idleFor
 		if !m.opt.Spot {
 			wait = idleFor / 5
@@ -261,33 +261,33 @@
 		supply = append(supply, s)
 	}
 	stuck := false
-	for _, rt := range l.rentals {
+	for _, rt := range l.inventory.groups {
 		if !rt.record.Answered {
-			stuck = stuck || now-rt.since > stuckAfter
+			stuck = stuck || now-rt.wantedSince > stuckAfter
 			for range rt.record.Request.Count {
 				supply = append(supply, autoscaler.Capacity{Option: l.option(rt.record.Request)})
 			}
 		}
 	}
 	var opts []autoscaler.Option
-	for _, t := range l.typeList {
+	for _, t := range l.autoscaler.catalog {
 		for _, z := range t.ZoneNames {
 			opts = append(opts, l.expected(autoscaler.Option{Type: t, Zone: z}), l.expected(autoscaler.Option{Type: t, Zone: z, Spot: true}))
 		}
 	}
 	tune := l.cfg.Tuning.Fleet
 	d := autoscaler.Plan(flat, supply, opts, autoscaler.Params{SpotClearS: tune.SpotClearS, OrdinaryClearS: tune.OrdinaryClearS, Reserve: tune.Reserve},
-		func(o autoscaler.Option) bool { return now >= l.refused[o.Key()].until })
+		func(o autoscaler.Option) bool { return now >= l.autoscaler.refusals[o.Key()].until })
 	l.rest(d, stuck)
-	l.stirred = true // what is no longer cordoned has room again
+	l.scheduling.requested = true // what is no longer cordoned has room again
 	if !rent {
 		return d.ScaleIn
 	}
 	for _, o := range d.ScaleOut {
-		l.rentSeq++
-		req := fmt.Sprintf("r-%d-%d", l.epoch, l.rentSeq)
-		rt := &rental{key: InstanceGroupPrefix + req, since: now, record: InstanceGroupRecord{Request: wire.ProvisionRequest{RequestID: req, Type: o.Type.Name, Zone: o.Zone, Spot: o.Spot, Count: o.Count}}}
-		l.rentals[rt.key] = rt
+		l.inventory.requestSeq++
+		req := fmt.Sprintf("r-%d-%d", l.term, l.inventory.requestSeq)
+		rt := &instanceGroup{key: InstanceGroupPrefix + req, wantedSince: now, record: InstanceGroupRecord{Request: wire.ProvisionRequest{RequestID: req, Type: o.Type.Name, Zone: o.Zone, Spot: o.Spot, Count: o.Count}}}
+		l.inventory.groups[rt.key] = rt
 		l.writeRental(rt)
 	}
 	return d.ScaleIn
@@ -302,23 +302,23 @@
 //
 // While the cloud does not answer, nothing cheaper comes: what is there serves, too.
 func (l *Leader) rest(d autoscaler.Decision, stuck bool) {
-	for _, m := range l.machines {
-		m.cordoned, m.rest = false, false
+	for _, m := range l.inventory.machines {
+		m.cordoned, m.deprioritized = false, false
 	}
 	for _, name := range d.Cordon {
-		l.machines[name].cordoned, l.machines[name].rest = !stuck, stuck
+		l.inventory.machines[name].cordoned, l.inventory.machines[name].deprioritized = !stuck, stuck
 	}
 	for _, name := range d.Deprioritize {
-		l.machines[name].rest = true
+		l.inventory.machines[name].deprioritized = true
 	}
-	for _, name := range slices.Sorted(maps.Keys(l.machines)) {
-		m := l.machines[name]
-		if out := m.cordoned || m.rest; out != m.out && m.block.state == granted {
-			m.out = out
+	for _, name := range slices.Sorted(maps.Keys(l.inventory.machines)) {
+		m := l.inventory.machines[name]
+		if out := m.cordoned || m.deprioritized; out != m.excluded && m.shard.state == granted {
+			m.excluded = out
 			if out {
-				m.block.orders.Exclude = append(m.block.orders.Exclude, name)
+				m.shard.orders.Exclude = append(m.shard.orders.Exclude, name)
 			} else {
-				m.block.orders.Include = append(m.block.orders.Include, name)
+				m.shard.orders.Include = append(m.shard.orders.Include, name)
 			}
 		}
 	}
--- a/internal/leader/fleet_test.go
+++ b/internal/leader/fleet_test.go
@@ -17,11 +17,11 @@
 func TestGhostIsNotAdopted(t *testing.T) {
 	l := leading(t)
 	s := peer.MachineState{Name: "host-000900", Type: "small", Zone: "a"}
-	if l.machineState(began, s); len(l.found) != 0 {
+	if l.machineState(began, s); len(l.inventory.discovered) != 0 {
 		t.Error("a machine that no token reached counts as found")
 	}
 	s.TokenConfirmed = true
-	if l.machineState(began, s); len(l.found) != 1 {
+	if l.machineState(began, s); len(l.inventory.discovered) != 1 {
 		t.Error("a machine that has shown its holder's token is not found")
 	}
 }
@@ -30,7 +30,7 @@
 func TestHolderTellsOfDeletedMachine(t *testing.T) {
 	l := leading(t)
 	l.machineState(began, peer.MachineState{Name: names[0], Terminated: true})
-	if l.machines[names[0]] != nil || !l.gone[names[0]] || l.machines[names[1]] == nil {
+	if l.inventory.machines[names[0]] != nil || !l.inventory.terminated[names[0]] || l.inventory.machines[names[1]] == nil {
 		t.Error("the deleted machine, and no other, must leave the books")
 	}
 }
@@ -39,15 +39,15 @@
 // returned; while the cloud answers nothing they serve like those at rest, or all would
 // wait beside idle machines.
 func TestOrdinaryMachinesServeWhileTheCloudIsAway(t *testing.T) {
-	b := &leasedBlock{state: granted}
-	m := &machine{name: "m", block: b}
-	l := &Leader{epochState: epochState{machines: map[string]*machine{"m": m}}}
+	b := &shardLease{state: granted}
+	m := &machine{name: "m", shard: b}
+	l := &Leader{termState: termState{inventory: inventory{machines: map[string]*machine{"m": m}}}}
 	d := autoscaler.Decision{Cordon: []string{"m"}}
-	if l.rest(d, false); !m.cordoned || m.rest {
-		t.Errorf("cordoned %v, at rest %v; want cordoned", m.cordoned, m.rest)
+	if l.rest(d, false); !m.cordoned || m.deprioritized {
+		t.Errorf("cordoned %v, at rest %v; want cordoned", m.cordoned, m.deprioritized)
 	}
-	if l.rest(d, true); m.cordoned || !m.rest {
-		t.Errorf("cordoned %v, at rest %v while the cloud is away; want at rest", m.cordoned, m.rest)
+	if l.rest(d, true); m.cordoned || !m.deprioritized {
+		t.Errorf("cordoned %v, at rest %v while the cloud is away; want at rest", m.cordoned, m.deprioritized)
 	}
 }
 
@@ -65,7 +65,7 @@
 	if l.warm() != nil {
 		t.Error("room is kept on a site where nothing runs")
 	}
-	l.use("red").cpus = 1000
+	l.quota.of("red").cpus = 1000
 	if w := l.warm(); w == nil || w.Tasks != warmCPUs {
 		t.Errorf("room kept for an awaited class: %+v", w)
 	}
@@ -110,12 +110,12 @@
 	for i := range 200 {
 		name := fmt.Sprintf("host-%06d", 1000+i)
 		many = append(many, name)
-		l.found[name] = wire.Machine{Name: name, Type: "small", Zone: "a"}
+		l.inventory.discovered[name] = wire.Machine{Name: name, Type: "small", Zone: "a"}
 	}
-	l.fx = nil
+	l.effects = nil
 	l.adopt(began)
 	n := 0
-	for _, e := range l.fx {
+	for _, e := range l.effects {
 		if c, ok := e.(CommitTxn); ok {
 			n++
 			if len(c.Txn.Writes[0].Value) > l.valueBytes {
@@ -126,17 +126,17 @@
 	if n < 2 {
 		t.Errorf("%d records for 200 machines", n)
 	}
-	rt := &rental{key: "fleet/old", stamp: 3, record: InstanceGroupRecord{Machines: many, Answered: true}}
-	l.gone[many[0]] = true
-	l.fx = nil
-	if l.pruneRental(began+clock.Minute, rt); len(l.fx) > 0 {
+	rt := &instanceGroup{key: "fleet/old", keyVersion: 3, record: InstanceGroupRecord{Machines: many, Answered: true}}
+	l.inventory.terminated[many[0]] = true
+	l.effects = nil
+	if l.pruneRental(began+clock.Minute, rt); len(l.effects) > 0 {
 		t.Error("a record that is too large is written as it is")
 	}
 	for _, name := range many[:150] {
-		l.gone[name] = true
+		l.inventory.terminated[name] = true
 	}
-	if l.pruneRental(began+2*clock.Minute, rt); len(l.fx) != 1 || len(rt.record.Machines) != 50 {
-		t.Errorf("%d machines left in the record, written %d times", len(rt.record.Machines), len(l.fx))
+	if l.pruneRental(began+2*clock.Minute, rt); len(l.effects) != 1 || len(rt.record.Machines) != 50 {
+		t.Errorf("%d machines left in the record, written %d times", len(rt.record.Machines), len(l.effects))
 	}
 }
 
@@ -161,11 +161,11 @@
 	}
 	// Its machines are in the roster once they are written there, and not before.
 	l.Step(began, MachinesProvisioned{Term: 7, RequestID: rental.RequestID, Machines: names[:2]})
-	if l.machines[names[0]] != nil {
+	if l.inventory.machines[names[0]] != nil {
 		t.Error("used before the roster has it")
 	}
-	l.Step(began, TxnCompleted{Term: 7, Tag: fleetTag{InstanceGroupPrefix + rental.RequestID}, Result: store.TxnResult{Committed: true, Revision: 9}})
-	if l.machines[names[0]] == nil || l.machines[names[1]] == nil {
+	l.Step(began, TxnCompleted{Term: 7, Tag: instanceGroupTag{InstanceGroupPrefix + rental.RequestID}, Result: store.TxnResult{Committed: true, Revision: 9}})
+	if l.inventory.machines[names[0]] == nil || l.inventory.machines[names[1]] == nil {
 		t.Error("not in the roster once that is written")
 	}
 }
@@ -174,7 +174,7 @@
 // is given up when no list has it any more, and a silent one soon.
 func TestListsAloneCostNoMachineThatRunsWork(t *testing.T) {
 	l := granting(t, nil)
-	works, idle, silent := l.machines[names[0]], l.machines[names[1]], l.machines[names[2]]
+	works, idle, silent := l.inventory.machines[names[0]], l.inventory.machines[names[1]], l.inventory.machines[names[2]]
 	all := []wire.Machine{{Name: works.name, State: wire.MachineRunning}, {Name: idle.name, State: wire.MachineRunning}, {Name: silent.name, State: wire.MachineRunning}}
 	l.listedMachines(began, all)
 	for _, m := range []*machine{works, idle, silent} {
--- a/internal/leader/holders.go
+++ b/internal/leader/holders.go
@@ -10,13 +10,13 @@
 )
 
 func (l *Leader) said(now clock.Micros, m HolderMessage) {
-	n := l.nodes[m.Controller]
-	if n == nil || n.link != m.Link || m.Message.Term != l.epoch {
+	n := l.shards.controllers[m.Controller]
+	if n == nil || n.link != m.Link || m.Message.Term != l.term {
 		return
 	}
-	n.heard = now
+	n.lastHeartbeat = now
 	if m.Message.NoAgentContact {
-		n.blindAt = now
+		n.noAgentContactAt = now
 	}
 	if m.Message.StoreOK {
 		n.refusedSince = 0
@@ -24,8 +24,8 @@
 		n.refusedSince = now
 	}
 	if m.Message.RenewSeq > 0 && l.loaded && l.authorised(now) && l.current(now) {
-		d := peer.FromLeader{Term: l.epoch, RenewedSeq: m.Message.RenewSeq, FencingTokens: map[int]wire.FencingToken{}, StoreOK: l.storeOK()}
-		for _, b := range l.blocks {
+		d := peer.FromLeader{Term: l.term, RenewedSeq: m.Message.RenewSeq, FencingTokens: map[int]wire.FencingToken{}, StoreOK: l.storeOK()}
+		for _, b := range l.shards.all {
 			if b.state == granted && b.link == m.Link {
 				d.FencingTokens[b.id] = b.token
 			}
@@ -33,22 +33,22 @@
 		l.emit(SendToHolder{m.Link, d})
 	}
 	for _, u := range m.Message.Updates {
-		if u.Shard < 0 || u.Shard >= len(l.blocks) {
+		if u.Shard < 0 || u.Shard >= len(l.shards.all) {
 			continue
 		}
-		b := l.blocks[u.Shard]
+		b := l.shards.all[u.Shard]
 		if b.state != granted || b.token != u.FencingToken || b.link != m.Link {
 			continue
 		}
 		if u.NeedsRegrant {
-			b.state = loose
+			b.state = unassigned
 			continue
 		}
 		l.update(now, b, u)
 	}
 }
 
-func (l *Leader) update(now clock.Micros, b *leasedBlock, u peer.ShardUpdate) {
+func (l *Leader) update(now clock.Micros, b *shardLease, u peer.ShardUpdate) {
 	for _, e := range u.Events {
 		l.event(now, b, e)
 	}
@@ -56,27 +56,27 @@
 		l.machineState(now, s)
 	}
 	if u.SettledOfferSeq == b.offerSeq {
-		b.offered = false
+		b.offerPending = false
 	}
-	l.stirred = true
+	l.scheduling.requested = true
 }
 
 // jobOf is the job of a task, or nil when there is none that has such a task.
 func (l *Leader) jobOf(t peer.Task) *job {
-	j := l.jobs[t.Job]
+	j := l.jobs.byRef[t.Job]
 	if j == nil || t.Index < 0 || t.Index >= j.record.Spec.Tasks {
 		return nil
 	}
 	return j
 }
 
-func (l *Leader) event(now clock.Micros, b *leasedBlock, e peer.TaskEvent) {
+func (l *Leader) event(now clock.Micros, b *shardLease, e peer.TaskEvent) {
 	j := l.jobOf(e.Task)
 	switch e.Kind {
 	case peer.EventAssigned:
 		if h := b.tasks[e.Task]; h != nil {
 			h.machine = e.Machine
-			if m := l.machines[e.Machine]; m != nil {
+			if m := l.inventory.machines[e.Machine]; m != nil {
 				h.zone = m.opt.Zone
 			}
 			l.noteStarted(now, e.Task, h)
@@ -106,7 +106,7 @@
 }
 
 // taskEnded takes in the end of a batch's task, or of one whose job is not known any more.
-func (l *Leader) taskEnded(now clock.Micros, b *leasedBlock, j *job, e peer.TaskEvent) {
+func (l *Leader) taskEnded(now clock.Micros, b *shardLease, j *job, e peer.TaskEvent) {
 	h := l.release(b, e.Task)
 	if h != nil && h.running && j != nil {
 		j.running--
@@ -128,7 +128,7 @@
 
 // replicaEnded takes in the end of a service's task. None is its last, so the task waits again, but
 // only when none of its attempts may run.
-func (l *Leader) replicaEnded(now clock.Micros, b *leasedBlock, j *job, e peer.TaskEvent) {
+func (l *Leader) replicaEnded(now clock.Micros, b *shardLease, j *job, e peer.TaskEvent) {
 	if h := b.tasks[e.Task]; h != nil && h.remains && e.Kind == peer.EventCompleted {
 		h.remains = false
 		return
@@ -154,7 +154,7 @@
 	}
 }
 
-func (l *Leader) done(now clock.Micros, b *leasedBlock, j *job, e peer.TaskEvent) {
+func (l *Leader) done(now clock.Micros, b *shardLease, j *job, e peer.TaskEvent) {
 	if j != nil {
 		l.completed(now, j, e)
 	}
@@ -162,12 +162,12 @@
 		b.orders.Persisted = append(b.orders.Persisted, e.Task)
 		return
 	}
-	b.unstored = append(b.unstored, e.Task)
+	b.unpersisted = append(b.unpersisted, e.Task)
 	if j.markDone(e.Index) && e.RunSeconds > 1 && j.record.Spec.EstimateS > 0 {
-		c := l.classes[j.record.Spec.Class]
+		c := l.jobs.runTimes[j.record.Spec.Class]
 		if c == nil {
-			c = &classStat{ratio: 1}
-			l.classes[j.record.Spec.Class] = c
+			c = &runTimeRatio{ratio: 1}
+			l.jobs.runTimes[j.record.Spec.Class] = c
 		}
 		c.n++
 		c.ratio += (e.RunSeconds/j.record.Spec.EstimateS - c.ratio) / float64(min(c.n, 50))
@@ -177,9 +177,9 @@
 
 // flush sends what has gathered for the holders.
 func (l *Leader) flush() {
-	byLink := map[any]*peer.FromLeader{}
-	var links []any
-	for _, b := range l.blocks {
+	byLink := map[Link]*peer.FromLeader{}
+	var links []Link
+	for _, b := range l.shards.all {
 		o := &b.orders
 		if b.state != granted || len(o.Offers)+len(o.Stop)+len(o.Persisted)+len(o.Added)+len(o.Drain)+len(o.Terminated)+len(o.Exclude)+len(o.Include) == 0 {
 			continue
@@ -187,7 +187,7 @@
 		o.Shard, o.FencingToken = b.id, b.token
 		d := byLink[b.link]
 		if d == nil {
-			d = &peer.FromLeader{Term: l.epoch}
+			d = &peer.FromLeader{Term: l.term}
 			byLink[b.link] = d
 			links = append(links, b.link)
 		}
@@ -201,11 +201,11 @@
 
 func (l *Leader) tellCounts() {
 	var out []peer.TaskCount
-	for _, ref := range slices.Sorted(maps.Keys(l.jobs)) {
-		j := l.jobs[ref]
+	for _, ref := range slices.Sorted(maps.Keys(l.jobs.byRef)) {
+		j := l.jobs.byRef[ref]
 		c := peer.TaskCount{Job: ref, Done: j.nDone, Running: j.running}
-		if l.counts[ref] != c {
-			l.counts[ref] = c
+		if l.jobs.reportedCounts[ref] != c {
+			l.jobs.reportedCounts[ref] = c
 			out = append(out, c)
 		}
 	}
@@ -213,6 +213,6 @@
 		return
 	}
 	for _, n := range l.byName() {
-		l.emit(SendToHolder{n.link, peer.FromLeader{Term: l.epoch, TaskCounts: out}})
+		l.emit(SendToHolder{n.link, peer.FromLeader{Term: l.term, TaskCounts: out}})
 	}
 }
--- a/internal/leader/job.go
+++ b/internal/leader/job.go
@@ -65,8 +65,8 @@
 		n := (min(left, TasksPerChunk) + 7) / 8
 		j.chunks = append(j.chunks, chunk{done: make([]byte, n), saved: make([]byte, n)})
 	}
-	l.jobs[r.Spec.Ref] = j
-	l.classesSeen[r.Spec.Class] = true
+	l.jobs.byRef[r.Spec.Ref] = j
+	l.jobs.classesSeen[r.Spec.Class] = true
 	return j
 }
 
@@ -164,7 +164,7 @@
 func (l *Leader) watched(now clock.Micros, e wire.Event) {
 	if e.Put != "" {
 		ref := strings.TrimPrefix(e.Put, JobPrefix)
-		if l.jobs[ref] != nil {
+		if l.jobs.byRef[ref] != nil {
 			return
 		}
 		r, ok := decode[JobRecord](l, wire.Item{Key: e.Put, Value: e.Value})
@@ -172,13 +172,13 @@
 			return
 		}
 		l.addJob(r, e.Version).fillWaiting()
-		l.stirred, l.urgent = true, true
+		l.scheduling.requested, l.scheduling.urgent = true, true
 		return
 	}
 	// Only an abort deletes a job's key without the leader's doing. While the end is
 	// being written, its outcome tells which of the two it was; a progress write
 	// under way must not hide an abort.
-	if j := l.jobs[strings.TrimPrefix(e.Delete, JobPrefix)]; j != nil && !j.ending {
+	if j := l.jobs.byRef[strings.TrimPrefix(e.Delete, JobPrefix)]; j != nil && !j.ending {
 		l.cancel(now, j)
 	}
 }
@@ -189,12 +189,12 @@
 	j.cancelled = true
 	j.failures.Withdraw()
 	l.jobOver(now, j, wire.JobCancelled)
-	delete(l.jobs, ref)
-	delete(l.counts, ref)
-	for _, b := range l.blocks {
+	delete(l.jobs.byRef, ref)
+	delete(l.jobs.reportedCounts, ref)
+	for _, b := range l.shards.all {
 		b.stop(ref)
 		// What has completed, too: a late copy of its order must not start it again.
-		for _, t := range b.unstored {
+		for _, t := range b.unpersisted {
 			if t.Job == ref {
 				b.orders.Stop = append(b.orders.Stop, peer.StopTask{Task: t})
 			}
@@ -205,12 +205,12 @@
 }
 
 // stop tells the holder to end all tasks of a job.
-func (b *leasedBlock) stop(ref string) {
+func (b *shardLease) stop(ref string) {
 	b.stopThose(ref, func(*grantedTask) bool { return true })
 }
 
 // stopThose tells the holder to end those tasks of a job that concerned names.
-func (b *leasedBlock) stopThose(ref string, concerned func(*grantedTask) bool) {
+func (b *shardLease) stopThose(ref string, concerned func(*grantedTask) bool) {
 	from := len(b.orders.Stop)
 	for t, h := range b.tasks {
 		if t.Job == ref && concerned(h) {
@@ -220,8 +220,8 @@
 	slices.SortFunc(b.orders.Stop[from:], func(a, c peer.StopTask) int { return a.Index - c.Index })
 }
 
-func (b *leasedBlock) ack(stored func(peer.Task) bool) {
-	b.unstored = slices.DeleteFunc(b.unstored, func(t peer.Task) bool {
+func (b *shardLease) ack(stored func(peer.Task) bool) {
+	b.unpersisted = slices.DeleteFunc(b.unpersisted, func(t peer.Task) bool {
 		if stored(t) {
 			b.orders.Persisted = append(b.orders.Persisted, t)
 			return true
@@ -244,7 +244,7 @@
 }
 
 func (l *Leader) ended(now clock.Micros, tag endTag, m TxnCompleted) {
-	j := l.jobs[tag.ref]
+	j := l.jobs.byRef[tag.ref]
 	if j == nil {
 		return
 	}
@@ -253,14 +253,14 @@
 		l.finish(now, j)
 	case len(m.Result.FailedKeys) > 0:
 		// A user's abort came first, or an earlier copy of this write did.
-		l.emit(ReadKey{l.epoch, FinalStatePrefix + tag.ref, tag})
+		l.emit(ReadKey{l.term, FinalStatePrefix + tag.ref, tag})
 	default:
 		j.ending = false
 	}
 }
 
 func (l *Leader) endRead(now clock.Micros, tag endTag, m KeyRead) {
-	j := l.jobs[tag.ref]
+	j := l.jobs.byRef[tag.ref]
 	if j == nil {
 		return
 	}
@@ -278,9 +278,9 @@
 func (l *Leader) finish(now clock.Micros, j *job) {
 	ref := j.record.Spec.Ref
 	l.jobOver(now, j, wire.JobDone)
-	delete(l.jobs, ref)
-	delete(l.counts, ref)
-	for _, b := range l.blocks {
+	delete(l.jobs.byRef, ref)
+	delete(l.jobs.reportedCounts, ref)
+	for _, b := range l.shards.all {
 		b.ack(func(t peer.Task) bool { return t.Job == ref })
 		// A copy that a stale record still names must not run on.
 		b.stop(ref)
@@ -310,7 +310,7 @@
 		}
 		l.info("replica ended", "task", shard.TaskName(e.Task), "machine", h.machine, "cause", r.cause, "ran_s", up)
 	}
-	l.urgent = true
+	l.scheduling.urgent = true
 	if e.Kind == peer.EventReleased {
 		return
 	}
@@ -328,7 +328,7 @@
 	if r == nil || r.since == 0 {
 		if !h.inherited {
 			l.emit(Log{Debug: true, Message: "replica runs", Attributes: []any{"task", shard.TaskName(t), "machine", h.machine,
-				"after_s", (now + l.wall - j.record.AcceptedAt).Seconds()}})
+				"after_s", (now + l.wallOffset - j.record.AcceptedAt).Seconds()}})
 		}
 		return
 	}
@@ -360,7 +360,7 @@
 		delete(j.delayed, i)
 		if j.out[i] == 0 && !j.isDone(i) {
 			j.setWaiting(i, true)
-			l.urgent, l.stirred = true, true
+			l.scheduling.urgent, l.scheduling.requested = true, true
 		}
 	}
 }
@@ -375,7 +375,7 @@
 // remaining estimates a task's run time from its owner's word and its class's history.
 func (l *Leader) remaining(j *job) float64 {
 	est := j.record.Spec.EstimateS
-	if c := l.classes[j.record.Spec.Class]; c != nil && c.n >= 5 {
+	if c := l.jobs.runTimes[j.record.Spec.Class]; c != nil && c.n >= 5 {
 		est *= c.ratio
 	}
 	return est + 1
--- a/internal/leader/keys_test.go
+++ b/internal/leader/keys_test.go
@@ -16,12 +16,12 @@
 		name, want string
 		key        func(l *Leader) string
 	}{
-		{"progress page", "prog/5-1", func(l *Leader) string { return l.place(l.jobs[spec.Ref], 0).key }},
+		{"progress page", "prog/5-1", func(l *Leader) string { return l.place(l.jobs.byRef[spec.Ref], 0).key }},
 		{"found machines", "fleet/found-5-1", func(l *Leader) string {
-			l.found["host-000009"] = wire.Machine{Name: "host-000009", Type: "small", Zone: "a"}
-			l.fx = nil
+			l.inventory.discovered["host-000009"] = wire.Machine{Name: "host-000009", Type: "small", Zone: "a"}
+			l.effects = nil
 			l.adopt(began)
-			return putKeys(l.fx)[0]
+			return putKeys(l.effects)[0]
 		}},
 	}
 	for _, c := range cases {
@@ -34,7 +34,7 @@
 }
 
 // putKeys are the first keys that the effects' transactions put.
-func putKeys(effects []any) (keys []string) {
+func putKeys(effects []Effect) (keys []string) {
 	for _, e := range effects {
 		if c, ok := e.(CommitTxn); ok && c.Txn.Writes[0].Put != "" {
 			keys = append(keys, c.Txn.Writes[0].Put)
@@ -49,7 +49,7 @@
 	l.Step(began, LeadershipLost{})
 	l.Step(began, LeadershipAcquired{Term: 7})
 	l.Step(began, LeadershipExtended{Until: began + 100*clock.Second})
-	l.Step(began, PeerConnected{Controller: "n0", Link: "link"})
+	l.Step(began, PeerConnected{Controller: "n0", Link: testLink("link")})
 	types := wire.Catalog{Types: []wire.MachineType{{Name: "small", CPUs: 4, MemoryGB: 8, Price: 1, SpotPrice: 0.5, BootS: 10, ZoneNames: []string{"a"}}}}
 	effects := l.Step(began, StateLoaded{Term: 7, RequestedAt: began, Items: []wire.Item{item(t, CatalogKey, 1, types), item(t, JobPrefix+spec.Ref, 2, JobRecord{Spec: spec})}})
 	var keys []string
@@ -59,7 +59,7 @@
 			e := effects[0]
 			effects = effects[1:]
 			if c, ok := e.(CommitTxn); ok {
-				keys = append(keys, putKeys([]any{c})...)
+				keys = append(keys, putKeys([]Effect{c})...)
 				revision++
 				effects = append(effects, l.Step(at, TxnCompleted{Term: 7, Tag: c.Tag, Result: store.TxnResult{Committed: true, Revision: revision}})...)
 			}
--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -23,7 +23,7 @@
 }
 
 // toldOf gathers the orders that the effects send to holders.
-func toldOf(fx []any) (orders []peer.ShardOrders) {
+func toldOf(fx []Effect) (orders []peer.ShardOrders) {
 	for _, e := range fx {
 		if x, ok := e.(SendToHolder); ok {
 			orders = append(orders, x.Message.Orders...)
@@ -32,7 +32,7 @@
 	return orders
 }
 
-func offers(fx []any) (n int) {
+func offers(fx []Effect) (n int) {
 	for _, o := range toldOf(fx) {
 		for _, of := range o.Offers {
 			n += len(of.TaskIndexes)
@@ -67,7 +67,7 @@
 	now := began
 	l.Step(now, LeadershipAcquired{Term: 5})
 	l.Step(now, LeadershipExtended{Until: now + 100*clock.Second})
-	l.Step(now, PeerConnected{Controller: "n0", Link: "link"})
+	l.Step(now, PeerConnected{Controller: "n0", Link: testLink("link")})
 	l.Step(now, StateLoaded{Term: 5, RequestedAt: now, Items: []wire.Item{
 		item(t, LayoutKey, 1, LayoutRecord{Shards: 2}),
 		item(t, CatalogKey, 1, wire.Catalog{Types: []wire.MachineType{{Name: "small", CPUs: 4, MemoryGB: 8, ZoneNames: []string{"a"}}}}),
@@ -77,7 +77,7 @@
 	fx := l.Step(now, Tick{})
 	for _, e := range fx {
 		if c, ok := e.(CommitTxn); ok {
-			if tag, ok := c.Tag.(blocksTag); ok {
+			if tag, ok := c.Tag.(shardsTag); ok {
 				l.Step(now, TxnCompleted{Term: 5, Tag: tag, Result: store.TxnResult{Committed: true, Revision: 9}})
 			}
 		}
@@ -90,21 +90,21 @@
 func TestNothingIsOfferedBeforeAllRecordsAreRead(t *testing.T) {
 	l := leading(t)
 	now := began
-	up := func(b int) []any {
-		u := peer.ShardUpdate{Shard: b, FencingToken: l.blocks[b].token}
+	up := func(b int) []Effect {
+		u := peer.ShardUpdate{Shard: b, FencingToken: l.shards.all[b].token}
 		for _, n := range names {
 			if shard.ForMachine(n, 2) == b {
 				u.Machines = append(u.Machines, peer.MachineState{Name: n, Type: "small", Zone: "a", Schedulable: true, CPUs: 4, MemoryGB: 8})
 			}
 		}
 		now += clock.Second
-		return l.Step(now, HolderMessage{Controller: "n0", Link: "link", Message: &peer.ToLeader{Term: 5, StoreOK: true, Updates: []peer.ShardUpdate{u}}})
+		return l.Step(now, HolderMessage{Controller: "n0", Link: testLink("link"), Message: &peer.ToLeader{Term: 5, StoreOK: true, Updates: []peer.ShardUpdate{u}}})
 	}
-	l.Step(now, AttemptsLoaded{Term: 5, Shard: 0, FencingToken: l.blocks[0].token})
+	l.Step(now, AttemptsLoaded{Term: 5, Shard: 0, FencingToken: l.shards.all[0].token})
 	if n := offers(up(0)); n != 0 {
 		t.Fatalf("%d tasks offered while block 1 is not read", n)
 	}
-	fx := l.Step(now, AttemptsLoaded{Term: 5, Shard: 1, FencingToken: l.blocks[1].token, Pages: map[string]peer.AttemptPage{"run/001/1-1": {Machines: names[:1],
+	fx := l.Step(now, AttemptsLoaded{Term: 5, Shard: 1, FencingToken: l.shards.all[1].token, Pages: map[string]peer.AttemptPage{"run/001/1-1": {Machines: names[:1],
 		Groups: []peer.AttemptGroup{{Job: spec.Ref, Team: "red", CPUs: 1, Attempts: []int{0, 1, 0}}}}}})
 	if n := offers(fx); n != 1 {
 		t.Errorf("%d tasks offered, want the one that no record names", n)
@@ -116,9 +116,9 @@
 	l := leading(t)
 	page := peer.AttemptPage{Machines: names[:1], Groups: []peer.AttemptGroup{{Job: spec.Ref, Team: "red", CPUs: 1, Attempts: []int{0, 1, 0, 1, 2, 0}}}}
 	b := shard.ForMachine(names[0], 2)
-	l.Step(began, AttemptsLoaded{Term: 5, Shard: b, FencingToken: l.blocks[b].token, Pages: map[string]peer.AttemptPage{"p": page}})
-	l.Step(began, AttemptsLoaded{Term: 5, Shard: 1 - b, FencingToken: l.blocks[1-b].token})
-	fx := l.Step(began, HolderMessage{Controller: "n0", Link: "link", Message: &peer.ToLeader{Term: 5, Updates: []peer.ShardUpdate{{Shard: b, FencingToken: l.blocks[b].token,
+	l.Step(began, AttemptsLoaded{Term: 5, Shard: b, FencingToken: l.shards.all[b].token, Pages: map[string]peer.AttemptPage{"p": page}})
+	l.Step(began, AttemptsLoaded{Term: 5, Shard: 1 - b, FencingToken: l.shards.all[1-b].token})
+	fx := l.Step(began, HolderMessage{Controller: "n0", Link: testLink("link"), Message: &peer.ToLeader{Term: 5, Updates: []peer.ShardUpdate{{Shard: b, FencingToken: l.shards.all[b].token,
 		Events: []peer.TaskEvent{{Task: peer.Task{Job: spec.Ref, Index: 0}, Kind: peer.EventCompleted, Machine: names[0]}}}}}})
 	writes := 0
 	for _, e := range append(fx, l.Step(began+progressEvery, Tick{})...) {
@@ -126,7 +126,7 @@
 			writes++
 		}
 	}
-	if writes != 1 || !l.progressPages[0].busy {
+	if writes != 1 || !l.jobs.progressPages[0].busy {
 		t.Fatalf("%d progress writes under way, want 1", writes)
 	}
 	var stopped []peer.StopTask
@@ -154,7 +154,7 @@
 		return &queued{j: j, waitedLong: waitedLong}
 	}
 	first, second, old, never := mk("a", false, true), mk("b", false, true), mk("a", true, true), mk("a", true, false)
-	tq := &teamQueue{u: &use{cpus: 100}, q: []*queued{first, second, old, never}, use: map[string]float64{"a": 60, "b": 30, longWaiting: 30}}
+	tq := &teamQueue{u: &resourceUsage{cpus: 100}, q: []*queued{first, second, old, never}, use: map[string]float64{"a": 60, "b": 30, longWaiting: 30}}
 	for _, c := range []struct {
 		what string
 		set  func()
@@ -177,21 +177,21 @@
 func granting(t *testing.T, pages map[string]peer.AttemptPage) *Leader {
 	t.Helper()
 	l := leading(t)
-	for b := range l.blocks {
-		m := AttemptsLoaded{Term: 5, Shard: b, FencingToken: l.blocks[b].token}
+	for b := range l.shards.all {
+		m := AttemptsLoaded{Term: 5, Shard: b, FencingToken: l.shards.all[b].token}
 		if b == shard.ForMachine(names[0], 2) {
 			m.Pages = pages
 		}
 		l.Step(began, m)
 	}
-	for b := range l.blocks {
-		u := peer.ShardUpdate{Shard: b, FencingToken: l.blocks[b].token}
+	for b := range l.shards.all {
+		u := peer.ShardUpdate{Shard: b, FencingToken: l.shards.all[b].token}
 		for _, n := range names {
 			if shard.ForMachine(n, 2) == b {
 				u.Machines = append(u.Machines, peer.MachineState{Name: n, Type: "small", Zone: "a", Schedulable: true, TokenConfirmed: true, CPUs: 4, MemoryGB: 8})
 			}
 		}
-		l.Step(began, HolderMessage{Controller: "n0", Link: "link", Message: &peer.ToLeader{Term: 5, StoreOK: true, Updates: []peer.ShardUpdate{u}}})
+		l.Step(began, HolderMessage{Controller: "n0", Link: testLink("link"), Message: &peer.ToLeader{Term: 5, StoreOK: true, Updates: []peer.ShardUpdate{u}}})
 	}
 	return l
 }
@@ -224,7 +224,7 @@
 			if c.Txn.Writes[0].Delete == old.key && len(left) > 0 {
 				t.Fatal("the old progress page is deleted before its chunks are stored elsewhere")
 			}
-			if tag, ok := c.Tag.(progTag); ok {
+			if tag, ok := c.Tag.(progressTag); ok {
 				if len(c.Txn.Writes[0].Value) > l.valueBytes || c.Txn.Writes[0].Put == old.key {
 					t.Errorf("%s is written with %d bytes", c.Txn.Writes[0].Put, len(c.Txn.Writes[0].Value))
 				}
@@ -245,7 +245,7 @@
 		t.Error("the old progress page is never deleted")
 	}
 	for _, ref := range refs {
-		if j := l.jobs[ref]; !j.stored(0) || !j.stored(2) || j.stored(1) {
+		if j := l.jobs.byRef[ref]; !j.stored(0) || !j.stored(2) || j.stored(1) {
 			t.Errorf("%s lost what was stored of it", ref)
 		}
 	}
@@ -266,20 +266,26 @@
 func TestStopsComeWithTheGrant(t *testing.T) {
 	l := leading(t)
 	over := peer.Task{Job: "j-000009", Index: 4}
-	fx := l.Step(began, AttemptsLoaded{Term: 5, Shard: 0, FencingToken: l.blocks[0].token, Pages: map[string]peer.AttemptPage{"run/000/1-1": {Machines: names[:1],
+	fx := l.Step(began, AttemptsLoaded{Term: 5, Shard: 0, FencingToken: l.shards.all[0].token, Pages: map[string]peer.AttemptPage{"run/000/1-1": {Machines: names[:1],
 		Groups: []peer.AttemptGroup{{Job: over.Job, Team: "red", CPUs: 3, Attempts: []int{over.Index, 1, 0}}}}}})
 	found := false
 	for _, e := range fx {
 		if x, ok := e.(SendToHolder); ok && len(x.Message.Grants) > 0 {
 			for _, o := range x.Message.Orders {
-				found = found || o.Shard == 0 && o.FencingToken == l.blocks[0].token && len(o.Stop) == 1 && o.Stop[0].Task == over
+				found = found || o.Shard == 0 && o.FencingToken == l.shards.all[0].token && len(o.Stop) == 1 && o.Stop[0].Task == over
 			}
 		}
 	}
 	if !found {
 		t.Error("the grant does not say what is to be stopped")
 	}
-	if l.use("red").cpus != 3 {
-		t.Errorf("%g processors count, want the 3 of what may still run", l.use("red").cpus)
+	if l.quota.of("red").cpus != 3 {
+		t.Errorf("%g processors count, want the 3 of what may still run", l.quota.of("red").cpus)
 	}
 }
+
+// testLink is a link of which only the name matters.
+type testLink string
+
+// Send is not reached: the leader's effects are looked at, not carried out.
+func (testLink) Send(*peer.FromLeader) {}
--- a/internal/leader/limits_test.go
+++ b/internal/leader/limits_test.go
@@ -11,15 +11,15 @@
 // regrant has a block granted anew, at a revision of the state service, and gives its token; false when
 // the leader resigned instead.
 func regrant(l *Leader, now clock.Micros, revision uint64) (wire.FencingToken, bool) {
-	l.blocks[0].state = loose
+	l.shards.all[0].state = unassigned
 	for _, e := range l.Step(now, Tick{}) {
-		switch x := e.(type) {
-		case Resign:
+		if _, resigned := e.(Resign); resigned {
 			return 0, false
-		case CommitTxn:
-			if tag, ok := x.Tag.(blocksTag); ok {
-				l.Step(now, TxnCompleted{Term: l.epoch, Tag: tag, Result: store.TxnResult{Committed: true, Revision: revision}})
-				l.Step(now, AttemptsLoaded{Term: l.epoch, Shard: 0, FencingToken: tag.tokens[0]})
+		}
+		if x, ok := e.(CommitTxn); ok {
+			if tag, ok := x.Tag.(shardsTag); ok {
+				l.Step(now, TxnCompleted{Term: l.term, Tag: tag, Result: store.TxnResult{Committed: true, Revision: revision}})
+				l.Step(now, AttemptsLoaded{Term: l.term, Shard: 0, FencingToken: tag.tokens[0]})
 				return tag.tokens[0], true
 			}
 		}
@@ -34,7 +34,7 @@
 	now, revision, last := began, uint64(20), wire.FencingToken(0)
 	for i := range 3 << tokenBits {
 		revision++
-		l.blocks[0].homeless, l.nodes["n0"].heard, l.nodes["n0"].busyUntil = 0, now, 0
+		l.shards.all[0].unassignedSince, l.shards.controllers["n0"].lastHeartbeat, l.shards.controllers["n0"].busyUntil = 0, now, 0
 		token, ok := regrant(l, now, revision)
 		if !ok {
 			t.Fatalf("no token for grant %d", i)
@@ -54,9 +54,9 @@
 // token reaches that far.
 func TestTokensStayBelowALaterEpoch(t *testing.T) {
 	l := leading(t)
-	l.tokens, l.written = 1<<tokenBits-1, 0
+	l.shards.tokensIssued, l.highestRevision = 1<<tokenBits-1, 0
 	if token, ok := regrant(l, began, 30); ok {
-		t.Errorf("token %d reaches epoch %d", token, l.epoch+1)
+		t.Errorf("token %d reaches epoch %d", token, l.term+1)
 	}
 }
 
@@ -65,16 +65,16 @@
 	for _, machines := range []int{500, 6000} {
 		l := leading(t)
 		l.cfg.Facts.Cloud.RPS = 2
-		for i := len(l.machines); i < machines; i++ {
-			l.addMachine(began, "extra-"+string(rune('a'+i%26))+string(rune(0x4e00+i)), &rental{record: InstanceGroupRecord{Request: wire.ProvisionRequest{Type: "small", Zone: "a"}}})
+		for i := len(l.inventory.machines); i < machines; i++ {
+			l.addMachine(began, "extra-"+string(rune('a'+i%26))+string(rune(0x4e00+i)), &instanceGroup{record: InstanceGroupRecord{Request: wire.ProvisionRequest{Type: "small", Zone: "a"}}})
 		}
 		lists, spell := 0, 60*clock.Second
 		for now := began; now < began+spell; now += clock.Second / 4 {
-			l.until, l.viewed, l.nodes["n0"].heard = now+clock.Minute, now, now
+			l.authorityEnds, l.jobsViewedAt, l.shards.controllers["n0"].lastHeartbeat = now+clock.Minute, now, now
 			for _, e := range l.Step(now, Tick{}) {
 				if _, ok := e.(ListMachines); ok {
 					lists++
-					l.listing = false
+					l.inventory.listing = false
 				}
 			}
 		}
--- a/internal/leader/load.go
+++ b/internal/leader/load.go
@@ -12,8 +12,8 @@
 
 // load takes in what the state service holds at the start of an epoch.
 func (l *Leader) load(now clock.Micros, m StateLoaded) {
-	l.wall = m.TimeOfDay - now
-	l.viewed = m.RequestedAt
+	l.wallOffset = m.TimeOfDay - now
+	l.jobsViewedAt = m.RequestedAt
 	l.loadBlocks(m.Items)
 	for _, it := range m.Items {
 		switch {
@@ -25,19 +25,19 @@
 			if r, ok := decode[InstanceGroupRecord](l, it); ok {
 				l.loadRental(now, it, r)
 			} else {
-				l.unanswered[it.Key] = true // whatever machines it names may work
+				l.inventory.unansweredRequests[it.Key] = true // whatever machines it names may work
 			}
 		}
 	}
 	l.loadProgress(m.Items)
 	l.loaded = true
-	l.stirred = true
+	l.scheduling.requested = true
 	l.emit(ListMachines{})
-	l.listing = true
-	l.lastList = now
+	l.inventory.listing = true
+	l.inventory.listedAt = now
 	l.emit(LoadCatalog{})
-	l.catalogAt = now
-	l.info("leading", "epoch", l.epoch, "jobs", len(l.jobs), "machines", len(l.machines), "blocks", len(l.blocks))
+	l.autoscaler.catalogRequestedAt = now
+	l.info("leading", "epoch", l.term, "jobs", len(l.jobs.byRef), "machines", len(l.inventory.machines), "blocks", len(l.shards.all))
 }
 
 // loadBlocks makes the blocks, to which the machines belong, and learns the machine types. The first
@@ -64,7 +64,7 @@
 	}
 	for i := range n {
 		key := shard.Key(i)
-		l.blocks = append(l.blocks, &leasedBlock{id: i, stamp: stamps[key], holder: holders[key].Holder, tasks: map[peer.Task]*grantedTask{}})
+		l.shards.all = append(l.shards.all, &shardLease{id: i, keyVersion: stamps[key], holder: holders[key].Holder, tasks: map[peer.Task]*grantedTask{}})
 	}
 	if !haveLayout {
 		l.commit(store.PriorityUrgent, nil, []wire.Condition{{Key: LayoutKey}}, []wire.Write{put(LayoutKey, LayoutRecord{n})})
@@ -81,7 +81,7 @@
 			}
 		}
 	}
-	for _, j := range l.jobs {
+	for _, j := range l.jobs.byRef {
 		for i := range j.record.Spec.Tasks {
 			if j.isDone(i) {
 				j.nDone++
@@ -93,12 +93,12 @@
 }
 
 func (l *Leader) setTypes(ts []wire.MachineType) {
-	l.typeList = ts
+	l.autoscaler.catalog = ts
 	for _, t := range ts {
-		l.types[t.Name] = t
+		l.autoscaler.types[t.Name] = t
 	}
-	for _, m := range l.machines {
-		m.opt.Type = l.types[m.opt.Type.Name]
+	for _, m := range l.inventory.machines {
+		m.opt.Type = l.autoscaler.types[m.opt.Type.Name]
 	}
 }
 
@@ -106,16 +106,16 @@
 	if len(ts) == 0 {
 		return
 	}
-	same := len(ts) == len(l.typeList)
+	same := len(ts) == len(l.autoscaler.catalog)
 	for i := range ts {
-		same = same && l.typeList[i].Name == ts[i].Name && l.typeList[i].CPUs == ts[i].CPUs
+		same = same && l.autoscaler.catalog[i].Name == ts[i].Name && l.autoscaler.catalog[i].CPUs == ts[i].CPUs
 	}
 	l.setTypes(ts)
 	if !same {
 		// Kept in the store so that submissions can be judged while the cloud is away.
 		l.commit(store.PriorityReads, nil, nil, []wire.Write{put(CatalogKey, wire.Catalog{Types: ts})})
 		for _, n := range l.byName() {
-			l.emit(SendToHolder{n.link, peer.FromLeader{Term: l.epoch, Types: ts}})
+			l.emit(SendToHolder{n.link, peer.FromLeader{Term: l.term, Types: ts}})
 		}
 	}
 }
--- a/internal/leader/machines.go
+++ b/internal/leader/machines.go
@@ -14,36 +14,36 @@
 
 // machine is one of the roster, as the cloud and its holder see it.
 type machine struct {
-	name     string
-	rental   string
-	opt      autoscaler.Option
-	block    *leasedBlock
-	born     clock.Micros
-	address  string
-	up       bool
-	booting  bool // by the list
-	cordoned bool // not worth new tasks
-	rest     bool // not needed for new tasks while others have room
-	out      bool // its holder was told to leave it out
-	state    peer.MachineState
-	listed   clock.Micros // last seen in the list; 0: never
-	running  clock.Micros // since when the list says that it is up; 0: it does not
-	missing  int          // how many lists in a row lacked it
-	failed   bool         // it is listed as stopped by itself
-	idle     clock.Micros // since when it has no task
-	drain    bool
-	deleting bool
-	failures failures.Machine
+	name          string
+	rental        string
+	opt           autoscaler.Option
+	shard         *shardLease
+	born          clock.Micros
+	address       string
+	up            bool
+	booting       bool // by the list
+	cordoned      bool // not worth new tasks
+	deprioritized bool // not needed for new tasks while others have room
+	excluded      bool // its holder was told to leave it out
+	state         peer.MachineState
+	listed        clock.Micros // last seen in the list; 0: never
+	running       clock.Micros // since when the list says that it is up; 0: it does not
+	missing       int          // how many lists in a row lacked it
+	failed        bool         // it is listed as stopped by itself
+	idle          clock.Micros // since when it has no task
+	drain         bool
+	deleting      bool
+	failures      failures.Machine
 	// Room that is left while offers are made; the holder's word in state is not touched.
 	cpus, gpus, mem float64
 }
 
-func (l *Leader) addMachine(now clock.Micros, name string, rt *rental) {
-	if l.machines[name] != nil {
+func (l *Leader) addMachine(now clock.Micros, name string, rt *instanceGroup) {
+	if l.inventory.machines[name] != nil {
 		return
 	}
-	l.machines[name] = &machine{name: name, rental: rt.key, opt: l.option(rt.record.Request), block: l.blockOf(name), born: now, idle: now}
-	delete(l.found, name)
+	l.inventory.machines[name] = &machine{name: name, rental: rt.key, opt: l.option(rt.record.Request), shard: l.blockOf(name), born: now, idle: now}
+	delete(l.inventory.discovered, name)
 	if b := l.blockOf(name); b.state == granted {
 		b.orders.Added = append(b.orders.Added, name)
 	}
@@ -51,15 +51,15 @@
 
 // machineState takes in how a holder sees a machine.
 func (l *Leader) machineState(now clock.Micros, s peer.MachineState) {
-	m := l.machines[s.Name]
+	m := l.inventory.machines[s.Name]
 	if m == nil {
-		if l.gone[s.Name] {
+		if l.inventory.terminated[s.Name] {
 			b := l.blockOf(s.Name)
 			b.orders.Terminated = append(b.orders.Terminated, s.Name)
 		} else if s.Type != "" && s.TokenConfirmed {
 			// What is only heard of may be a late copy of a report of a machine long
 			// deleted; one that has seen our token is there, and so is one that is listed.
-			l.found[s.Name] = wire.Machine{Name: s.Name, Type: s.Type, Zone: s.Zone, Spot: s.Spot}
+			l.inventory.discovered[s.Name] = wire.Machine{Name: s.Name, Type: s.Type, Zone: s.Zone, Spot: s.Spot}
 		}
 		return
 	}
@@ -74,7 +74,7 @@
 		return
 	}
 	if !m.up {
-		delete(l.noBoots, m.opt.Key())
+		delete(l.autoscaler.bootFailures, m.opt.Key())
 	}
 	m.up = true
 	m.address = s.Address
@@ -90,17 +90,17 @@
 
 // saveTasks stops the tasks that can save their progress before their machine goes.
 func (l *Leader) saveTasks(now clock.Micros, m *machine) {
-	b := m.block
+	b := m.shard
 	var room *freeRoom
 	var on []peer.Task
 	for t, h := range b.tasks {
-		if h.machine == m.name && l.jobs[t.Job] != nil {
+		if h.machine == m.name && l.jobs.byRef[t.Job] != nil {
 			on = append(on, t)
 		}
 	}
 	slices.SortFunc(on, func(a, c peer.Task) int { return cmp.Or(strings.Compare(a.Job, c.Job), a.Index-c.Index) })
 	for _, t := range on {
-		h, j := b.tasks[t], l.jobs[t.Job]
+		h, j := b.tasks[t], l.jobs.byRef[t.Job]
 		// A replica moves at once if there is room for it; else it runs to the end here.
 		moves := false
 		if j.record.Spec.IsService() && m.state.PreemptionNotice {
@@ -121,7 +121,7 @@
 
 func (l *Leader) drain(now clock.Micros, m *machine, why string) {
 	m.drain = true
-	b := m.block
+	b := m.shard
 	b.orders.Drain = append(b.orders.Drain, m.name)
 	l.saveTasks(now, m)
 	l.info("draining machine", "machine", m.name, "why", why)
@@ -131,10 +131,10 @@
 	seen := map[string]bool{}
 	for _, w := range list {
 		seen[w.Name] = true
-		m := l.machines[w.Name]
+		m := l.inventory.machines[w.Name]
 		if m == nil {
-			if !l.gone[w.Name] {
-				l.found[w.Name] = w
+			if !l.inventory.terminated[w.Name] {
+				l.inventory.discovered[w.Name] = w
 			}
 			continue
 		}
@@ -150,7 +150,7 @@
 		}
 		m.failed = w.State == wire.MachineFailed
 	}
-	for _, m := range l.machines {
+	for _, m := range l.inventory.machines {
 		if m.listed > 0 && !seen[m.name] {
 			m.missing++
 		}
@@ -158,9 +158,9 @@
 }
 
 func (l *Leader) deleted(now clock.Micros, m MachinesDeleted) {
-	l.deleting = max(0, l.deleting-1)
+	l.inventory.deletionsInFlight = max(0, l.inventory.deletionsInFlight-1)
 	for _, name := range m.Machines {
-		mc := l.machines[name]
+		mc := l.inventory.machines[name]
 		if mc == nil {
 			continue
 		}
@@ -174,8 +174,8 @@
 
 // markDeleted takes out a machine that is deleted.
 func (l *Leader) markDeleted(name string) {
-	delete(l.machines, name)
-	l.gone[name] = true
+	delete(l.inventory.machines, name)
+	l.inventory.terminated[name] = true
 	if b := l.blockOf(name); b.state == granted {
 		b.orders.Terminated = append(b.orders.Terminated, name)
 	}
--- a/internal/leader/messages.go
+++ b/internal/leader/messages.go
@@ -70,6 +70,23 @@
 	Answered bool                  `json:"asked"` // the answer is known
 }
 
+// Link is a connection to a controller, maybe to this one. Links are compared: the holder of a shard is told of it
+// over the link that it was granted over.
+type Link interface {
+	// Send hands a message over for delivery and does not wait for it.
+	Send(message *peer.FromLeader)
+}
+
+// TxnTag says what a transaction or a read was for; it comes back with the outcome.
+//
+//sumtype:decl
+type TxnTag interface{ txnTag() }
+
+// Message is a message to a Leader.
+//
+//sumtype:decl
+type Message interface{ leaderMessage() }
+
 // Messages to a Leader.
 type (
 	// LeadershipAcquired begins an epoch; every write guards on Epoch, the leader key's version.
@@ -93,18 +110,18 @@
 	PeerConnected struct {
 		Controller  string
 		Incarnation cluster.Incarnation
-		Link        any
+		Link        Link
 		ViaStore    bool // through the state service: messages take seconds
 	}
 	// PeerDisconnected is its end.
 	PeerDisconnected struct {
 		Controller string
-		Link       any
+		Link       Link
 	}
 	// HolderMessage is what a holder says.
 	HolderMessage struct {
 		Controller string
-		Link       any
+		Link       Link
 		Message    *peer.ToLeader
 	}
 	// JobsChanged are changes of jobs, maybe none: all that there were until Asked, when they
@@ -117,7 +134,7 @@
 	// TxnCompleted is the end of a transaction.
 	TxnCompleted struct {
 		Term   cluster.Term
-		Tag    any
+		Tag    TxnTag
 		Result store.TxnResult
 		Err    error
 	}
@@ -131,7 +148,7 @@
 	// KeyRead is one key that was asked for.
 	KeyRead struct {
 		Term  cluster.Term
-		Tag   any
+		Tag   TxnTag
 		Item  wire.Item
 		Found bool
 	}
@@ -154,16 +171,82 @@
 		Err      error
 	}
 	// StatusRequested is an operator's question; the answer goes to Tag.
-	StatusRequested struct{ ReplyTo any }
+	StatusRequested struct{ ReplyTo chan<- peer.Status }
 	// Tick lets time pass.
 	Tick struct{}
 )
 
+func (LeadershipAcquired) leaderMessage()  {}
+func (LeadershipExtended) leaderMessage()  {}
+func (LeadershipLost) leaderMessage()      {}
+func (StatusRequested) leaderMessage()     {}
+func (PeerConnected) leaderMessage()       {}
+func (PeerDisconnected) leaderMessage()    {}
+func (HolderMessage) leaderMessage()       {}
+func (CatalogLoaded) leaderMessage()       {}
+func (MachinesListed) leaderMessage()      {}
+func (Tick) leaderMessage()                {}
+func (StateLoaded) leaderMessage()         {}
+func (JobsChanged) leaderMessage()         {}
+func (TxnCompleted) leaderMessage()        {}
+func (AttemptsLoaded) leaderMessage()      {}
+func (KeyRead) leaderMessage()             {}
+func (MachinesProvisioned) leaderMessage() {}
+func (MachinesDeleted) leaderMessage()     {}
+
+// EndsTerm reports whether a message ends the term under way, and with it all that the term has asked for.
+func EndsTerm(message Message) bool {
+	switch message.(type) {
+	case LeadershipAcquired, LeadershipLost:
+		return true
+	case LeadershipExtended, StatusRequested, event, answer:
+		return false
+	}
+	return false
+}
+
+// event is a message that counts only while the controller leads.
+//
+//sumtype:decl
+type event interface {
+	Message
+	leaderEvent()
+}
+
+func (PeerConnected) leaderEvent()    {}
+func (PeerDisconnected) leaderEvent() {}
+func (HolderMessage) leaderEvent()    {}
+func (CatalogLoaded) leaderEvent()    {}
+func (MachinesListed) leaderEvent()   {}
+func (Tick) leaderEvent()             {}
+
+// answer is the answer to an effect. Its term is that of the effect: an answer of an earlier term is not waited for
+// any more.
+//
+//sumtype:decl
+type answer interface {
+	Message
+	answeredTerm() cluster.Term
+}
+
+func (m StateLoaded) answeredTerm() cluster.Term         { return m.Term }
+func (m JobsChanged) answeredTerm() cluster.Term         { return m.Term }
+func (m TxnCompleted) answeredTerm() cluster.Term        { return m.Term }
+func (m AttemptsLoaded) answeredTerm() cluster.Term      { return m.Term }
+func (m KeyRead) answeredTerm() cluster.Term             { return m.Term }
+func (m MachinesProvisioned) answeredTerm() cluster.Term { return m.Term }
+func (m MachinesDeleted) answeredTerm() cluster.Term     { return m.Term }
+
+// Effect is what a Leader wants done.
+//
+//sumtype:decl
+type Effect interface{ leaderEffect() }
+
 // Effects of a Leader.
 type (
 	// SendToHolder goes to a holder.
 	SendToHolder struct {
-		Link    any
+		Link    Link
 		Message peer.FromLeader
 	}
 	// LoadState asks for all that the store holds of ours, and a watch of the jobs from there on.
@@ -179,13 +262,13 @@
 		Term     cluster.Term
 		Priority int
 		Txn      wire.Txn
-		Tag      any
+		Tag      TxnTag
 	}
 	// ReadKey asks for one key.
 	ReadKey struct {
 		Term cluster.Term
 		Key  string
-		Tag  any
+		Tag  TxnTag
 	}
 	// ProvisionMachines asks the cloud for machines.
 	ProvisionMachines struct {
@@ -205,7 +288,7 @@
 	PauseDetected struct{ Pause pausedetect.Pause }
 	// ReplyStatus answers an operator's question.
 	ReplyStatus struct {
-		ReplyTo any
+		ReplyTo chan<- peer.Status
 		Status  peer.Status
 	}
 	// Resign gives up the epoch.
@@ -219,3 +302,23 @@
 		Attributes []any
 	}
 )
+
+func (SendToHolder) leaderEffect()      {}
+func (LoadState) leaderEffect()         {}
+func (LoadAttempts) leaderEffect()      {}
+func (CommitTxn) leaderEffect()         {}
+func (ReadKey) leaderEffect()           {}
+func (ProvisionMachines) leaderEffect() {}
+func (DeleteMachines) leaderEffect()    {}
+func (ListMachines) leaderEffect()      {}
+func (LoadCatalog) leaderEffect()       {}
+func (PauseDetected) leaderEffect()     {}
+func (ReplyStatus) leaderEffect()       {}
+func (Resign) leaderEffect()            {}
+func (RecordSpan) leaderEffect()        {}
+func (Log) leaderEffect()               {}
+
+func (shardsTag) txnTag()        {}
+func (endTag) txnTag()           {}
+func (progressTag) txnTag()      {}
+func (instanceGroupTag) txnTag() {}
--- a/internal/leader/needs.go
+++ b/internal/leader/needs.go
@@ -43,10 +43,10 @@
 func (l *Leader) needs(now clock.Micros) []autoscaler.Demand {
 	n := &needs{byKey: map[needKey]*autoscaler.Demand{}}
 	room := map[string]float64{}
-	refs := slices.Sorted(maps.Keys(l.jobs))
+	refs := slices.Sorted(maps.Keys(l.jobs.byRef))
 	for _, standing := range []bool{true, false} {
 		for _, ref := range refs {
-			j := l.jobs[ref]
+			j := l.jobs.byRef[ref]
 			s := &j.record.Spec
 			left := s.Tasks - j.nDone
 			if s.IsService() != standing || left <= 0 || j.failures.Waits(now) {
@@ -117,11 +117,11 @@
 		return nil
 	}
 	need := autoscaler.Demand{CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.MemoryGB, Types: s.Types, Spot: s.Spot}
-	for _, t := range l.typeList {
+	for _, t := range l.autoscaler.catalog {
 		for _, z := range t.ZoneNames {
 			for _, spot := range []bool{false, true} {
 				o := autoscaler.Option{Type: t, Zone: z, Spot: spot}
-				if need.Slots(&t, z, spot) > 0 && now >= l.refused[o.Key()].until && !slices.Contains(out, z) {
+				if need.Slots(&t, z, spot) > 0 && now >= l.autoscaler.refusals[o.Key()].until && !slices.Contains(out, z) {
 					out = append(out, z)
 				}
 			}
@@ -144,9 +144,9 @@
 	lately := map[shape]*recentArrivals{}
 	var shapes []shape
 	oldest := 0.0
-	for _, ref := range slices.Sorted(maps.Keys(l.jobs)) {
-		j := l.jobs[ref]
-		age := (now + l.wall - j.record.AcceptedAt).Seconds()
+	for _, ref := range slices.Sorted(maps.Keys(l.jobs.byRef)) {
+		j := l.jobs.byRef[ref]
+		age := (now + l.wallOffset - j.record.AcceptedAt).Seconds()
 		if !j.record.Spec.IsService() || age > arrivals {
 			continue
 		}
@@ -181,7 +181,7 @@
 // bootTime is the longest usual boot time of the machines that a job may run on.
 func (l *Leader) bootTime(s *wire.Job) (boot float64) {
 	need := autoscaler.Demand{CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.MemoryGB, Types: s.Types}
-	for _, t := range l.typeList {
+	for _, t := range l.autoscaler.catalog {
 		if need.Slots(&t, "", false) > 0 {
 			boot = max(boot, t.BootS)
 		}
@@ -200,17 +200,17 @@
 
 func (l *Leader) warm() *autoscaler.Demand {
 	boot := math.Inf(1)
-	for _, t := range l.typeList {
+	for _, t := range l.autoscaler.catalog {
 		boot = min(boot, t.BootS)
 	}
 	n := 0
 	for class, within := range l.awaited {
-		if !l.classesSeen[class] && within < boot*1.5+10 {
+		if !l.jobs.classesSeen[class] && within < boot*1.5+10 {
 			n += warmCPUs
 		}
 	}
 	held := 0.0
-	for _, u := range l.usage {
+	for _, u := range l.quota.byTeam {
 		held += u.cpus
 	}
 	n = min(n, int(held*warmPart))
--- a/internal/leader/pauses.go
+++ b/internal/leader/pauses.go
@@ -10,8 +10,8 @@
 // paused tells that this controller stood still, and what of its leadership ran out meanwhile.
 func (l *Leader) paused(began, now clock.Micros) {
 	p := pausedetect.Pause{Began: began, Ended: now}
-	if l.leading && l.until > began && !l.authorised(now) {
-		p.Expired = append(p.Expired, fmt.Sprintf("authority of epoch %d", l.epoch))
+	if l.leading && l.authorityEnds > began && !l.authorised(now) {
+		p.Expired = append(p.Expired, fmt.Sprintf("authority of epoch %d", l.term))
 	}
 	if l.leading && l.loaded && !l.current(now) {
 		p.Expired = append(p.Expired, "view of the jobs")
--- a/internal/leader/pauses_test.go
+++ b/internal/leader/pauses_test.go
@@ -13,19 +13,19 @@
 	l := leading(t)
 	thawed := began + quietTime + clock.Second
 	l.Step(began+clock.Second/2, Tick{})
-	l.viewed, l.until = thawed, thawed+clock.Second
+	l.jobsViewedAt, l.authorityEnds = thawed, thawed+clock.Second
 	fx := l.Step(thawed, Tick{})
-	if l.nodes["n0"] == nil {
+	if l.shards.controllers["n0"] == nil {
 		t.Error("a controller counts as gone for a pause of ours")
 	}
-	if !slices.ContainsFunc(fx, func(e any) bool { _, ok := e.(PauseDetected); return ok }) {
+	if !slices.ContainsFunc(fx, func(e Effect) bool { _, ok := e.(PauseDetected); return ok }) {
 		t.Error("the pause was not noticed")
 	}
 	for at := thawed; at < thawed+2*quietTime; at += clock.Second / 2 {
-		l.until = at + clock.Second
+		l.authorityEnds = at + clock.Second
 		l.Step(at, Tick{})
 	}
-	if l.nodes["n0"] != nil {
+	if l.shards.controllers["n0"] != nil {
 		t.Error("silence after the pause does not count")
 	}
 }
@@ -34,7 +34,7 @@
 func TestPauseTellsWhatRanOut(t *testing.T) {
 	l := leading(t)
 	l.Step(began+clock.Second, Tick{})
-	l.until = began + 3*clock.Second
+	l.authorityEnds = began + 3*clock.Second
 	for _, e := range l.Step(began+10*clock.Second, Tick{}) {
 		if p, ok := e.(PauseDetected); ok {
 			if want := []string{"authority of epoch 5", "view of the jobs"}; !slices.Equal(p.Pause.Expired, want) {
--- a/internal/leader/preempt.go
+++ b/internal/leader/preempt.go
@@ -66,7 +66,7 @@
 // preempt makes room for work that waits and finds none, by stopping less important tasks, and tasks that
 // other teams run beyond their guarantees for a team that is within its own.
 func (l *Leader) preempt(now clock.Micros, teams []*teamQueue) {
-	if now-l.lastPreempt < preemptEvery {
+	if now-l.preemption.ranAt < preemptEvery {
 		return
 	}
 	p := &preemption{l: l, now: now}
@@ -82,7 +82,7 @@
 	if !waiting {
 		return
 	}
-	l.lastPreempt = now
+	l.preemption.ranAt = now
 	if p.findLong(); !p.urgent && len(p.long) == 0 {
 		return
 	}
@@ -100,7 +100,7 @@
 // production work.
 func (p *preemption) findLong() {
 	p.long = map[string]float64{}
-	for ref, j := range p.l.jobs {
+	for ref, j := range p.l.jobs.byRef {
 		if len(j.out) == 0 || j.record.Spec.Priority.Rank() == wire.PriorityProduction.Rank() {
 			continue
 		}
@@ -119,10 +119,10 @@
 }
 
 // uses is what teams' tasks will give back, less what is to come.
-type uses map[string]use
+type uses map[string]resourceUsage
 
 func (u uses) add(team string, cpus, gpus float64) {
-	u[team] = use{u[team].cpus + cpus, u[team].gpus + gpus}
+	u[team] = resourceUsage{u[team].cpus + cpus, u[team].gpus + gpus}
 }
 
 // survey finds the machines that could take waiting work, by name, and what each team's tasks give back that
@@ -130,12 +130,12 @@
 func (p *preemption) survey() {
 	l, on := p.l, map[string]*space{}
 	p.leaving = uses{}
-	for _, m := range l.machines {
+	for _, m := range l.inventory.machines {
 		if m.serves() {
 			on[m.name] = &space{machine: m, cpus: m.state.CPUs, memory: m.state.MemoryGB}
 		}
 	}
-	for _, b := range l.blocks {
+	for _, b := range l.shards.all {
 		for t, h := range b.tasks {
 			leaves := h.stopped != "" && p.now-h.stoppedAt < leavingFor
 			if leaves {
@@ -145,7 +145,7 @@
 			if !long && !p.urgent && !leaves {
 				continue
 			}
-			at, j := on[h.machine], l.jobs[t.Job]
+			at, j := on[h.machine], l.jobs.byRef[t.Job]
 			if at == nil || j == nil {
 				continue
 			}
@@ -217,7 +217,7 @@
 // claim says why one more task of the team may stop others, if it may.
 func (p *preemption) claim(t *teamQueue, s *wire.Job) (claim, bool) {
 	left := p.leaving[s.Team]
-	u := use{t.u.cpus - left.cpus, t.u.gpus - left.gpus}
+	u := resourceUsage{t.u.cpus - left.cpus, t.u.gpus - left.gpus}
 	c := claim{team: s.Team, rank: s.Priority.Rank(), guarantee: u.takes(s, t.team.CPUs, t.team.GPUs),
 		own: !u.takes(s, t.team.CPULimit(), t.team.GPULimit())}
 	return c, c.guarantee || c.rank <= wire.PriorityHigh.Rank()
@@ -240,7 +240,7 @@
 
 // borrowed says whether a task's team keeps its guarantee without it.
 func (p *preemption) borrowed(h *grantedTask) bool {
-	u, left, team := p.l.use(h.team), p.leaving[h.team], p.l.teams[h.team]
+	u, left, team := p.l.quota.of(h.team), p.leaving[h.team], p.l.teams[h.team]
 	return u.cpus-left.cpus-h.cpus >= team.CPUs-1e-9
 }
 
@@ -293,8 +293,8 @@
 		at.memory += v.memory
 		p.leaving.add(v.held.team, v.held.cpus, v.held.gpus)
 		v.held.stopped, v.held.stoppedAt = "evicted", p.now
-		at.machine.block.orders.Stop = append(at.machine.block.orders.Stop, peer.StopTask{Task: v.task})
+		at.machine.shard.orders.Stop = append(at.machine.shard.orders.Stop, peer.StopTask{Task: v.task})
 		p.stopped++
-		p.l.decisions.preempted++
+		p.l.outcomes.preempted++
 	}
 }
--- a/internal/leader/preempt_test.go
+++ b/internal/leader/preempt_test.go
@@ -17,24 +17,24 @@
 	l := granting(t, nil)
 	l.teams["guest"] = config.Team{Name: "guest"}
 	l.teams["blue"] = config.Team{Name: "blue", CPUs: 3, CPUsMax: 16}
-	l.types["small"] = wire.MachineType{Name: "small", CPUs: 4, MemoryGB: 8, BootS: 20, ZoneNames: []string{"a"}}
-	l.typeList = []wire.MachineType{l.types["small"]}
-	delete(l.jobs, spec.Ref)
+	l.autoscaler.types["small"] = wire.MachineType{Name: "small", CPUs: 4, MemoryGB: 8, BootS: 20, ZoneNames: []string{"a"}}
+	l.autoscaler.catalog = []wire.MachineType{l.autoscaler.types["small"]}
+	delete(l.jobs.byRef, spec.Ref)
 	long := wire.Job{Ref: "j-000100", Team: "guest", Priority: wire.PriorityBestEffort, Tasks: 4, CPUs: 1, MemoryGB: 1, EstimateS: 300, Spot: true}
 	if change != nil {
 		change(&long)
 	}
 	j := l.addJob(JobRecord{Spec: long}, 3)
-	for _, m := range l.machines {
+	for _, m := range l.inventory.machines {
 		m.state = peer.MachineState{}
 	}
-	m := l.machines[names[0]]
+	m := l.inventory.machines[names[0]]
 	m.state = peer.MachineState{Name: names[0], Type: "small", Zone: "a", Schedulable: true, MemoryGB: 4}
 	for i := range 4 {
 		task := peer.Task{Job: long.Ref, Index: i}
 		held := &grantedTask{team: long.Team, cpus: 1, running: true, since: began - clock.Micros(20+i)*clock.Second, machine: m.name}
-		m.block.tasks[task] = held
-		l.charge(held, 1)
+		m.shard.tasks[task] = held
+		l.quota.charge(held, 1)
 		j.takeOut(i)
 	}
 	return l, m
@@ -44,9 +44,9 @@
 func stopped(t *testing.T, l *Leader, waiting wire.Job) (out []int) {
 	t.Helper()
 	l.addJob(JobRecord{Spec: waiting}, 4).fillWaiting()
-	l.lastPreempt = 0
+	l.preemption.ranAt = 0
 	l.preempt(began, l.queues(began))
-	for _, b := range l.blocks {
+	for _, b := range l.shards.all {
 		for _, s := range b.orders.Stop {
 			out = append(out, s.Task.Index)
 		}
@@ -112,7 +112,7 @@
 	}
 	j.fillWaiting()
 	l.preempt(began+clock.Minute, l.queues(began+clock.Minute))
-	for _, b := range l.blocks {
+	for _, b := range l.shards.all {
 		if len(b.orders.Stop) > 0 {
 			t.Errorf("stops %v", b.orders.Stop)
 		}
@@ -122,9 +122,9 @@
 // An error of a task that is in no grant is no evidence.
 func TestErrorOfNoGrantIsNoEvidence(t *testing.T) {
 	l := granting(t, nil)
-	j := l.jobs[spec.Ref]
+	j := l.jobs.byRef[spec.Ref]
 	for _, name := range names[:3] {
-		b := l.blocks[shard.ForMachine(name, 2)]
+		b := l.shards.all[shard.ForMachine(name, 2)]
 		l.event(began, b, peer.TaskEvent{Task: peer.Task{Job: spec.Ref, Index: 0}, Kind: peer.EventFailed, Machine: name})
 	}
 	if j.failures.Suspect() || len(j.failures.Machines()) > 0 {
--- a/internal/leader/progress.go
+++ b/internal/leader/progress.go
@@ -37,15 +37,15 @@
 // elsewhere, maybe this one, is not written before they are.
 func (l *Leader) place(j *job, c int) *progressPage {
 	need := chunkBytes(len(j.chunks[c].done))
-	for _, s := range l.progressPages {
+	for _, s := range l.jobs.progressPages {
 		if s.moving == 0 && s.size+need <= l.valueBytes {
 			s.put(j, c)
 			return s
 		}
 	}
-	l.progressPageSeq++
-	s := &progressPage{key: ProgressPrefix + strconv.FormatUint(uint64(l.epoch), 10) + "-" + strconv.Itoa(l.progressPageSeq), size: 32}
-	l.progressPages = append(l.progressPages, s)
+	l.jobs.progressPageSeq++
+	s := &progressPage{key: ProgressPrefix + strconv.FormatUint(uint64(l.term), 10) + "-" + strconv.Itoa(l.jobs.progressPageSeq), size: 32}
+	l.jobs.progressPages = append(l.jobs.progressPages, s)
 	s.put(j, c)
 	return s
 }
@@ -92,9 +92,9 @@
 // loadProgressPage takes in progress as an earlier leader stored it.
 func (l *Leader) loadProgressPage(it wire.Item, r ProgressRecord) {
 	s := &progressPage{key: it.Key, stamp: it.Version, size: 32}
-	l.progressPages = append(l.progressPages, s)
+	l.jobs.progressPages = append(l.jobs.progressPages, s)
 	for _, u := range r.Chunks {
-		j := l.jobs[u.Job]
+		j := l.jobs.byRef[u.Job]
 		// A service that an older version held for a batch has no progress either.
 		if j == nil || j.record.Spec.IsService() || u.Chunk < 0 || u.Chunk >= len(j.chunks) {
 			s.dirty = true // of a job that is over
@@ -129,7 +129,7 @@
 	s.units = nil
 }
 
-type progTag struct {
+type progressTag struct {
 	progressPage *progressPage
 	units        []progressPageUnit
 	bits         [][]byte
@@ -137,12 +137,12 @@
 
 // progress writes completed tasks now and then, many jobs in one value.
 func (l *Leader) progress(now clock.Micros, refs []string) {
-	if now-l.progressAt < progressEvery {
+	if now-l.jobs.progressWrittenAt < progressEvery {
 		return
 	}
-	l.progressAt = now
+	l.jobs.progressWrittenAt = now
 	for _, ref := range refs {
-		j := l.jobs[ref]
+		j := l.jobs.byRef[ref]
 		for c := range j.chunks {
 			ch := &j.chunks[c]
 			// What ends now needs no progress.
@@ -155,7 +155,7 @@
 			ch.progressPage.dirty = true
 		}
 	}
-	l.progressPages = slices.DeleteFunc(l.progressPages, func(s *progressPage) bool {
+	l.jobs.progressPages = slices.DeleteFunc(l.jobs.progressPages, func(s *progressPage) bool {
 		if s.busy || !s.dirty || len(s.units) > 0 || s.moving > 0 {
 			return false
 		}
@@ -164,12 +164,12 @@
 		}
 		return true
 	})
-	for _, s := range l.progressPages {
+	for _, s := range l.jobs.progressPages {
 		if s.busy || !s.dirty || s.moving > 0 {
 			continue
 		}
 		s.busy, s.dirty = true, false
-		tag := progTag{progressPage: s, units: slices.Clone(s.units)}
+		tag := progressTag{progressPage: s, units: slices.Clone(s.units)}
 		var r ProgressRecord
 		for _, u := range s.units {
 			ch := &u.j.chunks[u.chunk]
@@ -183,7 +183,7 @@
 	}
 }
 
-func (l *Leader) progressed(tag progTag, m TxnCompleted) {
+func (l *Leader) progressed(tag progressTag, m TxnCompleted) {
 	s := tag.progressPage
 	if m.Result.Committed {
 		s.busy, s.stamp = false, m.Result.Revision
@@ -195,7 +195,7 @@
 			}
 			saved[u.j.record.Spec.Ref] = u.j
 		}
-		for _, b := range l.blocks {
+		for _, b := range l.shards.all {
 			b.ack(func(t peer.Task) bool {
 				j := saved[t.Job]
 				return j != nil && j.stored(t.Index)
@@ -213,13 +213,13 @@
 		return
 	}
 	if len(m.Result.FailedKeys) > 0 {
-		l.emit(ReadKey{l.epoch, s.key, tag})
+		l.emit(ReadKey{l.term, s.key, tag})
 		return
 	}
 	s.busy = false
 }
 
 // progressPageRead goes on after the guard failed on what an unanswered write of ours did.
-func (l *Leader) progressPageRead(tag progTag, m KeyRead) {
+func (l *Leader) progressPageRead(tag progressTag, m KeyRead) {
 	tag.progressPage.busy, tag.progressPage.stamp = false, m.Item.Version
 }
--- a/internal/leader/progress_test.go
+++ b/internal/leader/progress_test.go
@@ -16,7 +16,7 @@
 
 // take carries out the progress transactions among the effects and answers them; those that hold
 // picks come later.
-func (p *progressStore) take(t *testing.T, l *Leader, fx []any, hold func(ProgressRecord) bool) {
+func (p *progressStore) take(t *testing.T, l *Leader, fx []Effect, hold func(ProgressRecord) bool) {
 	t.Helper()
 	due := p.late
 	p.late = nil
@@ -78,7 +78,7 @@
 		l.valueBytes = 1800
 		for round := 1; round <= 6; round++ {
 			fx := l.Step(began, Tick{})
-			l.progressAt = 0
+			l.jobs.progressWrittenAt = 0
 			fx = append(fx, l.Step(began+progressEvery, Tick{})...)
 			// What no longer has the chunk comes through at once, what has it after a while.
 			stored.take(t, l, fx, func(r ProgressRecord) bool { return round <= 2 && len(r.Chunks) > 0 })
--- a/internal/leader/proofs_test.go
+++ b/internal/leader/proofs_test.go
@@ -22,8 +22,8 @@
 }
 
 // saying is what a holder says of a block under a token.
-func saying(b *leasedBlock, token wire.FencingToken, events ...peer.TaskEvent) HolderMessage {
-	return HolderMessage{Controller: "n0", Link: "link", Message: &peer.ToLeader{Term: 5, Updates: []peer.ShardUpdate{{Shard: b.id, FencingToken: token, Events: events}}}}
+func saying(b *shardLease, token wire.FencingToken, events ...peer.TaskEvent) HolderMessage {
+	return HolderMessage{Controller: "n0", Link: testLink("link"), Message: &peer.ToLeader{Term: 5, Updates: []peer.ShardUpdate{{Shard: b.id, FencingToken: token, Events: events}}}}
 }
 
 func eventOf(index int, kind peer.EventKind) peer.TaskEvent {
@@ -33,10 +33,10 @@
 // What a holder said of an earlier grant, or over an earlier link, gives nothing back.
 func TestEventsOfAnEarlierGrantChangeNothing(t *testing.T) {
 	l := granting(t, recordsOf(names[0], 0, 1))
-	b := l.blocks[shard.ForMachine(names[0], 2)]
+	b := l.shards.all[shard.ForMachine(names[0], 2)]
 	l.Step(began+clock.Second, saying(b, b.token-1, eventOf(0, peer.EventReleased)))
 	other := saying(b, b.token, eventOf(0, peer.EventReleased))
-	other.Link = "an earlier link"
+	other.Link = testLink("an earlier link")
 	l.Step(began+clock.Second, other)
 	if h := b.tasks[peer.Task{Job: spec.Ref}]; h == nil || !h.inherited {
 		t.Error("given back by the word on an earlier grant")
@@ -51,16 +51,16 @@
 // is done.
 func TestTaskWaitsWhenItHasLeftItsLastGrant(t *testing.T) {
 	l := leading(t)
-	for _, b := range l.blocks {
+	for _, b := range l.shards.all {
 		machine := names[slices.IndexFunc(names, func(n string) bool { return shard.ForMachine(n, 2) == b.id })]
 		l.Step(began, AttemptsLoaded{Term: 5, Shard: b.id, FencingToken: b.token, Pages: recordsOf(machine, 0)})
 	}
-	j := l.jobs[spec.Ref]
-	l.Step(began, saying(l.blocks[0], l.blocks[0].token, eventOf(0, peer.EventReleased)))
+	j := l.jobs.byRef[spec.Ref]
+	l.Step(began, saying(l.shards.all[0], l.shards.all[0].token, eventOf(0, peer.EventReleased)))
 	if j.out[0] != 1 || j.want[0]&1 != 0 {
 		t.Errorf("in %d grants, waits %v: want one, and not to wait", j.out[0], j.want[0]&1 != 0)
 	}
-	l.Step(began, saying(l.blocks[1], l.blocks[1].token, eventOf(0, peer.EventReleased)))
+	l.Step(began, saying(l.shards.all[1], l.shards.all[1].token, eventOf(0, peer.EventReleased)))
 	if j.out[0] != 0 || j.want[0]&1 == 0 {
 		t.Errorf("in %d grants, waits %v: want none, and to wait", j.out[0], j.want[0]&1 != 0)
 	}
@@ -74,9 +74,9 @@
 // When a block is granted anew, what its records name stays out; only what has none comes back.
 func TestRecordedTasksStayOutWhenABlockIsGrantedAnew(t *testing.T) {
 	l := leading(t)
-	b := l.blocks[shard.ForMachine(names[0], 2)]
+	b := l.shards.all[shard.ForMachine(names[0], 2)]
 	l.Step(began, AttemptsLoaded{Term: 5, Shard: b.id, FencingToken: b.token, Pages: recordsOf(names[0], 0, 1)})
-	j := l.jobs[spec.Ref]
+	j := l.jobs.byRef[spec.Ref]
 	b.state = reading
 	l.Step(began, AttemptsLoaded{Term: 5, Shard: b.id, FencingToken: b.token, Pages: recordsOf(names[0], 1)})
 	if j.out[0] != 0 || j.want[0]&1 == 0 || j.out[1] != 1 || j.want[0]&2 != 0 {
@@ -88,11 +88,11 @@
 func TestRecordsOfAnEarlierGrantAreNotTaken(t *testing.T) {
 	for _, m := range []AttemptsLoaded{{Term: 4}, {Term: 5}} {
 		l := leading(t)
-		b := l.blocks[0]
+		b := l.shards.all[0]
 		if m.FencingToken = b.token; m.Term == 5 {
 			m.FencingToken--
 		}
-		if l.Step(began, m); b.state != reading || b.known {
+		if l.Step(began, m); b.state != reading || b.attemptsRead {
 			t.Errorf("records of epoch %d and token %d are taken for those of 5 and %d", m.Term, m.FencingToken, b.token)
 		}
 	}
@@ -102,9 +102,9 @@
 func TestBlockKeyIsReadBack(t *testing.T) {
 	for _, ours := range []bool{true, false} {
 		l := leading(t)
-		b := l.blocks[0]
+		b := l.shards.all[0]
 		b.state = writing
-		tag := blocksTag{map[int]wire.FencingToken{b.id: b.token}}
+		tag := shardsTag{map[int]wire.FencingToken{b.id: b.token}}
 		key := shard.Key(b.id)
 		l.Step(began, TxnCompleted{Term: 5, Tag: tag, Result: store.TxnResult{Ambiguous: true, FailedKeys: []string{key}}})
 		if b.state != writing {
@@ -115,8 +115,8 @@
 			record.FencingToken--
 		}
 		l.Step(began, KeyRead{Term: 5, Tag: tag, Found: true, Item: item(t, key, 12, record)})
-		if (b.state == reading) != ours || b.stamp != 12 {
-			t.Errorf("ours %v: state %v at version %d", ours, b.state, b.stamp)
+		if (b.state == reading) != ours || b.keyVersion != 12 {
+			t.Errorf("ours %v: state %v at version %d", ours, b.state, b.keyVersion)
 		}
 	}
 }
@@ -128,15 +128,15 @@
 	l.Step(began+clock.Second, MachinesDeleted{Term: 4, Machines: names[:1]})
 	both := []wire.Machine{{Name: names[1]}, {Name: names[0]}}
 	failed := []wire.Machine{{Name: names[1]}, {Name: names[0], State: wire.MachineFailed}}
-	l.machines[names[0]].state.Silent = true
+	l.inventory.machines[names[0]].state.Silent = true
 	for i, list := range [][]wire.Machine{both, both[:1], both[:1], both[:1], both[:1], failed, failed} {
 		at := began + clock.Micros(i+2)*clock.Second
 		asked := l.Step(at, MachinesListed{Machines: list})
 		asked = append(asked, l.Step(at, Tick{})...)
-		if l.machines[names[0]] == nil || l.gone[names[0]] {
+		if l.inventory.machines[names[0]] == nil || l.inventory.terminated[names[0]] {
 			t.Errorf("taken for gone by list %d", i)
 		}
-		deletes := slices.ContainsFunc(asked, func(e any) bool { d, ok := e.(DeleteMachines); return ok && slices.Contains(d.Machines, names[0]) })
+		deletes := slices.ContainsFunc(asked, func(e Effect) bool { d, ok := e.(DeleteMachines); return ok && slices.Contains(d.Machines, names[0]) })
 		if deletes {
 			l.Step(at, MachinesDeleted{Term: 5, Machines: names[:1], Err: errors.New("no answer")})
 		}
@@ -144,7 +144,7 @@
 			t.Error("a machine that is listed no more is not deleted")
 		}
 	}
-	if l.Step(began+8*clock.Second, MachinesDeleted{Term: 5, Machines: names[:1]}); l.machines[names[0]] != nil || !l.gone[names[0]] {
+	if l.Step(began+8*clock.Second, MachinesDeleted{Term: 5, Machines: names[:1]}); l.inventory.machines[names[0]] != nil || !l.inventory.terminated[names[0]] {
 		t.Error("not taken for gone after a good answer")
 	}
 }
@@ -152,8 +152,8 @@
 // A completion is acknowledged only once it is stored, by a write that no late copy can take back.
 func TestCompletionIsAcknowledgedOnceStored(t *testing.T) {
 	l := granting(t, recordsOf(names[0], 0, 1))
-	b := l.blocks[shard.ForMachine(names[0], 2)]
-	acknowledged := func(fx []any) (n int) {
+	b := l.shards.all[shard.ForMachine(names[0], 2)]
+	acknowledged := func(fx []Effect) (n int) {
 		for _, o := range toldOf(fx) {
 			n += len(o.Persisted)
 		}
@@ -165,7 +165,7 @@
 	var write CommitTxn
 	for _, e := range l.Step(began+progressEvery, Tick{}) {
 		if c, ok := e.(CommitTxn); ok {
-			if _, progress := c.Tag.(progTag); progress {
+			if _, progress := c.Tag.(progressTag); progress {
 				write = c
 			}
 		}
@@ -187,7 +187,7 @@
 // While the write of a job's end is under way, its deletion may be that write's own doing.
 func TestOwnEndIsNoAbort(t *testing.T) {
 	l := granting(t, nil)
-	j := l.jobs[spec.Ref]
+	j := l.jobs.byRef[spec.Ref]
 	j.ending = true
 	l.Step(began, JobsChanged{Term: 5, RequestedAt: began, Events: []wire.Event{{Delete: JobPrefix + spec.Ref, Version: 9}}})
 	if j.cancelled {
--- a/internal/leader/queue.go
+++ b/internal/leader/queue.go
@@ -73,7 +73,7 @@
 // teamQueue is one team's jobs in their order.
 type teamQueue struct {
 	team config.Team
-	u    *use
+	u    *resourceUsage
 	q    []*queued
 	// What its classes use, and under "" what jobs use that have waited long.
 	use map[string]float64
@@ -166,15 +166,15 @@
 func (l *Leader) queues(now clock.Micros) []*teamQueue {
 	byTeam := map[string]*teamQueue{}
 	old := l.cfg.Tuning.Queues.StartWithinS
-	for _, ref := range slices.Sorted(maps.Keys(l.jobs)) {
-		j := l.jobs[ref]
+	for _, ref := range slices.Sorted(maps.Keys(l.jobs.byRef)) {
+		j := l.jobs.byRef[ref]
 		s := &j.record.Spec
 		t := byTeam[s.Team]
 		if t == nil {
-			t = &teamQueue{team: l.teams[s.Team], u: l.use(s.Team), use: map[string]float64{}}
+			t = &teamQueue{team: l.teams[s.Team], u: l.quota.of(s.Team), use: map[string]float64{}}
 			byTeam[s.Team] = t
 		}
-		age := (now + l.wall - j.record.AcceptedAt).Seconds()
+		age := (now + l.wallOffset - j.record.AcceptedAt).Seconds()
 		cpus := float64(len(j.out)) * s.CPUs
 		t.use[s.Class] += cpus
 		if s.IsService() {
--- a/internal/leader/rentals.go
+++ b/internal/leader/rentals.go
@@ -9,31 +9,16 @@
 	"swiftledge/wire"
 )
 
-// rental is a request to the cloud, and the record of what it brought.
-type rental struct {
-	key    string
-	stamp  uint64
-	record InstanceGroupRecord
-	busy   bool // a write or a request is under way
-	asked  clock.Micros
-	since  clock.Micros // when it was first wanted here
-	// when machines that are gone were last taken out of its record
-	prunedAt clock.Micros
-}
-
-// refusal is how long an option is left alone that the cloud had too little of.
-type refusal struct{ until, wait clock.Micros }
-
-type fleetTag struct{ key string }
+type instanceGroupTag struct{ key string }
 
 func (l *Leader) loadRental(now clock.Micros, it wire.Item, r InstanceGroupRecord) {
-	rt := &rental{key: it.Key, stamp: it.Version, record: r, since: now}
-	l.rentals[it.Key] = rt
+	rt := &instanceGroup{key: it.Key, keyVersion: it.Version, record: r, wantedSince: now}
+	l.inventory.groups[it.Key] = rt
 	if !r.Answered {
-		l.unanswered[it.Key] = true
+		l.inventory.unansweredRequests[it.Key] = true
 		// The answer was lost with a former leader; the same name gives the same machines.
-		rt.busy, rt.asked = true, now
-		l.emit(ProvisionMachines{l.epoch, r.Request})
+		rt.busy, rt.requestedAt = true, now
+		l.emit(ProvisionMachines{l.term, r.Request})
 		return
 	}
 	for _, name := range r.Machines {
@@ -42,16 +27,16 @@
 }
 
 func (l *Leader) option(r wire.ProvisionRequest) autoscaler.Option {
-	t, ok := l.types[r.Type]
+	t, ok := l.autoscaler.types[r.Type]
 	if !ok {
 		t = wire.MachineType{Name: r.Type}
 	}
 	return autoscaler.Option{Type: t, Zone: r.Zone, Spot: r.Spot}
 }
 
-func (l *Leader) writeRental(rt *rental) {
+func (l *Leader) writeRental(rt *instanceGroup) {
 	rt.busy = true
-	l.commit(store.PriorityAttempts, fleetTag{rt.key}, []wire.Condition{{Key: rt.key, Version: rt.stamp}}, []wire.Write{put(rt.key, rt.record)})
+	l.commit(store.PriorityAttempts, instanceGroupTag{rt.key}, []wire.Condition{{Key: rt.key, Version: rt.keyVersion}}, []wire.Write{put(rt.key, rt.record)})
 }
 
 // pruneEvery is how long machines that are gone may stay in the roster: there they do
@@ -62,8 +47,8 @@
 const rosterBytes = 20
 
 // pruneRental takes machines that are gone out of the durable roster.
-func (l *Leader) pruneRental(now clock.Micros, rt *rental) {
-	left := slices.DeleteFunc(slices.Clone(rt.record.Machines), func(n string) bool { return l.gone[n] })
+func (l *Leader) pruneRental(now clock.Micros, rt *instanceGroup) {
+	left := slices.DeleteFunc(slices.Clone(rt.record.Machines), func(n string) bool { return l.inventory.terminated[n] })
 	if len(left) > 0 && (len(left) == len(rt.record.Machines) || now-rt.prunedAt < pruneEvery) {
 		return
 	}
@@ -73,7 +58,7 @@
 	}
 	rt.record.Machines = left
 	if len(left) == 0 {
-		delete(l.rentals, rt.key)
+		delete(l.inventory.groups, rt.key)
 		l.commit(store.PriorityBackground, nil, nil, []wire.Write{{Delete: rt.key}})
 		l.settleFormer(now, rt)
 		return
@@ -84,32 +69,32 @@
 // fleetWritten goes on after a write of a rental's record. Only a write that succeeded proves what
 // is stored. A failed guard does not: the write of ours that changed the record may have been an
 // earlier one than this, whose answer was lost.
-func (l *Leader) fleetWritten(now clock.Micros, tag fleetTag, m TxnCompleted) {
-	rt := l.rentals[tag.key]
+func (l *Leader) fleetWritten(now clock.Micros, tag instanceGroupTag, m TxnCompleted) {
+	rt := l.inventory.groups[tag.key]
 	switch {
 	case rt == nil:
 	case m.Result.Committed:
-		rt.stamp = m.Result.Revision
+		rt.keyVersion = m.Result.Revision
 		l.rosterStored(now, rt)
 	case m.Result.FailedOn(tag.key):
-		l.emit(ReadKey{l.epoch, tag.key, tag})
+		l.emit(ReadKey{l.term, tag.key, tag})
 	default:
 		l.info("roster write failed", "key", tag.key, "error", m.Err)
-		delete(l.rentals, tag.key)
+		delete(l.inventory.groups, tag.key)
 	}
 }
 
 // fleetRead compares what is stored of a rental with what was to be written, and writes it again
 // if it is something else.
-func (l *Leader) fleetRead(now clock.Micros, tag fleetTag, m KeyRead) {
-	rt := l.rentals[tag.key]
+func (l *Leader) fleetRead(now clock.Micros, tag instanceGroupTag, m KeyRead) {
+	rt := l.inventory.groups[tag.key]
 	if rt == nil {
 		return
 	}
-	rt.stamp = 0
+	rt.keyVersion = 0
 	var stored InstanceGroupRecord
 	if m.Found {
-		rt.stamp = m.Item.Version
+		rt.keyVersion = m.Item.Version
 		stored, _ = decode[InstanceGroupRecord](l, m.Item)
 	}
 	if m.Found && stored.equal(&rt.record) {
@@ -126,15 +111,15 @@
 
 // rosterStored goes on once a rental's record is known to be stored as it is here: a recorded
 // request is sent, and recorded machines are used.
-func (l *Leader) rosterStored(now clock.Micros, rt *rental) {
+func (l *Leader) rosterStored(now clock.Micros, rt *instanceGroup) {
 	rt.busy = false
 	if !rt.record.Answered {
-		rt.busy, rt.asked = true, now
-		l.emit(ProvisionMachines{l.epoch, rt.record.Request})
+		rt.busy, rt.requestedAt = true, now
+		l.emit(ProvisionMachines{l.term, rt.record.Request})
 		return
 	}
 	for _, name := range rt.record.Machines {
-		if !l.gone[name] {
+		if !l.inventory.terminated[name] {
 			l.addMachine(now, name, rt)
 		}
 	}
@@ -142,7 +127,7 @@
 }
 
 func (l *Leader) rented(now clock.Micros, m MachinesProvisioned) {
-	rt := l.rentals[InstanceGroupPrefix+m.RequestID]
+	rt := l.inventory.groups[InstanceGroupPrefix+m.RequestID]
 	if rt == nil || rt.record.Answered {
 		return
 	}
@@ -162,20 +147,20 @@
 		l.pruneRental(now, rt)
 	default:
 		// Asked again under the same name, soon.
-		rt.asked = now - 6*clock.Second
+		rt.requestedAt = now - 6*clock.Second
 	}
 }
 
 // answered notes whether an option had all that was asked for. One that had not is
 // left alone for a while, longer each time: every try costs puts and cloud calls.
-func (l *Leader) answered(now clock.Micros, rt *rental, short bool) {
+func (l *Leader) answered(now clock.Micros, rt *instanceGroup, short bool) {
 	k := l.option(rt.record.Request).Key()
 	if !short {
-		delete(l.refused, k)
+		delete(l.autoscaler.refusals, k)
 		return
 	}
-	r := l.refused[k]
+	r := l.autoscaler.refusals[k]
 	r.wait = min(max(2*r.wait, 10*clock.Second), clock.Minute)
 	r.until = now + r.wait
-	l.refused[k] = r
+	l.autoscaler.refusals[k] = r
 }
--- a/internal/leader/room.go
+++ b/internal/leader/room.go
@@ -67,7 +67,7 @@
 func (l *Leader) freeRoom(now clock.Micros) *freeRoom {
 	r := &freeRoom{now: now, byImage: map[string][]*machine{}, passed: map[roomKey]int{}, apart: map[string]map[string]int{},
 		even: l.evenness(), beyond: map[roomKey]beyondBound{}}
-	for _, m := range l.machines {
+	for _, m := range l.inventory.machines {
 		m.cpus, m.gpus, m.mem = m.state.CPUs, m.state.GPUs, m.state.MemoryGB
 		if r.has(m) {
 			r.ms = append(r.ms, m)
@@ -99,11 +99,13 @@
 }
 
 // has says whether the machine's room can be offered.
-func (r *freeRoom) has(m *machine) bool { return m.serves() && m.state.CPUs > 0 && !m.block.offered }
+func (r *freeRoom) has(m *machine) bool {
+	return m.serves() && m.state.CPUs > 0 && !m.shard.offerPending
+}
 
 // serves says whether new tasks may run on the machine, if it has room.
 func (m *machine) serves() bool {
-	return m.state.Schedulable && !m.drain && !m.deleting && m.block.state == granted
+	return m.state.Schedulable && !m.drain && !m.deleting && m.shard.state == granted
 }
 
 // holds says whether a task fits into what is left of the machine.
@@ -116,7 +118,7 @@
 	switch {
 	case m.cordoned:
 		return 2
-	case m.rest:
+	case m.deprioritized:
 		return 1
 	}
 	return 0
@@ -297,7 +299,7 @@
 // eachHeld calls f for the job's tasks that are in grants.
 func (l *Leader) eachHeld(j *job, f func(peer.Task, *grantedTask)) {
 	for i := range j.out {
-		for _, b := range l.blocks {
+		for _, b := range l.shards.all {
 			t := peer.Task{Job: j.record.Spec.Ref, Index: i}
 			if h := b.tasks[t]; h != nil {
 				f(t, h)
--- a/internal/leader/roster.go
+++ b/internal/leader/roster.go
@@ -21,14 +21,14 @@
 // unlisted names the machines of start records that no roster record names, although one of them
 // may have to.
 func (l *Leader) unlisted(pages map[string]peer.AttemptPage) []string {
-	if len(l.unanswered) == 0 {
+	if len(l.inventory.unansweredRequests) == 0 {
 		return nil
 	}
 	names := map[string]bool{}
 	for _, page := range pages {
 		for _, suffix := range page.Machines {
 			name := page.Prefix + suffix
-			if l.machines[name] == nil && !l.gone[name] {
+			if l.inventory.machines[name] == nil && !l.inventory.terminated[name] {
 				names[name] = true
 			}
 		}
@@ -37,9 +37,9 @@
 }
 
 // listUnlisted adds such machines to a block's grant.
-func (l *Leader) listUnlisted(b *leasedBlock, pages map[string]peer.AttemptPage) (roster []peer.InventoryMachine) {
+func (l *Leader) listUnlisted(b *shardLease, pages map[string]peer.AttemptPage) (roster []peer.InventoryMachine) {
 	for _, name := range l.unlisted(pages) {
-		l.doubtful[name] = true
+		l.inventory.unconfirmed[name] = true
 		b.orders.Drain = append(b.orders.Drain, name)
 		roster = append(roster, peer.InventoryMachine{Name: name})
 	}
@@ -48,20 +48,20 @@
 
 // settleFormer notes that a rental's answer is stored. Once that is true of all of them, the
 // roster names every machine that may work: what it does not name has ended.
-func (l *Leader) settleFormer(now clock.Micros, rt *rental) {
-	if !l.unanswered[rt.key] {
+func (l *Leader) settleFormer(now clock.Micros, rt *instanceGroup) {
+	if !l.inventory.unansweredRequests[rt.key] {
 		return
 	}
-	delete(l.unanswered, rt.key)
-	if len(l.unanswered) > 0 {
+	delete(l.inventory.unansweredRequests, rt.key)
+	if len(l.inventory.unansweredRequests) > 0 {
 		return
 	}
-	for _, name := range slices.Sorted(maps.Keys(l.doubtful)) {
-		if m := l.machines[name]; m != nil {
+	for _, name := range slices.Sorted(maps.Keys(l.inventory.unconfirmed)) {
+		if m := l.inventory.machines[name]; m != nil {
 			l.drain(now, m, "worked without a stored record")
 		} else {
 			l.markDeleted(name)
 		}
 	}
-	clear(l.doubtful)
+	clear(l.inventory.unconfirmed)
 }
--- a/internal/leader/roster_test.go
+++ b/internal/leader/roster_test.go
@@ -12,7 +12,7 @@
 )
 
 // rosterWrite is the write of a rental's record among the effects.
-func rosterWrite(t *testing.T, fx []any, key string) CommitTxn {
+func rosterWrite(t *testing.T, fx []Effect, key string) CommitTxn {
 	t.Helper()
 	for _, e := range fx {
 		if c, ok := e.(CommitTxn); ok && c.Txn.Writes[0].Put == key {
@@ -43,36 +43,36 @@
 	l := leading(t)
 	asked := wire.ProvisionRequest{RequestID: "r-5-1", Type: "small", Zone: "a", Spot: true, Count: 1}
 	key := InstanceGroupPrefix + asked.RequestID
-	l.rentals[key] = &rental{key: key, record: InstanceGroupRecord{Request: asked}, busy: true}
+	l.inventory.groups[key] = &instanceGroup{key: key, record: InstanceGroupRecord{Request: asked}, busy: true}
 	machine := "host-000009"
 
 	// The first write was carried out without an answer, as version 20: its repeat fails on the key.
 	lost := store.TxnResult{FailedKeys: []string{key}, Ambiguous: true}
-	l.Step(began, TxnCompleted{Term: 5, Tag: fleetTag{key}, Result: lost})
-	l.Step(began, KeyRead{Term: 5, Tag: fleetTag{key}, Found: true, Item: item(t, key, 20, InstanceGroupRecord{Request: asked})})
+	l.Step(began, TxnCompleted{Term: 5, Tag: instanceGroupTag{key}, Result: lost})
+	l.Step(began, KeyRead{Term: 5, Tag: instanceGroupTag{key}, Found: true, Item: item(t, key, 20, InstanceGroupRecord{Request: asked})})
 	second := rosterWrite(t, l.Step(began, MachinesProvisioned{Term: 5, RequestID: asked.RequestID, Machines: []string{machine}}), key)
 	if got := rosterGuard(t, second, key); got != 20 {
 		t.Errorf("the second write expects version %d of the record, which is at 20", got)
 	}
 
 	// Nor does a failed guard of the second prove that it went through.
-	fx := l.Step(began, TxnCompleted{Term: 5, Tag: fleetTag{key}, Result: lost})
-	fx = append(fx, l.Step(began, KeyRead{Term: 5, Tag: fleetTag{key}, Found: true, Item: item(t, key, 21, InstanceGroupRecord{Request: asked})})...)
-	if l.machines[machine] != nil {
+	fx := l.Step(began, TxnCompleted{Term: 5, Tag: instanceGroupTag{key}, Result: lost})
+	fx = append(fx, l.Step(began, KeyRead{Term: 5, Tag: instanceGroupTag{key}, Found: true, Item: item(t, key, 21, InstanceGroupRecord{Request: asked})})...)
+	if l.inventory.machines[machine] != nil {
 		t.Error("a machine is used whose durable record does not name it")
 	}
 	third := rosterWrite(t, fx, key)
 	if got := rosterGuard(t, third, key); got != 21 {
 		t.Errorf("the third write expects version %d of the record, which is at 21", got)
 	}
-	l.Step(began, TxnCompleted{Term: 5, Tag: fleetTag{key}, Result: store.TxnResult{Committed: true, Revision: 22}})
-	if l.machines[machine] == nil {
+	l.Step(began, TxnCompleted{Term: 5, Tag: instanceGroupTag{key}, Result: store.TxnResult{Committed: true, Revision: 22}})
+	if l.inventory.machines[machine] == nil {
 		t.Error("not used although its record is stored")
 	}
 }
 
 // orderedOf gathers what the effects tell the holder of a block.
-func orderedOf(fx []any, b int) (drained, gone, roster []string) {
+func orderedOf(fx []Effect, b int) (drained, gone, roster []string) {
 	for _, o := range toldOf(fx) {
 		if o.Shard == b {
 			drained, gone = append(drained, o.Drain...), append(gone, o.Terminated...)
@@ -108,13 +108,13 @@
 		key := InstanceGroupPrefix + asked.RequestID
 		l.loadRental(began, item(t, key, 3, InstanceGroupRecord{Request: asked}), InstanceGroupRecord{Request: asked})
 		b := shard.ForMachine(unknown, 2)
-		fx := l.Step(began, AttemptsLoaded{Term: 5, Shard: b, FencingToken: l.blocks[b].token, Pages: recordsOf(unknown, 0)})
+		fx := l.Step(began, AttemptsLoaded{Term: 5, Shard: b, FencingToken: l.shards.all[b].token, Pages: recordsOf(unknown, 0)})
 		drained, _, roster := orderedOf(fx, b)
 		if !slices.Contains(roster, unknown) || !slices.Contains(drained, unknown) {
 			t.Errorf("granted %v, drained %v: %s is missing", roster, drained, unknown)
 		}
 		fx = l.Step(began, MachinesProvisioned{Term: 5, RequestID: asked.RequestID, Machines: answer.machines})
-		fx = append(fx, l.Step(began, TxnCompleted{Term: 5, Tag: fleetTag{key}, Result: store.TxnResult{Committed: true, Revision: 9}})...)
+		fx = append(fx, l.Step(began, TxnCompleted{Term: 5, Tag: instanceGroupTag{key}, Result: store.TxnResult{Committed: true, Revision: 9}})...)
 		drained, gone, _ := orderedOf(fx, b)
 		if slices.Contains(gone, unknown) != answer.gone || slices.Contains(drained, unknown) == answer.gone {
 			t.Errorf("the rental has %v: told that %v are gone and %v drained", answer.machines, gone, drained)
@@ -128,17 +128,17 @@
 	l.Step(began, LeadershipLost{})
 	l.Step(began, LeadershipAcquired{Term: 7})
 	l.Step(began, LeadershipExtended{Until: began + 100*clock.Second})
-	l.Step(began, PeerConnected{Controller: "n0", Link: "link"})
+	l.Step(began, PeerConnected{Controller: "n0", Link: testLink("link")})
 	l.Step(began, StateLoaded{Term: 7, RequestedAt: began, Items: []wire.Item{item(t, LayoutKey, 1, LayoutRecord{Shards: 1}),
 		{Key: InstanceGroupPrefix + "r-3-1", Version: 3, Value: []byte(`{"machines":"host-000009"}`)}}})
 	for _, e := range l.Step(began, Tick{}) {
 		if c, ok := e.(CommitTxn); ok {
-			if tag, ok := c.Tag.(blocksTag); ok {
+			if tag, ok := c.Tag.(shardsTag); ok {
 				l.Step(began, TxnCompleted{Term: 7, Tag: tag, Result: store.TxnResult{Committed: true, Revision: 9}})
 			}
 		}
 	}
-	fx := l.Step(began, AttemptsLoaded{Term: 7, FencingToken: l.blocks[0].token, Pages: recordsOf("host-000009", 0)})
+	fx := l.Step(began, AttemptsLoaded{Term: 7, FencingToken: l.shards.all[0].token, Pages: recordsOf("host-000009", 0)})
 	if drained, _, roster := orderedOf(fx, 0); !slices.Contains(roster, "host-000009") || !slices.Contains(drained, "host-000009") {
 		t.Errorf("granted %v, drained %v", roster, drained)
 	}
@@ -149,7 +149,7 @@
 func TestMachinesThatLeftTheRosterAreNotGranted(t *testing.T) {
 	l := leading(t)
 	b := shard.ForMachine("host-000009", 2)
-	fx := l.Step(began, AttemptsLoaded{Term: 5, Shard: b, FencingToken: l.blocks[b].token, Pages: recordsOf("host-000009", 0)})
+	fx := l.Step(began, AttemptsLoaded{Term: 5, Shard: b, FencingToken: l.shards.all[b].token, Pages: recordsOf("host-000009", 0)})
 	if _, _, roster := orderedOf(fx, b); slices.Contains(roster, "host-000009") {
 		t.Errorf("granted %v", roster)
 	}
@@ -159,9 +159,9 @@
 func TestTasksThatAreNotThere(t *testing.T) {
 	page := peer.AttemptPage{Machines: names[:1], Groups: []peer.AttemptGroup{{Job: spec.Ref, Team: "red", CPUs: 1, Attempts: []int{900, 1, 0, -1, 2, 0, 1, 3, 0}}}}
 	l := granting(t, map[string]peer.AttemptPage{"p": page})
-	b := l.blocks[shard.ForMachine(names[0], 2)]
-	if len(b.tasks) != 3 || l.jobs[spec.Ref].out[1] != 1 || len(l.jobs[spec.Ref].out) != 1 {
-		t.Errorf("%d tasks counted, in grants %v: want all three, of which the job has one", len(b.tasks), l.jobs[spec.Ref].out)
+	b := l.shards.all[shard.ForMachine(names[0], 2)]
+	if len(b.tasks) != 3 || l.jobs.byRef[spec.Ref].out[1] != 1 || len(l.jobs.byRef[spec.Ref].out) != 1 {
+		t.Errorf("%d tasks counted, in grants %v: want all three, of which the job has one", len(b.tasks), l.jobs.byRef[spec.Ref].out)
 	}
 	var events []peer.TaskEvent
 	for _, index := range []int{900, -1, 2, 64} {
@@ -169,14 +169,14 @@
 			events = append(events, peer.TaskEvent{Task: peer.Task{Job: spec.Ref, Index: index}, Kind: kind, Machine: names[0]})
 		}
 	}
-	l.Step(began+clock.Second, HolderMessage{Controller: "n0", Link: "link", Message: &peer.ToLeader{Term: 5, Updates: []peer.ShardUpdate{
+	l.Step(began+clock.Second, HolderMessage{Controller: "n0", Link: testLink("link"), Message: &peer.ToLeader{Term: 5, Updates: []peer.ShardUpdate{
 		{Shard: -1, FencingToken: b.token}, {Shard: 99, FencingToken: b.token}, {Shard: b.id, FencingToken: b.token, Events: events}}}})
 	for task := range b.tasks {
 		if task.Index < 0 || task.Index >= spec.Tasks {
 			t.Errorf("task %d counts after its end", task.Index)
 		}
 	}
-	if l.jobs[spec.Ref].nDone != 0 || b.tasks[peer.Task{Job: spec.Ref, Index: 1}] == nil {
-		t.Errorf("%d tasks done, the one that is there counts: %v", l.jobs[spec.Ref].nDone, b.tasks)
+	if l.jobs.byRef[spec.Ref].nDone != 0 || b.tasks[peer.Task{Job: spec.Ref, Index: 1}] == nil {
+		t.Errorf("%d tasks done, the one that is there counts: %v", l.jobs.byRef[spec.Ref].nDone, b.tasks)
 	}
 }
--- a/internal/leader/schedule.go
+++ b/internal/leader/schedule.go
@@ -24,16 +24,16 @@
 // schedule hands waiting tasks to blocks with room: teams in turn by their
 // shares, guarantees first.
 func (l *Leader) schedule(now clock.Micros) {
-	if !l.stirred || !l.urgent && now-l.lastSchedule < batchDelay || !l.current(now) {
+	if !l.scheduling.requested || !l.scheduling.urgent && now-l.scheduling.ranAt < batchDelay || !l.current(now) {
 		return
 	}
 	// Until every block's start records are read, a task that waits here may run
 	// in one of them, and the teams' use is not known.
-	if slices.ContainsFunc(l.blocks, func(b *leasedBlock) bool { return !b.known }) {
+	if slices.ContainsFunc(l.shards.all, func(b *shardLease) bool { return !b.attemptsRead }) {
 		return
 	}
-	l.stirred, l.urgent = false, false
-	l.lastSchedule = now
+	l.scheduling.requested, l.scheduling.urgent = false, false
+	l.scheduling.ranAt = now
 	queues := l.queues(now)
 	if len(queues) == 0 {
 		return
@@ -76,12 +76,12 @@
 			best.use[longWaiting] += cpus
 		}
 	}
-	for _, b := range l.blocks {
+	for _, b := range l.shards.all {
 		if len(b.orders.Offers) > 0 {
 			room.even.tell(b.orders.Offers)
 			b.offerSeq++
 			b.orders.OfferSeq = b.offerSeq
-			b.offered = true
+			b.offerPending = true
 		}
 	}
 }
@@ -108,9 +108,9 @@
 	if !j.begun() {
 		l.traceQueued(now, j)
 	}
-	b := m.block
-	if m.out {
-		m.rest, m.out = false, false
+	b := m.shard
+	if m.excluded {
+		m.deprioritized, m.excluded = false, false
 		b.orders.Include = append(b.orders.Include, m.name)
 	}
 	given := 0
@@ -122,7 +122,7 @@
 		room.even.take(m, s)
 		h := &grantedTask{team: s.Team, cpus: s.CPUs, gpus: s.GPUs, zone: zone}
 		b.tasks[peer.Task{Job: s.Ref, Index: i}] = h
-		l.charge(h, 1)
+		l.quota.charge(h, 1)
 		j.out[i]++
 		k := offerKey{b.id, s.Ref, zone}
 		at, ok := offers[k]
@@ -138,6 +138,6 @@
 	return given
 }
 
-func (l *Leader) blockOf(machine string) *leasedBlock {
-	return l.blocks[shard.ForMachine(machine, len(l.blocks))]
+func (l *Leader) blockOf(machine string) *shardLease {
+	return l.shards.all[shard.ForMachine(machine, len(l.shards.all))]
 }
--- a/internal/leader/service_test.go
+++ b/internal/leader/service_test.go
@@ -15,15 +15,15 @@
 func TestReplicaWaitsForItsLastAttempt(t *testing.T) {
 	page := peer.AttemptPage{Machines: names[:1], Groups: []peer.AttemptGroup{{Job: spec.Ref, Team: "red", CPUs: 1, Attempts: []int{0, 1, 0, 0, 2, 0, 1, 3, 0}}}}
 	l := granting(t, map[string]peer.AttemptPage{"p": page})
-	l.jobs[spec.Ref].record.Spec.Shape = wire.ShapeService
-	b := l.blocks[shard.ForMachine(names[0], 2)]
+	l.jobs.byRef[spec.Ref].record.Spec.Shape = wire.ShapeService
+	b := l.shards.all[shard.ForMachine(names[0], 2)]
 	one := peer.Task{Job: spec.Ref, Index: 0}
-	say := func(kinds ...peer.EventKind) []any {
+	say := func(kinds ...peer.EventKind) []Effect {
 		u := peer.ShardUpdate{Shard: b.id, FencingToken: b.token}
 		for _, kind := range kinds {
 			u.Events = append(u.Events, peer.TaskEvent{Task: one, Kind: kind, Machine: names[0]})
 		}
-		return l.Step(began+clock.Second, HolderMessage{Controller: "n0", Link: "link", Message: &peer.ToLeader{Term: 5, Updates: []peer.ShardUpdate{u}}})
+		return l.Step(began+clock.Second, HolderMessage{Controller: "n0", Link: testLink("link"), Message: &peer.ToLeader{Term: 5, Updates: []peer.ShardUpdate{u}}})
 	}
 	fx := say(peer.EventAttemptRemains, peer.EventCompleted)
 	stops := 0
@@ -43,11 +43,11 @@
 func TestDoneReplicaRunsAgain(t *testing.T) {
 	page := peer.AttemptPage{Machines: names[:1], Groups: []peer.AttemptGroup{{Job: spec.Ref, Team: "red", CPUs: 1, Attempts: []int{0, 1, 0, 1, 2, 0}}}}
 	l := granting(t, map[string]peer.AttemptPage{"p": page})
-	j := l.jobs[spec.Ref]
+	j := l.jobs.byRef[spec.Ref]
 	j.record.Spec.Shape = wire.ShapeService
-	b := l.blocks[shard.ForMachine(names[0], 2)]
+	b := l.shards.all[shard.ForMachine(names[0], 2)]
 	one := peer.Task{Job: spec.Ref, Index: 0}
-	fx := l.Step(began+clock.Second, HolderMessage{Controller: "n0", Link: "link", Message: &peer.ToLeader{Term: 5, Updates: []peer.ShardUpdate{{Shard: b.id, FencingToken: b.token,
+	fx := l.Step(began+clock.Second, HolderMessage{Controller: "n0", Link: testLink("link"), Message: &peer.ToLeader{Term: 5, Updates: []peer.ShardUpdate{{Shard: b.id, FencingToken: b.token,
 		Events: []peer.TaskEvent{{Task: one, Kind: peer.EventCompleted, Machine: names[0]}}}}}})
 	stopped, stored := false, false
 	for _, o := range toldOf(fx) {
@@ -80,17 +80,17 @@
 func TestMachineThatFailsReplicasIsDrained(t *testing.T) {
 	page := peer.AttemptPage{Machines: names[:1], Groups: []peer.AttemptGroup{{Job: spec.Ref, Team: "red", CPUs: 1, Attempts: []int{0, 1, 0}}}}
 	l := granting(t, map[string]peer.AttemptPage{"p": page})
-	j := l.jobs[spec.Ref]
+	j := l.jobs.byRef[spec.Ref]
 	j.record.Spec.Shape = wire.ShapeService
-	b := l.blocks[shard.ForMachine(names[0], 2)]
-	l.Step(began, HolderMessage{Controller: "n0", Link: "link", Message: &peer.ToLeader{Term: 5, Updates: []peer.ShardUpdate{{Shard: b.id, FencingToken: b.token,
+	b := l.shards.all[shard.ForMachine(names[0], 2)]
+	l.Step(began, HolderMessage{Controller: "n0", Link: testLink("link"), Message: &peer.ToLeader{Term: 5, Updates: []peer.ShardUpdate{{Shard: b.id, FencingToken: b.token,
 		Events: []peer.TaskEvent{{Task: peer.Task{Job: spec.Ref, Index: 0}, Kind: peer.EventRunning, Machine: names[0]}}}}}})
 	l.errored(began+2*steady, j, peer.TaskEvent{Task: peer.Task{Job: spec.Ref, Index: 1}, Machine: names[1]}, &grantedTask{})
-	if l.machines[names[1]].drain {
+	if l.inventory.machines[names[1]].drain {
 		t.Error("drained after a single failure")
 	}
 	l.errored(began+2*steady, j, peer.TaskEvent{Task: peer.Task{Job: spec.Ref, Index: 1}, Machine: names[1]}, &grantedTask{})
-	if !l.machines[names[1]].drain {
+	if !l.inventory.machines[names[1]].drain {
 		t.Error("not drained after two failures while another replica runs")
 	}
 }
--- a/internal/leader/spread.go
+++ b/internal/leader/spread.go
@@ -15,9 +15,9 @@
 // moved is why a task was told to stop that is to run on another machine.
 const moved = "moved"
 
-// spreading is the leader's part in keeping work even: it bounds the room that is offered, and has
+// rebalancing is the leader's part in keeping work even: it bounds the room that is offered, and has
 // running tasks moved. It is soft state; nil while spreading is off.
-type spreading struct {
+type rebalancing struct {
 	*rebalancer.Balancer
 	bound   rebalancer.Bound
 	fetches *rebalancer.FetchRates
@@ -27,7 +27,7 @@
 	impossible map[string]bool
 }
 
-func newSpreading(s config.Spread, now clock.Micros) *spreading {
+func newRebalancing(s config.Spread, now clock.Micros) *rebalancing {
 	if !s.Enabled {
 		return nil
 	}
@@ -37,7 +37,7 @@
 		LeastRun: clock.FromSeconds(s.LeastRunS), Pause: clock.FromSeconds(s.PauseS),
 		Calm: clock.FromSeconds(s.CalmS), GiveUp: clock.FromSeconds(s.GiveUpS),
 	}
-	return &spreading{Balancer: rebalancer.New(p, now), bound: bound, fetches: rebalancer.NewFetchRates(),
+	return &rebalancing{Balancer: rebalancer.New(p, now), bound: bound, fetches: rebalancer.NewFetchRates(),
 		every: clock.FromSeconds(s.EveryS), impossible: map[string]bool{}}
 }
 
@@ -71,11 +71,11 @@
 
 // evenness of the machines that take work, as a round of offers begins; nil while spreading is off.
 func (l *Leader) evenness() *evenness {
-	if l.spread == nil {
+	if l.rebalancing == nil {
 		return nil
 	}
-	e := &evenness{bound: l.spread.bound, fetches: l.spread.fetches}
-	for _, m := range l.machines {
+	e := &evenness{bound: l.rebalancing.bound, fetches: l.rebalancing.fetches}
+	for _, m := range l.inventory.machines {
 		if m.takesWork() {
 			e.mean.Add(m.load())
 		}
@@ -132,10 +132,10 @@
 
 // preferred gives the machine that the next task of a job is to move to, if it has room within the bound.
 func (l *Leader) preferred(j *job, room *freeRoom) *machine {
-	if l.spread == nil {
+	if l.rebalancing == nil {
 		return nil
 	}
-	m := l.machines[l.spread.Preferred(rebalancer.TaskID{Job: j.record.Spec.Ref, Index: j.first()})]
+	m := l.inventory.machines[l.rebalancing.Preferred(rebalancer.TaskID{Job: j.record.Spec.Ref, Index: j.first()})]
 	s := &j.record.Spec
 	if m == nil || !room.has(m) || !m.holds(s) || !m.allowed(room.now, j) || !room.even.within(m, s) {
 		return nil
@@ -145,11 +145,11 @@
 
 // moveTargets names the machines that tasks are on their way to: upkeep does not return them meanwhile.
 func (l *Leader) moveTargets() map[string]bool {
-	if l.spread == nil {
+	if l.rebalancing == nil {
 		return nil
 	}
 	targets := map[string]bool{}
-	for _, m := range l.spread.InFlight() {
+	for _, m := range l.rebalancing.InFlight() {
 		targets[m.To] = true
 	}
 	return targets
@@ -157,7 +157,7 @@
 
 // moveTasks has running tasks moved off machines that have far more than the mean.
 func (l *Leader) moveTasks(now clock.Micros) {
-	s := l.spread
+	s := l.rebalancing
 	if s == nil || now-s.looked < s.every {
 		return
 	}
@@ -166,7 +166,7 @@
 		l.emit(Log{Debug: true, Message: "move given up", Attributes: []any{"task", m.Task.String(), "stage", m.Stage.String()}})
 		l.traceMove(now, m, "given up")
 	}
-	for _, t := range l.typeList {
+	for _, t := range l.autoscaler.catalog {
 		s.fetches.Published(t.Name, t.FetchGBPS)
 	}
 	for _, m := range s.Plan(now, l.balanceView(now)) {
@@ -179,7 +179,7 @@
 // gone.
 func (l *Leader) moveTask(now clock.Micros, m rebalancer.Migration) {
 	t := peer.Task{Job: m.Task.Job, Index: m.Task.Index}
-	b := l.machines[m.From].block
+	b := l.inventory.machines[m.From].shard
 	h := b.tasks[t]
 	h.stopped, h.stoppedAt = moved, now
 	b.orders.Stop = append(b.orders.Stop, peer.StopTask{Task: t, Checkpoint: true})
@@ -188,10 +188,10 @@
 
 // logImpossible tells once of each machine whose figures cannot be true.
 func (l *Leader) logImpossible() {
-	for _, r := range l.spread.Refusals() {
-		if r.Reason == rebalancer.ImpossibleFigures && !l.spread.impossible[r.Machine] {
-			l.spread.impossible[r.Machine] = true
-			m := l.machines[r.Machine]
+	for _, r := range l.rebalancing.Refusals() {
+		if r.Reason == rebalancer.ImpossibleFigures && !l.rebalancing.impossible[r.Machine] {
+			l.rebalancing.impossible[r.Machine] = true
+			m := l.inventory.machines[r.Machine]
 			l.info("machine gets no moves", "machine", r.Machine, "why", r.Reason, "type", m.state.Type, "rented", m.opt.Type.Name,
 				"cpus_free", m.state.CPUs, "ram_gb_free", m.state.MemoryGB)
 		}
@@ -200,15 +200,15 @@
 
 // balanceView is what moves are decided on.
 func (l *Leader) balanceView(now clock.Micros) rebalancer.View {
-	v := rebalancer.View{Stale: !l.current(now), Fetch: l.spread.fetches}
+	v := rebalancer.View{Stale: !l.current(now), Fetch: l.rebalancing.fetches}
 	atLimit := l.waitingAtLimit(now, &v)
-	for _, name := range slices.Sorted(maps.Keys(l.machines)) {
-		m := l.machines[name]
+	for _, name := range slices.Sorted(maps.Keys(l.inventory.machines)) {
+		m := l.inventory.machines[name]
 		if !m.up || m.state.Silent || m.state.PreemptionNotice {
 			continue
 		}
 		bm := &rebalancer.Machine{Name: name, Type: m.opt.Type.Name, Capacity: m.capacity(), Used: m.used(),
-			Serving: m.takesWork(), Unsettled: m.block.offered, Images: m.state.Images}
+			Serving: m.takesWork(), Unsettled: m.shard.offerPending, Images: m.state.Images}
 		if m.state.Type != m.opt.Type.Name {
 			bm.Capacity = rebalancer.Resources{} // it is not what was rented
 		}
@@ -228,18 +228,18 @@
 // that have some waiting at their limit.
 func (l *Leader) waitingAtLimit(now clock.Micros, v *rebalancer.View) map[string]bool {
 	moving := map[string]int{}
-	for _, m := range l.spread.InFlight() {
+	for _, m := range l.rebalancing.InFlight() {
 		if m.Stage == rebalancer.Stopped {
 			moving[m.Task.Job]++
 		}
 	}
 	atLimit := map[string]bool{}
-	for ref, j := range l.jobs {
+	for ref, j := range l.jobs.byRef {
 		s := &j.record.Spec
 		team := l.teams[s.Team]
 		switch {
 		case j.nWant <= moving[ref] || j.cancelled || j.failures.Waits(now):
-		case l.use(s.Team).takes(s, team.CPULimit(), team.GPULimit()):
+		case l.quota.of(s.Team).takes(s, team.CPULimit(), team.GPULimit()):
 			v.Waiting = true
 		default:
 			atLimit[s.Team] = true
@@ -258,9 +258,9 @@
 // of another block is not believed.
 func (l *Leader) tasksByMachine() map[string][]heldTask {
 	on := map[string][]heldTask{}
-	for _, b := range l.blocks {
+	for _, b := range l.shards.all {
 		for t, h := range b.tasks {
-			if m := l.machines[h.machine]; m != nil && m.block == b {
+			if m := l.inventory.machines[h.machine]; m != nil && m.shard == b {
 				on[h.machine] = append(on[h.machine], heldTask{t, h})
 			}
 		}
@@ -272,7 +272,7 @@
 func (l *Leader) movableTasks(now clock.Micros, on []heldTask, atLimit map[string]bool) []rebalancer.Task {
 	var out []rebalancer.Task
 	for _, t := range on {
-		if j := l.jobs[t.task.Job]; j != nil {
+		if j := l.jobs.byRef[t.task.Job]; j != nil {
 			out = append(out, l.movable(now, t.task, t.held, j, atLimit[t.held.team]))
 		}
 	}
@@ -287,7 +287,7 @@
 		ID: taskID(t), Team: s.Team, Takes: takes(s), Image: s.Image, ImageGB: s.ImageGB, SaveS: s.SaveS, Saves: s.CheckpointS > 0,
 		Gang: s.OneZone || s.Spread, Standing: s.IsService(), Stopping: h.stopped != "" || j.cancelled, AtLimit: atLimit,
 		Allows: func(m *rebalancer.Machine) bool {
-			to := l.machines[m.Name]
+			to := l.inventory.machines[m.Name]
 			_, failedThere := j.failures.FailedOn(m.Name)
 			return !failedThere && to.allowed(now, j)
 		},
@@ -302,25 +302,25 @@
 // noteStarted takes in that a task was given to a machine, and that it runs there.
 func (l *Leader) noteStarted(now clock.Micros, t peer.Task, h *grantedTask) {
 	h.givenAt = now
-	if l.spread == nil {
+	if l.rebalancing == nil {
 		return
 	}
-	if m, j := l.machines[h.machine], l.jobs[t.Job]; m != nil && j != nil {
+	if m, j := l.inventory.machines[h.machine], l.jobs.byRef[t.Job]; m != nil && j != nil {
 		h.cached = slices.Contains(m.state.Images, j.record.Spec.Image)
 	}
-	l.spread.Given(taskID(t), h.machine)
+	l.rebalancing.Given(taskID(t), h.machine)
 }
 
 // noteRunning takes in that a task runs.
 func (l *Leader) noteRunning(now clock.Micros, t peer.Task, h *grantedTask) {
 	l.traceStarted(now, t, h)
-	if l.spread == nil {
+	if l.rebalancing == nil {
 		return
 	}
-	if m, j := l.machines[h.machine], l.jobs[t.Job]; m != nil && j != nil && h.givenAt > 0 && !h.cached {
-		l.spread.fetches.Saw(m.opt.Type.Name, j.record.Spec.ImageGB, now-h.givenAt)
+	if m, j := l.inventory.machines[h.machine], l.jobs.byRef[t.Job]; m != nil && j != nil && h.givenAt > 0 && !h.cached {
+		l.rebalancing.fetches.Saw(m.opt.Type.Name, j.record.Spec.ImageGB, now-h.givenAt)
 	}
-	if m, ok := l.spread.Runs(taskID(t), h.machine); ok {
+	if m, ok := l.rebalancing.Runs(taskID(t), h.machine); ok {
 		l.emit(Log{Debug: true, Message: "task moved", Attributes: []any{"task", shard.TaskName(t), "from", m.From, "to", h.machine, "meant", m.To,
 			"took_s", (now - m.Since).Seconds()}})
 		l.traceMove(now, m, "done")
@@ -329,27 +329,27 @@
 
 // noteEnded takes in that an attempt has ended: one that was moved may start elsewhere now.
 func (l *Leader) noteEnded(now clock.Micros, e peer.TaskEvent, h *grantedTask) {
-	if l.spread == nil {
+	if l.rebalancing == nil {
 		return
 	}
 	switch {
 	case e.Kind == peer.EventCompleted:
-		if m, ok := l.spread.Ended(taskID(e.Task)); ok {
+		if m, ok := l.rebalancing.Ended(taskID(e.Task)); ok {
 			l.traceMove(now, m, "its task completed")
 		}
 	case h != nil && h.stopped == moved:
-		l.spread.Gone(now, taskID(e.Task))
-		l.urgent = true
+		l.rebalancing.Gone(now, taskID(e.Task))
+		l.scheduling.urgent = true
 	}
 }
 
 // jobOver takes in that a job is done or cancelled.
 func (l *Leader) jobOver(now clock.Micros, j *job, state wire.JobState) {
 	l.traceJob(now, j, state)
-	if l.spread == nil {
+	if l.rebalancing == nil {
 		return
 	}
-	for _, m := range l.spread.Forget(j.record.Spec.Ref) {
+	for _, m := range l.rebalancing.Forget(j.record.Spec.Ref) {
 		l.traceMove(now, m, "its job is "+string(state))
 	}
 }
--- a/internal/leader/spread_test.go
+++ b/internal/leader/spread_test.go
@@ -24,10 +24,10 @@
 	tuning.Fleet.Reserve = 10
 	l := leadingWith(t, tuning)
 	l.cfg.Facts.Cloud.RPS = 5
-	for _, m := range l.machines {
+	for _, m := range l.inventory.machines {
 		m.opt.Spot = true // of which upkeep keeps a reserve
 	}
-	l.finish(began, l.jobs[spec.Ref])
+	l.finish(began, l.jobs.byRef[spec.Ref])
 	l.addJob(JobRecord{Spec: savable}, 30)
 	first := shard.ForMachine(names[0], 2)
 	starts := []int{}
@@ -35,8 +35,8 @@
 		starts = append(starts, i, i+1, 0)
 	}
 	page := peer.AttemptPage{FencingToken: 1, Machines: names[:1], Groups: []peer.AttemptGroup{{Job: savable.Ref, Team: "red", CPUs: 1, MemoryGB: 1, CheckpointS: 5, Attempts: starts}}}
-	l.Step(began, AttemptsLoaded{Term: 5, Shard: first, FencingToken: l.blocks[first].token, Pages: map[string]peer.AttemptPage{"p": page}})
-	l.Step(began, AttemptsLoaded{Term: 5, Shard: 1 - first, FencingToken: l.blocks[1-first].token})
+	l.Step(began, AttemptsLoaded{Term: 5, Shard: first, FencingToken: l.shards.all[first].token, Pages: map[string]peer.AttemptPage{"p": page}})
+	l.Step(began, AttemptsLoaded{Term: 5, Shard: 1 - first, FencingToken: l.shards.all[1-first].token})
 	var events []peer.TaskEvent
 	for i := range savable.Tasks {
 		events = append(events, peer.TaskEvent{Task: peer.Task{Job: savable.Ref, Index: i}, Kind: peer.EventRunning, Machine: names[0]})
@@ -50,10 +50,10 @@
 }
 
 // tell brings word of all machines, which are free but for what change says, and of events.
-func tell(l *Leader, now clock.Micros, events []peer.TaskEvent, change func(*peer.MachineState)) []any {
+func tell(l *Leader, now clock.Micros, events []peer.TaskEvent, change func(*peer.MachineState)) []Effect {
 	up := &peer.ToLeader{Term: 5, StoreOK: true}
-	for b := range l.blocks {
-		u := peer.ShardUpdate{Shard: b, FencingToken: l.blocks[b].token, SettledOfferSeq: l.blocks[b].offerSeq}
+	for b := range l.shards.all {
+		u := peer.ShardUpdate{Shard: b, FencingToken: l.shards.all[b].token, SettledOfferSeq: l.shards.all[b].offerSeq}
 		if b == shard.ForMachine(names[0], 2) {
 			u.Events = events
 		}
@@ -66,13 +66,13 @@
 		}
 		up.Updates = append(up.Updates, u)
 	}
-	return l.Step(now, HolderMessage{Controller: "n0", Link: "link", Message: up})
+	return l.Step(now, HolderMessage{Controller: "n0", Link: testLink("link"), Message: up})
 }
 
 // stops lets time pass until tasks may be moved, and gives those that are told to stop.
-func stops(l *Leader) (out []peer.StopTask, fx []any) {
+func stops(l *Leader) (out []peer.StopTask, fx []Effect) {
 	for now := began + 90*clock.Second; now < began+94*clock.Second; now += clock.Second / 2 {
-		l.until, l.viewed, l.nodes["n0"].heard = now+clock.Minute, now, now
+		l.authorityEnds, l.jobsViewedAt, l.shards.controllers["n0"].lastHeartbeat = now+clock.Minute, now, now
 		step := l.Step(now, Tick{})
 		fx = append(fx, step...)
 		for _, o := range toldOf(step) {
@@ -91,17 +91,17 @@
 	// Nothing starts elsewhere before the old attempt is proven gone; then the task is offered to the block of
 	// the machine that it is to move to.
 	id := taskID(got[0].Task)
-	to := l.machines[l.spread.InFlight()[0].To]
+	to := l.inventory.machines[l.rebalancing.InFlight()[0].To]
 	now := began + 95*clock.Second
-	l.until, l.viewed = now+clock.Minute, now
+	l.authorityEnds, l.jobsViewedAt = now+clock.Minute, now
 	fx := tell(l, now, nil, func(*peer.MachineState) {})
 	if n := offers(fx); n != 0 {
 		t.Errorf("%d tasks offered before the old attempt is gone", n)
 	}
 	fx = tell(l, now, []peer.TaskEvent{{Task: got[0].Task, Kind: peer.EventReleased, Machine: names[0]}}, func(*peer.MachineState) {})
 	told := toldOf(fx)
-	if len(told) != 1 || told[0].Shard != to.block.id || len(told[0].Offers) != 1 || told[0].Offers[0].TaskIndexes[0] != id.Index {
-		t.Errorf("told %+v, want the task offered to block %d", told, to.block.id)
+	if len(told) != 1 || told[0].Shard != to.shard.id || len(told[0].Offers) != 1 || told[0].Offers[0].TaskIndexes[0] != id.Index {
+		t.Errorf("told %+v, want the task offered to block %d", told, to.shard.id)
 	}
 	if told[0].Offers[0].Job.FleetLoad <= 0 {
 		t.Error("the offer does not tell the mean load")
@@ -113,15 +113,15 @@
 	waiting := wire.Job{Ref: "j-000003", Team: "red", Priority: wire.PriorityBestEffort, Tasks: 1, CPUs: 1, MemoryGB: 1, Types: []string{"not to be had"}, Spot: true, EstimateS: 10}
 	l := unevenFleet(t, true)
 	l.addJob(JobRecord{Spec: waiting}, 31).fillWaiting()
-	if got, _ := stops(l); len(got) != 0 || l.spread.Refusals()[0].Reason != rebalancer.WorkWaits {
-		t.Errorf("stops %v, refusals %v", got, l.spread.Refusals())
+	if got, _ := stops(l); len(got) != 0 || l.rebalancing.Refusals()[0].Reason != rebalancer.WorkWaits {
+		t.Errorf("stops %v, refusals %v", got, l.rebalancing.Refusals())
 	}
 	// At the team's limit its own other work would take the place.
 	l = unevenFleet(t, true)
 	waiting.CPUs = 13
 	l.addJob(JobRecord{Spec: waiting}, 31).fillWaiting()
-	if got, _ := stops(l); len(got) != 0 || l.spread.Refusals()[0].Reason != rebalancer.TeamAtLimit {
-		t.Errorf("stops %v, refusals %v", got, l.spread.Refusals())
+	if got, _ := stops(l); len(got) != 0 || l.rebalancing.Refusals()[0].Reason != rebalancer.TeamAtLimit {
+		t.Errorf("stops %v, refusals %v", got, l.rebalancing.Refusals())
 	}
 }
 
@@ -139,11 +139,11 @@
 // the leader goes on.
 func TestTaskOnAnotherBlocksMachineIsNotMoved(t *testing.T) {
 	l := unevenFleet(t, true)
-	for _, h := range l.machines[names[0]].block.tasks {
+	for _, h := range l.inventory.machines[names[0]].shard.tasks {
 		for _, n := range names {
-			if l.machines[n].block != l.machines[names[0]].block {
+			if l.inventory.machines[n].shard != l.inventory.machines[names[0]].shard {
 				h.machine = n
-				l.machines[n].state.CPUs, l.machines[names[0]].state.CPUs = 0, 4
+				l.inventory.machines[n].state.CPUs, l.inventory.machines[names[0]].state.CPUs = 0, 4
 				break
 			}
 		}
@@ -157,17 +157,17 @@
 func TestTargetOfAMoveIsKept(t *testing.T) {
 	l := unevenFleet(t, true)
 	stops(l)
-	to := l.spread.InFlight()[0].To
+	to := l.rebalancing.InFlight()[0].To
 	l.cfg.Tuning.Fleet.Reserve = 0
 	returned := map[string]bool{}
 	for now := began + 95*clock.Second; now < began+125*clock.Second; now += clock.Second {
-		l.until, l.viewed, l.nodes["n0"].heard = now+clock.Minute, now, now
+		l.authorityEnds, l.jobsViewedAt, l.shards.controllers["n0"].lastHeartbeat = now+clock.Minute, now, now
 		for _, e := range l.Step(now, Tick{}) {
 			if d, ok := e.(DeleteMachines); ok {
 				for _, n := range d.Machines {
 					returned[n] = true
 				}
-				l.deleting = 0
+				l.inventory.deletionsInFlight = 0
 			}
 		}
 	}
@@ -181,17 +181,17 @@
 func TestMachinesAtRestAreNotFilled(t *testing.T) {
 	l := unevenFleet(t, true)
 	for _, n := range names[1:] {
-		l.machines[n].rest = true
+		l.inventory.machines[n].deprioritized = true
 	}
-	l.lastPlan = began + clock.Minute*10 // upkeep's word stays as it is
+	l.autoscaler.plannedAt = began + clock.Minute*10 // upkeep's word stays as it is
 	if got, _ := stops(l); len(got) != 0 {
 		t.Errorf("stops %v to move to machines at rest", got)
 	}
 	// One that is not at rest has room, but over the bound: it goes before those at rest all the same.
-	l.spread.bound.Relative = 1.05
-	m := l.machines[names[1]]
-	m.rest, m.state.CPUs, m.state.MemoryGB = false, 1, 7
-	if told := offersOf(l, began+95*clock.Second, wire.Job{CPUs: 1, MemoryGB: 7}); len(told) != 1 || told[0].Shard != m.block.id || len(told[0].Include) != 0 {
+	l.rebalancing.bound.Relative = 1.05
+	m := l.inventory.machines[names[1]]
+	m.deprioritized, m.state.CPUs, m.state.MemoryGB = false, 1, 7
+	if told := offersOf(l, began+95*clock.Second, wire.Job{CPUs: 1, MemoryGB: 7}); len(told) != 1 || told[0].Shard != m.shard.id || len(told[0].Include) != 0 {
 		t.Errorf("told %+v, want the task offered for the fuller machine that is not at rest", told)
 	}
 }
@@ -205,17 +205,17 @@
 
 // schedules gives what holders are told when the leader looks for room.
 func schedules(l *Leader, now clock.Micros) []peer.ShardOrders {
-	l.stirred, l.until, l.viewed = true, now+clock.Minute, now
-	return toldOf(l.Step(now, PeerConnected{Controller: "n9", Link: "other"}))
+	l.scheduling.requested, l.authorityEnds, l.jobsViewedAt = true, now+clock.Minute, now
+	return toldOf(l.Step(now, PeerConnected{Controller: "n9", Link: testLink("other")}))
 }
 
 // Room within the bound in a block that has an offer out is waited for, but not for long.
 func TestRoomWithinTheBoundIsWaitedFor(t *testing.T) {
 	l := unevenFleet(t, true)
-	full := l.machines[names[0]].block
-	for _, m := range l.machines {
-		if m.block != full {
-			m.block.offered = true
+	full := l.inventory.machines[names[0]].shard
+	for _, m := range l.inventory.machines {
+		if m.shard != full {
+			m.shard.offerPending = true
 		} else if m.name != names[0] {
 			m.state.CPUs = 1 // with one task more it is over the bound
 		}
@@ -263,7 +263,7 @@
 // What operators are told: loads, why a machine takes no work, moves and refusals.
 func TestStatus(t *testing.T) {
 	l := unevenFleet(t, true)
-	l.machines[names[5]].drain, l.machines[names[5]].state.Tasks = true, 1
+	l.inventory.machines[names[5]].drain, l.inventory.machines[names[5]].state.Tasks = true, 1
 	stops(l)
 	s := l.status(began + 95*clock.Second)
 	if !s.Leading || !s.Rebalancing || len(s.Shards) != 2 || len(s.Machines) != len(names) || len(s.Migrations) != 1 || s.MigrationOutcomes.Begun != 1 {
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -11,22 +11,22 @@
 
 // status tells an operator what the leader knows of loads, waiting work and moves.
 func (l *Leader) status(now clock.Micros) peer.Status {
-	s := peer.Status{Controller: l.self, Term: l.epoch, Leading: l.leading && l.loaded, Rebalancing: l.spread != nil}
+	s := peer.Status{Controller: l.self, Term: l.term, Leading: l.leading && l.loaded, Rebalancing: l.rebalancing != nil}
 	if !s.Leading {
 		return s
 	}
 	mean, blocks := l.blockLoads()
 	s.MeanLoad, s.Shards = mean, blocks
-	for _, name := range slices.Sorted(maps.Keys(l.machines)) {
-		if m := l.machines[name]; m.up {
+	for _, name := range slices.Sorted(maps.Keys(l.inventory.machines)) {
+		if m := l.inventory.machines[name]; m.up {
 			s.Machines = append(s.Machines, l.machineStatus(m, mean))
 		}
 	}
 	s.Teams = l.teamStatus()
 	s.Suspects = l.suspectStatus(now)
-	if l.spread != nil {
-		s.Migrations, s.Refusals = moveStatus(now, l.spread.InFlight()), refusalStatus(l.spread.Refusals())
-		o := l.spread.Outcomes()
+	if l.rebalancing != nil {
+		s.Migrations, s.Refusals = moveStatus(now, l.rebalancing.InFlight()), refusalStatus(l.rebalancing.Refusals())
+		o := l.rebalancing.Outcomes()
 		s.MigrationOutcomes = peer.MigrationOutcomes{Begun: o.Begun, Arrived: o.Arrived, Elsewhere: o.Elsewhere, Cancelled: o.Cancelled, GivenUp: o.GivenUp}
 	}
 	return s
@@ -37,9 +37,9 @@
 // blockLoads sums up loads by block; the means are of the machines that take work.
 func (l *Leader) blockLoads() (float64, []peer.ShardStatus) {
 	var all rebalancer.Mean
-	means := make([]rebalancer.Mean, len(l.blocks))
-	out := make([]peer.ShardStatus, len(l.blocks))
-	for i, b := range l.blocks {
+	means := make([]rebalancer.Mean, len(l.shards.all))
+	out := make([]peer.ShardStatus, len(l.shards.all))
+	for i, b := range l.shards.all {
 		out[i] = peer.ShardStatus{Shard: i, Holder: b.holder, Granted: b.state == granted, Tasks: len(b.tasks)}
 		for _, h := range b.tasks {
 			if !h.running {
@@ -47,11 +47,11 @@
 			}
 		}
 	}
-	for _, m := range l.machines {
+	for _, m := range l.inventory.machines {
 		if !m.up {
 			continue
 		}
-		b := &out[m.block.id]
+		b := &out[m.shard.id]
 		b.Machines++
 		if !m.takesWork() {
 			continue
@@ -59,7 +59,7 @@
 		b.TakeWork++
 		b.MostLoad = max(b.MostLoad, m.load())
 		all.Add(m.load())
-		means[m.block.id].Add(m.load())
+		means[m.shard.id].Add(m.load())
 	}
 	for i := range out {
 		out[i].MeanLoad = means[i].Value()
@@ -68,7 +68,7 @@
 }
 
 func (l *Leader) machineStatus(m *machine, mean float64) peer.MachineStatus {
-	s := peer.MachineStatus{Name: m.name, Shard: m.block.id, Type: m.opt.Type.Name, Zone: m.opt.Zone, Load: m.load(), Tasks: m.state.Tasks,
+	s := peer.MachineStatus{Name: m.name, Shard: m.shard.id, Type: m.opt.Type.Name, Zone: m.opt.Zone, Load: m.load(), Tasks: m.state.Tasks,
 		TakesWork: m.takesWork(), WhyNot: m.whyNoWork()}
 	if mean > 0 {
 		s.OverMean = s.Load / mean
@@ -79,7 +79,7 @@
 // whyNoWork says why a machine takes no work; "" if it does.
 func (m *machine) whyNoWork() string {
 	switch {
-	case m.block.state != granted:
+	case m.shard.state != granted:
 		return "its block has no holder"
 	case m.deleting:
 		return "being returned"
@@ -91,7 +91,7 @@
 		return "not in touch"
 	case m.cordoned:
 		return "not worth its price"
-	case m.rest:
+	case m.deprioritized:
 		return "not needed"
 	}
 	return ""
@@ -101,16 +101,16 @@
 func (l *Leader) teamStatus() []peer.TeamStatus {
 	byTeam := map[string]*peer.TeamStatus{}
 	for name, t := range l.teams {
-		byTeam[name] = &peer.TeamStatus{Team: name, CPUs: l.use(name).cpus, Limit: t.CPUsMax}
+		byTeam[name] = &peer.TeamStatus{Team: name, CPUs: l.quota.of(name).cpus, Limit: t.CPUsMax}
 	}
-	for _, j := range l.jobs {
+	for _, j := range l.jobs.byRef {
 		s := &j.record.Spec
 		t := byTeam[s.Team]
 		if t == nil {
 			continue
 		}
 		t.Waiting += j.nWant
-		if team := l.teams[s.Team]; !l.use(s.Team).takes(s, team.CPULimit(), team.GPULimit()) {
+		if team := l.teams[s.Team]; !l.quota.of(s.Team).takes(s, team.CPULimit(), team.GPULimit()) {
 			t.AtLimit += j.nWant
 		}
 	}
@@ -145,17 +145,17 @@
 	waiting, room, fit, full := 0, 0.0, 0, 0
 	standing, ordinary, idle := 0, 0, 0
 	blocked := 0
-	for _, j := range l.jobs {
+	for _, j := range l.jobs.byRef {
 		waiting += j.nWant
 		if j.record.Spec.IsService() {
 			standing += j.running
 		}
 		team := l.teams[j.record.Spec.Team]
-		if u := l.usage[team.Name]; u != nil && !u.takes(&j.record.Spec, team.CPULimit(), team.GPULimit()) {
+		if u := l.quota.byTeam[team.Name]; u != nil && !u.takes(&j.record.Spec, team.CPULimit(), team.GPULimit()) {
 			blocked += j.nWant
 		}
 	}
-	for _, m := range l.machines {
+	for _, m := range l.inventory.machines {
 		if !m.opt.Spot {
 			ordinary++
 		}
@@ -168,14 +168,14 @@
 		}
 	}
 	used := 0.0
-	for name, u := range l.usage {
+	for name, u := range l.quota.byTeam {
 		used += u.cpus
 		if u.cpus > l.teams[name].CPULimit()-1 {
 			full++
 		}
 	}
-	l.emit(Log{Debug: true, Message: "state", Attributes: []any{"jobs", len(l.jobs), "waiting", waiting, "waiting_at_limit", blocked,
-		"teams_at_limit", full, "cpus_held", used, "cpus_free", room, "machines", len(l.machines), "fit", fit,
+	l.emit(Log{Debug: true, Message: "state", Attributes: []any{"jobs", len(l.jobs.byRef), "waiting", waiting, "waiting_at_limit", blocked,
+		"teams_at_limit", full, "cpus_held", used, "cpus_free", room, "machines", len(l.inventory.machines), "fit", fit,
 		"ordinary", ordinary, "idle", idle, "replicas", standing,
-		"failed", l.decisions.failed, "failed_suspect", l.decisions.failedSuspect, "preempted", l.decisions.preempted}})
+		"failed", l.outcomes.failed, "failed_suspect", l.outcomes.failedSuspect, "preempted", l.outcomes.preempted}})
 }
--- a/internal/leader/trace.go
+++ b/internal/leader/trace.go
@@ -19,7 +19,7 @@
 }
 
 // submitted is when a job was accepted, in steady time.
-func (l *Leader) submitted(j *job) clock.Micros { return j.record.AcceptedAt - l.wall }
+func (l *Leader) submitted(j *job) clock.Micros { return j.record.AcceptedAt - l.wallOffset }
 
 // traceQueued tells how long a job waited until its first task was handed out.
 func (l *Leader) traceQueued(now clock.Micros, j *job) {
--- a/internal/naming/naming_test.go
+++ b/internal/naming/naming_test.go
@@ -36,8 +36,8 @@
 	"internal/shard":      38,
 	"internal/compat":     1,
 	"internal/autoscaler": 1,
-	"internal/leader":     63,
-	"internal/controller": 8,
+	"internal/leader":     56,
+	"internal/controller": 7,
 	"internal/peer":       2,
 	"internal/scenario":   16,
 }
--- a/internal/scenario/load_test.go
+++ b/internal/scenario/load_test.go
@@ -27,7 +27,9 @@
 // status is what the leader tells operators; nothing while nobody leads.
 func (w *world) status() (s peer.Status) {
 	for _, n := range w.leaders() {
-		n.leaderStep(leader.StatusRequested{ReplyTo: &s})
+		answer := make(chan peer.Status, 1)
+		n.leaderStep(leader.StatusRequested{ReplyTo: answer})
+		s = <-answer
 	}
 	return s
 }
--- a/internal/scenario/network_test.go
+++ b/internal/scenario/network_test.go
@@ -11,6 +11,7 @@
 	"swiftledge/internal/election"
 	"swiftledge/internal/fake"
 	"swiftledge/internal/leader"
+	"swiftledge/internal/peer"
 	"swiftledge/internal/shard"
 	"swiftledge/internal/store"
 	"swiftledge/wire"
@@ -227,6 +228,9 @@
 	}))
 }
 
+// Send is not reached: the simulation carries messages over a link itself.
+func (*simLink) Send(*peer.FromLeader) { panic("a simulated link was sent over") }
+
 // end breaks a link; both sides see it if they are still there.
 func (l *simLink) end() {
 	if l.broken {
--- a/internal/scenario/node_test.go
+++ b/internal/scenario/node_test.go
@@ -17,7 +17,6 @@
 	"swiftledge/internal/election"
 	"swiftledge/internal/leader"
 	"swiftledge/internal/pausedetect"
-	"swiftledge/internal/peer"
 	"swiftledge/internal/shard"
 	"swiftledge/internal/store"
 	"swiftledge/wire"
@@ -345,7 +344,7 @@
 	return ready
 }
 
-func (n *simNode) leaderStep(msg any) {
+func (n *simNode) leaderStep(msg leader.Message) {
 	for _, fx := range n.leader.Step(n.w.now, msg) {
 		n.leaderEffect(fx)
 	}
@@ -353,13 +352,13 @@
 
 var errTrouble = errors.New("trouble")
 
-func (n *simNode) leaderEffect(fx any) {
+func (n *simNode) leaderEffect(fx leader.Effect) {
 	w := n.w
 	during := func(epoch cluster.Term) func() bool { return func() bool { return n.elector.Term() == epoch } }
 	// The cloud answers within a quarter of a second, also a leader that is none any more; or a
 	// request is carried out late, when nobody waits for it any more.
-	cloud := func(f func() any, failed any) {
-		step := func(msg any) {
+	cloud := func(f func() leader.Message, failed leader.Message) {
+		step := func(msg leader.Message) {
 			if msg != nil {
 				n.leaderStep(msg)
 			}
@@ -405,7 +404,7 @@
 		n.readKey(x)
 	case leader.ProvisionMachines:
 		n.sendsJSON(toCloud, "POST /hosts", x.Request)
-		cloud(func() any {
+		cloud(func() leader.Message {
 			names, ok := w.cloud.Provision(w.now, x.Request)
 			m := leader.MachinesProvisioned{Term: x.Term, RequestID: x.Request.RequestID, Machines: names, NoCapacity: !ok}
 			if !ok {
@@ -415,23 +414,23 @@
 		}, leader.MachinesProvisioned{Term: x.Term, RequestID: x.Request.RequestID, Err: errTrouble})
 	case leader.DeleteMachines:
 		n.sendsJSON(toCloud, "POST /hosts/delete", wire.MachineNames{Names: x.Machines})
-		cloud(func() any {
+		cloud(func() leader.Message {
 			w.cloud.Delete(x.Machines)
 			return leader.MachinesDeleted{Term: x.Term, Machines: x.Machines}
 		}, leader.MachinesDeleted{Term: x.Term, Machines: x.Machines, Err: errTrouble})
 	case leader.ListMachines:
 		n.sends(toCloud, "GET /hosts")
-		cloud(func() any { return leader.MachinesListed{Machines: w.cloud.List(w.now)} }, nil)
+		cloud(func() leader.Message { return leader.MachinesListed{Machines: w.cloud.List(w.now)} }, nil)
 	case leader.LoadCatalog:
 		n.sends(toCloud, "GET /catalog")
-		cloud(func() any { return leader.CatalogLoaded{Types: w.cloud.Types} }, nil)
+		cloud(func() leader.Message { return leader.CatalogLoaded{Types: w.cloud.Types} }, nil)
 	case leader.Resign:
 		w.after(1, n.still(func() { n.electorStep(election.Resign{Term: n.elector.Term()}) }))
 	case leader.PauseDetected:
 		n.pauses.Add(x.Pause)
 	case leader.Log, leader.RecordSpan:
 	case leader.ReplyStatus:
-		*x.ReplyTo.(*peer.Status) = x.Status
+		x.ReplyTo <- x.Status
 	default:
 		panic(fmt.Sprintf("unknown effect %T", fx))
 	}
