--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -10,117 +10,134 @@
 // Instance is a machine of the cloud.
 type Instance struct {
 	wire.Machine
-	Since, UpAt, Listed clock.Micros
-	Never               bool // it will not come up
-	Quiet               bool // it comes up, and its worker never reports
-	Dead                bool // it stopped by itself
-	Gone                bool
+	// CreatedAt, BootedAt and ListedAt are when it was created, comes up and appears in the machine list.
+	CreatedAt, BootedAt, ListedAt clock.Micros
+	NeverBoots                    bool // it will not come up
+	NeverReports                  bool // it comes up, and its worker never sends a heartbeat
+	Failed                        bool // it stopped by itself
+	Deleted                       bool
 }
 
-// Cloud rents machines.
+// Cloud provisions, lists and deletes machines.
 type Cloud struct {
 	Types    []wire.MachineType
-	Capacity int // machines at once; 0: no bound
-	Lag      clock.Micros
-	NoBoot   int // how many of the next machines never come up
-	NoReport int // how many of the next machines come up and never report
+	Capacity int // machines that may exist at once; 0: no bound
+	// ListLag is how long after its creation a machine appears in the machine list.
+	ListLag         clock.Micros
+	NextNeverBoot   int // how many of the next machines never come up
+	NextNeverReport int // how many of the next machines come up and never send a heartbeat
 	// BootFactor makes the next machines boot in so many times the usual time; 0: in the usual time.
 	BootFactor float64
-	Machines   map[string]*Instance
-	Order      []*Instance // all of them, in the order of creation, which is that of their names
+	Instances  map[string]*Instance // by name
+	Created    []*Instance          // all of them, in the order of creation, which is that of their names
 
-	requests map[string][]string
-	n        int
+	requests map[string][]string // names of the machines by request
 }
 
 // NewCloud makes a cloud without machines.
-func NewCloud(types []wire.MachineType, lag clock.Micros) *Cloud {
-	return &Cloud{Types: types, Lag: lag, Machines: map[string]*Instance{}, requests: map[string][]string{}}
+func NewCloud(types []wire.MachineType, listLag clock.Micros) *Cloud {
+	return &Cloud{Types: types, ListLag: listLag, Instances: map[string]*Instance{}, requests: map[string][]string{}}
 }
 
-func (c *Cloud) typ(name string) *wire.MachineType {
-	for i := range c.Types {
-		if c.Types[i].Name == name {
-			return &c.Types[i]
-		}
-	}
-	return nil
-}
-
-// Provision carries out a request, once for each name; false: no capacity.
+// Provision carries out a request, once for each request ID, and returns the names of its machines; false: no
+// capacity.
 func (c *Cloud) Provision(now clock.Micros, r wire.ProvisionRequest) ([]string, bool) {
 	if names, ok := c.requests[r.RequestID]; ok {
 		return names, true
 	}
-	left := r.Count
+	count := r.Count
 	if c.Capacity > 0 {
-		have := 0
-		for _, m := range c.Order {
-			if !m.Gone {
-				have++
-			}
-		}
-		left = min(left, c.Capacity-have)
+		count = min(count, c.Capacity-c.existing())
 	}
-	if left <= 0 || c.typ(r.Type) == nil {
+	if count <= 0 || c.machineType(r.Type) == nil {
 		return nil, false
 	}
 	var names []string
-	for range left {
-		m := c.Add(now, r.Type, r.Zone, r.Spot)
-		names = append(names, m.Name)
+	for range count {
+		names = append(names, c.CreateInstance(now, r.Type, r.Zone, r.Spot).Name)
 	}
 	c.requests[r.RequestID] = names
 	return names, true
 }
 
-// Add starts a machine.
-func (c *Cloud) Add(now clock.Micros, typ, zone string, spot bool) *Instance {
-	t := c.typ(typ)
-	m := &Instance{Machine: wire.Machine{Name: fmt.Sprintf("host-%06d", c.n), Address: fmt.Sprintf("10.1.0.%d:9000", c.n),
-		Type: typ, Zone: zone, Spot: spot, State: wire.MachineStarting},
-		Since: now, UpAt: now + clock.FromSeconds(t.BootS), Listed: now + c.Lag}
-	c.n++
-	if c.NoBoot > 0 {
-		c.NoBoot--
-		m.Never = true
-	} else if c.NoReport > 0 {
-		c.NoReport--
-		m.Quiet = true
+// CreateInstance creates a machine of a known type outside of any request.
+func (c *Cloud) CreateInstance(now clock.Micros, typeName, zone string, spot bool) *Instance {
+	bootSeconds := c.machineType(typeName).BootS
+	number := len(c.Created)
+	instance := &Instance{
+		Machine: wire.Machine{
+			Name:    fmt.Sprintf("host-%06d", number),
+			Address: fmt.Sprintf("10.1.0.%d:9000", number),
+			Type:    typeName,
+			Zone:    zone,
+			Spot:    spot,
+			State:   wire.MachineStarting,
+		},
+		CreatedAt: now,
+		BootedAt:  now + clock.FromSeconds(bootSeconds),
+		ListedAt:  now + c.ListLag,
+	}
+	if c.NextNeverBoot > 0 {
+		c.NextNeverBoot--
+		instance.NeverBoots = true
+	} else if c.NextNeverReport > 0 {
+		c.NextNeverReport--
+		instance.NeverReports = true
 	}
 	if c.BootFactor > 0 {
-		m.UpAt = now + clock.FromSeconds(t.BootS*c.BootFactor)
+		instance.BootedAt = now + clock.FromSeconds(bootSeconds*c.BootFactor)
 	}
-	c.Machines[m.Name] = m
-	c.Order = append(c.Order, m)
-	return m
+	c.Instances[instance.Name] = instance
+	c.Created = append(c.Created, instance)
+	return instance
 }
 
-// Delete ends machines.
+// Delete deletes machines; names that it does not know are skipped.
 func (c *Cloud) Delete(names []string) {
-	for _, n := range names {
-		if m := c.Machines[n]; m != nil {
-			m.Gone = true
+	for _, name := range names {
+		if instance := c.Instances[name]; instance != nil {
+			instance.Deleted = true
 		}
 	}
 }
 
-// List is the machine list.
+// List returns the machine list as of now.
 func (c *Cloud) List(now clock.Micros) []wire.Machine {
-	var out []wire.Machine
-	for _, m := range c.Order {
-		if m.Gone || now < m.Listed {
+	var machines []wire.Machine
+	for _, instance := range c.Created {
+		if instance.Deleted || now < instance.ListedAt {
 			continue
 		}
-		w := m.Machine
-		w.AgeS = (now - m.Since).Seconds()
+		machine := instance.Machine
+		machine.AgeS = (now - instance.CreatedAt).Seconds()
 		switch {
-		case m.Dead:
-			w.State = wire.MachineFailed
-		case !m.Never && now >= m.UpAt:
-			w.State = "running"
+		case instance.Failed:
+			machine.State = wire.MachineFailed
+		case !instance.NeverBoots && now >= instance.BootedAt:
+			machine.State = wire.MachineRunning
+		}
+		machines = append(machines, machine)
+	}
+	return machines
+}
+
+// machineType returns the type of that name, or nil.
+func (c *Cloud) machineType(name string) *wire.MachineType {
+	for i := range c.Types {
+		if c.Types[i].Name == name {
+			return &c.Types[i]
+		}
+	}
+	return nil
+}
+
+// existing counts the machines that are not deleted.
+func (c *Cloud) existing() int {
+	count := 0
+	for _, instance := range c.Created {
+		if !instance.Deleted {
+			count++
 		}
-		out = append(out, w)
 	}
-	return out
+	return count
 }
--- a/internal/fake/store.go
+++ b/internal/fake/store.go
@@ -1,6 +1,3 @@
-// Package fake holds our own stand-ins for the state service, the cloud and
-// the workers, written from the protocol's pages. They know no time but what
-// they are told, so scenarios replay the same each time.
 package fake
 
 import (
@@ -14,171 +11,156 @@
 	"swiftledge/wire"
 )
 
-type lease struct {
-	ttl, ends clock.Micros
-}
+// bytesPerKB converts the limit of a value, which the settings give in kilobytes.
+const bytesPerKB = 1024
 
-type change struct {
-	rev uint64
-	ev  wire.Event
-}
+// conditionsPerWrite is how many conditions a transaction may have for each write that it may have.
+const conditionsPerWrite = 4
 
 // Store is the state service.
 type Store struct {
-	Down     bool // answers 503 to all
-	ValueMax int
-	TxnOps   int
-	Puts     int
-
-	rev    uint64
-	oldest uint64 // changes after it are kept
-	items  map[string]wire.Item
-	leases map[uint64]*lease
-	nextID uint64
-	log    []change
+	Down          bool // it answers 503 to all
+	MaxValueBytes int
+	MaxTxnWrites  int
+	Puts          int // writes of all transactions so far
+
+	revision  uint64
+	items     map[string]wire.Item
+	leases    map[uint64]*lease
+	lastLease uint64
+
+	changes          []change // in the order of their revisions
+	compactedThrough uint64   // the changes up to this revision are dropped
 }
 
-// NewStore makes an empty store with the limits of the settings.
-func NewStore(valueKB float64, txnOps int) *Store {
-	return &Store{ValueMax: int(valueKB * 1024), TxnOps: txnOps, items: map[string]wire.Item{}, leases: map[uint64]*lease{}}
+// change is an entry of the change log.
+type change struct {
+	revision uint64
+	event    wire.Event
 }
 
-// Lower sets other limits; what is stored stays readable.
-func (s *Store) Lower(valueKB float64, txnOps int) {
-	s.ValueMax, s.TxnOps = int(valueKB*1024), txnOps
+// NewStore makes an empty store with the limits of the settings.
+func NewStore(valueKB float64, txnOps int) *Store {
+	s := &Store{items: map[string]wire.Item{}, leases: map[uint64]*lease{}}
+	s.SetLimits(valueKB, txnOps)
+	return s
 }
 
-// Expire ends leases that were not renewed in time.
-func (s *Store) Expire(now clock.Micros) {
-	if s.Down {
-		return
-	}
-	for _, id := range slices.Sorted(maps.Keys(s.leases)) {
-		if now >= s.leases[id].ends {
-			s.RevokeLease(id)
-		}
-	}
+// SetLimits sets other limits; what is stored stays readable.
+func (s *Store) SetLimits(valueKB float64, txnOps int) {
+	s.MaxValueBytes, s.MaxTxnWrites = int(valueKB*bytesPerKB), txnOps
 }
 
-// Up ends an outage: every lease has its full time again.
-func (s *Store) Up(now clock.Micros) {
+// EndOutage ends an outage: every lease has its full time again.
+func (s *Store) EndOutage(now clock.Micros) {
 	s.Down = false
 	for _, l := range s.leases {
-		l.ends = now + l.ttl
+		l.expiresAt = now + l.ttl
 	}
 }
 
-// GrantLease makes a lease.
-func (s *Store) GrantLease(now, ttl clock.Micros) uint64 {
-	s.nextID++
-	s.leases[s.nextID] = &lease{ttl, now + ttl}
-	return s.nextID
+// Get reads a key.
+func (s *Store) Get(key string) (wire.Item, bool) {
+	item, ok := s.items[key]
+	return item, ok
 }
 
-// Touch renews a lease; false when there is none.
-func (s *Store) Touch(now clock.Micros, id uint64) bool {
-	l := s.leases[id]
-	if l == nil {
-		return false
+// List reads all keys with a prefix, and returns the store's revision.
+func (s *Store) List(prefix string) ([]wire.Item, uint64) {
+	var items []wire.Item
+	for _, key := range slices.Sorted(maps.Keys(s.items)) {
+		if strings.HasPrefix(key, prefix) {
+			items = append(items, s.items[key])
+		}
 	}
-	l.ends = now + l.ttl
-	return true
+	return items, s.revision
 }
 
-// RevokeLease ends a lease and removes its keys.
-func (s *Store) RevokeLease(id uint64) {
-	if s.leases[id] == nil {
-		return
+// Txn carries out a transaction; problem tells of one that is malformed.
+func (s *Store) Txn(t wire.Txn) (result store.TxnResult, problem string) {
+	s.Puts += len(t.Writes)
+	if result, problem = s.check(t); problem != "" {
+		return result, problem
 	}
-	delete(s.leases, id)
-	var keys []string
-	for k, it := range s.items {
-		if it.Lease == id {
-			keys = append(keys, k)
+	for _, condition := range t.Conditions {
+		if s.items[condition.Key].Version != condition.Version {
+			result.FailedKeys = append(result.FailedKeys, condition.Key)
 		}
 	}
-	slices.Sort(keys)
-	if len(keys) > 0 {
-		s.rev++
-	}
-	for _, k := range keys {
-		delete(s.items, k)
-		s.log = append(s.log, change{s.rev, wire.Event{Delete: k, Version: s.rev}})
-	}
-}
-
-// Get reads a key.
-func (s *Store) Get(key string) (wire.Item, bool) {
-	it, ok := s.items[key]
-	return it, ok
-}
-
-// List reads all keys with a prefix.
-func (s *Store) List(prefix string) ([]wire.Item, uint64) {
-	var out []wire.Item
-	for _, k := range slices.Sorted(maps.Keys(s.items)) {
-		if strings.HasPrefix(k, prefix) {
-			out = append(out, s.items[k])
+	result.Committed = len(result.FailedKeys) == 0
+	if result.Committed && len(t.Writes) > 0 {
+		s.revision++
+		for _, write := range t.Writes {
+			s.apply(write)
 		}
 	}
-	return out, s.rev
+	result.Revision = s.revision
+	return result, ""
 }
 
-// Txn carries out a transaction; problem tells of one that is malformed.
-func (s *Store) Txn(t wire.Txn) (o store.TxnResult, problem string) {
-	s.Puts += len(t.Writes)
-	if len(t.Writes) > s.TxnOps || len(t.Conditions) > 4*s.TxnOps {
-		return o, "too many operations"
+// check returns the problem of a transaction that breaks the limits or names no lease of the store.
+func (s *Store) check(t wire.Txn) (result store.TxnResult, problem string) {
+	if len(t.Writes) > s.MaxTxnWrites || len(t.Conditions) > conditionsPerWrite*s.MaxTxnWrites {
+		return result, "too many operations"
 	}
-	for _, w := range t.Writes {
-		if len(w.Value) > s.ValueMax {
-			return o, "value of " + w.Put + " is too large"
+	for _, write := range t.Writes {
+		if len(write.Value) > s.MaxValueBytes {
+			return result, "value of " + write.Put + " is too large"
 		}
-		if w.Put != "" && !json.Valid(w.Value) {
-			return o, "value of " + w.Put + " is no JSON"
+		if write.Put != "" && !json.Valid(write.Value) {
+			return result, "value of " + write.Put + " is no JSON"
 		}
-		if w.Lease != 0 && s.leases[w.Lease] == nil {
+		if write.Lease != 0 && s.leases[write.Lease] == nil {
 			return store.TxnResult{LeaseExpired: true}, "no such lease"
 		}
 	}
-	for _, g := range t.Conditions {
-		if s.items[g.Key].Version != g.Version {
-			o.FailedKeys = append(o.FailedKeys, g.Key)
-		}
+	return result, ""
+}
+
+// apply carries out one write at the present revision.
+func (s *Store) apply(write wire.Write) {
+	if write.Put == "" {
+		s.remove(write.Delete)
+		return
 	}
-	o.Revision = s.rev
-	if len(o.FailedKeys) > 0 || len(t.Writes) == 0 {
-		o.Committed = len(o.FailedKeys) == 0
-		return o, ""
+	s.items[write.Put] = wire.Item{
+		Key:     write.Put,
+		Value:   slices.Clone(write.Value),
+		Version: s.revision,
+		Lease:   write.Lease,
 	}
-	s.rev++
-	for _, w := range t.Writes {
-		if w.Put != "" {
-			s.items[w.Put] = wire.Item{Key: w.Put, Value: slices.Clone(w.Value), Version: s.rev, Lease: w.Lease}
-			s.log = append(s.log, change{s.rev, wire.Event{Put: w.Put, Value: slices.Clone(w.Value), Version: s.rev}})
-		} else if _, ok := s.items[w.Delete]; ok {
-			delete(s.items, w.Delete)
-			s.log = append(s.log, change{s.rev, wire.Event{Delete: w.Delete, Version: s.rev}})
-		}
-	}
-	o.Committed, o.Revision = true, s.rev
-	return o, ""
+	s.log(wire.Event{Put: write.Put, Value: slices.Clone(write.Value), Version: s.revision})
 }
 
-// Forget drops the changes so far: who has not seen them must read the keys again.
-func (s *Store) Forget() { s.log, s.oldest = nil, s.rev }
+// remove removes a key, if it is there.
+func (s *Store) remove(key string) {
+	if _, ok := s.items[key]; ok {
+		delete(s.items, key)
+		s.log(wire.Event{Delete: key, Version: s.revision})
+	}
+}
 
-// Known says whether the changes after a revision are still kept.
-func (s *Store) Known(rev uint64) bool { return rev >= s.oldest }
+// log notes a change at the present revision.
+func (s *Store) log(event wire.Event) {
+	s.changes = append(s.changes, change{s.revision, event})
+}
 
-// Since gives the changes under a prefix after a revision.
-func (s *Store) Since(prefix string, rev uint64) wire.WatchResponse {
-	a := wire.WatchResponse{Revision: s.rev}
-	i, _ := slices.BinarySearchFunc(s.log, rev+1, func(c change, r uint64) int { return int(c.rev) - int(r) })
-	for _, c := range s.log[i:] {
-		if strings.HasPrefix(c.ev.Put+c.ev.Delete, prefix) {
-			a.Events = append(a.Events, c.ev)
+// CompactChanges drops the changes so far: who has not seen them must read the keys again.
+func (s *Store) CompactChanges() { s.changes, s.compactedThrough = nil, s.revision }
+
+// HasChangesSince says whether the changes after a revision are still kept.
+func (s *Store) HasChangesSince(revision uint64) bool { return revision >= s.compactedThrough }
+
+// ChangesSince returns the changes of keys with a prefix after a revision.
+func (s *Store) ChangesSince(prefix string, revision uint64) wire.WatchResponse {
+	response := wire.WatchResponse{Revision: s.revision}
+	first, _ := slices.BinarySearchFunc(s.changes, revision+1, func(c change, wanted uint64) int {
+		return int(c.revision) - int(wanted)
+	})
+	for _, c := range s.changes[first:] {
+		if strings.HasPrefix(c.event.Put+c.event.Delete, prefix) {
+			response.Events = append(response.Events, c.event)
 		}
 	}
-	return a
+	return response
 }
--- a/internal/loopback/cluster.go
+++ b/internal/loopback/cluster.go
@@ -402,7 +402,7 @@
 
 // EndWorker has a machine stop by itself.
 func (c *Cluster) EndWorker(i int) {
-	c.site.do(func() { c.site.workers[i].dead, c.site.workers[i].rented.Dead = true, true })
+	c.site.do(func() { c.site.workers[i].dead, c.site.workers[i].rented.Failed = true, true })
 }
 
 // Alive says whether the controller's process runs.
--- a/internal/loopback/services.go
+++ b/internal/loopback/services.go
@@ -123,7 +123,7 @@
 func (s *site) touchLease(c fiber.Ctx) error {
 	id, err := strconv.ParseUint(c.Params("id"), 10, 64)
 	found := false
-	s.do(func() { found = err == nil && s.store.Touch(s.clock.Now(), id) })
+	s.do(func() { found = err == nil && s.store.RenewLease(s.clock.Now(), id) })
 	if !found {
 		return c.SendStatus(404)
 	}
@@ -155,7 +155,7 @@
 	for {
 		var a wire.WatchResponse
 		var changed chan struct{}
-		if !s.do(func() { a, changed = s.store.Since(prefix, since), s.changed }) || len(a.Events) > 0 {
+		if !s.do(func() { a, changed = s.store.ChangesSince(prefix, since), s.changed }) || len(a.Events) > 0 {
 			return c.JSON(a)
 		}
 		select {
--- a/internal/loopback/site.go
+++ b/internal/loopback/site.go
@@ -55,8 +55,7 @@
 	workers []*worker
 	byName  map[string]*worker
 	jobs    map[string]*jobRun
-	kept    map[string]bool
-	saved   map[string]float64
+	outputs *fake.Outputs
 }
 
 // jobRun is a job as its user knows it.
@@ -73,12 +72,12 @@
 	s := &site{shape: shape, clock: clock.NewSteady(), calls: make(chan func()), done: make(chan struct{}),
 		store: fake.NewStore(valueKB, txnOps), changed: make(chan struct{}),
 		cloud: fake.NewCloud([]wire.MachineType{shape.Type}, clock.Second), byName: map[string]*worker{},
-		jobs: map[string]*jobRun{}, kept: map[string]bool{}, saved: map[string]float64{}}
+		jobs: map[string]*jobRun{}, outputs: fake.NewOutputs()}
 	s.stop = sync.OnceFunc(func() { close(s.done) })
 	s.cloud.Capacity = shape.Workers
 	for range shape.Workers {
-		m := s.cloud.Add(0, shape.Type.Name, zone, true)
-		m.UpAt, m.Listed = 0, 0
+		m := s.cloud.CreateInstance(0, shape.Type.Name, zone, true)
+		m.BootedAt, m.ListedAt = 0, 0
 	}
 	return s
 }
@@ -114,10 +113,10 @@
 // tick lets time pass: leases of the state service, machines that boot or are returned, and tasks.
 func (s *site) tick() {
 	now := s.clock.Now()
-	revision := s.store.Since("", 0).Revision
-	s.store.Expire(now)
+	revision := s.store.ChangesSince("", 0).Revision
+	s.store.ExpireLeases(now)
 	s.noteChange(revision)
-	for _, m := range s.cloud.Order[len(s.workers):] {
+	for _, m := range s.cloud.Created[len(s.workers):] {
 		w := newWorker(s, m)
 		s.workers = append(s.workers, w)
 		go func() {
--- a/internal/loopback/surge.go
+++ b/internal/loopback/surge.go
@@ -174,8 +174,8 @@
 	waits := map[string][]float64{}
 	c.site.do(func() {
 		for _, w := range c.site.workers {
-			r.Fetches += w.Fetched
-			r.RedoneS += w.Redone
+			r.Fetches += w.ImagesFetched
+			r.RedoneS += w.LostSeconds
 		}
 		for _, j := range c.site.jobs {
 			for _, n := range j.ran {
--- a/internal/loopback/worker.go
+++ b/internal/loopback/worker.go
@@ -36,29 +36,13 @@
 
 func newWorker(s *site, m *fake.Instance) *worker {
 	w := &worker{site: s, rented: m, client: &fasthttp.Client{MaxIdemponentCallAttempts: 1}}
-	w.Worker = &fake.Worker{Name: m.Name, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Lease: clock.FromSeconds(s.shape.LeaseS),
-		CPUs: s.shape.Type.CPUs, Memory: s.shape.Type.MemoryGB, FetchS: 1, Kept: s.kept, Progress: s.saved,
-		Find: func(ref string) (wire.Job, bool) {
-			j := s.jobs[ref]
-			if j == nil {
-				return wire.Job{}, false
-			}
-			return j.spec, true
-		},
-		RunS:      func(j *wire.Job, _ int) float64 { return s.jobs[j.Ref].runS },
-		Fails:     func(j *wire.Job, _ int) bool { return s.jobs[j.Ref].mistaken },
-		Ordered:   func(*fake.Task) {},
-		Restarted: func(*fake.Task) {},
-		Started: func(t *fake.Task) {
-			if j := s.jobs[t.Job.Ref]; j.began == 0 {
-				j.began = s.clock.Now()
-			}
-		},
-		Ended: func(t *fake.Task) {
-			if t.Cause == wire.ExitDone {
-				s.jobs[t.Job.Ref].ran[t.Index]++
-			}
-		},
+	w.Worker = &fake.Worker{
+		Identity:  fake.Identity{Name: m.Name, Type: m.Type, Zone: m.Zone, Spot: m.Spot},
+		Resources: fake.Resources{CPUs: s.shape.Type.CPUs, Memory: s.shape.Type.MemoryGB, FetchSeconds: 1},
+		LeaseTime: clock.FromSeconds(s.shape.LeaseS),
+		Workload:  workload{s},
+		Observer:  observer{s},
+		Outputs:   s.outputs,
 	}
 	s.byName[m.Name] = w
 	return w
@@ -71,25 +55,23 @@
 		if err := json.Unmarshal(c.Body(), &o); err != nil {
 			return fiber.NewError(400, err.Error())
 		}
-		status, report := 0, (*wire.Heartbeat)(nil)
+		var result fake.CommandsResult
 		w.site.do(func() {
 			if w.dead {
 				return
 			}
-			var changed bool
-			status, report, changed = w.Orders(w.site.clock.Now(), o)
-			if changed {
+			if result = w.HandleCommands(w.site.clock.Now(), o); result.Changed {
 				w.hasChanged()
 			}
 		})
-		if report == nil {
-			return c.SendStatus(503)
+		if result.Heartbeat == nil {
+			return c.SendStatus(fiber.StatusServiceUnavailable)
 		}
-		return c.Status(status).JSON(report)
+		return c.Status(result.Status).JSON(result.Heartbeat)
 	})
 	app.Get("/inspect", func(c fiber.Ctx) error {
 		var report *wire.Heartbeat
-		w.site.do(func() { report = w.Report() })
+		w.site.do(func() { report = w.Heartbeat() })
 		return c.JSON(report)
 	})
 }
@@ -99,12 +81,12 @@
 
 // tick lets time pass for the worker: the actor calls it.
 func (w *worker) tick(now clock.Micros) {
-	w.dead = w.dead || w.rented.Gone
+	w.dead = w.dead || w.rented.Deleted
 	switch {
 	case w.dead || w.Address == "":
 		return
 	case !w.up:
-		if w.up = now >= w.rented.UpAt; w.up {
+		if w.up = now >= w.rented.BootedAt; w.up {
 			w.Boot(now)
 			w.next = now
 		}
@@ -121,7 +103,7 @@
 // send reports to the controller whose turn it is.
 func (w *worker) send(now clock.Micros) {
 	w.busy, w.last, w.next = true, now, now+jitter(clock.FromSeconds(w.site.shape.ReportS))
-	r, epoch := w.Report(), w.AgentEpoch
+	r, epoch := w.Heartbeat(), w.AgentEpoch
 	link := w.links[w.target]
 	go func() {
 		status, answer, redirect := w.post(link, r)
@@ -158,7 +140,7 @@
 	w.busy = false
 	switch {
 	case status == 200:
-		if w.Answered(now, sent, epoch, a) {
+		if w.HandleResponse(now, sent, epoch, a) {
 			w.hasChanged()
 		}
 	case status == 421 && w.redirected(to.Controller):
@@ -179,3 +161,43 @@
 	}
 	return false
 }
+
+// workload tells the workers what the users know of their jobs.
+type workload struct{ site *site }
+
+// Job implements fake.Workload.
+func (l workload) Job(ref string) (wire.Job, bool) {
+	if job := l.site.jobs[ref]; job != nil {
+		return job.spec, true
+	}
+	return wire.Job{}, false
+}
+
+// RunSeconds implements fake.Workload.
+func (l workload) RunSeconds(job *wire.Job, _ int) float64 { return l.site.jobs[job.Ref].runS }
+
+// Fails implements fake.Workload.
+func (l workload) Fails(job *wire.Job, _ int) bool { return l.site.jobs[job.Ref].mistaken }
+
+// observer counts what becomes of tasks.
+type observer struct{ site *site }
+
+// TaskOrdered implements fake.Observer.
+func (observer) TaskOrdered(*fake.Worker, *fake.Task) {}
+
+// TaskStarted implements fake.Observer.
+func (o observer) TaskStarted(_ *fake.Worker, t *fake.Task) {
+	if job := o.site.jobs[t.Job.Ref]; job.began == 0 {
+		job.began = o.site.clock.Now()
+	}
+}
+
+// TaskRestarted implements fake.Observer.
+func (observer) TaskRestarted(*fake.Worker, *fake.Task) {}
+
+// TaskEnded implements fake.Observer.
+func (o observer) TaskEnded(_ *fake.Worker, t *fake.Task) {
+	if t.Cause == wire.ExitDone {
+		o.site.jobs[t.Job.Ref].ran[t.Index]++
+	}
+}
--- a/internal/scenario/commands_faults_test.go
+++ b/internal/scenario/commands_faults_test.go
@@ -36,7 +36,7 @@
 
 // limitsCommand lowers the limits of the state service.
 func limitsCommand(t *testing.T, w *world, d *datadriven.TestData) string {
-	w.store.Lower(2, 4)
+	w.store.SetLimits(2, 4)
 	w.unannounced = w.next == nil || d.HasArg("early")
 	return ""
 }
@@ -74,7 +74,7 @@
 	if d.HasArg("down") {
 		w.store.Down = true
 	} else {
-		w.store.Up(w.now)
+		w.store.EndOutage(w.now)
 	}
 	return ""
 }
@@ -87,7 +87,7 @@
 		if d.HasArg("move") && s.Name != concerned {
 			continue
 		}
-		if of != "" && !slices.Contains(w.where(of), s) || d.HasArg("noticed") && s.NoticeS == nil {
+		if of != "" && !slices.Contains(w.where(of), s) || d.HasArg("noticed") && s.PreemptionNoticeS == nil {
 			continue
 		}
 		s.cut = d.HasArg("cut")
@@ -99,15 +99,15 @@
 		if d.HasArg("reboot") {
 			s.Reboot(w.now)
 		}
-		s.Sick = d.HasArg("sick")
+		s.FailsTasks = d.HasArg("sick")
 		s.holdUntil = w.now + span(t, d, "hold")
 		if d.HasArg("die") {
 			s.dead = true
-			s.rented.Dead = d.HasArg("listed")
+			s.rented.Failed = d.HasArg("listed")
 		}
 		if d.HasArg("notice") {
 			left := 10.0
-			s.NoticeS = &left
+			s.PreemptionNoticeS = &left
 			s.changed(w)
 		}
 	}
@@ -116,16 +116,16 @@
 
 // forgetCommand has the state service forget its changes.
 func forgetCommand(t *testing.T, w *world, d *datadriven.TestData) string {
-	w.store.Forget()
+	w.store.CompactChanges()
 	return ""
 }
 
 // nobootCommand keeps the next machines from booting, or has them boot and never report.
 func nobootCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	if d.HasArg("quiet") {
-		w.cloud.NoReport = arg(t, d, "next", 1)
+		w.cloud.NextNeverReport = arg(t, d, "next", 1)
 	} else {
-		w.cloud.NoBoot = arg(t, d, "next", 1)
+		w.cloud.NextNeverBoot = arg(t, d, "next", 1)
 	}
 	return ""
 }
@@ -134,7 +134,7 @@
 func bootCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	w.cloud.BootFactor = arg(t, d, "factor", 0.0)
 	if lag := span(t, d, "lag"); lag > 0 {
-		w.cloud.Lag = lag
+		w.cloud.ListLag = lag
 	}
 	return ""
 }
--- a/internal/scenario/commands_questions_test.go
+++ b/internal/scenario/commands_questions_test.go
@@ -179,7 +179,7 @@
 	ref := arg(t, d, "ref", "")
 	n, most := 0, arg(t, d, "most", 1)
 	for _, s := range w.workers {
-		n += s.Tried[ref]
+		n += s.RunCommands[ref]
 	}
 	if n > most {
 		return fmt.Sprintf("%d, more than %d", n, most)
@@ -203,8 +203,8 @@
 // machinesCommand counts the machines.
 func machinesCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	n := 0
-	for _, m := range w.cloud.Machines {
-		if !m.Gone {
+	for _, m := range w.cloud.Instances {
+		if !m.Deleted {
 			n++
 		}
 	}
@@ -213,7 +213,7 @@
 
 // machineCommand tells whether a machine is there.
 func machineCommand(t *testing.T, w *world, d *datadriven.TestData) string {
-	if m := w.cloud.Machines[arg(t, d, "name", "")]; m == nil || m.Gone {
+	if m := w.cloud.Instances[arg(t, d, "name", "")]; m == nil || m.Deleted {
 		return "gone"
 	}
 	return "there"
--- a/internal/scenario/history_checks_test.go
+++ b/internal/scenario/history_checks_test.go
@@ -58,7 +58,7 @@
 		{"changes that are not kept any more", "", func(w *world, h *history) {
 			w.put(t, "run/000/7-1", page)
 			w.put(t, leader.InstanceGroupPrefix+"r", roster)
-			w.store.Forget()
+			w.store.CompactChanges()
 			h.start(machine, attempt(1))
 		}},
 		{"one attempt on two machines", "attempt_repeated", func(_ *world, h *history) {
--- a/internal/scenario/history_test.go
+++ b/internal/scenario/history_test.go
@@ -68,7 +68,7 @@
 
 // sync takes in what the state service has stored since.
 func (h *history) sync() {
-	if !h.w.store.Known(h.revision) {
+	if !h.w.store.HasChangesSince(h.revision) {
 		items, revision := h.w.store.List("")
 		h.revision = revision
 		h.forgetStored()
@@ -77,7 +77,7 @@
 		}
 		return
 	}
-	changes := h.w.store.Since("", h.revision)
+	changes := h.w.store.ChangesSince("", h.revision)
 	h.revision = changes.Revision
 	for _, e := range changes.Events {
 		h.stored(e.Put+e.Delete, e.Value)
--- a/internal/scenario/node_test.go
+++ b/internal/scenario/node_test.go
@@ -117,7 +117,7 @@
 	if n.reaches() {
 		if n.leaderRev > 0 {
 			n.sendsWatch(leader.Key, n.leaderRev)
-			a := n.w.store.Since(leader.Key, n.leaderRev)
+			a := n.w.store.ChangesSince(leader.Key, n.leaderRev)
 			n.leaderRev = max(n.leaderRev, a.Revision)
 			for _, ev := range a.Events {
 				seen, ok, err := election.ObserveEvent(ev)
@@ -127,14 +127,14 @@
 				}
 			}
 		}
-		if n.jobEpoch > 0 && !n.w.store.Known(n.jobRev) {
+		if n.jobEpoch > 0 && !n.w.store.HasChangesSince(n.jobRev) {
 			epoch := n.jobEpoch
 			n.jobEpoch = 0
 			n.electorStep(election.Resign{Term: epoch})
 		}
 		if n.jobEpoch > 0 && !n.stale {
 			n.sendsWatch(leader.JobPrefix, n.jobRev)
-			a := n.w.store.Since(leader.JobPrefix, n.jobRev)
+			a := n.w.store.ChangesSince(leader.JobPrefix, n.jobRev)
 			n.jobRev = max(n.jobRev, a.Revision)
 			n.leaderStep(leader.JobsChanged{Term: n.jobEpoch, Events: a.Events, RequestedAt: n.w.now})
 		}
@@ -170,7 +170,7 @@
 		sent := w.now
 		found := false
 		n.sendsTouch(x.Lease)
-		n.ask(func() { found = w.store.Touch(w.now, x.Lease) }, func(err error) {
+		n.ask(func() { found = w.store.RenewLease(w.now, x.Lease) }, func(err error) {
 			if err == nil && !found {
 				err = store.ErrNotFound
 			}
@@ -264,7 +264,7 @@
 		if s.dead || s.deaf {
 			return
 		}
-		r := s.Report()
+		r := s.Heartbeat()
 		s.deliver(n.w, n, n.still(func() { settle(r) }))
 	})
 }
@@ -288,7 +288,7 @@
 	}))
 	carryOut := func() {
 		if !s.dead && !s.deaf {
-			s.Orders(w.now, o.Body)
+			s.HandleCommands(w.now, o.Body)
 		}
 	}
 	if w.commandsLate > 0 && w.rng.Float64() < w.commandsLate {
@@ -300,14 +300,14 @@
 		if s.dead || s.deaf {
 			return
 		}
-		status, r, changed := s.Orders(w.now, o.Body)
-		if changed {
+		result := s.HandleCommands(w.now, o.Body)
+		if result.Changed {
 			s.changed(w)
 		}
 		s.deliver(w, n, n.still(func() {
 			if !settled {
 				settled = true
-				done.Code, done.Status = status, r
+				done.Code, done.Status = result.Status, result.Heartbeat
 				n.holderStep(done)
 			}
 		}))
--- a/internal/scenario/random_faults_test.go
+++ b/internal/scenario/random_faults_test.go
@@ -64,7 +64,7 @@
 	"requests are held":        func(w *world, f fault) func() { f.node(w).holdUntil = w.now + f.lasts; return func() {} },
 	"writes come late":         func(w *world, f fault) func() { return onAll(w, func(n *simNode) *float64 { return &n.late }, f.share) },
 	"answers are lost":         func(w *world, f fault) func() { return onAll(w, func(n *simNode) *float64 { return &n.lost }, f.share) },
-	"store is out":             func(w *world, _ fault) func() { w.store.Down = true; return func() { w.store.Up(w.now) } },
+	"store is out":             func(w *world, _ fault) func() { w.store.Down = true; return func() { w.store.EndOutage(w.now) } },
 	"cloud is out":             func(w *world, _ fault) func() { return set(&w.cloudDown) },
 	"cloud is late":            func(w *world, f fault) func() { w.cloudLate = f.share; return func() { w.cloudLate = 0 } },
 	"commands come late":       func(w *world, f fault) func() { w.commandsLate = f.share; return func() { w.commandsLate = 0 } },
@@ -80,9 +80,9 @@
 		s.hungUntil = w.now + f.lasts
 		return func() {}
 	}),
-	"machines fail tasks": onMachines(func(_ *world, _ fault, s *simWorker) func() { return set(&s.Sick) }),
+	"machines fail tasks": onMachines(func(_ *world, _ fault, s *simWorker) func() { return set(&s.FailsTasks) }),
 	"machines end": onMachines(func(_ *world, _ fault, s *simWorker) func() {
-		s.dead, s.rented.Dead = true, true
+		s.dead, s.rented.Failed = true, true
 		return func() {}
 	}),
 	"machines begin anew": onMachines(func(w *world, _ fault, s *simWorker) func() {
@@ -98,9 +98,9 @@
 	"reports are kept for the next leader": onMachines(func(_ *world, _ fault, s *simWorker) func() { return set(&s.keeps) }),
 	"machines are taken back": onMachines(func(w *world, f fault, s *simWorker) func() {
 		left := 12.0
-		s.NoticeS = &left
+		s.PreemptionNoticeS = &left
 		s.changed(w)
-		w.after(12*clock.Second, func() { s.rented.Gone = true })
+		w.after(12*clock.Second, func() { s.rented.Deleted = true })
 		return func() {}
 	}),
 	"jobs are called off": func(w *world, f fault) func() {
@@ -121,8 +121,8 @@
 		return func() {}
 	},
 	"machines never report": func(w *world, f fault) func() {
-		w.cloud.NoReport = f.many / 4
-		return func() { w.cloud.NoReport = 0 }
+		w.cloud.NextNeverReport = f.many / 4
+		return func() { w.cloud.NextNeverReport = 0 }
 	},
 	"machines boot late or at once": func(w *world, f fault) func() {
 		w.cloud.BootFactor = []float64{0.05, 3, 6}[f.who%3]
@@ -169,7 +169,7 @@
 func onMachines(each func(*world, fault, *simWorker) func()) func(*world, fault) func() {
 	return func(w *world, f fault) func() {
 		var ends []func()
-		machines := slices.DeleteFunc(slices.Clone(w.workers), func(s *simWorker) bool { return s.dead || s.rented.Gone })
+		machines := slices.DeleteFunc(slices.Clone(w.workers), func(s *simWorker) bool { return s.dead || s.rented.Deleted })
 		if f.who%2 == 0 {
 			slices.SortStableFunc(machines, func(a, b *simWorker) int { return len(b.Tasks) - len(a.Tasks) })
 		}
@@ -298,8 +298,8 @@
 	w := newWorld(name, cfg, []wire.MachineType{{Name: "small", CPUs: 4, MemoryGB: 8, CacheGB: 40, FetchGBPS: 1, Price: 0.3, SpotPrice: 0.1, BootS: 6, ZoneNames: f.Zones}}, seed)
 	w.cloud.Capacity = machines
 	for i := range machines / 3 {
-		m := w.cloud.Add(0, "small", f.Zones[i%2], i%4 == 0)
-		m.UpAt, m.Listed = 0, 0
+		m := w.cloud.CreateInstance(0, "small", f.Zones[i%2], i%4 == 0)
+		m.BootedAt, m.ListedAt = 0, 0
 	}
 	return w
 }
@@ -434,7 +434,7 @@
 			continue
 		}
 		for _, s := range w.workers {
-			if !s.dead && slices.ContainsFunc(s.Tasks, func(t *fake.Task) bool { return t.Job.Ref == ref && t.Holds() }) {
+			if !s.dead && slices.ContainsFunc(s.Tasks, func(t *fake.Task) bool { return t.Job.Ref == ref && t.IsActive() }) {
 				w.breaks("goes on: %s on %s", ref, s.Name)
 			}
 		}
--- a/internal/scenario/rules_test.go
+++ b/internal/scenario/rules_test.go
@@ -19,7 +19,7 @@
 			return !n.alive || n.refused || n.cut || n.blind || n.stale || n.late > 0 || n.lost > 0 || n.loseAnswers > 0 || n.holdUntil > w.now || n.frozenUntil > w.now
 		}) ||
 		slices.ContainsFunc(w.workers, func(s *simWorker) bool {
-			return !s.rented.Gone && (s.dead || s.cut || s.deaf || s.mute || s.Sick || s.copies > 0 || s.keeps || s.holdUntil > w.now || s.hungUntil > w.now)
+			return !s.rented.Deleted && (s.dead || s.cut || s.deaf || s.mute || s.FailsTasks || s.copies > 0 || s.keeps || s.holdUntil > w.now || s.hungUntil > w.now)
 		})
 }
 
@@ -45,7 +45,7 @@
 	type room struct{ cpus, mem float64 }
 	free := map[*simWorker]room{}
 	for _, s := range w.workers {
-		if s.dead || s.NoticeS != nil {
+		if s.dead || s.PreemptionNoticeS != nil {
 			continue
 		}
 		r := room{s.CPUs, s.Memory}
@@ -162,7 +162,7 @@
 	use := 0.0
 	zones := map[string]int{}
 	on := append(w.holds[t.Job.Team], held{at, t})
-	on = slices.DeleteFunc(on, func(h held) bool { return h.s.dead || !h.t.Holds() || h.s.leaseRanOut(w.now) })
+	on = slices.DeleteFunc(on, func(h held) bool { return h.s.dead || !h.t.IsActive() || h.s.leaseRanOut(w.now) })
 	w.holds[t.Job.Team] = on
 	for _, h := range on {
 		if h.t.Task == t.Task && h.t != t {
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -99,12 +99,12 @@
 		}
 	}
 	for i := range arg(t, d, "machines", 0) {
-		m := w.cloud.Add(0, "small", f.Zones[i%2], d.HasArg("spot"))
-		m.UpAt, m.Listed = 0, 0
+		m := w.cloud.CreateInstance(0, "small", f.Zones[i%2], d.HasArg("spot"))
+		m.BootedAt, m.ListedAt = 0, 0
 	}
 	for range arg(t, d, "big", 0) {
-		m := w.cloud.Add(0, "big", "a", d.HasArg("spot"))
-		m.UpAt, m.Listed = 0, 0
+		m := w.cloud.CreateInstance(0, "big", "a", d.HasArg("spot"))
+		m.BootedAt, m.ListedAt = 0, 0
 	}
 	return w
 }
@@ -240,7 +240,7 @@
 // where lists the machines that a job's tasks are on.
 func (w *world) where(ref string) (out []*simWorker) {
 	for _, s := range w.workers {
-		if !s.dead && slices.ContainsFunc(s.Tasks, func(t *fake.Task) bool { return t.Job.Ref == ref && t.Holds() }) {
+		if !s.dead && slices.ContainsFunc(s.Tasks, func(t *fake.Task) bool { return t.Job.Ref == ref && t.IsActive() }) {
 			out = append(out, s)
 		}
 	}
@@ -251,7 +251,7 @@
 func (w *world) on(ref string) (n int) {
 	for _, s := range w.workers {
 		for _, t := range s.Tasks {
-			if t.Job.Ref == ref && t.Holds() && !s.dead {
+			if t.Job.Ref == ref && t.IsActive() && !s.dead {
 				n++
 			}
 		}
--- a/internal/scenario/size_test.go
+++ b/internal/scenario/size_test.go
@@ -115,7 +115,7 @@
 		w.submitTo(t, z, i, z.tasks)
 	}
 	w.run(75 * clock.Second)
-	machines := len(w.cloud.Machines)
+	machines := len(w.cloud.Instances)
 	if machines < z.machines*9/10 {
 		t.Errorf("%d of %d machines were rented", machines, z.machines)
 	}
@@ -186,7 +186,7 @@
 // unanswered counts the workers that have had no answer to a report sent since then.
 func (w *world) unanswered(since clock.Micros) (n int) {
 	for _, s := range w.workers {
-		if !s.dead && s.Renewed() < since {
+		if !s.dead && s.LeaseRenewedAt() < since {
 			n++
 		}
 	}
@@ -205,7 +205,7 @@
 	up := func() (n int) {
 		for _, s := range w.workers {
 			for _, t := range s.Tasks {
-				if t.Job.IsService() && t.Holds() && !s.dead {
+				if t.Job.IsService() && t.IsActive() && !s.dead {
 					n++
 				}
 			}
--- a/internal/scenario/worker_test.go
+++ b/internal/scenario/worker_test.go
@@ -37,21 +37,14 @@
 			t = x
 		}
 	}
-	s := &simWorker{rented: m, Worker: &fake.Worker{Name: m.Name, Address: m.Address, Type: m.Type, Zone: m.Zone, Spot: m.Spot,
-		Lease: w.cfg.LeaseTime(), CPUs: t.CPUs, Memory: t.MemoryGB, FetchS: 1,
-		Find:  func(ref string) (wire.Job, bool) { j, ok := w.jobs[ref]; return j, ok },
-		RunS:  func(j *wire.Job, i int) float64 { return w.runS[j.Ref] },
-		Fails: func(j *wire.Job, i int) bool { return w.mistaken[j.Ref] > 0 && i%w.mistaken[j.Ref] == 0 }}}
-	s.Kept, s.Progress = w.kept, w.progress
-	s.Ordered = func(t *fake.Task) { w.history.order(s.Name, t) }
-	s.Started = func(t *fake.Task) { w.started(s, t) }
-	s.Restarted = w.history.restart
-	s.Ended = func(t *fake.Task) {
-		if t.Cause == wire.ExitDone {
-			w.ran[t.Task]++
-			w.history.complete(t)
-		}
-	}
+	s := &simWorker{rented: m, Worker: &fake.Worker{
+		Identity:  fake.Identity{Name: m.Name, Address: m.Address, Type: m.Type, Zone: m.Zone, Spot: m.Spot},
+		Resources: fake.Resources{CPUs: t.CPUs, Memory: t.MemoryGB, FetchSeconds: 1},
+		LeaseTime: w.cfg.LeaseTime(),
+		Workload:  workload{w},
+		Observer:  observer{w},
+		Outputs:   w.outputs,
+	}}
 	s.Boot(w.now)
 	s.nextAt = w.now
 	s.target = w.rng.IntN(len(w.nodes))
@@ -59,10 +52,48 @@
 	w.byName[s.Name] = s
 }
 
+// workload tells the fake workers what the users know of their jobs.
+type workload struct{ w *world }
+
+// Job implements fake.Workload.
+func (l workload) Job(ref string) (wire.Job, bool) {
+	job, ok := l.w.jobs[ref]
+	return job, ok
+}
+
+// RunSeconds implements fake.Workload.
+func (l workload) RunSeconds(job *wire.Job, _ int) float64 { return l.w.runS[job.Ref] }
+
+// Fails implements fake.Workload.
+func (l workload) Fails(job *wire.Job, index int) bool {
+	each := l.w.mistaken[job.Ref]
+	return each > 0 && index%each == 0
+}
+
+// observer tells the rules what becomes of tasks.
+type observer struct{ w *world }
+
+// TaskOrdered implements fake.Observer.
+func (o observer) TaskOrdered(on *fake.Worker, t *fake.Task) { o.w.history.order(on.Name, t) }
+
+// TaskStarted implements fake.Observer.
+func (o observer) TaskStarted(on *fake.Worker, t *fake.Task) { o.w.started(o.w.worker(on.Name), t) }
+
+// TaskRestarted implements fake.Observer.
+func (o observer) TaskRestarted(_ *fake.Worker, t *fake.Task) { o.w.history.restart(t) }
+
+// TaskEnded implements fake.Observer.
+func (o observer) TaskEnded(_ *fake.Worker, t *fake.Task) {
+	if t.Cause == wire.ExitDone {
+		o.w.ran[t.Task]++
+		o.w.history.complete(t)
+	}
+}
+
 // leaseRanOut says whether a machine hangs for longer than its lease: it may go on within its lease
 // only, so what it held is gone.
 func (s *simWorker) leaseRanOut(now clock.Micros) bool {
-	return s.hungUntil > now && now > s.Renewed()+s.Lease
+	return s.hungUntil > now && now > s.LeaseRenewedAt()+s.LeaseTime
 }
 
 // allowed says whether a job's tasks may run on the machine, whatever room it has.
@@ -73,7 +104,7 @@
 // Workers.
 
 func (s *simWorker) tick(w *world) {
-	if s.rented.Gone {
+	if s.rented.Deleted {
 		s.dead = true
 	}
 	if s.dead {
@@ -92,7 +123,7 @@
 	s.lastAt = w.now
 	every := clock.FromSeconds(w.cfg.Facts.Workers.ReportS)
 	s.nextAt = w.now + every*3/4 + clock.Micros(w.rng.Int64N(int64(every/2)))
-	r := s.Report()
+	r := s.Heartbeat()
 	sent, session, n := w.now, s.AgentEpoch, w.nodes[s.target]
 	settled := false
 	next := func(to int, wait clock.Micros) {
@@ -132,7 +163,7 @@
 					switch {
 					case a.Status == 200:
 						settled, s.busy = true, false
-						if s.Answered(w.now, sent, session, a.Body) {
+						if s.HandleResponse(w.now, sent, session, a.Body) {
 							s.changed(w)
 						}
 					case a.Status == 421 && a.Redirect.Controller != "":
--- a/internal/scenario/world_test.go
+++ b/internal/scenario/world_test.go
@@ -33,11 +33,10 @@
 	runS        map[string]float64
 	aborted     map[string]clock.Micros // when the user was told
 	broken      []string
-	malformed   int                // transactions that the state service refused for their form
-	unannounced bool               // its limits fell below what the settings say
-	ran         map[string]int     // completed runs by task
-	kept        map[string]bool    // results of completed tasks
-	progress    map[string]float64 // saved run time of tasks
+	malformed   int            // transactions that the state service refused for their form
+	unannounced bool           // its limits fell below what the settings say
+	ran         map[string]int // completed runs by task
+	outputs     *fake.Outputs
 	history     *history
 	next        *config.Next            // limits that the settings name for later
 	sent        map[string]clock.Micros // when a job was accepted
@@ -73,7 +72,7 @@
 		byName: map[string]*simWorker{}, holds: map[string][]held{},
 		jobs: map[string]wire.Job{}, runS: map[string]float64{}, aborted: map[string]clock.Micros{}, ran: map[string]int{}, next: cfg.Facts.State.Next, sent: map[string]clock.Micros{}, begun: map[string]clock.Micros{},
 		told: map[string]wire.JobState{}, fits: map[string]clock.Micros{}, bodies: map[string][]byte{}, mistaken: map[string]int{}, tried: map[string]clock.Micros{}}
-	w.kept, w.progress, w.history = map[string]bool{}, map[string]float64{}, newHistory(w)
+	w.outputs, w.history = fake.NewOutputs(), newHistory(w)
 	for i := range cfg.Facts.InitialSize {
 		n := &simNode{w: w, i: i, name: fmt.Sprintf("n%d", i), cfg: cfg}
 		n.cfg.Name = n.name
@@ -101,18 +100,18 @@
 }
 
 func (w *world) tick() {
-	w.store.Expire(w.now)
+	w.store.ExpireLeases(w.now)
 	for _, n := range w.nodes {
 		n.tick()
 	}
-	w.coming = append(w.coming, w.cloud.Order[w.rented:]...)
-	w.rented = len(w.cloud.Order)
+	w.coming = append(w.coming, w.cloud.Created[w.rented:]...)
+	w.rented = len(w.cloud.Created)
 	w.coming = slices.DeleteFunc(w.coming, func(m *fake.Instance) bool {
-		up := !m.Gone && !m.Dead && !m.Never && !m.Quiet && w.now >= m.UpAt
+		up := !m.Deleted && !m.Failed && !m.NeverBoots && !m.NeverReports && w.now >= m.BootedAt
 		if up {
 			w.boot(m)
 		}
-		return up || m.Gone
+		return up || m.Deleted
 	})
 	for _, s := range w.workers {
 		s.tick(w)
@@ -121,7 +120,7 @@
 		if w.now-w.aborted[ref] > clock.FromSeconds(w.cfg.Facts.Workers.CancelS) {
 			for _, s := range w.workers {
 				for _, t := range s.Tasks {
-					if t.Job.Ref == ref && t.Holds() && !s.dead {
+					if t.Job.Ref == ref && t.IsActive() && !s.dead {
 						w.breaks("ran_cancelled: %s on %s", t.Task, s.Name)
 					}
 				}
