--- a/cmd/loopback/main.go
+++ b/cmd/loopback/main.go
@@ -1,4 +1,4 @@
-// Command loopback runs a small site of stand-ins and real controllers on 127.0.0.1, to try and to measure
+// Command loopback runs a small site of fakes and real controllers on 127.0.0.1, to try and to measure
 // the service.
 package main
 
@@ -80,7 +80,7 @@
 			}
 			defer c.Stop()
 			out := cmd.OutOrStdout()
-			fmt.Fprintf(out, "settings and logs are in %s; watch with\n  %s status --config %s\n", dir, o.binary, c.Controllers[0].Config)
+			fmt.Fprintf(out, "settings and logs are in %s; watch with\n  %s status --config %s\n", dir, o.binary, c.Controllers[0].SettingsFile)
 			return serve(cmd.Context(), c, cmd.InOrStdin(), out)
 		},
 	}
@@ -90,14 +90,14 @@
 func serve(ctx context.Context, c *loopback.Cluster, in io.Reader, out io.Writer) error {
 	s := loopback.DefaultSurge()
 	surges := make(chan struct{}, 1)
-	go s.Endless(ctx, c, surges)
+	go s.PlayUntilDone(ctx, c, surges)
 	var operator operator
 	lines := bufio.NewScanner(in)
 	for lines.Scan() {
 		switch line := strings.TrimSpace(lines.Text()); line {
 		case "surge":
 			surges <- struct{}{}
-			fmt.Fprintln(out, "one team submits ten times its usual volume for", s.Lasts)
+			fmt.Fprintln(out, "one team submits ten times its usual volume for", s.Duration)
 		case "load":
 			sample := c.Sample()
 			fmt.Fprintf(out, "%d machines, mean load %.2f, greatest %.2f (%.2f times the mean)\n", sample.Machines, sample.Mean, sample.Greatest, sample.OverMean())
@@ -112,8 +112,8 @@
 			}
 		case "start":
 			for _, k := range c.Controllers {
-				if !k.Alive() {
-					if err := c.Run(k); err != nil {
+				if !k.IsRunning() {
+					if err := k.Start(); err != nil {
 						return err
 					}
 				}
@@ -189,9 +189,9 @@
 	}
 	fmt.Fprintf(w, "from two minutes on: at most %.2f times the mean, %d s above twice\n", r.WorstSettled, r.AboveTwice)
 	fmt.Fprintf(w, "moves %+v, %d image fetches, %.0f s of work redone, %.1f s of processor time, %d submissions refused, %d tasks completed twice\n",
-		r.Moves, r.Fetches, r.RedoneS, r.CPUSeconds, r.Refused, r.Again)
+		r.Migrations, r.ImageFetches, r.LostS, r.CPUSeconds, r.RefusedSubmissions, r.RepeatedTasks)
 	for _, t := range r.Waits {
-		fmt.Fprintf(w, "%s: %d of %d jobs begun, after %.1f s (median), %.1f s (most)\n", t.Team, t.Begun, t.Jobs, t.MedianS, t.MostS)
+		fmt.Fprintf(w, "%s: %d of %d jobs begun, after %.1f s (median), %.1f s (most)\n", t.Team, t.StartedJobs, t.Jobs, t.MedianS, t.LongestS)
 	}
 }
 
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -154,7 +154,7 @@
 	return nil
 }
 
-// MaxValueBytes is what a value of the state service may hold, now and later: limits may
+// ValueMax is what a value of the state service may hold, now and later: limits may
 // fall at any moment, and a value over them would be refused for ever.
 func (c *Config) ValueMax() int {
 	kb := c.Facts.State.ValueKB
@@ -167,7 +167,7 @@
 // ValueBytes is how much we put into one value of the state service at most.
 func (c *Config) ValueBytes() int { return c.ValueMax() * 9 / 10 }
 
-// MaxTxnWrites is how many puts and deletes a transaction may hold, now and later. The rate of
+// TxnOps is how many puts and deletes a transaction may hold, now and later. The rate of
 // changes needs no such care: it follows what the state service answers.
 func (c *Config) TxnOps() int {
 	ops := c.Facts.State.TxnOps
--- a/internal/loopback/link.go
+++ b/internal/loopback/link.go
@@ -2,6 +2,7 @@
 
 import (
 	"net"
+	"sync"
 	"sync/atomic"
 	"time"
 )
@@ -15,10 +16,13 @@
 }
 
 // Link carries the connections that one party opens to another. What it holds while it is cut is
-// delivered once it is whole again, as a network may.
+// delivered once it is whole again, as a network may. It runs until it is closed.
 type Link struct {
 	listen, target string
 	state          atomic.Pointer[linkState]
+	close          func()
+	closed         chan struct{}
+	running        sync.WaitGroup // its goroutines
 }
 
 // linkState is a condition; changed is closed when the next one takes its place.
@@ -27,19 +31,30 @@
 	changed chan struct{}
 }
 
+// pieceSize is the most that is carried at once.
+const pieceSize = 16 << 10
+
 // newLink listens on loopback and connects to the target.
 func newLink(target string) (*Link, error) {
-	l := &Link{target: target}
-	l.state.Store(&linkState{changed: make(chan struct{})})
-	first, err := net.Listen("tcp4", "127.0.0.1:0")
+	listener, err := listenTCP("127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	l.listen = first.Addr().String()
-	go l.serve(first)
+	l := &Link{listen: listener.Addr().String(), target: target, closed: make(chan struct{})}
+	l.close = sync.OnceFunc(func() { close(l.closed) })
+	l.state.Store(&linkState{changed: make(chan struct{})})
+	l.running.Go(func() { l.serve(listener) })
 	return l, nil
 }
 
+func listenTCP(address string) (*net.TCPListener, error) {
+	resolved, err := net.ResolveTCPAddr("tcp4", address)
+	if err != nil {
+		return nil, err
+	}
+	return net.ListenTCP("tcp4", resolved)
+}
+
 // Set changes the link's condition.
 func (l *Link) Set(c Condition) {
 	close(l.state.Swap(&linkState{Condition: c, changed: make(chan struct{})}).changed)
@@ -48,63 +63,95 @@
 // Heal makes the link whole again.
 func (l *Link) Heal() { l.Set(Condition{}) }
 
-// serve accepts connections while the link is not refused, and none while it is.
-func (l *Link) serve(on net.Listener) {
-	for {
-		s := l.state.Load()
-		if s.Refused {
-			on.Close()
-			<-s.changed
-			again, err := net.Listen("tcp4", l.listen)
-			if err != nil {
-				time.Sleep(tickEvery)
-				continue
-			}
-			on = again
+// Close ends the link with all its connections, and returns once they have ended.
+func (l *Link) Close() {
+	l.close()
+	l.running.Wait()
+}
+
+// serve accepts connections while the link is not refused, and none while it is, until the link is closed.
+func (l *Link) serve(listener *net.TCPListener) {
+	defer func() { _ = listener.Close() }() // nobody is left to be told
+	for !l.isClosed() {
+		state := l.state.Load()
+		if !state.Refused {
+			l.accept(listener, state)
 			continue
 		}
-		over := make(chan struct{})
-		go func() {
-			select {
-			case <-s.changed:
-				on.(*net.TCPListener).SetDeadline(time.Now()) // accept looks at the new condition
-			case <-over:
-			}
-		}()
-		c, err := on.Accept()
-		close(over)
+		_ = listener.Close() // if it failed, the port could not be opened again below
+		l.waitFor(state.changed)
+		reopened, err := listenTCP(l.listen)
 		if err != nil {
-			on.(*net.TCPListener).SetDeadline(time.Time{})
+			time.Sleep(tickInterval) // another program has the port for the moment
 			continue
 		}
-		go l.carry(c)
+		listener = reopened
 	}
 }
 
-// carry copies both ways until one side ends.
-func (l *Link) carry(near net.Conn) {
-	far, err := net.DialTimeout("tcp4", l.target, time.Second)
+// accept accepts one connection, or none if the condition changes before one comes.
+func (l *Link) accept(listener *net.TCPListener, state *linkState) {
+	accepted := make(chan struct{})
+	l.running.Go(func() {
+		select {
+		case <-state.changed:
+		case <-l.closed:
+		case <-accepted:
+			return
+		}
+		listener.SetDeadline(time.Now()) // ends Accept
+	})
+	near, err := listener.Accept()
+	close(accepted)
 	if err != nil {
-		near.Close()
+		listener.SetDeadline(time.Time{})
 		return
 	}
-	end := make(chan struct{}, 2)
-	go l.copy(near, far, end, func(c Condition) bool { return c.CutTo })
-	go l.copy(far, near, end, func(c Condition) bool { return c.CutFrom })
-	<-end
-	near.Close()
-	far.Close()
+	l.running.Go(func() { l.carry(near) })
 }
 
-// pieceSize is the most that is carried at once.
-const pieceSize = 16 << 10
+func (l *Link) isClosed() bool {
+	select {
+	case <-l.closed:
+		return true
+	default:
+		return false
+	}
+}
 
-func (l *Link) copy(from, to net.Conn, end chan<- struct{}, cut func(Condition) bool) {
-	defer func() { end <- struct{}{} }()
+// waitFor waits until the condition changes or the link is closed.
+func (l *Link) waitFor(changed <-chan struct{}) {
+	select {
+	case <-changed:
+	case <-l.closed:
+	}
+}
+
+// carry copies both ways until one side ends or the link is closed.
+func (l *Link) carry(near net.Conn) {
+	defer near.Close()
+	far, err := net.DialTimeout("tcp4", l.target, dialTimeout)
+	if err != nil {
+		return
+	}
+	defer far.Close()
+	const ways = 2
+	ended := make(chan struct{}, ways)
+	l.running.Go(func() { l.copy(near, far, ended, func(c Condition) bool { return c.CutTo }) })
+	l.running.Go(func() { l.copy(far, near, ended, func(c Condition) bool { return c.CutFrom }) })
+	select {
+	case <-ended:
+	case <-l.closed:
+	}
+}
+
+// copy carries one way until either end is closed or the link ends.
+func (l *Link) copy(from, to net.Conn, ended chan<- struct{}, isCut func(Condition) bool) {
+	defer func() { ended <- struct{}{} }()
 	piece := make([]byte, pieceSize)
 	for {
 		n, err := from.Read(piece)
-		if err != nil || !l.pass(cut) {
+		if err != nil || !l.awaitDelivery(isCut) {
 			return
 		}
 		if _, err := to.Write(piece[:n]); err != nil {
@@ -113,17 +160,18 @@
 	}
 }
 
-// pass waits until a piece may go on; false when the connection is to end.
-func (l *Link) pass(cut func(Condition) bool) bool {
-	for {
-		s := l.state.Load()
-		if s.Refused {
+// awaitDelivery waits until a piece may go on; false when the connection is to end.
+func (l *Link) awaitDelivery(isCut func(Condition) bool) bool {
+	for !l.isClosed() {
+		state := l.state.Load()
+		if state.Refused {
 			return false
 		}
-		if !cut(s.Condition) {
-			time.Sleep(s.Delay)
+		if !isCut(state.Condition) {
+			time.Sleep(state.Delay)
 			return true
 		}
-		<-s.changed
+		l.waitFor(state.changed)
 	}
+	return false
 }
--- a/internal/loopback/loopback_test.go
+++ b/internal/loopback/loopback_test.go
@@ -39,17 +39,41 @@
 }
 
 // quickMoves has tasks moved soon after their start.
-const quickMoves = `spread: {enabled: true, least_run_s: 1, calm_s: 1, pause_s: 0, every_s: 0.25, move_above: 1.2, bound: 1.1, moves_part: 0.25, imbalance_s: 600}
+const quickMoves = `spread: {enabled: true, least_run_s: 1, calm_s: 1, pause_s: 0, every_s: 0.25, move_above: 1.2,
+  bound: 1.1, moves_part: 0.25, imbalance_s: 600}
 fleet: {reserve: 10, idle_s: 3600}
 `
 
-func submitAll(t *testing.T, c *Cluster, from, n, tasks int, runS float64) (refs []string) {
+// batch is a series of equal jobs.
+type batch struct {
+	first, jobs int // numbers of the jobs
+	tasks       int
+	runS        float64
+}
+
+// submitAll submits a batch and returns the references of its jobs.
+func submitAll(t *testing.T, c *Cluster, b batch) (refs []string) {
 	t.Helper()
-	for i := from; i < from+n; i++ {
-		j := wire.Job{Ref: fmt.Sprintf("j-%06d", i), Class: "l", Team: c.site.shape.Teams[i%2], Shape: wire.ShapeBatch, Priority: wire.PriorityStandard, Tasks: tasks,
-			CPUs: 0.5, MemoryGB: 0.5, Image: fmt.Sprint("img-", i%2), ImageGB: 1, Spot: true, EstimateS: 60, CheckpointS: 1, SaveS: 0.5}
-		eventually(t, "accepted", func() bool { return c.Submit(c.Controllers[i%len(c.Controllers)], j, runS) == nil })
-		refs = append(refs, j.Ref)
+	for i := b.first; i < b.first+b.jobs; i++ {
+		job := wire.Job{
+			Ref:         fmt.Sprintf("j-%06d", i),
+			Class:       "l",
+			Team:        c.site.shape.Teams[i%2],
+			Shape:       wire.ShapeBatch,
+			Priority:    wire.PriorityStandard,
+			Tasks:       b.tasks,
+			CPUs:        0.5,
+			MemoryGB:    0.5,
+			Image:       fmt.Sprint("img-", i%2),
+			ImageGB:     1,
+			Spot:        true,
+			EstimateS:   60,
+			CheckpointS: 1,
+			SaveS:       0.5,
+		}
+		controller := c.Controllers[i%len(c.Controllers)]
+		eventually(t, "accepted", func() bool { return c.Submit(controller, job, b.runS) == nil })
+		refs = append(refs, job.Ref)
 	}
 	return refs
 }
@@ -57,8 +81,8 @@
 func allDone(t *testing.T, c *Cluster, refs []string, tasks int) {
 	t.Helper()
 	for _, ref := range refs {
-		eventually(t, ref+" is done", func() bool { return c.State(c.Controllers[0], ref) == wire.JobDone })
-		if ran, again := c.Ran(ref); ran != tasks || again > 0 {
+		eventually(t, ref+" is done", func() bool { return c.JobState(c.Controllers[0], ref) == wire.JobDone })
+		if ran, again := c.CompletedTasks(ref); ran != tasks || again > 0 {
 			t.Errorf("%s: %d of %d tasks have run, %d more than once", ref, ran, tasks, again)
 		}
 	}
@@ -77,10 +101,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Stop()
+	t.Cleanup(c.Stop)
 	eventually(t, "a controller leads", func() bool { k, _ := c.Leader(); return k != nil })
-	long := submitAll(t, c, 1, 4, 4, 12)
-	short := submitAll(t, c, 11, 4, 4, 2)
+	long := submitAll(t, c, batch{first: 1, jobs: 4, tasks: 4, runS: 12})
+	short := submitAll(t, c, batch{first: 11, jobs: 4, tasks: 4, runS: 2})
 	eventually(t, "work runs", func() bool { return c.Sample().Mean > 0 })
 	allDone(t, c, short, 4)
 
@@ -91,31 +115,31 @@
 	// With the leader ended and another controller cut off from the state service, the third one leads.
 	cut := c.Controllers[(indexOf(c, first)+1)%len(c.Controllers)]
 	third := c.Controllers[(indexOf(c, first)+2)%len(c.Controllers)]
-	cut.State.Set(Condition{CutFrom: true})
+	cut.StoreLink.Set(Condition{CutFrom: true})
 	first.Kill()
 	eventually(t, "the third controller leads", func() bool { k, _ := c.Leader(); return k == third })
-	cut.State.Heal()
+	cut.StoreLink.Heal()
 	// Commands to one worker are held, reports of another: both work on when the links are whole again.
-	held := []*Link{c.CommandLink(1), c.ReportLink(2, indexOf(c, third))}
+	held := []*Link{c.CommandLink(1), c.HeartbeatLink(2, indexOf(c, third))}
 	for _, l := range held {
 		l.Set(Condition{CutTo: true})
 	}
-	more := submitAll(t, c, 31, 2, 4, 1)
+	more := submitAll(t, c, batch{first: 31, jobs: 2, tasks: 4, runS: 1})
 	for _, l := range held {
 		l.Heal()
 	}
-	if err := c.Run(first); err != nil {
+	if err := first.Start(); err != nil {
 		t.Fatal(err)
 	}
-	c.EndWorker(0)
+	c.FailMachine(0)
 	eventually(t, "the first controller answers again", func() bool {
 		row := c.Status()[indexOf(c, first)]
 		return row.Status != nil && row.Status.Leader != ""
 	})
 	allDone(t, c, long, 4)
 	allDone(t, c, more, 4)
-	eventually(t, "the cut controller knows the ends, too", func() bool { return c.State(cut, long[0]) == wire.JobDone })
-	allDone(t, c, submitAll(t, c, 21, 3, 4, 1), 4)
+	eventually(t, "the cut controller knows the ends, too", func() bool { return c.JobState(cut, long[0]) == wire.JobDone })
+	allDone(t, c, submitAll(t, c, batch{first: 21, jobs: 3, tasks: 4, runS: 1}), 4)
 	c.Stop()
 	tracedAcross(t, c, long[0])
 }
@@ -176,12 +200,23 @@
 			if err != nil {
 				return
 			}
-			go func() { io.Copy(c, c); c.Close() }()
+			go func() {
+				defer c.Close()
+				_, _ = io.Copy(c, c) // fails when the connection ends
+			}()
 		}
 	}()
 	return l.Addr().String()
 }
 
+// write sends a text.
+func write(t *testing.T, c net.Conn, text string) {
+	t.Helper()
+	if _, err := io.WriteString(c, text); err != nil {
+		t.Fatal(err)
+	}
+}
+
 // A link can be refused, and cut in one direction: what was sent meanwhile arrives once it is healed, and
 // nothing does before.
 func TestLinkConditions(t *testing.T) {
@@ -189,6 +224,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
+	t.Cleanup(l.Close)
 	dial := func() net.Conn {
 		t.Helper()
 		var c net.Conn
@@ -207,13 +243,13 @@
 		return err == nil && string(got) == want
 	}
 	c := dial()
-	io.WriteString(c, "one")
+	write(t, c, "one")
 	if !comes(c, "one") {
 		t.Fatal("nothing comes over a whole link")
 	}
 	for _, cut := range []Condition{{CutTo: true}, {CutFrom: true}} {
 		l.Set(cut)
-		io.WriteString(c, "two")
+		write(t, c, "two")
 		c.SetReadDeadline(time.Now().Add(300 * time.Millisecond))
 		if n, _ := c.Read(make([]byte, 3)); n > 0 {
 			t.Errorf("%d bytes come over a link that is cut: %+v", n, cut)
@@ -224,7 +260,7 @@
 		}
 	}
 	l.Set(Condition{Refused: true})
-	io.WriteString(c, "three")
+	write(t, c, "three")
 	c.SetReadDeadline(time.Now().Add(patience))
 	if n, err := c.Read(make([]byte, 3)); err == nil {
 		t.Errorf("%d bytes come though the link is refused", n)
@@ -238,7 +274,7 @@
 	})
 	l.Heal()
 	c = dial()
-	io.WriteString(c, "four")
+	write(t, c, "four")
 	if !comes(c, "four") {
 		t.Error("nothing comes over a healed link")
 	}
@@ -256,7 +292,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Stop()
+	t.Cleanup(c.Stop)
 	eventually(t, "somebody leads", func() bool { k, _ := c.Leader(); return k != nil })
 	mistaken := wire.Job{Ref: "j-900001", Class: "l", Team: c.site.shape.Teams[0], Shape: wire.ShapeBatch, Priority: wire.PriorityStandard, Tasks: 12,
 		CPUs: 0.5, MemoryGB: 0.5, Image: "img-9", ImageGB: 1, Spot: true, EstimateS: 10}
@@ -265,7 +301,7 @@
 		_, s := c.Leader()
 		return len(s.Suspects) == 1 && s.Suspects[0].Job == mistaken.Ref
 	})
-	refs := submitAll(t, c, 1, 4, 2, 1)
+	refs := submitAll(t, c, batch{first: 1, jobs: 4, tasks: 2, runS: 1})
 	allDone(t, c, refs, 2)
 	leader, _ := c.Leader()
 	if leader == nil {
@@ -287,6 +323,6 @@
 		return false
 	})
 	eventually(t, "the mistaken job is cancelled", func() bool { return c.Cancel(c.Controllers[0], mistaken.Ref) })
-	refs = submitAll(t, c, 20, 4, 2, 1)
+	refs = submitAll(t, c, batch{first: 20, jobs: 4, tasks: 2, runS: 1})
 	allDone(t, c, refs, 2)
 }
--- a/internal/loopback/surge.go
+++ b/internal/loopback/surge.go
@@ -13,16 +13,22 @@
 // Surge is a steady load by all teams, then ten times its usual volume by the first of them, submitted at
 // every controller.
 type Surge struct {
-	Every  time.Duration // between two jobs of each team, before the surge
-	Times  int           // by which the first team's volume grows
-	Before time.Duration // of steady load alone
-	Lasts  time.Duration
-	After  time.Duration // that is watched once the surge is over
+	Interval time.Duration // between two jobs of each team, before the surge
+	Factor   int           // by which the first team's volume grows
+	WarmUp   time.Duration // of steady load alone
+	Duration time.Duration
+	CoolDown time.Duration // that is watched once the surge is over
 }
 
 // DefaultSurge takes five minutes.
 func DefaultSurge() Surge {
-	return Surge{Every: 6 * time.Second, Times: 10, Before: 45 * time.Second, Lasts: time.Minute, After: 3 * time.Minute}
+	return Surge{
+		Interval: 6 * time.Second,
+		Factor:   10,
+		WarmUp:   45 * time.Second,
+		Duration: time.Minute,
+		CoolDown: 3 * time.Minute,
+	}
 }
 
 // settleTime is how long after its beginning a surge may leave machines uneven.
@@ -44,13 +50,13 @@
 	return s.Greatest / s.Mean
 }
 
-// Wait is how long a team's jobs waited for their first task to have its image.
-type Wait struct {
-	Team    string  `json:"team"`
-	Jobs    int     `json:"jobs"`
-	Begun   int     `json:"begun"`
-	MedianS float64 `json:"median_s"`
-	MostS   float64 `json:"most_s"`
+// TeamWait is how long a team's jobs waited for their first task to have its image.
+type TeamWait struct {
+	Team        string  `json:"team"`
+	Jobs        int     `json:"jobs"`
+	StartedJobs int     `json:"begun"`
+	MedianS     float64 `json:"median_s"`
+	LongestS    float64 `json:"most_s"`
 }
 
 // Result is what was measured of one surge.
@@ -58,31 +64,42 @@
 	Samples []Sample `json:"samples"`
 	// WorstSettled is the greatest load over the mean from two minutes after the surge began, and AboveTwice
 	// for how many seconds of that time it was above two.
-	WorstSettled float64                `json:"worst_settled"`
-	AboveTwice   int                    `json:"seconds_above_twice"`
-	Moves        peer.MigrationOutcomes `json:"moves"`
-	Fetches      int                    `json:"image_fetches"`
-	RedoneS      float64                `json:"redone_s"`
-	CPUSeconds   float64                `json:"controllers_cpu_s"`
-	Refused      int                    `json:"submissions_refused"`
-	Waits        []Wait                 `json:"waits"`
-	Again        int                    `json:"tasks_completed_twice"`
+	WorstSettled       float64                `json:"worst_settled"`
+	AboveTwice         int                    `json:"seconds_above_twice"`
+	Migrations         peer.MigrationOutcomes `json:"moves"`
+	ImageFetches       int                    `json:"image_fetches"`
+	LostS              float64                `json:"redone_s"`
+	CPUSeconds         float64                `json:"controllers_cpu_s"`
+	RefusedSubmissions int                    `json:"submissions_refused"`
+	Waits              []TeamWait             `json:"waits"`
+	RepeatedTasks      int                    `json:"tasks_completed_twice"`
 }
 
 // Play plays the surge on the cluster and measures it.
 func (s Surge) Play(ctx context.Context, c *Cluster) (Result, error) {
-	var r Result
 	begin := time.Now()
-	surge := begin.Add(s.Before)
-	end := surge.Add(s.Lasts + s.After)
-	submitted := make(chan int)
-	go func() { submitted <- s.submitAll(ctx, c, begin, surge, end) }()
+	surge := begin.Add(s.WarmUp)
+	end := surge.Add(s.Duration + s.CoolDown)
+	refused := make(chan int, 1) // so that the submissions end also when nobody waits for them
+	go func() { refused <- s.submitAll(ctx, c, begin, surge, end) }()
+	var r Result
+	if err := r.sample(ctx, c, surge, end); err != nil {
+		<-refused
+		return r, err
+	}
+	r.RefusedSubmissions = <-refused
+	c.addTotals(&r)
+	return r, nil
+}
+
+// sample measures the load once a second until the end.
+func (r *Result) sample(ctx context.Context, c *Cluster, surge, end time.Time) error {
 	second := time.NewTicker(time.Second)
 	defer second.Stop()
 	for time.Now().Before(end) {
 		select {
 		case <-ctx.Done():
-			return r, fmt.Errorf("surge: %w", ctx.Err())
+			return fmt.Errorf("surge: %w", ctx.Err())
 		case <-second.C:
 		}
 		sample := c.Sample()
@@ -95,9 +112,7 @@
 			}
 		}
 	}
-	r.Refused = <-submitted
-	c.sumUp(&r)
-	return r, nil
+	return nil
 }
 
 // submitAll submits the jobs of all teams until the end, and says how many submissions were refused.
@@ -105,7 +120,7 @@
 	teams := c.site.shape.Teams
 	due := make([]time.Time, len(teams))
 	for i := range due {
-		due[i] = begin.Add(s.Every * time.Duration(i) / time.Duration(len(teams)))
+		due[i] = begin.Add(s.Interval * time.Duration(i) / time.Duration(len(teams)))
 	}
 	for n := 0; ; n++ {
 		first := slices.MinFunc(due, time.Time.Compare)
@@ -113,9 +128,9 @@
 		if first.After(end) || !sleepUntil(ctx, first) {
 			return refused
 		}
-		every := s.Every
-		if team == 0 && first.After(surge) && first.Before(surge.Add(s.Lasts)) {
-			every /= time.Duration(s.Times)
+		every := s.Interval
+		if team == 0 && first.After(surge) && first.Before(surge.Add(s.Duration)) {
+			every /= time.Duration(s.Factor)
 		}
 		due[team] = first.Add(every)
 		j, runS := surgeJob(n, teams[team])
@@ -138,18 +153,32 @@
 
 // surgeJob is one of the jobs: two tasks of half a processor that run for 20 to 120 s and can save. Run
 // times and images differ from job to job in the same way on every run.
-func surgeJob(n int, team string) (wire.Job, float64) {
-	const images, leastRunS, spreadS = 4, 20, 100
-	runS := float64(leastRunS + n*37%spreadS)
-	return wire.Job{Ref: fmt.Sprintf("j-%06d", n+1), Class: "results", Team: team, Shape: wire.ShapeBatch, Priority: wire.PriorityStandard, Tasks: 2, CPUs: 0.5,
-		MemoryGB: 0.5, Image: fmt.Sprint("img-", n%images), ImageGB: 1, Spot: true, EstimateS: runS, CheckpointS: 5, SaveS: 1}, runS
+func surgeJob(n int, team string) (job wire.Job, runS float64) {
+	const images, minRunS, rangeS, stepS = 4, 20, 100, 37
+	runS = float64(minRunS + n*stepS%rangeS)
+	return wire.Job{
+		Ref:         fmt.Sprintf("j-%06d", n+1),
+		Class:       "results",
+		Team:        team,
+		Shape:       wire.ShapeBatch,
+		Priority:    wire.PriorityStandard,
+		Tasks:       2,
+		CPUs:        0.5,
+		MemoryGB:    0.5,
+		Image:       fmt.Sprint("img-", n%images),
+		ImageGB:     1,
+		Spot:        true,
+		EstimateS:   runS,
+		CheckpointS: 5,
+		SaveS:       1,
+	}, runS
 }
 
 // Sample looks at the load of the machines that are up.
 func (c *Cluster) Sample() (s Sample) {
-	c.site.do(func() {
+	c.site.call(func() {
 		for _, w := range c.site.workers {
-			if !w.up || w.dead {
+			if !w.up || w.ended {
 				continue
 			}
 			s.Machines++
@@ -163,63 +192,67 @@
 	return s
 }
 
-// sumUp adds what is counted over the whole run.
-func (c *Cluster) sumUp(r *Result) {
+// addTotals adds what is counted over the whole run.
+func (c *Cluster) addTotals(r *Result) {
 	if _, s := c.Leader(); s.Leading {
-		r.Moves = s.MigrationOutcomes
+		r.Migrations = s.MigrationOutcomes
 	}
 	for _, k := range c.Controllers {
 		r.CPUSeconds += k.CPUSeconds()
 	}
 	waits := map[string][]float64{}
-	c.site.do(func() {
+	c.site.call(func() {
 		for _, w := range c.site.workers {
-			r.Fetches += w.ImagesFetched
-			r.RedoneS += w.LostSeconds
+			r.ImageFetches += w.ImagesFetched
+			r.LostS += w.LostSeconds
 		}
 		for _, j := range c.site.jobs {
-			for _, n := range j.ran {
-				if n > 1 {
-					r.Again++
-				}
-			}
-			wait := -1.0
-			if j.began > 0 {
-				wait = (j.began - j.submitted).Seconds()
-			}
-			waits[j.spec.Team] = append(waits[j.spec.Team], wait)
+			_, repeated := j.completedTasks()
+			r.RepeatedTasks += repeated
+			waits[j.spec.Team] = append(waits[j.spec.Team], j.waitS())
 		}
 	})
 	for _, team := range c.site.shape.Teams {
-		r.Waits = append(r.Waits, waitOf(team, waits[team]))
+		r.Waits = append(r.Waits, teamWait(team, waits[team]))
+	}
+}
+
+// notStarted is the wait of a job that has not started.
+const notStarted = -1
+
+// waitS is how long a job waited until its first task had its image.
+func (j *jobRun) waitS() float64 {
+	if j.startedAt == 0 {
+		return notStarted
 	}
+	return (j.startedAt - j.submittedAt).Seconds()
 }
 
-// waitOf sums up waits; those below zero have not ended.
-func waitOf(team string, all []float64) Wait {
-	begun := slices.DeleteFunc(slices.Sorted(slices.Values(all)), func(s float64) bool { return s < 0 })
-	w := Wait{Team: team, Jobs: len(all), Begun: len(begun)}
-	if len(begun) > 0 {
-		w.MedianS, w.MostS = begun[len(begun)/2], begun[len(begun)-1]
+// teamWait sums up the waits of a team's jobs.
+func teamWait(team string, all []float64) TeamWait {
+	started := slices.DeleteFunc(slices.Sorted(slices.Values(all)), func(s float64) bool { return s == notStarted })
+	w := TeamWait{Team: team, Jobs: len(all), StartedJobs: len(started)}
+	if len(started) > 0 {
+		w.MedianS, w.LongestS = started[len(started)/2], started[len(started)-1]
 	}
 	return w
 }
 
-// Endless keeps the steady load up until ctx ends, with a surge whenever one is asked for.
-func (s Surge) Endless(ctx context.Context, c *Cluster, surges <-chan struct{}) {
+// PlayUntilDone keeps the steady load up until ctx ends, with a surge whenever one is asked for.
+func (s Surge) PlayUntilDone(ctx context.Context, c *Cluster, surges <-chan struct{}) {
 	teams := c.site.shape.Teams
 	var until time.Time
 	for n := 0; ; n++ {
-		every := s.Every / time.Duration(len(teams))
+		every := s.Interval / time.Duration(len(teams))
 		team := n % len(teams)
 		if time.Now().Before(until) {
-			every, team = s.Every/time.Duration(s.Times), 0
+			every, team = s.Interval/time.Duration(s.Factor), 0
 		}
 		select {
 		case <-ctx.Done():
 			return
 		case <-surges:
-			until = time.Now().Add(s.Lasts)
+			until = time.Now().Add(s.Duration)
 		case <-time.After(every):
 		}
 		j, runS := surgeJob(n, teams[team])
--- a/internal/loopback/worker.go
+++ b/internal/loopback/worker.go
@@ -16,146 +16,172 @@
 type worker struct {
 	*fake.Worker
 	site     *site
-	rented   *fake.Instance
+	instance *fake.Instance
 	up       bool
-	dead     bool
-	target   int          // the controller that it reports to
-	next     clock.Micros // when the next report is due
-	last     clock.Micros
-	busy     bool    // a report is under way
-	links    []*Link // to the controllers
-	commands *Link   // over which the controllers\' direct commands come
+	ended    bool
 	client   *fasthttp.Client
+	links    []*Link // to the controllers
+	commands *Link   // over which the controllers' direct commands come
+
+	controller       int // that it sends heartbeats to
+	nextHeartbeat    clock.Micros
+	lastHeartbeat    clock.Micros
+	heartbeatPending bool // one is under way
 }
 
 const (
-	reportTimeout = 4 * time.Second
-	// leastGap is the least time between two reports.
-	leastGap = clock.Second / 2
+	// heartbeatTimeout is how long a worker waits for the answer.
+	heartbeatTimeout = 4 * time.Second
+	// minHeartbeatGap is the least time between two heartbeats.
+	minHeartbeatGap = clock.Second / 2
+	// heartbeatRetry is how long a worker waits before it turns to the next controller.
+	heartbeatRetry = clock.Second
 )
 
-func newWorker(s *site, m *fake.Instance) *worker {
-	w := &worker{site: s, rented: m, client: &fasthttp.Client{MaxIdemponentCallAttempts: 1}}
+func newWorker(s *site, instance *fake.Instance) *worker {
+	w := &worker{site: s, instance: instance, client: &fasthttp.Client{MaxIdemponentCallAttempts: 1}}
+	identity := fake.Identity{Name: instance.Name, Type: instance.Type, Zone: instance.Zone, Spot: instance.Spot}
 	w.Worker = &fake.Worker{
-		Identity:  fake.Identity{Name: m.Name, Type: m.Type, Zone: m.Zone, Spot: m.Spot},
+		Identity:  identity,
 		Resources: fake.Resources{CPUs: s.shape.Type.CPUs, Memory: s.shape.Type.MemoryGB, FetchSeconds: 1},
 		LeaseTime: clock.FromSeconds(s.shape.LeaseS),
 		Workload:  workload{s},
 		Observer:  observer{s},
 		Outputs:   s.outputs,
 	}
-	s.byName[m.Name] = w
+	s.byName[instance.Name] = w
 	return w
 }
 
 // routes answers direct commands.
 func (w *worker) routes(app *fiber.App) {
-	app.Post("/orders", func(c fiber.Ctx) error {
-		var o wire.CommandBatch
-		if err := json.Unmarshal(c.Body(), &o); err != nil {
-			return fiber.NewError(400, err.Error())
+	app.Post("/orders", w.handleCommands)
+	app.Get("/inspect", w.inspect)
+}
+
+func (w *worker) handleCommands(c fiber.Ctx) error {
+	batch, err := decodeBody[wire.CommandBatch](c)
+	if err != nil {
+		return err
+	}
+	var result fake.CommandsResult
+	w.site.call(func() {
+		if w.ended {
+			return
 		}
-		var result fake.CommandsResult
-		w.site.do(func() {
-			if w.dead {
-				return
-			}
-			if result = w.HandleCommands(w.site.clock.Now(), o); result.Changed {
-				w.hasChanged()
-			}
-		})
-		if result.Heartbeat == nil {
-			return c.SendStatus(fiber.StatusServiceUnavailable)
+		if result = w.HandleCommands(w.site.clock.Now(), batch); result.Changed {
+			w.heartbeatSoon()
 		}
-		return c.Status(result.Status).JSON(result.Heartbeat)
-	})
-	app.Get("/inspect", func(c fiber.Ctx) error {
-		var report *wire.Heartbeat
-		w.site.do(func() { report = w.Heartbeat() })
-		return c.JSON(report)
 	})
+	if result.Heartbeat == nil {
+		return c.SendStatus(fiber.StatusServiceUnavailable)
+	}
+	return c.Status(result.Status).JSON(result.Heartbeat)
 }
 
-// hasChanged has the next report sent soon.
-func (w *worker) hasChanged() { w.next = min(w.next, max(w.site.clock.Now(), w.last+leastGap)) }
+func (w *worker) inspect(c fiber.Ctx) error {
+	var heartbeat *wire.Heartbeat
+	w.site.call(func() { heartbeat = w.Heartbeat() })
+	return c.JSON(heartbeat)
+}
+
+// heartbeatSoon has the next heartbeat sent as soon as the least gap allows.
+func (w *worker) heartbeatSoon() {
+	w.nextHeartbeat = min(w.nextHeartbeat, max(w.site.clock.Now(), w.lastHeartbeat+minHeartbeatGap))
+}
 
 // tick lets time pass for the worker: the actor calls it.
 func (w *worker) tick(now clock.Micros) {
-	w.dead = w.dead || w.rented.Deleted
+	w.ended = w.ended || w.instance.Deleted
 	switch {
-	case w.dead || w.Address == "":
+	case w.ended || w.Address == "":
 		return
 	case !w.up:
-		if w.up = now >= w.rented.BootedAt; w.up {
+		if w.up = now >= w.instance.BootedAt; w.up {
 			w.Boot(now)
-			w.next = now
+			w.nextHeartbeat = now
 		}
 		return
 	}
 	if w.Advance(now) {
-		w.hasChanged()
+		w.heartbeatSoon()
 	}
-	if !w.busy && now >= w.next {
-		w.send(now)
+	if !w.heartbeatPending && now >= w.nextHeartbeat {
+		w.sendHeartbeat(now)
 	}
 }
 
-// send reports to the controller whose turn it is.
-func (w *worker) send(now clock.Micros) {
-	w.busy, w.last, w.next = true, now, now+jitter(clock.FromSeconds(w.site.shape.ReportS))
-	r, epoch := w.Heartbeat(), w.AgentEpoch
-	link := w.links[w.target]
-	go func() {
-		status, answer, redirect := w.post(link, r)
-		w.site.do(func() { w.answered(now, epoch, status, answer, redirect) })
-	}()
+// sendHeartbeat sends a heartbeat to the controller whose turn it is.
+func (w *worker) sendHeartbeat(now clock.Micros) {
+	w.heartbeatPending = true
+	w.lastHeartbeat = now
+	w.nextHeartbeat = now + jitter(clock.FromSeconds(w.site.shape.HeartbeatS))
+	heartbeat, epoch := w.Heartbeat(), w.AgentEpoch
+	link := w.links[w.controller]
+	w.site.running.Go(func() {
+		answer := w.postHeartbeat(link, heartbeat)
+		w.site.call(func() { w.handleAnswer(now, epoch, answer) })
+	})
 }
 
-// post sends a report; status 0 is no answer.
-func (w *worker) post(link *Link, r *wire.Heartbeat) (status int, a wire.HeartbeatResponse, to wire.Redirect) {
+// heartbeatAnswer is what a controller answers to a heartbeat.
+type heartbeatAnswer struct {
+	status   int                    // 0: there is no answer, or none that can be read
+	response wire.HeartbeatResponse // of a 200
+	redirect wire.Redirect          // of a 421
+}
+
+// postHeartbeat sends a heartbeat and returns the answer.
+func (w *worker) postHeartbeat(link *Link, heartbeat *wire.Heartbeat) heartbeatAnswer {
+	body, err := json.Marshal(heartbeat)
+	if err != nil {
+		return heartbeatAnswer{}
+	}
 	req, res := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(res)
-	raw, err := json.Marshal(r)
-	if err != nil {
-		return 0, a, to
-	}
-	req.Header.SetMethod("POST")
-	req.Header.SetContentType("application/json")
+	req.Header.SetMethod(fiber.MethodPost)
+	req.Header.SetContentType(fiber.MIMEApplicationJSON)
 	req.SetRequestURI("http://" + link.listen + "/agent/beat")
-	req.SetBodyRaw(raw)
-	if w.client.DoTimeout(req, res, reportTimeout) != nil {
-		return 0, a, to
+	req.SetBodyRaw(body)
+	if w.client.DoTimeout(req, res, heartbeatTimeout) != nil {
+		return heartbeatAnswer{}
 	}
-	switch status = res.StatusCode(); {
-	case status == 200 && json.Unmarshal(res.Body(), &a) != nil, status == 421 && json.Unmarshal(res.Body(), &to) != nil:
-		return 0, a, to
+	answer := heartbeatAnswer{status: res.StatusCode()}
+	switch answer.status {
+	case fiber.StatusOK:
+		err = json.Unmarshal(res.Body(), &answer.response)
+	case fiber.StatusMisdirectedRequest:
+		err = json.Unmarshal(res.Body(), &answer.redirect)
+	}
+	if err != nil {
+		return heartbeatAnswer{}
 	}
-	return status, a, to
+	return answer
 }
 
-// answered goes on after a report: the actor calls it.
-func (w *worker) answered(sent clock.Micros, epoch wire.AgentEpoch, status int, a wire.HeartbeatResponse, to wire.Redirect) {
+// handleAnswer goes on after a heartbeat: the actor calls it.
+func (w *worker) handleAnswer(sent clock.Micros, epoch wire.AgentEpoch, answer heartbeatAnswer) {
 	now := w.site.clock.Now()
-	w.busy = false
+	w.heartbeatPending = false
 	switch {
-	case status == 200:
-		if w.HandleResponse(now, sent, epoch, a) {
-			w.hasChanged()
+	case answer.status == fiber.StatusOK:
+		if w.HandleResponse(now, sent, epoch, answer.response) {
+			w.heartbeatSoon()
 		}
-	case status == 421 && w.redirected(to.Controller):
-		w.next = now
+	case answer.status == fiber.StatusMisdirectedRequest && w.redirect(answer.redirect.Controller):
+		w.nextHeartbeat = now
 	default:
-		w.target = (w.target + 1) % len(w.links)
-		w.next = now + clock.Second
+		w.controller = (w.controller + 1) % len(w.links)
+		w.nextHeartbeat = now + heartbeatRetry
 	}
 }
 
-// redirected turns to the controller that is named; false if it is unknown or the same.
-func (w *worker) redirected(name string) bool {
+// redirect turns to the controller that is named; false if it is unknown or the same.
+func (w *worker) redirect(name string) bool {
 	for i := range w.links {
-		if controllerName(i) == name && i != w.target {
-			w.target = i
+		if controllerName(i) == name && i != w.controller {
+			w.controller = i
 			return true
 		}
 	}
@@ -187,8 +213,8 @@
 
 // TaskStarted implements fake.Observer.
 func (o observer) TaskStarted(_ *fake.Worker, t *fake.Task) {
-	if job := o.site.jobs[t.Job.Ref]; job.began == 0 {
-		job.began = o.site.clock.Now()
+	if job := o.site.jobs[t.Job.Ref]; job.startedAt == 0 {
+		job.startedAt = o.site.clock.Now()
 	}
 }
 
@@ -198,6 +224,6 @@
 // TaskEnded implements fake.Observer.
 func (o observer) TaskEnded(_ *fake.Worker, t *fake.Task) {
 	if t.Cause == wire.ExitDone {
-		o.site.jobs[t.Job.Ref].ran[t.Index]++
+		o.site.jobs[t.Job.Ref].completions[t.Index]++
 	}
 }
