--- /dev/null
+++ b/internal/api/bounded_map.go
@@ -0,0 +1,32 @@
+package api
+
+// boundedMap keeps at least the latest entries of a map up to a size, and at most twice as many: it has two
+// generations, and drops the older one when the newer is full.
+type boundedMap[V any] struct {
+	size         int
+	newer, older map[string]V
+}
+
+func newBoundedMap[V any](size int) *boundedMap[V] {
+	return &boundedMap[V]{size: max(size, 1), newer: map[string]V{}}
+}
+
+func (m *boundedMap[V]) get(key string) (V, bool) {
+	if value, ok := m.newer[key]; ok {
+		return value, true
+	}
+	value, ok := m.older[key]
+	return value, ok
+}
+
+func (m *boundedMap[V]) put(key string, value V) {
+	if _, ok := m.newer[key]; !ok && len(m.newer) >= m.size {
+		m.older, m.newer = m.newer, map[string]V{}
+	}
+	m.newer[key] = value
+}
+
+func (m *boundedMap[V]) remove(key string) {
+	delete(m.newer, key)
+	delete(m.older, key)
+}
--- a/internal/api/recent_test.go
+++ b/internal/api/bounded_map_test.go
@@ -7,23 +7,23 @@
 
 // However much is remembered, the latest is, and the size is bounded: a list that was emptied when it was
 // full lost the entries that are asked for right now.
-func TestRecentKeepsTheLatest(t *testing.T) {
+func TestBoundedMapKeepsTheLatest(t *testing.T) {
 	const size = 100
-	r := newRecent[int](size)
+	m := newBoundedMap[int](size)
 	for i := range 10 * size {
-		r.put(strconv.Itoa(i), i)
+		m.put(strconv.Itoa(i), i)
 		for back := range min(i+1, size) {
-			if v, ok := r.get(strconv.Itoa(i - back)); !ok || v != i-back {
+			if v, ok := m.get(strconv.Itoa(i - back)); !ok || v != i-back {
 				t.Fatalf("entry %d is lost when %d is the latest", i-back, i)
 			}
 		}
-		if n := len(r.newer) + len(r.older); n > 2*size {
+		if n := len(m.newer) + len(m.older); n > 2*size {
 			t.Fatalf("%d entries", n)
 		}
 	}
-	r.put("999", -1)
-	r.drop("999")
-	if _, ok := r.get("999"); ok {
-		t.Error("a dropped entry is still there")
+	m.put("999", -1)
+	m.remove("999")
+	if _, ok := m.get("999"); ok {
+		t.Error("a removed entry is still there")
 	}
 }
--- a/internal/api/limits_test.go
+++ b/internal/api/feasibility_test.go
@@ -4,14 +4,13 @@
 	"encoding/json"
 	"testing"
 
-	"swiftledge/internal/fake"
 	"swiftledge/wire"
 )
 
 // Which submissions can never run: a limit of 0 is none, a limit that is there binds, and what fits no
 // machine is refused whatever the team may use.
-func TestWhatCanNeverRun(t *testing.T) {
-	service := service(t, &between{Store: fake.NewStore(4, 8), hook: map[string]func(){}})
+func TestInfeasibleJobsAreRejected(t *testing.T) {
+	service := newService(t, newHookedStore())
 	for _, c := range []struct {
 		name string
 		job  wire.Job
--- /dev/null
+++ b/internal/api/heartbeat_test.go
@@ -0,0 +1,252 @@
+package api
+
+import (
+	"bufio"
+	"fmt"
+	"net"
+	"runtime"
+	"strings"
+	"sync/atomic"
+	"testing"
+
+	"github.com/goccy/go-json"
+	"github.com/valyala/fasthttp"
+
+	"swiftledge/internal/clock"
+	"swiftledge/internal/config"
+	"swiftledge/internal/netio"
+	"swiftledge/internal/peer"
+	"swiftledge/internal/placement"
+	"swiftledge/internal/shard"
+	"swiftledge/wire"
+)
+
+// countingListener counts the reads and writes of the connections that it accepts.
+type countingListener struct {
+	net.Listener
+	reads, writes *atomic.Int64
+}
+
+// Accept returns the next connection.
+func (l countingListener) Accept() (net.Conn, error) {
+	conn, err := l.Listener.Accept()
+	if err != nil {
+		return nil, err
+	}
+	return countedConn{conn, l}, nil
+}
+
+type countedConn struct {
+	net.Conn
+	listener countingListener
+}
+
+// Read counts a read.
+func (c countedConn) Read(b []byte) (int, error) {
+	c.listener.reads.Add(1)
+	return c.Conn.Read(b)
+}
+
+// Write counts a write.
+func (c countedConn) Write(b []byte) (int, error) {
+	c.listener.writes.Add(1)
+	return c.Conn.Write(b)
+}
+
+// testAgent is a worker's connection to a controller that holds its machine's shard.
+type testAgent struct {
+	conn      net.Conn
+	in        *bufio.Reader
+	seq       uint64
+	heartbeat wire.Heartbeat
+	response  fasthttp.Response
+	// Of the controller, on all its connections.
+	reads, writes *atomic.Int64
+	address       string
+}
+
+// newHolder makes the holder of a shard, which accepts all workers.
+func newHolder() *shard.Holder {
+	params := shard.Params{Controller: "n0", GrantTime: 20 * clock.Second, LongestGrant: 20 * clock.Second,
+		AgentLease: 20 * clock.Second, HeartbeatInterval: 3 * clock.Second, ValueBytes: 4000, TxnOps: 8}
+	weights := placement.Params{K: 0.001, Eta: 0.05, Epsilon: 0.01, Small: 0.5}
+	h := shard.New(params, weights, func() bool { return true })
+	h.Step(0, shard.LeaderConnected{Term: 9})
+	h.Step(0, &peer.FromLeader{Term: 9, Holders: []string{"n0"},
+		Grants: []peer.ShardGrant{{Shard: 0, FencingToken: 50, KeyVersion: 7}}})
+	h.Step(0, &peer.FromLeader{Term: 9, RenewedSeq: 2, FencingTokens: map[int]wire.FencingToken{0: 50}})
+	return h
+}
+
+// startHolder has a goroutine of its own answer heartbeats until the test ends.
+func startHolder(tb testing.TB) func(*wire.Heartbeat) shard.HeartbeatReply {
+	tb.Helper()
+	h := newHolder()
+	received := make(chan shard.HeartbeatReceived)
+	go func() {
+		for {
+			select {
+			case <-tb.Context().Done():
+				return
+			case message := <-received:
+				for _, effect := range h.Step(clock.Second, message) {
+					if reply, ok := effect.(shard.HeartbeatReply); ok {
+						reply.ReplyTo.(chan shard.HeartbeatReply) <- reply
+					}
+				}
+			}
+		}
+	}()
+	return func(heartbeat *wire.Heartbeat) shard.HeartbeatReply {
+		replies := make(chan shard.HeartbeatReply, 1)
+		received <- shard.HeartbeatReceived{ReplyTo: replies, Heartbeat: heartbeat}
+		return <-replies
+	}
+}
+
+// newTestAgent starts a controller and connects an agent with so many tasks to it.
+func newTestAgent(tb testing.TB, tasks int) *testAgent {
+	tb.Helper()
+	cfg := &config.Config{Tuning: config.DefaultTuning()}
+	cfg.Facts.Quota.MaxSockets = 1500
+	listener, err := netio.Listen("127.0.0.1:0")
+	if err != nil {
+		tb.Fatal(err)
+	}
+	counting := countingListener{listener, &atomic.Int64{}, &atomic.Int64{}}
+	serveInBackground(tb, newHeartbeatService(tb, cfg, startHolder(tb)), counting)
+	conn, err := net.Dial("tcp4", listener.Addr().String())
+	if err != nil {
+		tb.Fatal(err)
+	}
+	tb.Cleanup(func() { conn.Close() })
+	agent := &testAgent{
+		conn:    conn,
+		in:      bufio.NewReader(conn),
+		reads:   counting.reads,
+		writes:  counting.writes,
+		address: listener.Addr().String(),
+		heartbeat: wire.Heartbeat{Machine: "host-000001", Address: "10.1.0.1:9000", Type: "small", Zone: "a",
+			AgentEpoch: 1, FencingToken: 50},
+	}
+	for i := range tasks {
+		// No record names them, and they have ended: the answer is the same each time.
+		agent.heartbeat.Tasks = append(agent.heartbeat.Tasks, wire.TaskStatus{Task: fmt.Sprintf("j-000412/%d", i),
+			Attempt: wire.AttemptID(i + 1), State: wire.TaskExited, Cause: wire.ExitDone})
+	}
+	return agent
+}
+
+// request is the next heartbeat.
+func (a *testAgent) request(tb testing.TB) []byte {
+	tb.Helper()
+	a.seq++
+	a.heartbeat.Seq = a.seq
+	body, err := json.Marshal(a.heartbeat)
+	if err != nil {
+		tb.Fatal(err)
+	}
+	const header = "POST /agent/beat HTTP/1.1\r\nHost: a\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n"
+	return append(fmt.Appendf(nil, header, len(body)), body...)
+}
+
+// send sends a request and reads the response, which must be that of the shard's holder.
+func (a *testAgent) send(tb testing.TB, request []byte) {
+	tb.Helper()
+	if _, err := a.conn.Write(request); err != nil {
+		tb.Fatal(err)
+	}
+	if err := a.response.Read(a.in); err != nil {
+		tb.Fatal(err)
+	}
+	if a.response.StatusCode() != 200 || !strings.Contains(string(a.response.Body()), "50") {
+		tb.Fatalf("%d %s", a.response.StatusCode(), a.response.Body())
+	}
+}
+
+// BenchmarkHeartbeatReport is what an unchanged heartbeat costs from the socket to the answer, the
+// worker's side included.
+func BenchmarkHeartbeatReport(b *testing.B) {
+	for _, tasks := range []int{0, 4, 40} {
+		b.Run(fmt.Sprint(tasks, " tasks"), func(b *testing.B) {
+			agent := newTestAgent(b, tasks)
+			requests := make([][]byte, b.N)
+			for i := range requests {
+				requests[i] = agent.request(b)
+			}
+			b.ReportAllocs()
+			b.ResetTimer()
+			for _, request := range requests {
+				agent.send(b, request)
+			}
+		})
+	}
+}
+
+// The unchanged heartbeat of an unchanged machine is what a controller is asked most: two hundred
+// times a second at the sizes that operators name, with a thirtieth of a core to answer them.
+// From the socket to the answer it takes few allocations, and each task that it lists a few more.
+func TestUnchangedHeartbeatCostsLittle(t *testing.T) {
+	for _, c := range []struct {
+		tasks int
+		most  float64
+	}{{0, 16}, {4, 34}, {40, 170}} {
+		agent := newTestAgent(t, c.tasks)
+		const n = 300
+		requests := make([][]byte, n+1) // one goes before the count
+		for i := range requests {
+			requests[i] = agent.request(t)
+		}
+		i := 0
+		got := testing.AllocsPerRun(n, func() { agent.send(t, requests[i]); i++ })
+		if got > c.most {
+			t.Errorf("%.0f allocations for a heartbeat of %d tasks, want %.0f at most", got, c.tasks, c.most)
+		}
+	}
+}
+
+// Each read and write is a system call, which is most of what a heartbeat costs: one write
+// answers it, and one read brings the next.
+func TestHeartbeatTakesOneReadAndOneWrite(t *testing.T) {
+	agent := newTestAgent(t, 4)
+	agent.send(t, agent.request(t))
+	reads, writes := agent.reads.Load(), agent.writes.Load()
+	const n = 100
+	for range n {
+		agent.send(t, agent.request(t))
+	}
+	if r, wr := agent.reads.Load()-reads, agent.writes.Load()-writes; r > n+1 || wr > n {
+		t.Errorf("%d reads and %d writes for %d heartbeats", r, wr, n)
+	}
+}
+
+// A worker's connection, kept open between its heartbeats, holds little: a controller has up to
+// as many as it is allowed sockets.
+func TestIdleConnectionHoldsLittle(t *testing.T) {
+	agent := newTestAgent(t, 4)
+	agent.send(t, agent.request(t))
+	held := func() uint64 {
+		runtime.GC()
+		runtime.GC()
+		var m runtime.MemStats
+		runtime.ReadMemStats(&m)
+		return m.HeapInuse + m.StackInuse
+	}
+	before := held()
+	const n = 400
+	for range n {
+		c, err := net.Dial("tcp4", agent.address)
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer c.Close()
+		another := &testAgent{conn: c, in: bufio.NewReaderSize(c, 256), seq: agent.seq, heartbeat: agent.heartbeat}
+		another.send(t, another.request(t))
+		agent.seq = another.seq
+	}
+	if per := (held() - before) / n; per > 30<<10 {
+		t.Errorf("%d bytes for each connection, its worker's side included", per)
+	} else {
+		t.Logf("%d bytes for each connection, its worker's side included", per)
+	}
+}
--- a/internal/api/api_test.go
+++ b/internal/api/service_test.go
@@ -2,11 +2,12 @@
 
 import (
 	"bufio"
+	"context"
 	"io"
-	"log/slog"
 	"net"
 	"strconv"
 	"strings"
+	"sync"
 	"testing"
 
 	"github.com/valyala/fasthttp"
@@ -17,20 +18,50 @@
 	"swiftledge/wire"
 )
 
-// served starts a service whose workers' reports all get one answer, and gives the way to ask it
-// something on a connection of its own.
-func served(t *testing.T, cfg *config.Config, answer shard.HeartbeatReply) (ask func(request string) *fasthttp.Response) {
+// serveInBackground runs a service until the test ends, which then awaits it.
+func serveInBackground(tb testing.TB, s *Service, l net.Listener) {
+	tb.Helper()
+	ctx, stop := context.WithCancel(context.Background())
+	var serving sync.WaitGroup
+	serving.Go(func() {
+		if err := s.Serve(ctx, l); err != nil {
+			tb.Error(err)
+		}
+	})
+	tb.Cleanup(func() {
+		stop()
+		serving.Wait()
+	})
+}
+
+// newHeartbeatService makes a service that has heartbeats answered by a function.
+func newHeartbeatService(
+	tb testing.TB, cfg *config.Config, handle func(*wire.Heartbeat) shard.HeartbeatReply,
+) *Service {
+	tb.Helper()
+	now := func() clock.Micros { return 0 }
+	jobs := NewJobCache(cfg, now)
+	go jobs.Run(tb.Context())
+	return New(Options{
+		Config:          cfg,
+		Jobs:            jobs,
+		StoreHealthy:    func() bool { return true },
+		HandleHeartbeat: handle,
+	})
+}
+
+// startService starts a service that gives all heartbeats one reply, and returns a function that sends it a
+// request on a connection of its own.
+func startService(
+	t *testing.T, cfg *config.Config, reply shard.HeartbeatReply,
+) (send func(request string) *fasthttp.Response) {
 	t.Helper()
-	directory := NewJobCache(cfg, func() clock.Micros { return 0 })
-	go directory.Run(t.Context())
-	s := New(cfg, nil, nil, directory, func() bool { return true }, func(*wire.Heartbeat) shard.HeartbeatReply { return answer },
-		nil, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	s := newHeartbeatService(t, cfg, func(*wire.Heartbeat) shard.HeartbeatReply { return reply })
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.Close() })
-	go s.Serve(l)
+	serveInBackground(t, s, l)
 	return func(request string) *fasthttp.Response {
 		t.Helper()
 		c, err := net.Dial("tcp4", l.Addr().String())
@@ -49,10 +80,11 @@
 	}
 }
 
-// beatRequest is a worker's report.
-func beatRequest() string {
+// heartbeatRequest is a worker's heartbeat.
+func heartbeatRequest() string {
 	body := `{"rig":"host-000001","stint":1,"tally":1}`
-	return "POST /agent/beat HTTP/1.1\r\nHost: a\r\nContent-Type: application/json\r\nContent-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n" + body
+	return "POST /agent/beat HTTP/1.1\r\nHost: a\r\nContent-Type: application/json\r\n" +
+		"Content-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n" + body
 }
 
 // smallConfig is that of a controller with few sockets.
@@ -66,10 +98,10 @@
 // the workers' connections are given up first, after an answer.
 func TestWorkersLeaveConnectionsToUsers(t *testing.T) {
 	cfg := smallConfig()
-	ask := served(t, cfg, shard.HeartbeatReply{Status: 200})
+	send := startService(t, cfg, shard.HeartbeatReply{Status: 200})
 	kept := 0
 	for range 2 * cfg.HTTPSockets() {
-		res := ask(beatRequest())
+		res := send(heartbeatRequest())
 		if res.StatusCode() != 200 {
 			t.Fatalf("a worker gets %d: %s", res.StatusCode(), res.Body())
 		}
@@ -81,11 +113,11 @@
 		t.Errorf("%d workers keep their connections, of %d in all", kept, cfg.HTTPSockets())
 	}
 	for range 5 {
-		if res := ask("GET /ready HTTP/1.1\r\nHost: a\r\n\r\n"); res.StatusCode() != 200 || res.ConnectionClose() {
+		if res := send("GET /ready HTTP/1.1\r\nHost: a\r\n\r\n"); res.StatusCode() != 200 || res.ConnectionClose() {
 			t.Errorf("a probe gets %d", res.StatusCode())
 		}
 	}
-	if !strings.HasPrefix(string(ask("GET /api/jobs/nothing HTTP/1.1\r\nHost: a\r\n\r\n").Body()), "{") {
+	if !strings.HasPrefix(string(send("GET /api/jobs/nothing HTTP/1.1\r\nHost: a\r\n\r\n").Body()), "{") {
 		t.Error("a user gets no answer")
 	}
 }
@@ -94,8 +126,8 @@
 // the answer spares a controller that is left alone hundreds of wake-ups a second.
 func TestRefusedWorkersConnectionIsClosed(t *testing.T) {
 	for _, status := range []int{200, 421, 503} {
-		ask := served(t, smallConfig(), shard.HeartbeatReply{Status: status})
-		res := ask(beatRequest())
+		send := startService(t, smallConfig(), shard.HeartbeatReply{Status: status})
+		res := send(heartbeatRequest())
 		if res.StatusCode() != status || res.ConnectionClose() != (status != 200) {
 			t.Errorf("status %d, want %d; connection closed: %v", res.StatusCode(), status, res.ConnectionClose())
 		}
--- a/internal/compat/errors_test.go
+++ b/internal/compat/errors_test.go
@@ -4,7 +4,6 @@
 	"bufio"
 	"encoding/json"
 	"io"
-	"log/slog"
 	"net"
 	"os"
 	"path/filepath"
@@ -87,13 +86,18 @@
 	directory := api.NewJobCache(cfg, func() clock.Micros { return 0 })
 	go directory.Run(t.Context())
 	answer := func(*wire.Heartbeat) shard.HeartbeatReply { return shard.HeartbeatReply{Status: 200} }
-	service := api.New(cfg, nil, nil, directory, func() bool { return true }, answer, nil, slog.New(slog.DiscardHandler))
+	service := api.New(api.Options{
+		Config:          cfg,
+		Jobs:            directory,
+		StoreHealthy:    func() bool { return true },
+		HandleHeartbeat: answer,
+	})
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	go func() { _ = service.Serve(l) }() // ends with the listener
+	go func() { _ = service.Serve(t.Context(), l) }()
 	return l.Addr().String()
 }
 
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -4,6 +4,7 @@
 	"context"
 	"errors"
 
+	"swiftledge/internal/api"
 	"swiftledge/internal/cloud"
 	"swiftledge/internal/cluster"
 	"swiftledge/internal/election"
@@ -149,6 +150,6 @@
 
 // Send hands a message to the holder and the job cache.
 func (l localLink) Send(message *peer.FromLeader) {
-	l.controller.jobCache.Post(message)
+	l.controller.jobCache.Post(api.LeaderMessage{Message: message})
 	l.controller.holder <- message
 }
--- a/internal/controller/links.go
+++ b/internal/controller/links.go
@@ -90,7 +90,7 @@
 	n.holder <- holderUp{epoch, l}
 	l.Follow(func(d *peer.FromLeader) {
 		n.jobCache.Post(api.PeerContacted{})
-		n.jobCache.Post(d)
+		n.jobCache.Post(api.LeaderMessage{Message: d})
 		n.holder <- d
 	})
 	n.holder <- holderDown{epoch, l}
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -121,10 +121,18 @@
 	go n.acceptPeers(back)
 	go n.storeTransport.Run(ctx, func(c net.Conn) { go n.acceptPeer(c, true) })
 	go n.jobCache.Run(ctx)
-	svc := api.New(n.cfg, n.store, store.Backoff, n.jobCache, n.health.ok, n.report, clock.Wall, n.log)
-	svc.SetTracer(n.tracer)
+	svc := api.New(api.Options{
+		Config:          n.cfg,
+		Store:           n.store,
+		Backoff:         store.Backoff,
+		Jobs:            n.jobCache,
+		StoreHealthy:    n.health.ok,
+		HandleHeartbeat: n.report,
+		TimeOfDay:       clock.Wall,
+		Tracer:          n.tracer,
+	})
 	n.log.Info("serving", "node", n.cfg.Name, "on", n.cfg.ServeOn)
-	return svc.Serve(front)
+	return svc.Serve(ctx, front)
 }
 
 // startTracer starts what writes spans, if the settings name a file.
--- a/internal/naming/naming_test.go
+++ b/internal/naming/naming_test.go
@@ -31,7 +31,6 @@
 // ceilings are how many refused names each directory still declares. A number here is lowered when names are
 // replaced, and never raised; a directory that is not listed declares none.
 var ceilings = map[string]int{
-	"internal/api":        2,
 	"internal/rebalancer": 1,
 	"internal/shard":      38,
 	"internal/compat":     1,
--- a/internal/scenario/node_test.go
+++ b/internal/scenario/node_test.go
@@ -4,8 +4,6 @@
 	"context"
 	"errors"
 	"fmt"
-	"io"
-	"log/slog"
 	"slices"
 	"strconv"
 	"strings"
@@ -67,9 +65,11 @@
 	n.elector = election.New(election.Record{Controller: n.name, Incarnation: cluster.Incarnation(n.gen)*100 + cluster.Incarnation(n.i)}, clock.FromSeconds(n.cfg.Tuning.Election.TTLS))
 	n.leader = leader.New(&n.cfg, ok)
 	n.holder = shard.FromConfig(&n.cfg, ok)
-	n.directory = api.NewJobCache(&n.cfg, func() clock.Micros { return n.w.now })
+	now := func() clock.Micros { return n.w.now }
+	backoff := func(_ context.Context, attempt int) bool { return attempt < 3 }
+	n.directory = api.NewJobCache(&n.cfg, now)
 	go n.directory.Run(n.w.ctx)
-	n.svc = api.New(&n.cfg, n, func(_ context.Context, try int) bool { return try < 3 }, n.directory, ok, nil, func() clock.Micros { return n.w.now }, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	n.svc = api.New(api.Options{Config: &n.cfg, Store: n, Backoff: backoff, Jobs: n.directory, StoreHealthy: ok, TimeOfDay: now})
 	n.look()
 }
 
@@ -386,7 +386,7 @@
 		l.carry(l.follower, func() {
 			l.follower.directory.Post(api.PeerContacted{})
 			l.leader.directory.Post(api.PeerContacted{})
-			l.follower.directory.Post(&x.Message)
+			l.follower.directory.Post(api.LeaderMessage{Message: &x.Message})
 			l.follower.holderStep(&x.Message)
 		})
 	case leader.LoadState:
