--- a/internal/leader/assign_test.go
+++ b/internal/leader/assign_test.go
@@ -52,7 +52,7 @@
 		for i := range c.machines {
 			l.inventory.machines[fmt.Sprint("more", i)] = &machine{}
 		}
-		if n := l.mostBlocks(); n < c.least || n > c.most {
+		if n := l.maxShards(); n < c.least || n > c.most {
 			t.Errorf("%g of a core and %d machines: %d of 6 blocks, want %d to %d", c.cpu, c.machines, n, c.least, c.most)
 		}
 	}
@@ -151,10 +151,10 @@
 	l.Step(joined, LeadershipExtended{Until: joined + 10*clock.Second})
 	l.shards.controllers["n0"].lastHeartbeat = joined
 	l.Step(joined, PeerConnected{Controller: "n1", Link: testLink("other")})
-	if n := blockWrites(t, l.Step(joined+settleTime/2, Tick{}), "n1"); n != 0 {
+	if n := blockWrites(t, l.Step(joined+minConnectedTime/2, Tick{}), "n1"); n != 0 {
 		t.Errorf("%d blocks move before the controller has settled", n)
 	}
-	if n := blockWrites(t, l.Step(joined+2*settleTime, Tick{}), "n1"); n < 2 || n > 3 {
+	if n := blockWrites(t, l.Step(joined+2*minConnectedTime, Tick{}), "n1"); n < 2 || n > 3 {
 		t.Errorf("%d blocks move, want two or three of six", n)
 	}
 }
--- a/internal/leader/failures.go
+++ b/internal/leader/failures.go
@@ -62,8 +62,8 @@
 
 // judgeMachine drains a machine that is at fault for what failed on it.
 func (l *Leader) judgeMachine(now clock.Micros, name string) {
-	if m := l.inventory.machines[name]; m != nil && !m.drain && m.failures.Faulty() {
-		l.drain(now, m, "fails its tasks")
+	if m := l.inventory.machines[name]; m != nil && !m.draining && m.failures.Faulty() {
+		l.drainMachine(now, m, "fails its tasks")
 	}
 }
 
--- a/internal/leader/failures_test.go
+++ b/internal/leader/failures_test.go
@@ -51,13 +51,13 @@
 	fail := func() {
 		l.errored(began, j, peer.TaskEvent{Task: peer.Task{Job: spec.Ref, Index: 0}, Machine: names[1]}, &grantedTask{})
 	}
-	if fail(); l.inventory.machines[names[1]].drain {
+	if fail(); l.inventory.machines[names[1]].draining {
 		t.Error("drained for a job of which nothing is known")
 	}
-	if fail(); l.inventory.machines[names[1]].drain {
+	if fail(); l.inventory.machines[names[1]].draining {
 		t.Error("drained for a job of which nothing is known")
 	}
-	if l.completed(began, j, peer.TaskEvent{Task: peer.Task{Job: spec.Ref, Index: 1}, Machine: names[2]}); !l.inventory.machines[names[1]].drain {
+	if l.completed(began, j, peer.TaskEvent{Task: peer.Task{Job: spec.Ref, Index: 1}, Machine: names[2]}); !l.inventory.machines[names[1]].draining {
 		t.Error("not drained when its job has completed elsewhere")
 	}
 }
@@ -74,7 +74,7 @@
 			l.cancel(began, j)
 		}
 	}
-	if l.inventory.machines[names[1]].drain {
+	if l.inventory.machines[names[1]].draining {
 		t.Error("drained")
 	}
 }
@@ -85,13 +85,13 @@
 	l := granting(t, nil)
 	silent, booting, healthy := l.inventory.machines[names[0]], l.inventory.machines[names[1]], l.inventory.machines[names[2]]
 	for _, m := range []*machine{silent, booting, healthy} {
-		m.up, m.opt.Type.BootS = false, 20
+		m.up, m.option.Type.BootS = false, 20
 	}
 	list := func(at clock.Micros) {
-		l.listedMachines(at, []wire.Machine{{Name: silent.name, State: wire.MachineRunning}, {Name: booting.name, State: wire.MachineStarting}, {Name: healthy.name, State: wire.MachineRunning}})
+		l.machinesListed(at, []wire.Machine{{Name: silent.name, State: wire.MachineRunning}, {Name: booting.name, State: wire.MachineStarting}, {Name: healthy.name, State: wire.MachineRunning}})
 	}
 	list(began)
-	l.machineState(began+clock.Second, peer.MachineState{Name: healthy.name, Type: "small", Schedulable: true})
+	l.machineReported(began+clock.Second, peer.MachineState{Name: healthy.name, Type: "small", Schedulable: true})
 	late := clock.FromSeconds(20 * l.cfg.Tuning.Fleet.LateFactor)
 	for _, c := range []struct {
 		at   clock.Micros
@@ -99,20 +99,20 @@
 		want string
 	}{
 		{began + late, silent, ""},
-		{began + l.silentBoot(late) + clock.Second, silent, "never reported"},
-		{began + late + clock.Second, booting, neverCameUp},
+		{began + l.silentBootTimeout(late) + clock.Second, silent, "never reported"},
+		{began + late + clock.Second, booting, reasonNeverCameUp},
 		{began + 10*late, healthy, ""},
 	} {
-		if why := l.whyDoomed(c.at, c.m, true); why != c.want {
+		if why := l.giveUpReason(c.at, c.m, true); why != c.want {
 			t.Errorf("%s after %.0f s: %q, want %q", c.m.name, (c.at - began).Seconds(), why, c.want)
 		}
 	}
-	l.doomed(began + late + clock.Second)
-	if late := l.expected(booting.opt).LateS; late != 20 {
+	l.machinesToGiveUp(began + late + clock.Second)
+	if late := l.withExpectedDelay(booting.option).LateS; late != 20 {
 		t.Errorf("expected %g s late after one that did not come up", late)
 	}
-	l.machineState(began+late+2*clock.Second, peer.MachineState{Name: booting.name, Type: "small", Schedulable: true})
-	if late := l.expected(booting.opt).LateS; late != 0 {
+	l.machineReported(began+late+2*clock.Second, peer.MachineState{Name: booting.name, Type: "small", Schedulable: true})
+	if late := l.withExpectedDelay(booting.option).LateS; late != 0 {
 		t.Errorf("expected %g s late after one came up", late)
 	}
 }
--- a/internal/leader/fleet.go
+++ b/internal/leader/fleet.go
@@ -17,8 +17,8 @@
 	planEvery      = clock.Second
 )
 
-// reconcileFleet rents, returns and gives up machines.
-func (l *Leader) reconcileFleet(now clock.Micros) {
+// reconcileInventory rents, returns and gives up machines.
+func (l *Leader) reconcileInventory(now clock.Micros) {
 	if now-l.autoscaler.reconciledAt < reconcileEvery {
 		return
 	}
@@ -29,32 +29,32 @@
 			pending++
 		}
 	}
-	l.askCloud(now, pending > 0)
+	l.pollCloud(now, pending > 0)
 	if len(l.autoscaler.types) == 0 {
 		return
 	}
 	// While an answer is out, machines that nobody knows may be its rental's.
 	if pending == 0 {
-		l.adopt(now)
+		l.adoptDiscovered(now)
 	}
-	l.reconcileRentals(now)
+	l.reconcileInstanceGroups(now)
 	// While many machines are lost, or the cloud answers nothing, those that live are
 	// planned with all the same.
-	doomed := l.doomed(now)
+	doomed := l.machinesToGiveUp(now)
 	for _, name := range doomed {
 		l.inventory.machines[name].deleting = true
 	}
 	if now-l.autoscaler.plannedAt >= planEvery {
 		l.autoscaler.plannedAt = now
-		doomed = append(doomed, l.plan(now, pending < 4)...)
+		doomed = append(doomed, l.planCapacity(now, pending < 4)...)
 	}
 	l.deleteMachines(doomed)
 }
 
-// askCloud has the machine list and the catalog read when it is time. Lists give way to rentals, which
+// pollCloud has the machine list and the catalog read when it is time. Lists give way to rentals, which
 // share the cloud's few calls with them.
-func (l *Leader) askCloud(now clock.Micros, renting bool) {
-	every := max(clock.FromSeconds(l.cfg.Facts.Cloud.ListLagS)/2, 2*clock.Second, l.listCost())
+func (l *Leader) pollCloud(now clock.Micros, renting bool) {
+	every := max(clock.FromSeconds(l.cfg.Facts.Cloud.ListLagS)/2, 2*clock.Second, l.minListInterval())
 	if renting {
 		every *= 2
 	}
@@ -84,44 +84,44 @@
 	leastCloudRate = 0.1
 )
 
-// listCost is how far apart machine lists are for their pages to leave calls to rentals and deletions.
-func (l *Leader) listCost() clock.Micros {
+// minListInterval is how far apart machine lists are for their pages to leave calls to rentals and deletions.
+func (l *Leader) minListInterval() clock.Micros {
 	pages := float64(len(l.inventory.machines)/listPage + 1)
 	return clock.FromSeconds(pages / (listShare * max(l.cfg.Facts.Cloud.RPS, leastCloudRate)))
 }
 
-// askAgainAfter is how long a rental's answer is waited for before it is asked for again.
-const askAgainAfter = 8 * clock.Second
+// provisionRetryAfter is how long a rental's answer is waited for before it is asked for again.
+const provisionRetryAfter = 8 * clock.Second
 
-// reconcileRentals asks again for rentals without an answer, and takes machines that are gone out of the
+// reconcileInstanceGroups asks again for rentals without an answer, and takes machines that are gone out of the
 // records of the others.
-func (l *Leader) reconcileRentals(now clock.Micros) {
+func (l *Leader) reconcileInstanceGroups(now clock.Micros) {
 	for _, key := range slices.Sorted(maps.Keys(l.inventory.groups)) {
 		rt := l.inventory.groups[key]
 		if !rt.record.Answered {
-			if rt.busy && rt.requestedAt > 0 && now-rt.requestedAt > askAgainAfter {
+			if rt.busy && rt.requestedAt > 0 && now-rt.requestedAt > provisionRetryAfter {
 				rt.requestedAt = now
 				l.emit(ProvisionMachines{l.term, rt.record.Request})
 			}
 		} else if !rt.busy {
-			l.pruneRental(now, rt)
+			l.pruneInstanceGroup(now, rt)
 		}
 	}
 }
 
 const (
-	// mostDeletions is how many deletions may be under way.
-	mostDeletions = 3
-	// mostDeleted is how many machines one deletion may name (PROTOCOL).
-	mostDeleted = 100
+	// maxDeletions is how many deletions may be under way.
+	maxDeletions = 3
+	// maxMachinesPerDeletion is how many machines one deletion may name (PROTOCOL).
+	maxMachinesPerDeletion = 100
 )
 
 // deleteMachines returns machines to the cloud, as many as one deletion may name; the others' turn
 // comes later.
 func (l *Leader) deleteMachines(names []string) {
 	sent := 0
-	if len(names) > 0 && l.inventory.deletionsInFlight < mostDeletions {
-		sent = min(len(names), mostDeleted)
+	if len(names) > 0 && l.inventory.deletionsInFlight < maxDeletions {
+		sent = min(len(names), maxMachinesPerDeletion)
 		l.inventory.deletionsInFlight++
 		l.emit(DeleteMachines{l.term, names[:sent]})
 	}
@@ -130,8 +130,8 @@
 	}
 }
 
-// adopt takes machines into the roster that nobody here knows to have rented.
-func (l *Leader) adopt(now clock.Micros) {
+// adoptDiscovered takes machines into the roster that nobody here knows to have rented.
+func (l *Leader) adoptDiscovered(now clock.Micros) {
 	if len(l.inventory.discovered) == 0 {
 		return
 	}
@@ -151,13 +151,13 @@
 			rt := &instanceGroup{key: fmt.Sprintf("%sfound-%d-%d", InstanceGroupPrefix, l.term, l.inventory.requestSeq), busy: true,
 				record: InstanceGroupRecord{Request: k, Machines: part, Answered: true}}
 			l.inventory.groups[rt.key] = rt
-			l.writeRental(rt)
+			l.writeInstanceGroup(rt)
 		}
 	}
 }
 
-// doomed are machines that serve nobody any more.
-func (l *Leader) doomed(now clock.Micros) []string {
+// machinesToGiveUp are machines that serve nobody any more.
+func (l *Leader) machinesToGiveUp(now clock.Micros) []string {
 	silent := map[*shardLease]int{}
 	up := map[*shardLease]int{}
 	for _, m := range l.inventory.machines {
@@ -178,10 +178,10 @@
 		}
 		// Many silent machines at once point at the holder, not at them.
 		alone := silent[m.shard]*2 < up[m.shard] || silent[m.shard] == 1
-		if why := l.whyDoomed(now, m, alone); why != "" {
+		if why := l.giveUpReason(now, m, alone); why != "" {
 			out = append(out, name)
-			if why == neverCameUp {
-				l.autoscaler.bootFailures[m.opt.Key()]++
+			if why == reasonNeverCameUp {
+				l.autoscaler.bootFailures[m.option.Key()]++
 			}
 			l.emit(Log{Debug: true, Message: "giving machine up", Attributes: []any{"machine", name, "why", why}})
 		}
@@ -189,81 +189,83 @@
 	return out
 }
 
-// neverCameUp is why a machine is given up that the cloud still starts.
-const neverCameUp = "never came up"
+// reasonNeverCameUp is why a machine is given up that the cloud still starts.
+const reasonNeverCameUp = "never came up"
 
-// silentBoot is how long a machine may be listed as up without a report. Whatever an earlier holder had started there
+// silentBootTimeout is how long a machine may be listed as up without a report. Whatever an earlier holder had started there
 // has lost its lease by then.
-func (l *Leader) silentBoot(late clock.Micros) clock.Micros { return max(late, 2*l.cfg.LeaseTime()) }
+func (l *Leader) silentBootTimeout(late clock.Micros) clock.Micros {
+	return max(late, 2*l.cfg.LeaseTime())
+}
 
-// mostNoBoots bounds by how much an option's machines that did not come up count.
-const mostNoBoots = 4
+// maxBootFailures bounds by how much an option's machines that did not come up count.
+const maxBootFailures = 4
 
-// expected is an option with how late its machines are expected: a boot time for each that did not come up since one
+// withExpectedDelay is an option with how late its machines are expected: a boot time for each that did not come up since one
 // last did.
-func (l *Leader) expected(o autoscaler.Option) autoscaler.Option {
-	o.LateS = o.Type.BootS * float64(min(l.autoscaler.bootFailures[o.Key()], mostNoBoots))
+func (l *Leader) withExpectedDelay(o autoscaler.Option) autoscaler.Option {
+	o.LateS = o.Type.BootS * float64(min(l.autoscaler.bootFailures[o.Key()], maxBootFailures))
 	return o
 }
 
-// whyDoomed says why a machine serves nobody any more; "": it does, or may yet. alone: not many of its
+// giveUpReason says why a machine serves nobody any more; "": it does, or may yet. alone: not many of its
 // block are silent.
-func (l *Leader) whyDoomed(now clock.Micros, m *machine, alone bool) string {
+func (l *Leader) giveUpReason(now clock.Micros, m *machine, alone bool) string {
 	lag := clock.FromSeconds(l.cfg.Facts.Cloud.ListLagS)
 	switch {
 	case m.failed:
 		return "failed"
-	case m.missing >= 3 && (m.state.Silent || !m.up || m.state.Tasks == 0 && now-m.listed > 3*lag+10*clock.Second):
+	case m.missingLists >= 3 && (m.state.Silent || !m.up || m.state.Tasks == 0 && now-m.listedAt > 3*lag+10*clock.Second):
 		// Lists alone cost no machine that runs work: whatever they say, one that is gone falls silent.
 		return "no longer listed"
 	case m.state.Silent && (m.state.PreemptionNotice || alone):
 		return "silent"
-	case m.drain && m.up && m.state.Tasks == 0 && !m.shard.offerPending:
+	case m.draining && m.up && m.state.Tasks == 0 && !m.shard.offerPending:
 		return "drained"
 	case !m.up && m.shard.state == granted:
-		return l.whyNotUp(now, m)
+		return l.bootFailureReason(now, m)
 	}
 	return ""
 }
 
-// whyNotUp says why a machine is given up whose worker was never heard; "": it may come up yet.
-func (l *Leader) whyNotUp(now clock.Micros, m *machine) string {
-	late := clock.FromSeconds(m.opt.Type.BootS*l.cfg.Tuning.Fleet.LateFactor + l.cfg.Facts.Cloud.ListLagS)
+// bootFailureReason says why a machine is given up whose worker was never heard; "": it may come up yet.
+func (l *Leader) bootFailureReason(now clock.Micros, m *machine) string {
+	late := clock.FromSeconds(m.option.Type.BootS*l.cfg.Tuning.Fleet.LateFactor + l.cfg.Facts.Cloud.ListLagS)
 	switch {
-	case (m.booting || m.listed == 0) && now-m.born > late && now-l.startedAt > late/2:
-		return neverCameUp
-	case m.running > 0 && now-max(m.running, l.startedAt) > l.silentBoot(late):
+	case (m.booting || m.listedAt == 0) && now-m.firstSeenAt > late && now-l.startedAt > late/2:
+		return reasonNeverCameUp
+	case m.runningSince > 0 && now-max(m.runningSince, l.startedAt) > l.silentBootTimeout(late):
 		return "never reported"
 	}
 	return ""
 }
 
-// plan rents what the queues need, if it may, and names idle machines to return.
-func (l *Leader) plan(now clock.Micros, rent bool) []string {
-	flat := l.needs(now)
+// planCapacity rents what the queues need, if it may, and names idle machines to return.
+func (l *Leader) planCapacity(now clock.Micros, rent bool) []string {
+	flat := l.capacityDemand(now)
 	var supply []autoscaler.Capacity
 	idleFor := clock.FromSeconds(l.cfg.Tuning.Fleet.IdleS)
 	targets := l.moveTargets()
 	for _, name := range slices.Sorted(maps.Keys(l.inventory.machines)) {
 		m := l.inventory.machines[name]
-		if m.deleting || m.drain || m.state.PreemptionNotice || m.state.Silent {
+		if m.deleting || m.draining || m.state.PreemptionNotice || m.state.Silent {
 			continue
 		}
 		idle := m.up && m.state.Tasks == 0 && !m.shard.offerPending
 		wait := idleFor
-		if !m.opt.Spot {
+		if !m.option.Spot {
 			wait = idleFor / 5
 		}
-		s := autoscaler.Capacity{Option: m.opt, Name: name, Up: m.up, Idle: idle, Keep: idle && now-m.idle < wait || now-m.born < 55*clock.Second || targets[name]}
-		if m.up && m.opt.Type.CPUs > 0 {
-			s.Load = 1 - m.state.CPUs/m.opt.Type.CPUs
+		s := autoscaler.Capacity{Option: m.option, Name: name, Up: m.up, Idle: idle, Keep: idle && now-m.idleSince < wait || now-m.firstSeenAt < 55*clock.Second || targets[name]}
+		if m.up && m.option.Type.CPUs > 0 {
+			s.Load = 1 - m.state.CPUs/m.option.Type.CPUs
 		}
 		supply = append(supply, s)
 	}
 	stuck := false
 	for _, rt := range l.inventory.groups {
 		if !rt.record.Answered {
-			stuck = stuck || now-rt.wantedSince > stuckAfter
+			stuck = stuck || now-rt.wantedSince > unansweredTimeout
 			for range rt.record.Request.Count {
 				supply = append(supply, autoscaler.Capacity{Option: l.option(rt.record.Request)})
 			}
@@ -272,13 +274,13 @@
 	var opts []autoscaler.Option
 	for _, t := range l.autoscaler.catalog {
 		for _, z := range t.ZoneNames {
-			opts = append(opts, l.expected(autoscaler.Option{Type: t, Zone: z}), l.expected(autoscaler.Option{Type: t, Zone: z, Spot: true}))
+			opts = append(opts, l.withExpectedDelay(autoscaler.Option{Type: t, Zone: z}), l.withExpectedDelay(autoscaler.Option{Type: t, Zone: z, Spot: true}))
 		}
 	}
 	tune := l.cfg.Tuning.Fleet
 	d := autoscaler.Plan(flat, supply, opts, autoscaler.Params{SpotClearS: tune.SpotClearS, OrdinaryClearS: tune.OrdinaryClearS, Reserve: tune.Reserve},
 		func(o autoscaler.Option) bool { return now >= l.autoscaler.refusals[o.Key()].until })
-	l.rest(d, stuck)
+	l.applyExclusions(d, stuck)
 	l.scheduling.requested = true // what is no longer cordoned has room again
 	if !rent {
 		return d.ScaleIn
@@ -288,20 +290,20 @@
 		req := fmt.Sprintf("r-%d-%d", l.term, l.inventory.requestSeq)
 		rt := &instanceGroup{key: InstanceGroupPrefix + req, wantedSince: now, record: InstanceGroupRecord{Request: wire.ProvisionRequest{RequestID: req, Type: o.Type.Name, Zone: o.Zone, Spot: o.Spot, Count: o.Count}}}
 		l.inventory.groups[rt.key] = rt
-		l.writeRental(rt)
+		l.writeInstanceGroup(rt)
 	}
 	return d.ScaleIn
 }
 
-// stuckAfter is how long a rental is without an answer before the cloud counts as away.
-const stuckAfter = 10 * clock.Second
+// unansweredTimeout is how long a rental is without an answer before the cloud counts as away.
+const unansweredTimeout = 10 * clock.Second
 
-// rest tells the holders which machines their auctions are to leave out. Those not
+// applyExclusions tells the holders which machines their auctions are to leave out. Those not
 // worth their price get no work at all; those that are only more than needed get it
 // again as soon as the others have no room.
 //
 // While the cloud does not answer, nothing cheaper comes: what is there serves, too.
-func (l *Leader) rest(d autoscaler.Decision, stuck bool) {
+func (l *Leader) applyExclusions(d autoscaler.Decision, stuck bool) {
 	for _, m := range l.inventory.machines {
 		m.cordoned, m.deprioritized = false, false
 	}
--- a/internal/leader/fleet_test.go
+++ b/internal/leader/fleet_test.go
@@ -17,11 +17,11 @@
 func TestGhostIsNotAdopted(t *testing.T) {
 	l := leading(t)
 	s := peer.MachineState{Name: "host-000900", Type: "small", Zone: "a"}
-	if l.machineState(began, s); len(l.inventory.discovered) != 0 {
+	if l.machineReported(began, s); len(l.inventory.discovered) != 0 {
 		t.Error("a machine that no token reached counts as found")
 	}
 	s.TokenConfirmed = true
-	if l.machineState(began, s); len(l.inventory.discovered) != 1 {
+	if l.machineReported(began, s); len(l.inventory.discovered) != 1 {
 		t.Error("a machine that has shown its holder's token is not found")
 	}
 }
@@ -29,7 +29,7 @@
 // What a former leader has deleted leaves the roster on its holder's word.
 func TestHolderTellsOfDeletedMachine(t *testing.T) {
 	l := leading(t)
-	l.machineState(began, peer.MachineState{Name: names[0], Terminated: true})
+	l.machineReported(began, peer.MachineState{Name: names[0], Terminated: true})
 	if l.inventory.machines[names[0]] != nil || !l.inventory.terminated[names[0]] || l.inventory.machines[names[1]] == nil {
 		t.Error("the deleted machine, and no other, must leave the books")
 	}
@@ -43,10 +43,10 @@
 	m := &machine{name: "m", shard: b}
 	l := &Leader{termState: termState{inventory: inventory{machines: map[string]*machine{"m": m}}}}
 	d := autoscaler.Decision{Cordon: []string{"m"}}
-	if l.rest(d, false); !m.cordoned || m.deprioritized {
+	if l.applyExclusions(d, false); !m.cordoned || m.deprioritized {
 		t.Errorf("cordoned %v, at rest %v; want cordoned", m.cordoned, m.deprioritized)
 	}
-	if l.rest(d, true); m.cordoned || !m.deprioritized {
+	if l.applyExclusions(d, true); m.cordoned || !m.deprioritized {
 		t.Errorf("cordoned %v, at rest %v while the cloud is away; want at rest", m.cordoned, m.deprioritized)
 	}
 }
@@ -75,12 +75,12 @@
 	if l.warm() != nil {
 		t.Error("room is kept for a class that has come")
 	}
-	n := &needs{byKey: map[needKey]*autoscaler.Demand{}}
-	if l.reserve(began, n); len(n.list) != 1 || n.list[0].Tasks <= 6 {
+	n := &demandSet{byKey: map[demandKey]*autoscaler.Demand{}}
+	if l.addArrivalReserve(began, n); len(n.list) != 1 || n.list[0].Tasks <= 6 {
 		t.Errorf("room kept for services like one of 6 replicas that has just come: %+v, want for more than as many", n.list)
 	}
 	total := 0
-	for _, need := range l.needs(began) {
+	for _, need := range l.capacityDemand(began) {
 		total += need.Tasks
 	}
 	if total <= 6+spec.Tasks {
@@ -89,8 +89,8 @@
 	// What must be spread over zones needs room in each.
 	l.setTypes([]wire.MachineType{{Name: "small", CPUs: 4, MemoryGB: 8, BootS: 30, ZoneNames: []string{"a", "b", "c"}}})
 	j.record.Spec.Spread = true
-	n = &needs{byKey: map[needKey]*autoscaler.Demand{}}
-	l.needStanding(began, n, j, 6)
+	n = &demandSet{byKey: map[demandKey]*autoscaler.Demand{}}
+	l.addServiceDemand(began, n, j, 6)
 	for _, need := range n.list {
 		if need.Tasks != 2 || need.Zone == "" {
 			t.Errorf("%d slots wanted in zone %q, want 2 in each of three", need.Tasks, need.Zone)
@@ -113,7 +113,7 @@
 		l.inventory.discovered[name] = wire.Machine{Name: name, Type: "small", Zone: "a"}
 	}
 	l.effects = nil
-	l.adopt(began)
+	l.adoptDiscovered(began)
 	n := 0
 	for _, e := range l.effects {
 		if c, ok := e.(CommitTxn); ok {
@@ -129,13 +129,13 @@
 	rt := &instanceGroup{key: "fleet/old", keyVersion: 3, record: InstanceGroupRecord{Machines: many, Answered: true}}
 	l.inventory.terminated[many[0]] = true
 	l.effects = nil
-	if l.pruneRental(began+clock.Minute, rt); len(l.effects) > 0 {
+	if l.pruneInstanceGroup(began+clock.Minute, rt); len(l.effects) > 0 {
 		t.Error("a record that is too large is written as it is")
 	}
 	for _, name := range many[:150] {
 		l.inventory.terminated[name] = true
 	}
-	if l.pruneRental(began+2*clock.Minute, rt); len(l.effects) != 1 || len(rt.record.Machines) != 50 {
+	if l.pruneInstanceGroup(began+2*clock.Minute, rt); len(l.effects) != 1 || len(rt.record.Machines) != 50 {
 		t.Errorf("%d machines left in the record, written %d times", len(rt.record.Machines), len(l.effects))
 	}
 }
@@ -176,7 +176,7 @@
 	l := granting(t, nil)
 	works, idle, silent := l.inventory.machines[names[0]], l.inventory.machines[names[1]], l.inventory.machines[names[2]]
 	all := []wire.Machine{{Name: works.name, State: wire.MachineRunning}, {Name: idle.name, State: wire.MachineRunning}, {Name: silent.name, State: wire.MachineRunning}}
-	l.listedMachines(began, all)
+	l.machinesListed(began, all)
 	for _, m := range []*machine{works, idle, silent} {
 		m.up, m.state.Silent = true, m == silent
 	}
@@ -185,16 +185,16 @@
 	for i := range 20 {
 		at += 4 * clock.Second
 		if i%5 == 4 && at < began+40*clock.Second {
-			l.listedMachines(at, all) // an older list once more
+			l.machinesListed(at, all) // an older list once more
 		} else {
-			l.listedMachines(at, nil)
+			l.machinesListed(at, nil)
 		}
 	}
 	for _, c := range []struct {
 		m    *machine
 		want string
 	}{{works, ""}, {idle, "no longer listed"}, {silent, "no longer listed"}} {
-		if why := l.whyDoomed(at, c.m, false); why != c.want {
+		if why := l.giveUpReason(at, c.m, false); why != c.want {
 			t.Errorf("%s: %q, want %q", c.m.name, why, c.want)
 		}
 	}
--- a/internal/leader/grants.go
+++ b/internal/leader/grants.go
@@ -12,8 +12,8 @@
 	"swiftledge/wire"
 )
 
-// holders names who answers for each block, for redirects.
-func (l *Leader) holders() []string {
+// shardHolders names who answers for each block, for redirects.
+func (l *Leader) shardHolders() []string {
 	if !l.loaded {
 		return nil
 	}
@@ -24,25 +24,25 @@
 	return out
 }
 
-// reportCost is what a worker's report a second takes of a core, all that follows from it and
+// heartbeatCost is what a worker's report a second takes of a core, all that follows from it and
 // the reports of changes included: 600 machines that report every 3 s take three controllers
 // 0.022 of a core, 0.00011 for each report. What is more is left for who leads besides.
-const reportCost = 0.00015
+const heartbeatCost = 0.00015
 
-// mostBlocks is how many blocks a controller takes at once when others are out of
+// maxShards is how many blocks a controller takes at once when others are out of
 // touch: it must be able to answer the workers of all. More would make it late with
 // every answer, so that the workers of its own blocks lose their leases, too.
-func (l *Leader) mostBlocks() int {
+func (l *Leader) maxShards() int {
 	f := &l.cfg.Facts
 	size := max(f.InitialSize, 1)
 	share := (len(l.shards.all)+size-1)/size + max(1, len(l.shards.all)/6)
-	return max(share, l.answerable())
+	return max(share, l.answerableShards())
 }
 
-// answerable is of how many blocks one controller can answer all workers.
-func (l *Leader) answerable() int {
+// answerableShards is of how many blocks one controller can answer all workers.
+func (l *Leader) answerableShards() int {
 	f := &l.cfg.Facts
-	able := f.Quota.CPU / reportCost * f.Workers.ReportS / max(1, float64(len(l.inventory.machines))) * float64(len(l.shards.all))
+	able := f.Quota.CPU / heartbeatCost * f.Workers.ReportS / max(1, float64(len(l.inventory.machines))) * float64(len(l.shards.all))
 	return int(min(able, float64(len(l.shards.all))))
 }
 
@@ -50,20 +50,20 @@
 // reports, learns the new token, reports again, and is told of its tasks.
 const takeoverCost = 0.0003
 
-// leastPace bounds how many blocks a controller takes over within a worker's lease.
-const leastPace = 16
+// takeoversPerLease bounds how many blocks a controller takes over within a worker's lease.
+const takeoversPerLease = 16
 
 // takeoverTime is how long a controller is busy with the workers of a block that it takes over.
 // Several blocks at once would make it late with every answer and cost a leader its lease.
 func (l *Leader) takeoverTime() clock.Micros {
 	machines := float64(len(l.inventory.machines)) / float64(len(l.shards.all))
 	busy := machines * takeoverCost / l.cfg.Facts.Quota.CPU
-	return clock.FromSeconds(min(busy, l.cfg.LeaseTime().Seconds()/leastPace))
+	return clock.FromSeconds(min(busy, l.cfg.LeaseTime().Seconds()/takeoversPerLease))
 }
 
-// patience is how long blocks beyond that wait for a holder to come back: the last
+// reassignDelay is how long blocks beyond that wait for a holder to come back: the last
 // answers of the former one hold its workers' leases for longer.
-func (l *Leader) patience() clock.Micros {
+func (l *Leader) reassignDelay() clock.Micros {
 	if l.cfg.Facts.InitialSize <= 1 {
 		return 0
 	}
@@ -75,16 +75,16 @@
 	return n.refusedSince > 0 && now-n.refusedSince > 3*clock.Second
 }
 
-// blindFor is how long a controller that heard no worker is left without blocks.
-const blindFor = 30 * clock.Second
+// noAgentContactTime is how long a controller that heard no worker is left without blocks.
+const noAgentContactTime = 30 * clock.Second
 
-func (l *Leader) blind(name string, now clock.Micros) bool {
+func (l *Leader) hasNoAgentContact(name string, now clock.Micros) bool {
 	n := l.shards.controllers[name]
-	return n.noAgentContactAt > 0 && now-n.noAgentContactAt < blindFor
+	return n.noAgentContactAt > 0 && now-n.noAgentContactAt < noAgentContactTime
 }
 
-// bias lets the leader have fewer blocks, as it has more to do.
-func (l *Leader) bias(name string) int {
+// ownShardPenalty lets the leader have fewer blocks, as it has more to do.
+func (l *Leader) ownShardPenalty(name string) int {
 	if name == l.self {
 		return 1
 	}
@@ -94,22 +94,22 @@
 // tokenBits is how many low bits of a token count within its epoch, at first.
 const tokenBits = 12
 
-// tokensLeft says whether this epoch may give that many more tokens. A later epoch is a later revision
+// hasTokens says whether this epoch may give that many more tokens. A later epoch is a later revision
 // of the state service than any at which a write of this one succeeded, as those are guarded on our
 // leader key. So the count may run over its bits as far as that revision's tokens go: each grant
 // that is written makes room for thousands more, and an epoch does not use its tokens up.
-func (l *Leader) tokensLeft(more int) bool {
+func (l *Leader) hasTokens(more int) bool {
 	first := uint64(l.term) << tokenBits
 	return first+l.shards.tokensIssued+uint64(more) < (max(uint64(l.term), l.highestRevision)+1)<<tokenBits
 }
 
 type shardsTag struct{ tokens map[int]wire.FencingToken }
 
-func (l *Leader) writeBlocks(bs []*shardLease) {
+func (l *Leader) writeShardKeys(bs []*shardLease) {
 	tag := shardsTag{map[int]wire.FencingToken{}}
 	var guards []wire.Condition
 	var writes []wire.Write
-	if !l.tokensLeft(len(bs)) {
+	if !l.hasTokens(len(bs)) {
 		l.emit(Resign{"no token is left that a later leader's are surely higher than"})
 		return
 	}
@@ -129,7 +129,7 @@
 	l.commit(store.PriorityUrgent, tag, guards, writes)
 }
 
-func (l *Leader) blocksWritten(now clock.Micros, tag shardsTag, o store.TxnResult) {
+func (l *Leader) shardKeysWritten(now clock.Micros, tag shardsTag, o store.TxnResult) {
 	for _, id := range slices.Sorted(maps.Keys(tag.tokens)) {
 		b, token := l.shards.all[id], tag.tokens[id]
 		if b.state != writing || b.token != token {
@@ -146,26 +146,26 @@
 	}
 }
 
-// records takes in what may run in a block, from its start records, and grants the block to its
+// attemptsLoaded takes in what may run in a block, from its start records, and grants the block to its
 // holder, if it has one.
-func (l *Leader) records(m AttemptsLoaded) {
+func (l *Leader) attemptsLoaded(m AttemptsLoaded) {
 	b := l.shards.all[m.Shard]
 	if b.state != reading || b.token != m.FencingToken {
 		return
 	}
-	l.chargeRecords(b, m.Pages)
+	l.rebuildFromAttempts(b, m.Pages)
 	b.attemptsRead = true
 	if b.link == nil {
 		b.state = unassigned // it waits for a holder
 		return
 	}
 	b.state, b.unassignedSince = granted, 0
-	l.tellGrant(b, m.Pages)
+	l.sendGrant(b, m.Pages)
 	l.emit(Log{Debug: true, Message: "block granted", Attributes: []any{"block", b.id, "holder", b.holder, "token", b.token, "tasks", len(b.tasks)}})
 }
 
-// chargeRecords replaces what counts as running in a block by what its start records name.
-func (l *Leader) chargeRecords(b *shardLease, pages map[string]peer.AttemptPage) {
+// rebuildFromAttempts replaces what counts as running in a block by what its start records name.
+func (l *Leader) rebuildFromAttempts(b *shardLease, pages map[string]peer.AttemptPage) {
 	old := b.tasks
 	b.tasks = map[peer.Task]*grantedTask{}
 	b.unpersisted = nil
@@ -183,7 +183,7 @@
 				l.info("start records", "error", err) // not reached: pages are checked when read
 			}
 			for _, r := range records {
-				l.chargeRecord(b, group, r, old)
+				l.addFromAttempt(b, group, r, old)
 			}
 		}
 	}
@@ -195,15 +195,15 @@
 	}
 }
 
-// chargeRecord counts one start record. A task of a job that is over or unknown is to be stopped.
-func (l *Leader) chargeRecord(b *shardLease, group *peer.AttemptGroup, r peer.AttemptRecord, old map[peer.Task]*grantedTask) {
+// addFromAttempt counts one start record. A task of a job that is over or unknown is to be stopped.
+func (l *Leader) addFromAttempt(b *shardLease, group *peer.AttemptGroup, r peer.AttemptRecord, old map[peer.Task]*grantedTask) {
 	t := peer.Task{Job: group.Job, Index: r.Index}
 	if b.tasks[t] != nil {
 		return
 	}
 	h := &grantedTask{team: group.Team, cpus: group.CPUs, gpus: group.GPUs, machine: r.Machine, inherited: true}
 	if m := l.inventory.machines[r.Machine]; m != nil {
-		h.zone = m.opt.Zone
+		h.zone = m.option.Zone
 	}
 	b.tasks[t] = h
 	l.quota.charge(h, 1)
@@ -216,29 +216,29 @@
 	}
 }
 
-// tellGrant sends a block's grant to its holder and the new list of holders to all.
-func (l *Leader) tellGrant(b *shardLease, pages map[string]peer.AttemptPage) {
+// sendGrant sends a block's grant to its holder and the new list of holders to all.
+func (l *Leader) sendGrant(b *shardLease, pages map[string]peer.AttemptPage) {
 	var roster []peer.InventoryMachine
 	for _, name := range slices.Sorted(maps.Keys(l.inventory.machines)) {
 		m := l.inventory.machines[name]
 		if m.shard != b {
 			continue
 		}
-		if m.drain {
+		if m.draining {
 			b.orders.Drain = append(b.orders.Drain, name)
 		}
 		m.state.Schedulable, m.excluded = false, false
 		roster = append(roster, peer.InventoryMachine{Name: name, Address: m.address})
 	}
-	roster = append(roster, l.listUnlisted(b, pages)...)
+	roster = append(roster, l.grantUnconfirmed(b, pages)...)
 	// A controller that linked up before the epoch was loaded knows no types yet.
 	// What is to be stopped comes with the grant: no report may be answered between the two.
-	l.emit(SendToHolder{b.link, peer.FromLeader{Term: l.term, Holders: l.holders(), Types: l.autoscaler.catalog, Orders: []peer.ShardOrders{b.orders},
+	l.emit(SendToHolder{b.link, peer.FromLeader{Term: l.term, Holders: l.shardHolders(), Types: l.autoscaler.catalog, Orders: []peer.ShardOrders{b.orders},
 		Grants: []peer.ShardGrant{{Shard: b.id, FencingToken: b.token, KeyVersion: b.keyVersion, Pages: pages, Machines: roster}}}})
 	b.orders = peer.ShardOrders{}
-	for _, n := range l.byName() {
+	for _, n := range l.controllersByName() {
 		if n.link != b.link {
-			l.emit(SendToHolder{n.link, peer.FromLeader{Term: l.term, Holders: l.holders(), Types: l.autoscaler.catalog}})
+			l.emit(SendToHolder{n.link, peer.FromLeader{Term: l.term, Holders: l.shardHolders(), Types: l.autoscaler.catalog}})
 		}
 	}
 }
--- a/internal/leader/holders.go
+++ b/internal/leader/holders.go
@@ -9,7 +9,7 @@
 	"swiftledge/wire"
 )
 
-func (l *Leader) said(now clock.Micros, m HolderMessage) {
+func (l *Leader) holderMessage(now clock.Micros, m HolderMessage) {
 	n := l.shards.controllers[m.Controller]
 	if n == nil || n.link != m.Link || m.Message.Term != l.term {
 		return
@@ -44,16 +44,16 @@
 			b.state = unassigned
 			continue
 		}
-		l.update(now, b, u)
+		l.shardUpdated(now, b, u)
 	}
 }
 
-func (l *Leader) update(now clock.Micros, b *shardLease, u peer.ShardUpdate) {
+func (l *Leader) shardUpdated(now clock.Micros, b *shardLease, u peer.ShardUpdate) {
 	for _, e := range u.Events {
-		l.event(now, b, e)
+		l.taskEvent(now, b, e)
 	}
 	for _, s := range u.Machines {
-		l.machineState(now, s)
+		l.machineReported(now, s)
 	}
 	if u.SettledOfferSeq == b.offerSeq {
 		b.offerPending = false
@@ -70,14 +70,14 @@
 	return j
 }
 
-func (l *Leader) event(now clock.Micros, b *shardLease, e peer.TaskEvent) {
+func (l *Leader) taskEvent(now clock.Micros, b *shardLease, e peer.TaskEvent) {
 	j := l.jobOf(e.Task)
 	switch e.Kind {
 	case peer.EventAssigned:
 		if h := b.tasks[e.Task]; h != nil {
 			h.machine = e.Machine
 			if m := l.inventory.machines[e.Machine]; m != nil {
-				h.zone = m.opt.Zone
+				h.zone = m.option.Zone
 			}
 			l.noteStarted(now, e.Task, h)
 		}
@@ -114,7 +114,7 @@
 	l.noteEnded(now, e, h)
 	switch {
 	case e.Kind == peer.EventCompleted:
-		l.done(now, b, j, e)
+		l.taskCompleted(now, b, j, e)
 		if h != nil && j != nil {
 			j.gone(e.Index)
 		}
@@ -154,7 +154,7 @@
 	}
 }
 
-func (l *Leader) done(now clock.Micros, b *shardLease, j *job, e peer.TaskEvent) {
+func (l *Leader) taskCompleted(now clock.Micros, b *shardLease, j *job, e peer.TaskEvent) {
 	if j != nil {
 		l.completed(now, j, e)
 	}
@@ -175,8 +175,8 @@
 	l.end(j)
 }
 
-// flush sends what has gathered for the holders.
-func (l *Leader) flush() {
+// flushOrders sends what has gathered for the holders.
+func (l *Leader) flushOrders() {
 	byLink := map[Link]*peer.FromLeader{}
 	var links []Link
 	for _, b := range l.shards.all {
@@ -199,7 +199,7 @@
 	}
 }
 
-func (l *Leader) tellCounts() {
+func (l *Leader) reportTaskCounts() {
 	var out []peer.TaskCount
 	for _, ref := range slices.Sorted(maps.Keys(l.jobs.byRef)) {
 		j := l.jobs.byRef[ref]
@@ -212,7 +212,7 @@
 	if len(out) == 0 {
 		return
 	}
-	for _, n := range l.byName() {
+	for _, n := range l.controllersByName() {
 		l.emit(SendToHolder{n.link, peer.FromLeader{Term: l.term, TaskCounts: out}})
 	}
 }
--- a/internal/leader/job.go
+++ b/internal/leader/job.go
@@ -143,7 +143,7 @@
 	}
 }
 
-// giveBack lets a task that has left its last grant wait again.
+// returnToFormerHolders lets a task that has left its last grant wait again.
 func (j *job) giveBack(i int) {
 	j.gone(i)
 	if j.out[i] == 0 && !j.isDone(i) {
--- a/internal/leader/keys_test.go
+++ b/internal/leader/keys_test.go
@@ -20,7 +20,7 @@
 		{"found machines", "fleet/found-5-1", func(l *Leader) string {
 			l.inventory.discovered["host-000009"] = wire.Machine{Name: "host-000009", Type: "small", Zone: "a"}
 			l.effects = nil
-			l.adopt(began)
+			l.adoptDiscovered(began)
 			return putKeys(l.effects)[0]
 		}},
 	}
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -112,7 +112,7 @@
 	}
 	if l.leading && l.loaded && l.authorised(now) {
 		l.schedule(now)
-		l.flush()
+		l.flushOrders()
 	}
 	return l.effects
 }
@@ -136,16 +136,16 @@
 func (l *Leader) handleEvent(now clock.Micros, message event) {
 	switch m := message.(type) {
 	case PeerConnected:
-		l.joined(now, m)
+		l.peerConnected(now, m)
 	case PeerDisconnected:
 		l.shards.disconnect(m)
 	case HolderMessage:
-		l.said(now, m)
+		l.holderMessage(now, m)
 	case CatalogLoaded:
 		l.catalog(now, m.Types)
 	case MachinesListed:
 		l.inventory.listing = false
-		l.listedMachines(now, m.Machines)
+		l.machinesListed(now, m.Machines)
 	case Tick:
 		l.tick(now)
 	}
@@ -165,13 +165,13 @@
 	case TxnCompleted:
 		l.committed(now, m)
 	case AttemptsLoaded:
-		l.records(m)
+		l.attemptsLoaded(m)
 	case KeyRead:
 		l.read(now, m)
 	case MachinesProvisioned:
-		l.rented(now, m)
+		l.machinesProvisioned(now, m)
 	case MachinesDeleted:
-		l.deleted(now, m)
+		l.machinesDeleted(now, m)
 	}
 }
 
@@ -183,20 +183,20 @@
 	l.jobsViewedAt = max(l.jobsViewedAt, m.RequestedAt)
 }
 
-// joined takes in a new link. What the controller was told over an older one may be lost: its blocks
+// peerConnected takes in a new link. What the controller was told over an older one may be lost: its blocks
 // are granted anew.
-func (l *Leader) joined(now clock.Micros, m PeerConnected) {
+func (l *Leader) peerConnected(now clock.Micros, m PeerConnected) {
 	l.shards.controllers[m.Controller] = &controller{name: m.Controller, incarnation: m.Incarnation, link: m.Link, viaStore: m.ViaStore, joinedAt: now, lastHeartbeat: now}
 	for _, b := range l.shards.all {
 		if b.holder == m.Controller && b.link != m.Link && b.state != writing {
 			b.state = unassigned
 		}
 	}
-	l.emit(SendToHolder{m.Link, peer.FromLeader{Term: l.term, Types: l.autoscaler.catalog, Holders: l.holders()}})
+	l.emit(SendToHolder{m.Link, peer.FromLeader{Term: l.term, Types: l.autoscaler.catalog, Holders: l.shardHolders()}})
 }
 
-// byName are the controllers in touch in a fixed order: the same state gives the same effects.
-func (l *Leader) byName() []*controller {
+// controllersByName are the controllers in touch in a fixed order: the same state gives the same effects.
+func (l *Leader) controllersByName() []*controller {
 	return slices.SortedFunc(maps.Values(l.shards.controllers), func(a, b *controller) int { return strings.Compare(a.name, b.name) })
 }
 
@@ -234,7 +234,7 @@
 	if now-l.scheduling.ranAt >= clock.FromSeconds(l.cfg.Tuning.Placement.CycleS) {
 		l.scheduling.requested = true
 	}
-	l.assign(now)
+	l.assignShards(now)
 	refs := slices.Sorted(maps.Keys(l.jobs.byRef))
 	for _, ref := range refs {
 		l.end(l.jobs.byRef[ref])
@@ -245,13 +245,13 @@
 	l.moveTasks(now)
 	if now-l.jobs.countsReportedAt >= clock.Second {
 		l.jobs.countsReportedAt = now
-		l.tellCounts()
+		l.reportTaskCounts()
 	}
 	if now-l.stateLoggedAt >= 10*clock.Second {
 		l.stateLoggedAt = now
 		l.logState(now)
 	}
-	l.reconcileFleet(now)
+	l.reconcileInventory(now)
 }
 
 func (l *Leader) committed(now clock.Micros, m TxnCompleted) {
@@ -268,13 +268,13 @@
 	}
 	switch tag := m.Tag.(type) {
 	case shardsTag:
-		l.blocksWritten(now, tag, m.Result)
+		l.shardKeysWritten(now, tag, m.Result)
 	case endTag:
 		l.ended(now, tag, m)
 	case progressTag:
 		l.progressed(tag, m)
 	case instanceGroupTag:
-		l.fleetWritten(now, tag, m)
+		l.instanceGroupWritten(now, tag, m)
 	}
 }
 
@@ -300,6 +300,6 @@
 	case progressTag:
 		l.progressPageRead(tag, m)
 	case instanceGroupTag:
-		l.fleetRead(now, tag, m)
+		l.instanceGroupRead(now, tag, m)
 	}
 }
--- a/internal/leader/load.go
+++ b/internal/leader/load.go
@@ -23,7 +23,7 @@
 			}
 		case strings.HasPrefix(it.Key, InstanceGroupPrefix):
 			if r, ok := decode[InstanceGroupRecord](l, it); ok {
-				l.loadRental(now, it, r)
+				l.loadInstanceGroup(now, it, r)
 			} else {
 				l.inventory.unansweredRequests[it.Key] = true // whatever machines it names may work
 			}
@@ -98,7 +98,7 @@
 		l.autoscaler.types[t.Name] = t
 	}
 	for _, m := range l.inventory.machines {
-		m.opt.Type = l.autoscaler.types[m.opt.Type.Name]
+		m.option.Type = l.autoscaler.types[m.option.Type.Name]
 	}
 }
 
@@ -114,7 +114,7 @@
 	if !same {
 		// Kept in the store so that submissions can be judged while the cloud is away.
 		l.commit(store.PriorityReads, nil, nil, []wire.Write{put(CatalogKey, wire.Catalog{Types: ts})})
-		for _, n := range l.byName() {
+		for _, n := range l.controllersByName() {
 			l.emit(SendToHolder{n.link, peer.FromLeader{Term: l.term, Types: ts}})
 		}
 	}
--- a/internal/leader/machines.go
+++ b/internal/leader/machines.go
@@ -15,10 +15,10 @@
 // machine is one of the roster, as the cloud and its holder see it.
 type machine struct {
 	name          string
-	rental        string
-	opt           autoscaler.Option
+	group         string
+	option        autoscaler.Option
 	shard         *shardLease
-	born          clock.Micros
+	firstSeenAt   clock.Micros
 	address       string
 	up            bool
 	booting       bool // by the list
@@ -26,31 +26,31 @@
 	deprioritized bool // not needed for new tasks while others have room
 	excluded      bool // its holder was told to leave it out
 	state         peer.MachineState
-	listed        clock.Micros // last seen in the list; 0: never
-	running       clock.Micros // since when the list says that it is up; 0: it does not
-	missing       int          // how many lists in a row lacked it
+	listedAt      clock.Micros // last seen in the list; 0: never
+	runningSince  clock.Micros // since when the list says that it is up; 0: it does not
+	missingLists  int          // how many lists in a row lacked it
 	failed        bool         // it is listed as stopped by itself
-	idle          clock.Micros // since when it has no task
-	drain         bool
+	idleSince     clock.Micros // since when it has no task
+	draining      bool
 	deleting      bool
 	failures      failures.Machine
 	// Room that is left while offers are made; the holder's word in state is not touched.
-	cpus, gpus, mem float64
+	freeCPUs, freeGPUs, freeMemory float64
 }
 
 func (l *Leader) addMachine(now clock.Micros, name string, rt *instanceGroup) {
 	if l.inventory.machines[name] != nil {
 		return
 	}
-	l.inventory.machines[name] = &machine{name: name, rental: rt.key, opt: l.option(rt.record.Request), shard: l.blockOf(name), born: now, idle: now}
+	l.inventory.machines[name] = &machine{name: name, group: rt.key, option: l.option(rt.record.Request), shard: l.blockOf(name), firstSeenAt: now, idleSince: now}
 	delete(l.inventory.discovered, name)
 	if b := l.blockOf(name); b.state == granted {
 		b.orders.Added = append(b.orders.Added, name)
 	}
 }
 
-// machineState takes in how a holder sees a machine.
-func (l *Leader) machineState(now clock.Micros, s peer.MachineState) {
+// machineReported takes in how a holder sees a machine.
+func (l *Leader) machineReported(now clock.Micros, s peer.MachineState) {
 	m := l.inventory.machines[s.Name]
 	if m == nil {
 		if l.inventory.terminated[s.Name] {
@@ -64,7 +64,7 @@
 		return
 	}
 	if s.Terminated {
-		l.markDeleted(s.Name)
+		l.markTerminated(s.Name)
 		return
 	}
 	if s.Type == "" {
@@ -74,22 +74,22 @@
 		return
 	}
 	if !m.up {
-		delete(l.autoscaler.bootFailures, m.opt.Key())
+		delete(l.autoscaler.bootFailures, m.option.Key())
 	}
 	m.up = true
 	m.address = s.Address
 	if s.Tasks > 0 || m.state.Tasks > 0 {
-		m.idle = now
+		m.idleSince = now
 	}
 	noticed := s.PreemptionNotice && !m.state.PreemptionNotice
 	m.state = s
 	if noticed {
-		l.saveTasks(now, m)
+		l.checkpointTasks(now, m)
 	}
 }
 
-// saveTasks stops the tasks that can save their progress before their machine goes.
-func (l *Leader) saveTasks(now clock.Micros, m *machine) {
+// checkpointTasks stops the tasks that can save their progress before their machine goes.
+func (l *Leader) checkpointTasks(now clock.Micros, m *machine) {
 	b := m.shard
 	var room *freeRoom
 	var on []peer.Task
@@ -119,15 +119,15 @@
 	}
 }
 
-func (l *Leader) drain(now clock.Micros, m *machine, why string) {
-	m.drain = true
+func (l *Leader) drainMachine(now clock.Micros, m *machine, why string) {
+	m.draining = true
 	b := m.shard
 	b.orders.Drain = append(b.orders.Drain, m.name)
-	l.saveTasks(now, m)
+	l.checkpointTasks(now, m)
 	l.info("draining machine", "machine", m.name, "why", why)
 }
 
-func (l *Leader) listedMachines(now clock.Micros, list []wire.Machine) {
+func (l *Leader) machinesListed(now clock.Micros, list []wire.Machine) {
 	seen := map[string]bool{}
 	for _, w := range list {
 		seen[w.Name] = true
@@ -138,26 +138,26 @@
 			}
 			continue
 		}
-		if m.listed == 0 {
-			m.born = min(m.born, now-clock.FromSeconds(w.AgeS))
+		if m.listedAt == 0 {
+			m.firstSeenAt = min(m.firstSeenAt, now-clock.FromSeconds(w.AgeS))
 		}
-		m.listed, m.missing, m.address = now, 0, w.Address
+		m.listedAt, m.missingLists, m.address = now, 0, w.Address
 		m.booting = w.State == wire.MachineStarting
 		if w.State != wire.MachineRunning {
-			m.running = 0
-		} else if m.running == 0 {
-			m.running = now
+			m.runningSince = 0
+		} else if m.runningSince == 0 {
+			m.runningSince = now
 		}
 		m.failed = w.State == wire.MachineFailed
 	}
 	for _, m := range l.inventory.machines {
-		if m.listed > 0 && !seen[m.name] {
-			m.missing++
+		if m.listedAt > 0 && !seen[m.name] {
+			m.missingLists++
 		}
 	}
 }
 
-func (l *Leader) deleted(now clock.Micros, m MachinesDeleted) {
+func (l *Leader) machinesDeleted(now clock.Micros, m MachinesDeleted) {
 	l.inventory.deletionsInFlight = max(0, l.inventory.deletionsInFlight-1)
 	for _, name := range m.Machines {
 		mc := l.inventory.machines[name]
@@ -168,12 +168,12 @@
 			mc.deleting = false
 			continue
 		}
-		l.markDeleted(name)
+		l.markTerminated(name)
 	}
 }
 
-// markDeleted takes out a machine that is deleted.
-func (l *Leader) markDeleted(name string) {
+// markTerminated takes out a machine that is deleted.
+func (l *Leader) markTerminated(name string) {
 	delete(l.inventory.machines, name)
 	l.inventory.terminated[name] = true
 	if b := l.blockOf(name); b.state == granted {
--- a/internal/leader/needs.go
+++ b/internal/leader/needs.go
@@ -10,23 +10,23 @@
 	"swiftledge/wire"
 )
 
-// needKey tells needs apart.
-type needKey struct {
+// demandKey tells needs apart.
+type demandKey struct {
 	shape    shape
 	standing bool
 	zone     string // of those that are to be spread
 }
 
-// needs gathers what is wanted, services first: they cannot wait, and few machines are
+// demandSet gathers what is wanted, services first: they cannot wait, and few machines are
 // theirs to choose from.
-type needs struct {
-	byKey map[needKey]*autoscaler.Demand
+type demandSet struct {
+	byKey map[demandKey]*autoscaler.Demand
 	list  []*autoscaler.Demand
 }
 
-func (n *needs) of(j *job, zone string) *autoscaler.Demand {
+func (n *demandSet) demandOf(j *job, zone string) *autoscaler.Demand {
 	s := &j.record.Spec
-	key := needKey{j.shape, s.IsService(), zone}
+	key := demandKey{j.shape, s.IsService(), zone}
 	need := n.byKey[key]
 	if need == nil {
 		need = &autoscaler.Demand{CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.MemoryGB, Types: s.Types, Zone: zone, Spot: s.Spot}
@@ -39,9 +39,9 @@
 	return need
 }
 
-// needs is what machines are wanted for.
-func (l *Leader) needs(now clock.Micros) []autoscaler.Demand {
-	n := &needs{byKey: map[needKey]*autoscaler.Demand{}}
+// capacityDemand is what machines are wanted for.
+func (l *Leader) capacityDemand(now clock.Micros) []autoscaler.Demand {
+	n := &demandSet{byKey: map[demandKey]*autoscaler.Demand{}}
 	room := map[string]float64{}
 	refs := slices.Sorted(maps.Keys(l.jobs.byRef))
 	for _, standing := range []bool{true, false} {
@@ -64,15 +64,15 @@
 			}
 			room[s.Team] -= float64(most) * s.CPUs
 			if standing {
-				l.needStanding(now, n, j, most)
+				l.addServiceDemand(now, n, j, most)
 				continue
 			}
-			need := n.of(j, "")
+			need := n.demandOf(j, "")
 			need.Tasks += most
 			need.Seconds += float64(left) * l.remaining(j)
 		}
 		if standing {
-			l.reserve(now, n)
+			l.addArrivalReserve(now, n)
 		}
 	}
 	if warm := l.warm(); warm != nil {
@@ -85,15 +85,15 @@
 	return out
 }
 
-// needStanding adds a service's replicas. Those that must be spread need room in several
+// addServiceDemand adds a service's replicas. Those that must be spread need room in several
 // zones: room for all of them in the cheapest would leave half without.
-func (l *Leader) needStanding(now clock.Micros, n *needs, j *job, most int) {
+func (l *Leader) addServiceDemand(now clock.Micros, n *demandSet, j *job, most int) {
 	add := func(zone string, tasks int) {
-		need := n.of(j, zone)
+		need := n.demandOf(j, zone)
 		need.Tasks += tasks
 		need.Seconds = math.Inf(1)
 	}
-	over := l.zonesFor(now, j)
+	over := l.openZones(now, j)
 	if len(over) == 0 {
 		add("", most)
 		return
@@ -110,8 +110,8 @@
 	}
 }
 
-// zonesFor are the zones over which a job's tasks may be spread now; none if they need not be.
-func (l *Leader) zonesFor(now clock.Micros, j *job) (out []string) {
+// openZones are the zones over which a job's tasks may be spread now; none if they need not be.
+func (l *Leader) openZones(now clock.Micros, j *job) (out []string) {
 	s := &j.record.Spec
 	if !s.Spread || s.Zone != "" {
 		return nil
@@ -134,9 +134,9 @@
 // arrivals is for how long back the services that came are counted, and at least.
 const arrivals, leastArrivals = 120, 30
 
-// reserve adds the room that services need which come while a machine rented for them
+// addArrivalReserve adds the room that services need which come while a machine rented for them
 // would still boot: what came lately, for that long, and half as much again as it varies.
-func (l *Leader) reserve(now clock.Micros, n *needs) {
+func (l *Leader) addArrivalReserve(now clock.Micros, n *demandSet) {
 	type recentArrivals struct {
 		sum, squares float64
 		like         *job
@@ -166,12 +166,12 @@
 		c := lately[k]
 		ahead := l.bootTime(&c.like.record.Spec) * 1.3 / window
 		more := int(math.Ceil(c.sum*ahead + 1.5*math.Sqrt(c.squares*ahead)))
-		over := l.zonesFor(now, c.like)
+		over := l.openZones(now, c.like)
 		if len(over) == 0 {
 			over = []string{""}
 		}
 		for _, zone := range over {
-			need := n.of(c.like, zone)
+			need := n.demandOf(c.like, zone)
 			need.Tasks += (more + len(over) - 1) / len(over)
 			need.Seconds = math.Inf(1)
 		}
--- a/internal/leader/pauses_test.go
+++ b/internal/leader/pauses_test.go
@@ -11,7 +11,7 @@
 // counts as gone, or all blocks would change hands for it.
 func TestNobodyIsGoneForAPauseOfTheLeader(t *testing.T) {
 	l := leading(t)
-	thawed := began + quietTime + clock.Second
+	thawed := began + controllerTimeout + clock.Second
 	l.Step(began+clock.Second/2, Tick{})
 	l.jobsViewedAt, l.authorityEnds = thawed, thawed+clock.Second
 	fx := l.Step(thawed, Tick{})
@@ -21,7 +21,7 @@
 	if !slices.ContainsFunc(fx, func(e Effect) bool { _, ok := e.(PauseDetected); return ok }) {
 		t.Error("the pause was not noticed")
 	}
-	for at := thawed; at < thawed+2*quietTime; at += clock.Second / 2 {
+	for at := thawed; at < thawed+2*controllerTimeout; at += clock.Second / 2 {
 		l.authorityEnds = at + clock.Second
 		l.Step(at, Tick{})
 	}
--- a/internal/leader/preempt.go
+++ b/internal/leader/preempt.go
@@ -208,7 +208,7 @@
 		p.stop(best, leave)
 		best.cpus -= s.CPUs
 		best.memory -= s.MemoryGB
-		zones.add(best.machine.opt.Zone)
+		zones.add(best.machine.option.Zone)
 		p.leaving.add(s.Team, -s.CPUs, -s.GPUs)
 		standing += s.CPUs
 	}
@@ -251,7 +251,7 @@
 	least := 0.0
 	for _, at := range p.spaces {
 		m := at.machine
-		if !m.allowed(p.now, j) || !zones.allow(m.opt.Zone) || j.barred(p.now, m) || m.state.GPUs+1e-9 < s.GPUs {
+		if !m.allowed(p.now, j) || !zones.allow(m.option.Zone) || j.barred(p.now, m) || m.state.GPUs+1e-9 < s.GPUs {
 			continue
 		}
 		if who, cost, ok := p.makes(at, s, c); ok && (best == nil || cost < least) {
--- a/internal/leader/preempt_test.go
+++ b/internal/leader/preempt_test.go
@@ -125,7 +125,7 @@
 	j := l.jobs.byRef[spec.Ref]
 	for _, name := range names[:3] {
 		b := l.shards.all[shard.ForMachine(name, 2)]
-		l.event(began, b, peer.TaskEvent{Task: peer.Task{Job: spec.Ref, Index: 0}, Kind: peer.EventFailed, Machine: name})
+		l.taskEvent(began, b, peer.TaskEvent{Task: peer.Task{Job: spec.Ref, Index: 0}, Kind: peer.EventFailed, Machine: name})
 	}
 	if j.failures.Suspect() || len(j.failures.Machines()) > 0 {
 		t.Error("counted")
--- a/internal/leader/rentals.go
+++ b/internal/leader/rentals.go
@@ -11,7 +11,7 @@
 
 type instanceGroupTag struct{ key string }
 
-func (l *Leader) loadRental(now clock.Micros, it wire.Item, r InstanceGroupRecord) {
+func (l *Leader) loadInstanceGroup(now clock.Micros, it wire.Item, r InstanceGroupRecord) {
 	rt := &instanceGroup{key: it.Key, keyVersion: it.Version, record: r, wantedSince: now}
 	l.inventory.groups[it.Key] = rt
 	if !r.Answered {
@@ -34,7 +34,7 @@
 	return autoscaler.Option{Type: t, Zone: r.Zone, Spot: r.Spot}
 }
 
-func (l *Leader) writeRental(rt *instanceGroup) {
+func (l *Leader) writeInstanceGroup(rt *instanceGroup) {
 	rt.busy = true
 	l.commit(store.PriorityAttempts, instanceGroupTag{rt.key}, []wire.Condition{{Key: rt.key, Version: rt.keyVersion}}, []wire.Write{put(rt.key, rt.record)})
 }
@@ -43,39 +43,39 @@
 // no harm but to a new leader, which waits for them a while, and each write costs a put.
 const pruneEvery = 20 * clock.Second
 
-// rosterBytes is about what a machine takes in its record, with its part of the rest.
-const rosterBytes = 20
+// machineEntryBytes is about what a machine takes in its record, with its part of the rest.
+const machineEntryBytes = 20
 
-// pruneRental takes machines that are gone out of the durable roster.
-func (l *Leader) pruneRental(now clock.Micros, rt *instanceGroup) {
+// pruneInstanceGroup takes machines that are gone out of the durable roster.
+func (l *Leader) pruneInstanceGroup(now clock.Micros, rt *instanceGroup) {
 	left := slices.DeleteFunc(slices.Clone(rt.record.Machines), func(n string) bool { return l.inventory.terminated[n] })
 	if len(left) > 0 && (len(left) == len(rt.record.Machines) || now-rt.prunedAt < pruneEvery) {
 		return
 	}
 	rt.prunedAt = now
-	if len(left)*rosterBytes > l.valueBytes {
+	if len(left)*machineEntryBytes > l.valueBytes {
 		return // of the time when values could be larger: it stays as it is until less is left
 	}
 	rt.record.Machines = left
 	if len(left) == 0 {
 		delete(l.inventory.groups, rt.key)
 		l.commit(store.PriorityBackground, nil, nil, []wire.Write{{Delete: rt.key}})
-		l.settleFormer(now, rt)
+		l.settleFormerRequest(now, rt)
 		return
 	}
-	l.writeRental(rt)
+	l.writeInstanceGroup(rt)
 }
 
-// fleetWritten goes on after a write of a rental's record. Only a write that succeeded proves what
+// instanceGroupWritten goes on after a write of a rental's record. Only a write that succeeded proves what
 // is stored. A failed guard does not: the write of ours that changed the record may have been an
 // earlier one than this, whose answer was lost.
-func (l *Leader) fleetWritten(now clock.Micros, tag instanceGroupTag, m TxnCompleted) {
+func (l *Leader) instanceGroupWritten(now clock.Micros, tag instanceGroupTag, m TxnCompleted) {
 	rt := l.inventory.groups[tag.key]
 	switch {
 	case rt == nil:
 	case m.Result.Committed:
 		rt.keyVersion = m.Result.Revision
-		l.rosterStored(now, rt)
+		l.instanceGroupStored(now, rt)
 	case m.Result.FailedOn(tag.key):
 		l.emit(ReadKey{l.term, tag.key, tag})
 	default:
@@ -84,9 +84,9 @@
 	}
 }
 
-// fleetRead compares what is stored of a rental with what was to be written, and writes it again
+// instanceGroupRead compares what is stored of a rental with what was to be written, and writes it again
 // if it is something else.
-func (l *Leader) fleetRead(now clock.Micros, tag instanceGroupTag, m KeyRead) {
+func (l *Leader) instanceGroupRead(now clock.Micros, tag instanceGroupTag, m KeyRead) {
 	rt := l.inventory.groups[tag.key]
 	if rt == nil {
 		return
@@ -98,10 +98,10 @@
 		stored, _ = decode[InstanceGroupRecord](l, m.Item)
 	}
 	if m.Found && stored.equal(&rt.record) {
-		l.rosterStored(now, rt)
+		l.instanceGroupStored(now, rt)
 		return
 	}
-	l.writeRental(rt)
+	l.writeInstanceGroup(rt)
 }
 
 // equal says whether two records tell the same.
@@ -109,9 +109,9 @@
 	return r.Request == o.Request && r.Answered == o.Answered && slices.Equal(r.Machines, o.Machines)
 }
 
-// rosterStored goes on once a rental's record is known to be stored as it is here: a recorded
+// instanceGroupStored goes on once a rental's record is known to be stored as it is here: a recorded
 // request is sent, and recorded machines are used.
-func (l *Leader) rosterStored(now clock.Micros, rt *instanceGroup) {
+func (l *Leader) instanceGroupStored(now clock.Micros, rt *instanceGroup) {
 	rt.busy = false
 	if !rt.record.Answered {
 		rt.busy, rt.requestedAt = true, now
@@ -123,10 +123,10 @@
 			l.addMachine(now, name, rt)
 		}
 	}
-	l.settleFormer(now, rt)
+	l.settleFormerRequest(now, rt)
 }
 
-func (l *Leader) rented(now clock.Micros, m MachinesProvisioned) {
+func (l *Leader) machinesProvisioned(now clock.Micros, m MachinesProvisioned) {
 	rt := l.inventory.groups[InstanceGroupPrefix+m.RequestID]
 	if rt == nil || rt.record.Answered {
 		return
@@ -134,26 +134,26 @@
 	switch {
 	case m.Err == nil:
 		rt.record.Machines, rt.record.Answered = m.Machines, true
-		l.answered(now, rt, len(m.Machines) < rt.record.Request.Count)
+		l.noteProvisionOutcome(now, rt, len(m.Machines) < rt.record.Request.Count)
 		l.emit(Log{Debug: true, Message: "rented", Attributes: []any{"request", m.RequestID, "count", len(m.Machines), "type", rt.record.Request.Type, "spot", rt.record.Request.Spot}})
 		if len(m.Machines) == 0 {
-			l.pruneRental(now, rt)
+			l.pruneInstanceGroup(now, rt)
 			return
 		}
-		l.writeRental(rt)
+		l.writeInstanceGroup(rt)
 	case m.NoCapacity:
-		l.answered(now, rt, true)
+		l.noteProvisionOutcome(now, rt, true)
 		rt.record.Answered = true
-		l.pruneRental(now, rt)
+		l.pruneInstanceGroup(now, rt)
 	default:
 		// Asked again under the same name, soon.
 		rt.requestedAt = now - 6*clock.Second
 	}
 }
 
-// answered notes whether an option had all that was asked for. One that had not is
+// noteProvisionOutcome notes whether an option had all that was asked for. One that had not is
 // left alone for a while, longer each time: every try costs puts and cloud calls.
-func (l *Leader) answered(now clock.Micros, rt *instanceGroup, short bool) {
+func (l *Leader) noteProvisionOutcome(now clock.Micros, rt *instanceGroup, short bool) {
 	k := l.option(rt.record.Request).Key()
 	if !short {
 		delete(l.autoscaler.refusals, k)
--- a/internal/leader/room.go
+++ b/internal/leader/room.go
@@ -68,7 +68,7 @@
 	r := &freeRoom{now: now, byImage: map[string][]*machine{}, passed: map[roomKey]int{}, apart: map[string]map[string]int{},
 		even: l.evenness(), beyond: map[roomKey]beyondBound{}}
 	for _, m := range l.inventory.machines {
-		m.cpus, m.gpus, m.mem = m.state.CPUs, m.state.GPUs, m.state.MemoryGB
+		m.freeCPUs, m.freeGPUs, m.freeMemory = m.state.CPUs, m.state.GPUs, m.state.MemoryGB
 		if r.has(m) {
 			r.ms = append(r.ms, m)
 		} else if r.even != nil && m.takesWork() && m.state.CPUs > 0 {
@@ -79,10 +79,10 @@
 		if c := cmp.Compare(a.reserve(), b.reserve()); c != 0 {
 			return c
 		}
-		if c := cmp.Compare(a.opt.Price()/max(a.opt.Type.CPUs, 1), b.opt.Price()/max(b.opt.Type.CPUs, 1)); c != 0 {
+		if c := cmp.Compare(a.option.Price()/max(a.option.Type.CPUs, 1), b.option.Price()/max(b.option.Type.CPUs, 1)); c != 0 {
 			return c
 		}
-		if c := cmp.Compare(a.cpus, b.cpus); c != 0 {
+		if c := cmp.Compare(a.freeCPUs, b.freeCPUs); c != 0 {
 			return c
 		}
 		return cmp.Compare(a.name, b.name)
@@ -105,12 +105,12 @@
 
 // serves says whether new tasks may run on the machine, if it has room.
 func (m *machine) serves() bool {
-	return m.state.Schedulable && !m.drain && !m.deleting && m.shard.state == granted
+	return m.state.Schedulable && !m.draining && !m.deleting && m.shard.state == granted
 }
 
 // holds says whether a task fits into what is left of the machine.
 func (m *machine) holds(s *wire.Job) bool {
-	return m.cpus+1e-9 >= s.CPUs && m.gpus+1e-9 >= s.GPUs && m.mem+1e-9 >= s.MemoryGB
+	return m.freeCPUs+1e-9 >= s.CPUs && m.freeGPUs+1e-9 >= s.GPUs && m.freeMemory+1e-9 >= s.MemoryGB
 }
 
 // reserve tells machines that others go before: those at rest, those not worth their price.
@@ -129,8 +129,8 @@
 // What waits for long does not wait for a better one.
 func (m *machine) allowed(now clock.Micros, j *job) bool {
 	s := &j.record.Spec
-	return (!m.cordoned || s.IsService() || j.unserved(now)) && (s.Spot || !m.opt.Spot) && (s.Zone == "" || s.Zone == m.opt.Zone) &&
-		(len(s.Types) == 0 || slices.Contains(s.Types, m.opt.Type.Name))
+	return (!m.cordoned || s.IsService() || j.unserved(now)) && (s.Spot || !m.option.Spot) && (s.Zone == "" || s.Zone == m.option.Zone) &&
+		(len(s.Types) == 0 || slices.Contains(s.Types, m.option.Type.Name))
 }
 
 // first finds the first machine of a list that takes a task of the job.
@@ -257,7 +257,7 @@
 	case best == nil:
 		return nil, ""
 	case s.OneZone || s.Spread:
-		return best, best.opt.Zone
+		return best, best.option.Zone
 	}
 	return best, ""
 }
@@ -267,7 +267,7 @@
 	s := &j.record.Spec
 	for _, list := range [][]*machine{r.byImage[s.Image], r.ms} {
 		for _, m := range list {
-			if !m.holds(s) || !m.allowed(r.now, j) || !zones.allow(m.opt.Zone) || j.barred(r.now, m) || !even.within(m, s) {
+			if !m.holds(s) || !m.allowed(r.now, j) || !zones.allow(m.option.Zone) || j.barred(r.now, m) || !even.within(m, s) {
 				continue
 			}
 			if best == nil || avoid[m.name] < avoid[best.name] {
--- a/internal/leader/roster.go
+++ b/internal/leader/roster.go
@@ -18,9 +18,9 @@
 // name are granted as well, drained: their tasks count as running until the answer, or their own
 // reports, prove something else.
 
-// unlisted names the machines of start records that no roster record names, although one of them
+// machinesOfAttemptsOnly names the machines of start records that no roster record names, although one of them
 // may have to.
-func (l *Leader) unlisted(pages map[string]peer.AttemptPage) []string {
+func (l *Leader) machinesOfAttemptsOnly(pages map[string]peer.AttemptPage) []string {
 	if len(l.inventory.unansweredRequests) == 0 {
 		return nil
 	}
@@ -36,9 +36,9 @@
 	return slices.Sorted(maps.Keys(names))
 }
 
-// listUnlisted adds such machines to a block's grant.
-func (l *Leader) listUnlisted(b *shardLease, pages map[string]peer.AttemptPage) (roster []peer.InventoryMachine) {
-	for _, name := range l.unlisted(pages) {
+// grantUnconfirmed adds such machines to a block's grant.
+func (l *Leader) grantUnconfirmed(b *shardLease, pages map[string]peer.AttemptPage) (roster []peer.InventoryMachine) {
+	for _, name := range l.machinesOfAttemptsOnly(pages) {
 		l.inventory.unconfirmed[name] = true
 		b.orders.Drain = append(b.orders.Drain, name)
 		roster = append(roster, peer.InventoryMachine{Name: name})
@@ -46,9 +46,9 @@
 	return roster
 }
 
-// settleFormer notes that a rental's answer is stored. Once that is true of all of them, the
+// settleFormerRequest notes that a rental's answer is stored. Once that is true of all of them, the
 // roster names every machine that may work: what it does not name has ended.
-func (l *Leader) settleFormer(now clock.Micros, rt *instanceGroup) {
+func (l *Leader) settleFormerRequest(now clock.Micros, rt *instanceGroup) {
 	if !l.inventory.unansweredRequests[rt.key] {
 		return
 	}
@@ -58,9 +58,9 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(l.inventory.unconfirmed)) {
 		if m := l.inventory.machines[name]; m != nil {
-			l.drain(now, m, "worked without a stored record")
+			l.drainMachine(now, m, "worked without a stored record")
 		} else {
-			l.markDeleted(name)
+			l.markTerminated(name)
 		}
 	}
 	clear(l.inventory.unconfirmed)
--- a/internal/leader/roster_test.go
+++ b/internal/leader/roster_test.go
@@ -106,7 +106,7 @@
 		l := leading(t)
 		asked := wire.ProvisionRequest{RequestID: "r-3-1", Type: "small", Zone: "a", Spot: true, Count: 1}
 		key := InstanceGroupPrefix + asked.RequestID
-		l.loadRental(began, item(t, key, 3, InstanceGroupRecord{Request: asked}), InstanceGroupRecord{Request: asked})
+		l.loadInstanceGroup(began, item(t, key, 3, InstanceGroupRecord{Request: asked}), InstanceGroupRecord{Request: asked})
 		b := shard.ForMachine(unknown, 2)
 		fx := l.Step(began, AttemptsLoaded{Term: 5, Shard: b, FencingToken: l.shards.all[b].token, Pages: recordsOf(unknown, 0)})
 		drained, _, roster := orderedOf(fx, b)
--- a/internal/leader/service_test.go
+++ b/internal/leader/service_test.go
@@ -86,11 +86,11 @@
 	l.Step(began, HolderMessage{Controller: "n0", Link: testLink("link"), Message: &peer.ToLeader{Term: 5, Updates: []peer.ShardUpdate{{Shard: b.id, FencingToken: b.token,
 		Events: []peer.TaskEvent{{Task: peer.Task{Job: spec.Ref, Index: 0}, Kind: peer.EventRunning, Machine: names[0]}}}}}})
 	l.errored(began+2*steady, j, peer.TaskEvent{Task: peer.Task{Job: spec.Ref, Index: 1}, Machine: names[1]}, &grantedTask{})
-	if l.inventory.machines[names[1]].drain {
+	if l.inventory.machines[names[1]].draining {
 		t.Error("drained after a single failure")
 	}
 	l.errored(began+2*steady, j, peer.TaskEvent{Task: peer.Task{Job: spec.Ref, Index: 1}, Machine: names[1]}, &grantedTask{})
-	if !l.inventory.machines[names[1]].drain {
+	if !l.inventory.machines[names[1]].draining {
 		t.Error("not drained after two failures while another replica runs")
 	}
 }
--- a/internal/leader/spread.go
+++ b/internal/leader/spread.go
@@ -48,7 +48,7 @@
 }
 
 func (m *machine) capacity() rebalancer.Resources {
-	t := &m.opt.Type
+	t := &m.option.Type
 	return rebalancer.Resources{CPUs: t.CPUs, GPUs: t.GPUs, Memory: t.MemoryGB}
 }
 
@@ -85,7 +85,7 @@
 
 // offered is what is taken of the machine with what was offered in this round.
 func (m *machine) offered() rebalancer.Resources {
-	return m.capacity().Minus(rebalancer.Resources{CPUs: m.cpus, GPUs: m.gpus, Memory: m.mem})
+	return m.capacity().Minus(rebalancer.Resources{CPUs: m.freeCPUs, GPUs: m.freeGPUs, Memory: m.freeMemory})
 }
 
 // loadWith is the machine's load with what was offered in this round and one more task.
@@ -104,7 +104,7 @@
 	}
 	c := rebalancer.Candidate{Load: m.loadWith(s), Alone: takes(s).DominantShare(m.capacity())}
 	if slices.Contains(m.state.Images, s.Image) {
-		c.SavedS = e.fetches.Seconds(m.opt.Type.Name, s.ImageGB)
+		c.SavedS = e.fetches.Seconds(m.option.Type.Name, s.ImageGB)
 	}
 	return e.bound.Allows(c, e.mean.Value())
 }
@@ -112,9 +112,9 @@
 // take takes a task's room off the machine, for the rest of the round.
 func (e *evenness) take(m *machine, s *wire.Job) {
 	before := m.offered()
-	m.cpus -= s.CPUs
-	m.gpus -= s.GPUs
-	m.mem -= s.MemoryGB
+	m.freeCPUs -= s.CPUs
+	m.freeGPUs -= s.GPUs
+	m.freeMemory -= s.MemoryGB
 	if e != nil && m.reserve() == 0 {
 		e.mean.Change(before.DominantShare(m.capacity()), m.offered().DominantShare(m.capacity()))
 	}
@@ -192,7 +192,7 @@
 		if r.Reason == rebalancer.ImpossibleFigures && !l.rebalancing.impossible[r.Machine] {
 			l.rebalancing.impossible[r.Machine] = true
 			m := l.inventory.machines[r.Machine]
-			l.info("machine gets no moves", "machine", r.Machine, "why", r.Reason, "type", m.state.Type, "rented", m.opt.Type.Name,
+			l.info("machine gets no moves", "machine", r.Machine, "why", r.Reason, "type", m.state.Type, "rented", m.option.Type.Name,
 				"cpus_free", m.state.CPUs, "ram_gb_free", m.state.MemoryGB)
 		}
 	}
@@ -207,9 +207,9 @@
 		if !m.up || m.state.Silent || m.state.PreemptionNotice {
 			continue
 		}
-		bm := &rebalancer.Machine{Name: name, Type: m.opt.Type.Name, Capacity: m.capacity(), Used: m.used(),
+		bm := &rebalancer.Machine{Name: name, Type: m.option.Type.Name, Capacity: m.capacity(), Used: m.used(),
 			Serving: m.takesWork(), Unsettled: m.shard.offerPending, Images: m.state.Images}
-		if m.state.Type != m.opt.Type.Name {
+		if m.state.Type != m.option.Type.Name {
 			bm.Capacity = rebalancer.Resources{} // it is not what was rented
 		}
 		v.Machines = append(v.Machines, bm)
@@ -318,7 +318,7 @@
 		return
 	}
 	if m, j := l.inventory.machines[h.machine], l.jobs.byRef[t.Job]; m != nil && j != nil && h.givenAt > 0 && !h.cached {
-		l.rebalancing.fetches.Saw(m.opt.Type.Name, j.record.Spec.ImageGB, now-h.givenAt)
+		l.rebalancing.fetches.Saw(m.option.Type.Name, j.record.Spec.ImageGB, now-h.givenAt)
 	}
 	if m, ok := l.rebalancing.Runs(taskID(t), h.machine); ok {
 		l.emit(Log{Debug: true, Message: "task moved", Attributes: []any{"task", shard.TaskName(t), "from", m.From, "to", h.machine, "meant", m.To,
--- a/internal/leader/spread_test.go
+++ b/internal/leader/spread_test.go
@@ -25,7 +25,7 @@
 	l := leadingWith(t, tuning)
 	l.cfg.Facts.Cloud.RPS = 5
 	for _, m := range l.inventory.machines {
-		m.opt.Spot = true // of which upkeep keeps a reserve
+		m.option.Spot = true // of which upkeep keeps a reserve
 	}
 	l.finish(began, l.jobs.byRef[spec.Ref])
 	l.addJob(JobRecord{Spec: savable}, 30)
@@ -263,7 +263,7 @@
 // What operators are told: loads, why a machine takes no work, moves and refusals.
 func TestStatus(t *testing.T) {
 	l := unevenFleet(t, true)
-	l.inventory.machines[names[5]].drain, l.inventory.machines[names[5]].state.Tasks = true, 1
+	l.inventory.machines[names[5]].draining, l.inventory.machines[names[5]].state.Tasks = true, 1
 	stops(l)
 	s := l.status(began + 95*clock.Second)
 	if !s.Leading || !s.Rebalancing || len(s.Shards) != 2 || len(s.Machines) != len(names) || len(s.Migrations) != 1 || s.MigrationOutcomes.Begun != 1 {
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -68,7 +68,7 @@
 }
 
 func (l *Leader) machineStatus(m *machine, mean float64) peer.MachineStatus {
-	s := peer.MachineStatus{Name: m.name, Shard: m.shard.id, Type: m.opt.Type.Name, Zone: m.opt.Zone, Load: m.load(), Tasks: m.state.Tasks,
+	s := peer.MachineStatus{Name: m.name, Shard: m.shard.id, Type: m.option.Type.Name, Zone: m.option.Zone, Load: m.load(), Tasks: m.state.Tasks,
 		TakesWork: m.takesWork(), WhyNot: m.whyNoWork()}
 	if mean > 0 {
 		s.OverMean = s.Load / mean
@@ -83,7 +83,7 @@
 		return "its block has no holder"
 	case m.deleting:
 		return "being returned"
-	case m.drain:
+	case m.draining:
 		return "drained"
 	case m.state.PreemptionNotice:
 		return "the cloud takes it back"
@@ -156,13 +156,13 @@
 		}
 	}
 	for _, m := range l.inventory.machines {
-		if !m.opt.Spot {
+		if !m.option.Spot {
 			ordinary++
 		}
 		if m.up && m.state.Tasks == 0 {
 			idle++
 		}
-		if m.state.Schedulable && !m.drain && !m.cordoned {
+		if m.state.Schedulable && !m.draining && !m.cordoned {
 			fit++
 			room += m.state.CPUs
 		}
