--- a/internal/netio/conn_test.go
+++ b/internal/netio/conn_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// pair makes two ends of one connection.
-func pair(t *testing.T) (a, b net.Conn) {
+// connect returns the two ends of one connection.
+func connect(t *testing.T) (a, b net.Conn) {
 	t.Helper()
 	l, err := Listen("127.0.0.1:0")
 	if err != nil {
@@ -39,7 +39,7 @@
 
 // More than the socket's buffers hold goes through whole, and the end is seen.
 func TestCarriesAllBytesAndTheEnd(t *testing.T) {
-	a, b := pair(t)
+	a, b := connect(t)
 	want := make([]byte, 8<<20)
 	r := rand.New(rand.NewPCG(1, 1))
 	for i := range want {
@@ -58,7 +58,7 @@
 }
 
 func TestDeadlineAndCloseEndWaiting(t *testing.T) {
-	a, b := pair(t)
+	a, b := connect(t)
 	a.SetReadDeadline(time.Now().Add(-time.Second))
 	if _, err := a.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("read past the deadline: %v", err)
@@ -74,28 +74,28 @@
 	}
 }
 
-// failing fails some accepts before one succeeds.
-type failing struct {
+// failingListener fails some accepts before one succeeds.
+type failingListener struct {
 	net.Listener
 	errs []error
 }
 
-func (f *failing) Accept() (net.Conn, error) {
-	if len(f.errs) > 0 {
-		err := f.errs[0]
-		f.errs = f.errs[1:]
+func (l *failingListener) Accept() (net.Conn, error) {
+	if len(l.errs) > 0 {
+		err := l.errs[0]
+		l.errs = l.errs[1:]
 		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", err)}
 	}
-	return f.Listener.Accept()
+	return l.Listener.Accept()
 }
 
-// A server takes the first error of Accept for the end; want of sockets must not end it.
-func TestAcceptOutlastsWantOfSockets(t *testing.T) {
+// A server takes the first error of Accept for the end; a lack of sockets must not end it.
+func TestAcceptRetriesTransientErrors(t *testing.T) {
 	inner, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := listener{&failing{inner, []error{syscall.EMFILE, syscall.ECONNABORTED, syscall.EMFILE}}}
+	l := listener{&failingListener{inner, []error{syscall.EMFILE, syscall.ECONNABORTED, syscall.EMFILE}}}
 	a, err := Dial(inner.Addr().String(), 10*time.Second)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/netio/listen.go
+++ b/internal/netio/listen.go
@@ -7,29 +7,34 @@
 	"time"
 )
 
-type listener struct{ net.Listener }
+// acceptRetry is how long to wait after an accept failed for a reason that passes.
+const acceptRetry = 20 * time.Millisecond
 
-// pause is how long an accept that failed for want of something waits.
-const pause = 20 * time.Millisecond
+// listener accepts connections that Wrap has wrapped.
+type listener struct{ net.Listener }
 
-// Accept waits out what passes: at the limit of open sockets, or with a connection
-// that was given up meanwhile, a server would end that takes any error for the last.
+// Accept waits for the next connection. It retries after a failure that passes, such as the limit of open
+// sockets: a server that takes any error for the last would end.
 func (l listener) Accept() (net.Conn, error) {
 	for {
-		c, err := l.Listener.Accept()
-		switch {
-		case err == nil:
-			return Wrap(c), nil
-		case !passes(err):
+		conn, err := l.Listener.Accept()
+		if err == nil {
+			return Wrap(conn), nil
+		}
+		if !isTransient(err) {
 			return nil, err
 		}
-		time.Sleep(pause)
+		time.Sleep(acceptRetry)
 	}
 }
 
-func passes(err error) bool {
-	for _, e := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ECONNABORTED, syscall.EPROTO} {
-		if errors.Is(err, e) {
+// isTransient reports whether a later accept may succeed: sockets or memory were wanting, or the connection was
+// given up before it was accepted.
+func isTransient(err error) bool {
+	for _, transient := range []syscall.Errno{
+		syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ECONNABORTED, syscall.EPROTO,
+	} {
+		if errors.Is(err, transient) {
 			return true
 		}
 	}
@@ -37,19 +42,19 @@
 }
 
 // Listen listens on a TCP address.
-func Listen(addr string) (net.Listener, error) {
-	l, err := net.Listen("tcp4", addr)
+func Listen(address string) (net.Listener, error) {
+	inner, err := net.Listen("tcp4", address)
 	if err != nil {
 		return nil, err
 	}
-	return listener{l}, nil
+	return listener{inner}, nil
 }
 
 // Dial connects to a TCP address.
-func Dial(addr string, within time.Duration) (net.Conn, error) {
-	c, err := net.DialTimeout("tcp4", addr, within)
+func Dial(address string, timeout time.Duration) (net.Conn, error) {
+	conn, err := net.DialTimeout("tcp4", address, timeout)
 	if err != nil {
 		return nil, err
 	}
-	return Wrap(c), nil
+	return Wrap(conn), nil
 }
