--- a/internal/compat/samples_test.go
+++ b/internal/compat/samples_test.go
@@ -12,6 +12,7 @@
 	"swiftledge/internal/config"
 	"swiftledge/internal/election"
 	"swiftledge/internal/leader"
+	"swiftledge/internal/leader/jobs"
 	"swiftledge/internal/peer"
 	"swiftledge/internal/shard"
 	"swiftledge/wire"
@@ -45,7 +46,7 @@
 		{"catalog", wire.Catalog{Types: []wire.MachineType{g8}}},
 		{"job", leader.JobRecord{Spec: batch, AcceptedAt: 1234567}},
 		{"over", leader.FinalStateRecord{State: wire.JobDone, Tasks: 16}},
-		{"prog", leader.ProgressRecord{Chunks: []leader.ProgressChunk{{Job: "j-000412", Chunk: 1, Completed: []byte{5, 255}}, {Job: "j-000413", Completed: []byte{1}}}}},
+		{"prog", jobs.ProgressRecord{Chunks: []jobs.ProgressChunk{{Job: "j-000412", Chunk: 1, Completed: []byte{5, 255}}, {Job: "j-000413", Completed: []byte{1}}}}},
 		{"block", leader.ShardRecord{FencingToken: 7<<12 | 3, Holder: "n2", Incarnation: 78}},
 		{"run", page},
 		{"fleet", leader.InstanceGroupRecord{Request: wire.ProvisionRequest{RequestID: "r-7-1", Type: "g8", Zone: "a", Spot: true, Count: 2}, Machines: []string{"host-000001"}, Answered: true}},
@@ -81,7 +82,7 @@
 
 func ours() choices {
 	c := choices{Blocks: map[string]int{}, BlockKey: shard.Key(2), RecordKeys: shard.AttemptPrefix(2), AttemptBits: peer.AttemptBits,
-		ChunkTasks: leader.TasksPerChunk, TaskName: shard.TaskName(peer.Task{Job: "j-000412", Index: 3})}
+		ChunkTasks: jobs.TasksPerChunk, TaskName: shard.TaskName(peer.Task{Job: "j-000412", Index: 3})}
 	for _, m := range []string{"host-000000", "host-000001", "host-000231", "host-123456"} {
 		c.Blocks[m] = shard.ForMachine(m, 6)
 	}
--- a/internal/controller/state.go
+++ b/internal/controller/state.go
@@ -10,6 +10,7 @@
 	"swiftledge/internal/cluster"
 	"swiftledge/internal/election"
 	"swiftledge/internal/leader"
+	"swiftledge/internal/leader/jobs"
 	"swiftledge/internal/shard"
 	"swiftledge/internal/store"
 	"swiftledge/wire"
@@ -37,7 +38,7 @@
 // Their order does not matter, as only users change jobs while this epoch lasts: all other
 // keys are written under a guard on the leader key.
 func (n *Controller) readState(ctx context.Context) ([]wire.Item, uint64, error) {
-	prefixes := []string{leader.JobPrefix, leader.LayoutKey, leader.CatalogKey, shard.KeyPrefix, leader.ProgressPrefix, leader.InstanceGroupPrefix}
+	prefixes := []string{leader.JobPrefix, leader.LayoutKey, leader.CatalogKey, shard.KeyPrefix, jobs.ProgressPrefix, leader.InstanceGroupPrefix}
 	type listing struct {
 		items    []wire.Item
 		revision uint64
--- a/internal/leader/failures_test.go
+++ b/internal/leader/failures_test.go
@@ -5,6 +5,7 @@
 	"testing"
 
 	"swiftledge/internal/clock"
+	"swiftledge/internal/leader/jobs"
 	"swiftledge/internal/peer"
 	"swiftledge/internal/shard"
 	"swiftledge/wire"
@@ -21,7 +22,7 @@
 	for i := range 4 {
 		task := peer.Task{Job: s.Ref, Index: i}
 		b.tasks[task] = &grantedTask{team: s.Team, cpus: 1, running: i == 3, since: began, machine: names[0]}
-		j.takeOut(i)
+		j.MarkDispatched(i)
 	}
 	for i, name := range names[:2] {
 		l.errored(began, j, peer.TaskEvent{Task: peer.Task{Job: s.Ref, Index: 4 + i}, Machine: name}, &grantedTask{})
@@ -36,10 +37,10 @@
 	if !slices.Equal(stopped, []int{0, 1, 2}) {
 		t.Errorf("stopped %v, want the three that do not run", stopped)
 	}
-	if l.reconsider(began+steady-1, j); !j.failures.Suspect() {
+	if l.reconsider(began+jobs.StableAfter-1, j); !j.Failures.Suspect() {
 		t.Error("cleared by a short run")
 	}
-	if l.reconsider(began+steady, j); j.failures.Suspect() {
+	if l.reconsider(began+jobs.StableAfter, j); j.Failures.Suspect() {
 		t.Error("not cleared by a long run")
 	}
 }
@@ -47,7 +48,7 @@
 // A job that completes a task after others of it failed makes those failures count against their machines.
 func TestCompletionJudgesTheMachinesWhereItsJobFailed(t *testing.T) {
 	l := granting(t, nil)
-	j := l.jobs.byRef[spec.Ref]
+	j := l.jobs.Get(spec.Ref)
 	fail := func() {
 		l.errored(began, j, peer.TaskEvent{Task: peer.Task{Job: spec.Ref, Index: 0}, Machine: names[1]}, &grantedTask{})
 	}
@@ -71,7 +72,7 @@
 		j := l.addJob(JobRecord{Spec: s}, 5)
 		l.errored(began, j, peer.TaskEvent{Task: peer.Task{Job: s.Ref}, Machine: names[1]}, &grantedTask{})
 		if i == 0 {
-			l.cancel(began, j)
+			l.cancelJob(began, j)
 		}
 	}
 	if l.inventory.machines[names[1]].draining {
--- a/internal/leader/fleet_test.go
+++ b/internal/leader/fleet_test.go
@@ -88,7 +88,7 @@
 	}
 	// What must be spread over zones needs room in each.
 	l.setTypes([]wire.MachineType{{Name: "small", CPUs: 4, MemoryGB: 8, BootS: 30, ZoneNames: []string{"a", "b", "c"}}})
-	j.record.Spec.Spread = true
+	j.Spec.Spread = true
 	n = &demandSet{byKey: map[demandKey]*autoscaler.Demand{}}
 	l.addServiceDemand(began, n, j, 6)
 	for _, need := range n.list {
--- a/internal/leader/grants.go
+++ b/internal/leader/grants.go
@@ -189,8 +189,8 @@
 	}
 	// What has no record cannot have been started: the record's guard would fail now.
 	for t := range old {
-		if j := l.jobOf(t); j != nil && b.tasks[t] == nil {
-			j.giveBack(t.Index)
+		if j := l.jobs.OfTask(t); j != nil && b.tasks[t] == nil {
+			j.Requeue(t.Index)
 		}
 	}
 }
@@ -207,11 +207,11 @@
 	}
 	b.tasks[t] = h
 	l.quota.charge(h, 1)
-	j := l.jobOf(t)
+	j := l.jobs.OfTask(t)
 	if old[t] == nil && j != nil {
-		j.takeOut(t.Index)
+		j.MarkDispatched(t.Index)
 	}
-	if j == nil || j.cancelled {
+	if j == nil || j.IsCancelled() {
 		b.orders.Stop = append(b.orders.Stop, peer.StopTask{Task: t})
 	}
 }
--- a/internal/leader/holders.go
+++ b/internal/leader/holders.go
@@ -1,10 +1,8 @@
 package leader
 
 import (
-	"maps"
-	"slices"
-
 	"swiftledge/internal/clock"
+	"swiftledge/internal/leader/jobs"
 	"swiftledge/internal/peer"
 	"swiftledge/wire"
 )
@@ -61,17 +59,8 @@
 	l.scheduling.requested = true
 }
 
-// jobOf is the job of a task, or nil when there is none that has such a task.
-func (l *Leader) jobOf(t peer.Task) *job {
-	j := l.jobs.byRef[t.Job]
-	if j == nil || t.Index < 0 || t.Index >= j.record.Spec.Tasks {
-		return nil
-	}
-	return j
-}
-
 func (l *Leader) taskEvent(now clock.Micros, b *shardLease, e peer.TaskEvent) {
-	j := l.jobOf(e.Task)
+	j := l.jobs.OfTask(e.Task)
 	switch e.Kind {
 	case peer.EventAssigned:
 		if h := b.tasks[e.Task]; h != nil {
@@ -86,9 +75,9 @@
 			h.running, h.since, h.machine = true, now, e.Machine
 			l.noteRunning(now, e.Task, h)
 			if j != nil {
-				j.running++
-				if j.record.Spec.IsService() {
-					l.rose(now, j, e.Task, h)
+				j.MarkRunning()
+				if j.Spec.IsService() {
+					l.replicaStarted(now, j, e.Task, h)
 				}
 			}
 		}
@@ -97,7 +86,7 @@
 			h.remains = true
 		}
 	case peer.EventUnplaced, peer.EventReleased, peer.EventFailed, peer.EventCompleted:
-		if j != nil && j.record.Spec.IsService() {
+		if j != nil && j.Spec.IsService() {
 			l.replicaEnded(now, b, j, e)
 		} else {
 			l.taskEnded(now, b, j, e)
@@ -106,20 +95,20 @@
 }
 
 // taskEnded takes in the end of a batch's task, or of one whose job is not known any more.
-func (l *Leader) taskEnded(now clock.Micros, b *shardLease, j *job, e peer.TaskEvent) {
+func (l *Leader) taskEnded(now clock.Micros, b *shardLease, j *jobs.Job, e peer.TaskEvent) {
 	h := l.release(b, e.Task)
 	if h != nil && h.running && j != nil {
-		j.running--
+		j.MarkStopped()
 	}
 	l.noteEnded(now, e, h)
 	switch {
 	case e.Kind == peer.EventCompleted:
 		l.taskCompleted(now, b, j, e)
 		if h != nil && j != nil {
-			j.gone(e.Index)
+			j.ClearDispatched(e.Index)
 		}
 	case h != nil && j != nil:
-		j.giveBack(e.Index)
+		j.Requeue(e.Index)
 	}
 	if e.Kind == peer.EventFailed && j != nil {
 		l.errored(now, j, e, h)
@@ -128,14 +117,14 @@
 
 // replicaEnded takes in the end of a service's task. None is its last, so the task waits again, but
 // only when none of its attempts may run.
-func (l *Leader) replicaEnded(now clock.Micros, b *shardLease, j *job, e peer.TaskEvent) {
+func (l *Leader) replicaEnded(now clock.Micros, b *shardLease, j *jobs.Job, e peer.TaskEvent) {
 	if h := b.tasks[e.Task]; h != nil && h.remains && e.Kind == peer.EventCompleted {
 		h.remains = false
 		return
 	}
 	h := l.release(b, e.Task)
 	if h != nil && h.running {
-		j.running--
+		j.MarkStopped()
 	}
 	if e.Kind == peer.EventCompleted {
 		// It stays listed until its machine has shown a higher token: a late copy of its order would
@@ -144,9 +133,9 @@
 		b.orders.Persisted = append(b.orders.Persisted, e.Task)
 	}
 	if h != nil {
-		j.giveBack(e.Index)
+		j.Requeue(e.Index)
 		if e.Kind != peer.EventUnplaced {
-			l.fell(now, j, e, h)
+			l.replicaStopped(now, j, e, h)
 		}
 	}
 	if e.Kind == peer.EventFailed {
@@ -154,25 +143,19 @@
 	}
 }
 
-func (l *Leader) taskCompleted(now clock.Micros, b *shardLease, j *job, e peer.TaskEvent) {
+func (l *Leader) taskCompleted(now clock.Micros, b *shardLease, j *jobs.Job, e peer.TaskEvent) {
 	if j != nil {
 		l.completed(now, j, e)
 	}
-	if j == nil || j.cancelled || j.stored(e.Index) {
+	if j == nil || j.IsCancelled() || j.IsPersisted(e.Index) {
 		b.orders.Persisted = append(b.orders.Persisted, e.Task)
 		return
 	}
 	b.unpersisted = append(b.unpersisted, e.Task)
-	if j.markDone(e.Index) && e.RunSeconds > 1 && j.record.Spec.EstimateS > 0 {
-		c := l.jobs.runTimes[j.record.Spec.Class]
-		if c == nil {
-			c = &runTimeRatio{ratio: 1}
-			l.jobs.runTimes[j.record.Spec.Class] = c
-		}
-		c.n++
-		c.ratio += (e.RunSeconds/j.record.Spec.EstimateS - c.ratio) / float64(min(c.n, 50))
+	if j.MarkCompleted(e.Index) {
+		l.jobs.ObserveRunTime(j, e.RunSeconds)
 	}
-	l.end(j)
+	l.writeFinalState(j)
 }
 
 // flushOrders sends what has gathered for the holders.
@@ -200,19 +183,11 @@
 }
 
 func (l *Leader) reportTaskCounts() {
-	var out []peer.TaskCount
-	for _, ref := range slices.Sorted(maps.Keys(l.jobs.byRef)) {
-		j := l.jobs.byRef[ref]
-		c := peer.TaskCount{Job: ref, Done: j.nDone, Running: j.running}
-		if l.jobs.reportedCounts[ref] != c {
-			l.jobs.reportedCounts[ref] = c
-			out = append(out, c)
-		}
-	}
-	if len(out) == 0 {
+	counts := l.jobs.ChangedCounts()
+	if len(counts) == 0 {
 		return
 	}
 	for _, n := range l.controllersByName() {
-		l.emit(SendToHolder{n.link, peer.FromLeader{Term: l.term, TaskCounts: out}})
+		l.emit(SendToHolder{n.link, peer.FromLeader{Term: l.term, TaskCounts: counts}})
 	}
 }
--- /dev/null
+++ b/internal/leader/jobs/waiting.go
@@ -0,0 +1,56 @@
+package jobs
+
+import "math/bits"
+
+// wordBits is how many tasks a word of waitingTasks holds.
+const wordBits = 64
+
+// waitingTasks is the set of a job's tasks that wait, in their order.
+type waitingTasks struct {
+	words []uint64
+	count int
+	head  int // no task before it waits
+}
+
+func newWaitingTasks(tasks int) waitingTasks {
+	return waitingTasks{words: make([]uint64, (tasks+wordBits-1)/wordBits)}
+}
+
+func (w *waitingTasks) has(task int) bool { return w.words[task/wordBits]&(1<<(task%wordBits)) != 0 }
+
+func (w *waitingTasks) add(task int) {
+	if w.has(task) {
+		return
+	}
+	w.words[task/wordBits] |= 1 << (task % wordBits)
+	w.count++
+	w.head = min(w.head, task)
+}
+
+func (w *waitingTasks) remove(task int) {
+	if !w.has(task) {
+		return
+	}
+	w.words[task/wordBits] &^= 1 << (task % wordBits)
+	w.count--
+}
+
+// first returns the first task, or -1.
+func (w *waitingTasks) first() int {
+	for i := w.head / wordBits; i < len(w.words); i++ {
+		if w.words[i] != 0 {
+			return i*wordBits + bits.TrailingZeros64(w.words[i])
+		}
+	}
+	return -1
+}
+
+// takeFirst removes the first task and returns it, or -1.
+func (w *waitingTasks) takeFirst() int {
+	task := w.first()
+	if task >= 0 {
+		w.remove(task)
+		w.head = task + 1
+	}
+	return task
+}
--- a/internal/leader/keys_test.go
+++ b/internal/leader/keys_test.go
@@ -5,6 +5,7 @@
 	"testing"
 
 	"swiftledge/internal/clock"
+	"swiftledge/internal/leader/jobs"
 	"swiftledge/internal/store"
 	"swiftledge/wire"
 )
@@ -16,7 +17,10 @@
 		name, want string
 		key        func(l *Leader) string
 	}{
-		{"progress page", "prog/5-1", func(l *Leader) string { return l.place(l.jobs.byRef[spec.Ref], 0).key }},
+		{"progress page", "prog/5-1", func(l *Leader) string {
+			l.jobs.Get(spec.Ref).MarkCompleted(0)
+			return l.progress.DueWrites(began+jobs.ProgressInterval, l.jobs, l.valueBytes)[0].Key
+		}},
 		{"found machines", "fleet/found-5-1", func(l *Leader) string {
 			l.inventory.discovered["host-000009"] = wire.Machine{Name: "host-000009", Type: "small", Zone: "a"}
 			l.effects = nil
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -10,6 +10,7 @@
 
 	"swiftledge/internal/clock"
 	"swiftledge/internal/config"
+	"swiftledge/internal/leader/jobs"
 	"swiftledge/internal/pausedetect"
 	"swiftledge/internal/peer"
 	"swiftledge/internal/shard"
@@ -38,7 +39,8 @@
 // termState is made anew for each term: the leadership itself, and the parts that own the rest of the state.
 type termState struct {
 	leadership
-	jobs        jobTable
+	jobs        *jobs.Table
+	progress    *jobs.ProgressPages
 	quota       quotaUsage
 	shards      shardTable
 	inventory   inventory
@@ -48,7 +50,7 @@
 	rebalancing *rebalancing // nil while it is off
 	outcomes    taskOutcomes
 
-	stateLoggedAt clock.Micros
+	stateLoggedAt, countsReportedAt clock.Micros
 }
 
 // New makes a leader that does not lead yet.
@@ -78,7 +80,8 @@
 func (l *Leader) reset() {
 	l.termState = termState{
 		leadership: leadership{valueBytes: l.cfg.ValueBytes(), txnOps: l.cfg.TxnOps()},
-		jobs:       newJobTable(),
+		jobs:       jobs.NewTable(),
+		progress:   jobs.NewProgressPages(0),
 		quota:      quotaUsage{byTeam: map[string]*resourceUsage{}},
 		shards:     shardTable{controllers: map[string]*controller{}},
 		inventory:  newInventory(),
@@ -121,6 +124,7 @@
 func (l *Leader) begin(now clock.Micros, m LeadershipAcquired) {
 	l.reset()
 	l.term, l.incarnation, l.leading, l.startedAt = m.Term, m.Incarnation, true, now
+	l.progress = jobs.NewProgressPages(m.Term)
 	l.rebalancing = newRebalancing(l.cfg.Tuning.Spread, now)
 	l.emit(LoadState{l.term})
 }
@@ -175,14 +179,6 @@
 	}
 }
 
-// jobsChanged takes in what users did to jobs.
-func (l *Leader) jobsChanged(now clock.Micros, m JobsChanged) {
-	for _, e := range m.Events {
-		l.watched(now, e)
-	}
-	l.jobsViewedAt = max(l.jobsViewedAt, m.RequestedAt)
-}
-
 // peerConnected takes in a new link. What the controller was told over an older one may be lost: its blocks
 // are granted anew.
 func (l *Leader) peerConnected(now clock.Micros, m PeerConnected) {
@@ -202,7 +198,13 @@
 
 func (l *Leader) emit(e Effect) { l.effects = append(l.effects, e) }
 
-func (l *Leader) info(text string, args ...any) { l.emit(Log{Message: text, Attributes: args}) }
+func (l *Leader) info(message string, attributes ...any) {
+	l.emit(Log{Message: message, Attributes: attributes})
+}
+
+func (l *Leader) debug(message string, attributes ...any) {
+	l.emit(Log{Debug: true, Message: message, Attributes: attributes})
+}
 
 // commit guards a transaction on the epoch, so that one of an older leader fails however late it is applied.
 func (l *Leader) commit(prio int, tag TxnTag, guards []wire.Condition, writes []wire.Write) {
@@ -235,16 +237,17 @@
 		l.scheduling.requested = true
 	}
 	l.assignShards(now)
-	refs := slices.Sorted(maps.Keys(l.jobs.byRef))
-	for _, ref := range refs {
-		l.end(l.jobs.byRef[ref])
-		l.retry(now, l.jobs.byRef[ref])
-		l.reconsider(now, l.jobs.byRef[ref])
+	for j := range l.jobs.Sorted() {
+		l.writeFinalState(j)
+		if j.RetryDelayed(now) {
+			l.scheduling.requestUrgently()
+		}
+		l.reconsider(now, j)
 	}
-	l.progress(now, refs)
+	l.writeProgress(now)
 	l.moveTasks(now)
-	if now-l.jobs.countsReportedAt >= clock.Second {
-		l.jobs.countsReportedAt = now
+	if now-l.countsReportedAt >= clock.Second {
+		l.countsReportedAt = now
 		l.reportTaskCounts()
 	}
 	if now-l.stateLoggedAt >= 10*clock.Second {
@@ -269,10 +272,10 @@
 	switch tag := m.Tag.(type) {
 	case shardsTag:
 		l.shardKeysWritten(now, tag, m.Result)
-	case endTag:
-		l.ended(now, tag, m)
+	case finalStateTag:
+		l.finalStateWritten(now, tag, m.Result)
 	case progressTag:
-		l.progressed(tag, m)
+		l.progressWritten(tag, m.Result)
 	case instanceGroupTag:
 		l.instanceGroupWritten(now, tag, m)
 	}
@@ -295,10 +298,10 @@
 				b.state = unassigned
 			}
 		}
-	case endTag:
-		l.endRead(now, tag, m)
+	case finalStateTag:
+		l.finalStateRead(now, tag, m)
 	case progressTag:
-		l.progressPageRead(tag, m)
+		l.progress.ReadBack(tag.write, m.Item.Version)
 	case instanceGroupTag:
 		l.instanceGroupRead(now, tag, m)
 	}
--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -7,6 +7,7 @@
 
 	"swiftledge/internal/clock"
 	"swiftledge/internal/config"
+	"swiftledge/internal/leader/jobs"
 	"swiftledge/internal/peer"
 	"swiftledge/internal/shard"
 	"swiftledge/internal/store"
@@ -121,16 +122,16 @@
 	fx := l.Step(began, HolderMessage{Controller: "n0", Link: testLink("link"), Message: &peer.ToLeader{Term: 5, Updates: []peer.ShardUpdate{{Shard: b, FencingToken: l.shards.all[b].token,
 		Events: []peer.TaskEvent{{Task: peer.Task{Job: spec.Ref, Index: 0}, Kind: peer.EventCompleted, Machine: names[0]}}}}}})
 	writes := 0
-	for _, e := range append(fx, l.Step(began+progressEvery, Tick{})...) {
-		if c, ok := e.(CommitTxn); ok && strings.HasPrefix(c.Txn.Writes[0].Put, ProgressPrefix) {
+	for _, e := range append(fx, l.Step(began+jobs.ProgressInterval, Tick{})...) {
+		if c, ok := e.(CommitTxn); ok && strings.HasPrefix(c.Txn.Writes[0].Put, jobs.ProgressPrefix) {
 			writes++
 		}
 	}
-	if writes != 1 || !l.jobs.progressPages[0].busy {
+	if writes != 1 {
 		t.Fatalf("%d progress writes under way, want 1", writes)
 	}
 	var stopped []peer.StopTask
-	for _, e := range l.Step(began+progressEvery, JobsChanged{Term: 5, Events: []wire.Event{{Delete: JobPrefix + spec.Ref, Version: 20}}}) {
+	for _, e := range l.Step(began+jobs.ProgressInterval, JobsChanged{Term: 5, Events: []wire.Event{{Delete: JobPrefix + spec.Ref, Version: 20}}}) {
 		if x, ok := e.(SendToHolder); ok {
 			for _, o := range x.Message.Orders {
 				stopped = append(stopped, o.Stop...)
@@ -147,9 +148,10 @@
 // first, and each class, and what has waited long, has a least share.
 func TestQueueStarvesNobody(t *testing.T) {
 	mk := func(class string, waitedLong, begun bool) *queued {
-		j := &job{record: JobRecord{Spec: wire.Job{Class: class, Tasks: 9, CPUs: 1}}, nWant: 1, out: map[int]int{}}
+		j := jobs.New(wire.Job{Class: class, Tasks: 2, CPUs: 1}, 0, 1)
+		j.AwaitAll()
 		if begun {
-			j.out[0] = 1
+			j.DispatchFirst()
 		}
 		return &queued{j: j, waitedLong: waitedLong}
 	}
@@ -168,7 +170,7 @@
 	} {
 		c.set()
 		if got, _ := tq.next(0.1); got != c.want {
-			t.Errorf("%s: job of class %s, waiting for long: %t, is next", c.what, got.j.record.Spec.Class, got.waitedLong)
+			t.Errorf("%s: job of class %s, waiting for long: %t, is next", c.what, got.j.Spec.Class, got.waitedLong)
 		}
 	}
 }
@@ -196,66 +198,11 @@
 	return l
 }
 
-// Progress that was stored when values could be larger is neither lost nor written as it
-// is: its chunks go to progress pages that fit, and the old one is deleted only when all are there.
-func TestProgressPageOfTheOldSizeIsSplit(t *testing.T) {
-	l := leading(t)
-	const n = 40
-	old := &progressPage{key: ProgressPrefix + "1-1", stamp: 7, size: 32}
-	var r ProgressRecord
-	var refs []string
-	for i := range n {
-		s := spec
-		s.Ref, s.Tasks = "j-20000"+string(rune('0'+i/10))+string(rune('0'+i%10)), 300
-		l.addJob(JobRecord{Spec: s}, 3).fillWaiting()
-		refs = append(refs, s.Ref)
-		r.Chunks = append(r.Chunks, ProgressChunk{Job: s.Ref, Completed: []byte{5}})
-	}
-	l.valueBytes = 1800
-	it := item(t, old.key, old.stamp, r)
-	l.loadProgressPage(it, r)
-	left := map[any]CommitTxn{}
-	for round := 1; round <= 3; round++ {
-		for _, e := range l.Step(began+clock.Micros(round)*progressEvery, Tick{}) {
-			c, ok := e.(CommitTxn)
-			if !ok || c.Tag == nil && c.Txn.Writes[0].Delete == "" {
-				continue
-			}
-			if c.Txn.Writes[0].Delete == old.key && len(left) > 0 {
-				t.Fatal("the old progress page is deleted before its chunks are stored elsewhere")
-			}
-			if tag, ok := c.Tag.(progressTag); ok {
-				if len(c.Txn.Writes[0].Value) > l.valueBytes || c.Txn.Writes[0].Put == old.key {
-					t.Errorf("%s is written with %d bytes", c.Txn.Writes[0].Put, len(c.Txn.Writes[0].Value))
-				}
-				left[tag.progressPage] = c
-			}
-			if c.Txn.Writes[0].Delete == old.key {
-				left[nil] = c
-			}
-		}
-		if round == 1 {
-			for s, c := range left {
-				delete(left, s)
-				l.Step(began+progressEvery, TxnCompleted{Term: 5, Tag: c.Tag, Result: store.TxnResult{Committed: true, Revision: 20}})
-			}
-		}
-	}
-	if _, deleted := left[nil]; !deleted {
-		t.Error("the old progress page is never deleted")
-	}
-	for _, ref := range refs {
-		if j := l.jobs.byRef[ref]; !j.stored(0) || !j.stored(2) || j.stored(1) {
-			t.Errorf("%s lost what was stored of it", ref)
-		}
-	}
-}
-
 // A refusal for its form makes what the leader writes smaller.
 func TestLeaderWritesSmallerAfterARefusal(t *testing.T) {
 	l := granting(t, nil)
 	l.valueBytes, l.txnOps = 3600, 8
-	l.Step(began, TxnCompleted{Term: 5, Tag: endTag{"j-999999"}, Result: store.TxnResult{Rejected: true}})
+	l.Step(began, TxnCompleted{Term: 5, Tag: finalStateTag{"j-999999"}, Result: store.TxnResult{Rejected: true}})
 	if l.valueBytes != 1800 || l.txnOps != 4 {
 		t.Errorf("values of %d bytes, %d operations", l.valueBytes, l.txnOps)
 	}
--- a/internal/leader/load.go
+++ b/internal/leader/load.go
@@ -4,6 +4,7 @@
 	"strings"
 
 	"swiftledge/internal/clock"
+	"swiftledge/internal/leader/jobs"
 	"swiftledge/internal/peer"
 	"swiftledge/internal/shard"
 	"swiftledge/internal/store"
@@ -37,7 +38,7 @@
 	l.inventory.listedAt = now
 	l.emit(LoadCatalog{})
 	l.autoscaler.catalogRequestedAt = now
-	l.info("leading", "epoch", l.term, "jobs", len(l.jobs.byRef), "machines", len(l.inventory.machines), "blocks", len(l.shards.all))
+	l.info("leading", "epoch", l.term, "jobs", l.jobs.Len(), "machines", len(l.inventory.machines), "blocks", len(l.shards.all))
 }
 
 // loadBlocks makes the blocks, to which the machines belong, and learns the machine types. The first
@@ -71,24 +72,20 @@
 	}
 }
 
-// loadProgress takes in which tasks of the jobs are done. All others wait, until the start records say
-// which of them may run.
+// loadProgress takes in which tasks of the jobs have completed. All others wait, until the attempt records say which
+// of them may run.
 func (l *Leader) loadProgress(items []wire.Item) {
 	for _, it := range items {
-		if strings.HasPrefix(it.Key, ProgressPrefix) {
-			if r, ok := decode[ProgressRecord](l, it); ok {
-				l.loadProgressPage(it, r)
-			}
+		if !strings.HasPrefix(it.Key, jobs.ProgressPrefix) {
+			continue
 		}
-	}
-	for _, j := range l.jobs.byRef {
-		for i := range j.record.Spec.Tasks {
-			if j.isDone(i) {
-				j.nDone++
-				j.failures.MarkSound()
-			}
+		if r, ok := decode[jobs.ProgressRecord](l, it); ok {
+			page := jobs.StoredPage{Key: it.Key, Version: it.Version, Record: r}
+			l.progress.Load(page, l.jobs, l.valueBytes)
 		}
-		j.fillWaiting()
+	}
+	for j := range l.jobs.All() {
+		j.FinishLoading()
 	}
 }
 
--- a/internal/leader/machines.go
+++ b/internal/leader/machines.go
@@ -94,16 +94,16 @@
 	var room *freeRoom
 	var on []peer.Task
 	for t, h := range b.tasks {
-		if h.machine == m.name && l.jobs.byRef[t.Job] != nil {
+		if h.machine == m.name && l.jobs.Get(t.Job) != nil {
 			on = append(on, t)
 		}
 	}
 	slices.SortFunc(on, func(a, c peer.Task) int { return cmp.Or(strings.Compare(a.Job, c.Job), a.Index-c.Index) })
 	for _, t := range on {
-		h, j := b.tasks[t], l.jobs.byRef[t.Job]
+		h, j := b.tasks[t], l.jobs.Get(t.Job)
 		// A replica moves at once if there is room for it; else it runs to the end here.
 		moves := false
-		if j.record.Spec.IsService() && m.state.PreemptionNotice {
+		if j.Spec.IsService() && m.state.PreemptionNotice {
 			if room == nil {
 				room = l.freeRoom(now)
 			}
@@ -113,7 +113,7 @@
 		if moves {
 			h.stopped, h.stoppedAt = "notice", now
 		}
-		if moves || j.record.Spec.CheckpointS > 0 && !j.record.Spec.IsService() {
+		if moves || j.Spec.CheckpointS > 0 && !j.Spec.IsService() {
 			b.orders.Stop = append(b.orders.Stop, peer.StopTask{Task: t, Checkpoint: true})
 		}
 	}
--- a/internal/leader/messages.go
+++ b/internal/leader/messages.go
@@ -20,7 +20,6 @@
 	CatalogKey          = "catalog"
 	JobPrefix           = "job/"
 	FinalStatePrefix    = "over/"
-	ProgressPrefix      = "prog/"
 	InstanceGroupPrefix = "fleet/"
 )
 
@@ -36,21 +35,6 @@
 	Tasks int           `json:"tasks"`
 }
 
-// ProgressRecord is the value of a prog/ key: completed tasks of several jobs.
-type ProgressRecord struct {
-	Chunks []ProgressChunk `json:"u"`
-}
-
-// ProgressChunk has a bit for each completed task of a range of a job's tasks.
-type ProgressChunk struct {
-	Job       string `json:"j"`
-	Chunk     int    `json:"c,omitempty"`
-	Completed []byte `json:"b"`
-}
-
-// TasksPerChunk is how many tasks' bits are stored as one.
-const TasksPerChunk = 8192
-
 // ShardRecord is the value of block/<n>.
 type ShardRecord struct {
 	FencingToken wire.FencingToken   `json:"token"`
@@ -319,6 +303,4 @@
 func (Log) leaderEffect()               {}
 
 func (shardsTag) txnTag()        {}
-func (endTag) txnTag()           {}
-func (progressTag) txnTag()      {}
 func (instanceGroupTag) txnTag() {}
--- a/internal/leader/needs.go
+++ b/internal/leader/needs.go
@@ -7,12 +7,13 @@
 
 	"swiftledge/internal/autoscaler"
 	"swiftledge/internal/clock"
+	"swiftledge/internal/leader/jobs"
 	"swiftledge/wire"
 )
 
 // demandKey tells needs apart.
 type demandKey struct {
-	shape    shape
+	shape    jobs.Shape
 	standing bool
 	zone     string // of those that are to be spread
 }
@@ -24,9 +25,9 @@
 	list  []*autoscaler.Demand
 }
 
-func (n *demandSet) demandOf(j *job, zone string) *autoscaler.Demand {
-	s := &j.record.Spec
-	key := demandKey{j.shape, s.IsService(), zone}
+func (n *demandSet) demandOf(j *jobs.Job, zone string) *autoscaler.Demand {
+	s := &j.Spec
+	key := demandKey{j.Shape, s.IsService(), zone}
 	need := n.byKey[key]
 	if need == nil {
 		need = &autoscaler.Demand{CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.MemoryGB, Types: s.Types, Zone: zone, Spot: s.Spot}
@@ -43,17 +44,17 @@
 func (l *Leader) capacityDemand(now clock.Micros) []autoscaler.Demand {
 	n := &demandSet{byKey: map[demandKey]*autoscaler.Demand{}}
 	room := map[string]float64{}
-	refs := slices.Sorted(maps.Keys(l.jobs.byRef))
+	refs := l.jobs.Refs()
 	for _, standing := range []bool{true, false} {
 		for _, ref := range refs {
-			j := l.jobs.byRef[ref]
-			s := &j.record.Spec
-			left := s.Tasks - j.nDone
-			if s.IsService() != standing || left <= 0 || j.failures.Waits(now) {
+			j := l.jobs.Get(ref)
+			s := &j.Spec
+			left := s.Tasks - j.Completed()
+			if s.IsService() != standing || left <= 0 || j.Failures.Waits(now) {
 				continue
 			}
-			if j.failures.Suspect() {
-				left = min(left, len(j.out)+1) // a probe
+			if j.Failures.Suspect() {
+				left = min(left, j.Dispatched()+1) // a probe
 			}
 			if _, ok := room[s.Team]; !ok {
 				room[s.Team] = l.teams[s.Team].CPULimit()
@@ -69,7 +70,7 @@
 			}
 			need := n.demandOf(j, "")
 			need.Tasks += most
-			need.Seconds += float64(left) * l.remaining(j)
+			need.Seconds += float64(left) * l.jobs.RunSeconds(j)
 		}
 		if standing {
 			l.addArrivalReserve(now, n)
@@ -87,7 +88,7 @@
 
 // addServiceDemand adds a service's replicas. Those that must be spread need room in several
 // zones: room for all of them in the cheapest would leave half without.
-func (l *Leader) addServiceDemand(now clock.Micros, n *demandSet, j *job, most int) {
+func (l *Leader) addServiceDemand(now clock.Micros, n *demandSet, j *jobs.Job, most int) {
 	add := func(zone string, tasks int) {
 		need := n.demandOf(j, zone)
 		need.Tasks += tasks
@@ -111,8 +112,8 @@
 }
 
 // openZones are the zones over which a job's tasks may be spread now; none if they need not be.
-func (l *Leader) openZones(now clock.Micros, j *job) (out []string) {
-	s := &j.record.Spec
+func (l *Leader) openZones(now clock.Micros, j *jobs.Job) (out []string) {
+	s := &j.Spec
 	if !s.Spread || s.Zone != "" {
 		return nil
 	}
@@ -139,32 +140,32 @@
 func (l *Leader) addArrivalReserve(now clock.Micros, n *demandSet) {
 	type recentArrivals struct {
 		sum, squares float64
-		like         *job
+		like         *jobs.Job
 	}
-	lately := map[shape]*recentArrivals{}
-	var shapes []shape
+	lately := map[jobs.Shape]*recentArrivals{}
+	var shapes []jobs.Shape
 	oldest := 0.0
-	for _, ref := range slices.Sorted(maps.Keys(l.jobs.byRef)) {
-		j := l.jobs.byRef[ref]
-		age := (now + l.wallOffset - j.record.AcceptedAt).Seconds()
-		if !j.record.Spec.IsService() || age > arrivals {
+	for _, ref := range l.jobs.Refs() {
+		j := l.jobs.Get(ref)
+		age := (now + l.wallOffset - j.AcceptedAt).Seconds()
+		if !j.Spec.IsService() || age > arrivals {
 			continue
 		}
 		oldest = max(oldest, age)
-		c := lately[j.shape]
+		c := lately[j.Shape]
 		if c == nil {
 			c = &recentArrivals{like: j}
-			lately[j.shape] = c
-			shapes = append(shapes, j.shape)
+			lately[j.Shape] = c
+			shapes = append(shapes, j.Shape)
 		}
-		tasks := float64(j.record.Spec.Tasks)
+		tasks := float64(j.Spec.Tasks)
 		c.sum += tasks
 		c.squares += tasks * tasks
 	}
 	window := max(oldest, leastArrivals)
 	for _, k := range shapes {
 		c := lately[k]
-		ahead := l.bootTime(&c.like.record.Spec) * 1.3 / window
+		ahead := l.bootTime(&c.like.Spec) * 1.3 / window
 		more := int(math.Ceil(c.sum*ahead + 1.5*math.Sqrt(c.squares*ahead)))
 		over := l.openZones(now, c.like)
 		if len(over) == 0 {
@@ -205,7 +206,7 @@
 	}
 	n := 0
 	for class, within := range l.awaited {
-		if !l.jobs.classesSeen[class] && within < boot*1.5+10 {
+		if !l.jobs.HasSeenClass(class) && within < boot*1.5+10 {
 			n += warmCPUs
 		}
 	}
--- a/internal/leader/preempt.go
+++ b/internal/leader/preempt.go
@@ -7,6 +7,7 @@
 	"slices"
 
 	"swiftledge/internal/clock"
+	"swiftledge/internal/leader/jobs"
 	"swiftledge/internal/peer"
 	"swiftledge/wire"
 )
@@ -73,9 +74,9 @@
 	waiting := false
 	for _, t := range teams {
 		for _, j := range t.entitled {
-			if j.nWant > 0 {
+			if j.Waiting() > 0 {
 				waiting = true
-				p.urgent = p.urgent || j.record.Spec.Priority.Rank() == wire.PriorityProduction.Rank()
+				p.urgent = p.urgent || j.Spec.Priority.Rank() == wire.PriorityProduction.Rank()
 			}
 		}
 	}
@@ -100,22 +101,22 @@
 // production work.
 func (p *preemption) findLong() {
 	p.long = map[string]float64{}
-	for ref, j := range p.l.jobs.byRef {
-		if len(j.out) == 0 || j.record.Spec.Priority.Rank() == wire.PriorityProduction.Rank() {
+	for j := range p.l.jobs.All() {
+		if j.Dispatched() == 0 || j.Spec.Priority.Rank() == wire.PriorityProduction.Rank() {
 			continue
 		}
-		if boot := p.l.bootTime(&j.record.Spec); j.record.Spec.IsService() || p.l.remaining(j) > bootsWaited*boot {
-			p.long[ref] = boot
+		if boot := p.l.bootTime(&j.Spec); j.Spec.IsService() || p.l.jobs.RunSeconds(j) > bootsWaited*boot {
+			p.long[j.Spec.Ref] = boot
 		}
 	}
 }
 
 // entitled says whether tasks of the job may ever stop others.
-func (l *Leader) entitled(t *teamQueue, j *job) bool {
-	if j.failures.Suspect() {
+func (l *Leader) entitled(t *teamQueue, j *jobs.Job) bool {
+	if j.Failures.Suspect() {
 		return false
 	}
-	return j.record.Spec.Priority.Rank() <= wire.PriorityHigh.Rank() || t.team.CPUs > 0
+	return j.Spec.Priority.Rank() <= wire.PriorityHigh.Rank() || t.team.CPUs > 0
 }
 
 // uses is what teams' tasks will give back, less what is to come.
@@ -145,16 +146,16 @@
 			if !long && !p.urgent && !leaves {
 				continue
 			}
-			at, j := on[h.machine], l.jobs.byRef[t.Job]
+			at, j := on[h.machine], l.jobs.Get(t.Job)
 			if at == nil || j == nil {
 				continue
 			}
 			if leaves {
 				at.cpus += h.cpus
-				at.memory += j.record.Spec.MemoryGB
+				at.memory += j.Spec.MemoryGB
 			}
 			v := l.victim(p.now, t, h, j)
-			v.endsSoon = !long || !j.record.Spec.IsService() && l.remaining(j)-v.ran < bootsWaited*boot
+			v.endsSoon = !long || !j.Spec.IsService() && l.jobs.RunSeconds(j)-v.ran < bootsWaited*boot
 			if h.stopped == "" && (p.urgent || !v.endsSoon) && v.rank > wire.PriorityProduction.Rank() {
 				at.victims = append(at.victims, v)
 			}
@@ -174,8 +175,8 @@
 }
 
 // victim weighs a task that may be stopped. What it saved by itself at its last interval is not lost.
-func (l *Leader) victim(now clock.Micros, t peer.Task, h *grantedTask, j *job) victim {
-	s := &j.record.Spec
+func (l *Leader) victim(now clock.Micros, t peer.Task, h *grantedTask, j *jobs.Job) victim {
+	s := &j.Spec
 	rank, ran := s.Priority.Rank(), 0.0
 	if h.running {
 		ran = (now - h.since).Seconds()
@@ -189,11 +190,11 @@
 }
 
 // makeRoom makes room for the waiting tasks of one job, as far as it may run.
-func (p *preemption) makeRoom(t *teamQueue, j *job) {
-	s := &j.record.Spec
+func (p *preemption) makeRoom(t *teamQueue, j *jobs.Job) {
+	s := &j.Spec
 	zones := p.l.zones(j)
 	standing := t.standing
-	for n := min(j.nWant, mostPreempted); n > 0; n-- {
+	for n := min(j.Waiting(), mostPreempted); n > 0; n-- {
 		if !t.mayStand(s, standing, p.l.cfg.Tuning.Queues.LeastShare) {
 			return
 		}
@@ -246,12 +247,12 @@
 
 // cheapest finds the machine on which room for one more task of the job costs least, and which of its
 // victims have to leave.
-func (p *preemption) cheapest(j *job, zones zones, c claim) (best *space, leave []int) {
-	s := &j.record.Spec
+func (p *preemption) cheapest(j *jobs.Job, zones zones, c claim) (best *space, leave []int) {
+	s := &j.Spec
 	least := 0.0
 	for _, at := range p.spaces {
 		m := at.machine
-		if !m.allowed(p.now, j) || !zones.allow(m.option.Zone) || j.barred(p.now, m) || m.state.GPUs+1e-9 < s.GPUs {
+		if !m.allowed(p.now, j) || !zones.allow(m.option.Zone) || j.AvoidsMachine(p.now, m.name) || m.state.GPUs+1e-9 < s.GPUs {
 			continue
 		}
 		if who, cost, ok := p.makes(at, s, c); ok && (best == nil || cost < least) {
--- a/internal/leader/preempt_test.go
+++ b/internal/leader/preempt_test.go
@@ -19,7 +19,7 @@
 	l.teams["blue"] = config.Team{Name: "blue", CPUs: 3, CPUsMax: 16}
 	l.autoscaler.types["small"] = wire.MachineType{Name: "small", CPUs: 4, MemoryGB: 8, BootS: 20, ZoneNames: []string{"a"}}
 	l.autoscaler.catalog = []wire.MachineType{l.autoscaler.types["small"]}
-	delete(l.jobs.byRef, spec.Ref)
+	l.jobs.Remove(spec.Ref)
 	long := wire.Job{Ref: "j-000100", Team: "guest", Priority: wire.PriorityBestEffort, Tasks: 4, CPUs: 1, MemoryGB: 1, EstimateS: 300, Spot: true}
 	if change != nil {
 		change(&long)
@@ -35,7 +35,7 @@
 		held := &grantedTask{team: long.Team, cpus: 1, running: true, since: began - clock.Micros(20+i)*clock.Second, machine: m.name}
 		m.shard.tasks[task] = held
 		l.quota.charge(held, 1)
-		j.takeOut(i)
+		j.MarkDispatched(i)
 	}
 	return l, m
 }
@@ -43,7 +43,7 @@
 // stopped gives the indexes of the tasks that waiting work stops.
 func stopped(t *testing.T, l *Leader, waiting wire.Job) (out []int) {
 	t.Helper()
-	l.addJob(JobRecord{Spec: waiting}, 4).fillWaiting()
+	l.addJob(JobRecord{Spec: waiting}, 4).AwaitAll()
 	l.preemption.ranAt = 0
 	l.preempt(began, l.queues(began))
 	for _, b := range l.shards.all {
@@ -107,10 +107,10 @@
 	for i := range 2 {
 		l.errored(began, j, peer.TaskEvent{Task: peer.Task{Job: high.Ref, Index: i}, Machine: names[1+i]}, &grantedTask{})
 	}
-	if !j.failures.Suspect() {
+	if !j.Failures.Suspect() {
 		t.Fatal("not suspect")
 	}
-	j.fillWaiting()
+	j.AwaitAll()
 	l.preempt(began+clock.Minute, l.queues(began+clock.Minute))
 	for _, b := range l.shards.all {
 		if len(b.orders.Stop) > 0 {
@@ -122,12 +122,12 @@
 // An error of a task that is in no grant is no evidence.
 func TestErrorOfNoGrantIsNoEvidence(t *testing.T) {
 	l := granting(t, nil)
-	j := l.jobs.byRef[spec.Ref]
+	j := l.jobs.Get(spec.Ref)
 	for _, name := range names[:3] {
 		b := l.shards.all[shard.ForMachine(name, 2)]
 		l.taskEvent(began, b, peer.TaskEvent{Task: peer.Task{Job: spec.Ref, Index: 0}, Kind: peer.EventFailed, Machine: name})
 	}
-	if j.failures.Suspect() || len(j.failures.Machines()) > 0 {
+	if j.Failures.Suspect() || len(j.Failures.Machines()) > 0 {
 		t.Error("counted")
 	}
 }
--- a/internal/leader/proofs_test.go
+++ b/internal/leader/proofs_test.go
@@ -6,6 +6,7 @@
 	"testing"
 
 	"swiftledge/internal/clock"
+	"swiftledge/internal/leader/jobs"
 	"swiftledge/internal/peer"
 	"swiftledge/internal/shard"
 	"swiftledge/internal/store"
@@ -55,18 +56,18 @@
 		machine := names[slices.IndexFunc(names, func(n string) bool { return shard.ForMachine(n, 2) == b.id })]
 		l.Step(began, AttemptsLoaded{Term: 5, Shard: b.id, FencingToken: b.token, Pages: recordsOf(machine, 0)})
 	}
-	j := l.jobs.byRef[spec.Ref]
+	j := l.jobs.Get(spec.Ref)
 	l.Step(began, saying(l.shards.all[0], l.shards.all[0].token, eventOf(0, peer.EventReleased)))
-	if j.out[0] != 1 || j.want[0]&1 != 0 {
-		t.Errorf("in %d grants, waits %v: want one, and not to wait", j.out[0], j.want[0]&1 != 0)
+	if j.Grants(0) != 1 || j.IsWaiting(0) {
+		t.Errorf("in %d grants, waits %v: want one, and not to wait", j.Grants(0), j.IsWaiting(0))
 	}
 	l.Step(began, saying(l.shards.all[1], l.shards.all[1].token, eventOf(0, peer.EventReleased)))
-	if j.out[0] != 0 || j.want[0]&1 == 0 {
-		t.Errorf("in %d grants, waits %v: want none, and to wait", j.out[0], j.want[0]&1 != 0)
+	if j.Grants(0) != 0 || !j.IsWaiting(0) {
+		t.Errorf("in %d grants, waits %v: want none, and to wait", j.Grants(0), j.IsWaiting(0))
 	}
-	j.markDone(1)
-	j.takeOut(1)
-	if j.giveBack(1); j.want[0]&2 != 0 {
+	j.MarkCompleted(1)
+	j.MarkDispatched(1)
+	if j.Requeue(1); j.IsWaiting(1) {
 		t.Error("a completed task waits again")
 	}
 }
@@ -76,11 +77,11 @@
 	l := leading(t)
 	b := l.shards.all[shard.ForMachine(names[0], 2)]
 	l.Step(began, AttemptsLoaded{Term: 5, Shard: b.id, FencingToken: b.token, Pages: recordsOf(names[0], 0, 1)})
-	j := l.jobs.byRef[spec.Ref]
+	j := l.jobs.Get(spec.Ref)
 	b.state = reading
 	l.Step(began, AttemptsLoaded{Term: 5, Shard: b.id, FencingToken: b.token, Pages: recordsOf(names[0], 1)})
-	if j.out[0] != 0 || j.want[0]&1 == 0 || j.out[1] != 1 || j.want[0]&2 != 0 {
-		t.Errorf("in grants %v, waiting %b: want task 1 in one and task 0 to wait", j.out, j.want[0])
+	if j.Grants(0) != 0 || !j.IsWaiting(0) || j.Grants(1) != 1 || j.IsWaiting(1) {
+		t.Errorf("in %d and %d grants, waiting %t and %t: want task 1 in one and task 0 to wait", j.Grants(0), j.Grants(1), j.IsWaiting(0), j.IsWaiting(1))
 	}
 }
 
@@ -163,7 +164,7 @@
 		t.Error("acknowledged before it is written")
 	}
 	var write CommitTxn
-	for _, e := range l.Step(began+progressEvery, Tick{}) {
+	for _, e := range l.Step(began+jobs.ProgressInterval, Tick{}) {
 		if c, ok := e.(CommitTxn); ok {
 			if _, progress := c.Tag.(progressTag); progress {
 				write = c
@@ -176,10 +177,10 @@
 			t.Errorf("the write is not guarded on %v", guard)
 		}
 	}
-	if n := acknowledged(l.Step(began+progressEvery, TxnCompleted{Term: 5, Tag: write.Tag, Result: store.TxnResult{Ambiguous: true, FailedKeys: []string{page}}})); n != 0 {
+	if n := acknowledged(l.Step(began+jobs.ProgressInterval, TxnCompleted{Term: 5, Tag: write.Tag, Result: store.TxnResult{Ambiguous: true, FailedKeys: []string{page}}})); n != 0 {
 		t.Error("acknowledged by a failed guard")
 	}
-	if n := acknowledged(l.Step(began+progressEvery, TxnCompleted{Term: 5, Tag: write.Tag, Result: store.TxnResult{Committed: true, Revision: 9}})); n != 1 {
+	if n := acknowledged(l.Step(began+jobs.ProgressInterval, TxnCompleted{Term: 5, Tag: write.Tag, Result: store.TxnResult{Committed: true, Revision: 9}})); n != 1 {
 		t.Errorf("%d completions acknowledged, want one", n)
 	}
 }
@@ -187,10 +188,15 @@
 // While the write of a job's end is under way, its deletion may be that write's own doing.
 func TestOwnEndIsNoAbort(t *testing.T) {
 	l := granting(t, nil)
-	j := l.jobs.byRef[spec.Ref]
-	j.ending = true
+	j := l.jobs.Get(spec.Ref)
+	for i := range j.Spec.Tasks {
+		j.MarkCompleted(i)
+	}
+	if !j.StartFinishing() {
+		t.Fatal("not finishing")
+	}
 	l.Step(began, JobsChanged{Term: 5, RequestedAt: began, Events: []wire.Event{{Delete: JobPrefix + spec.Ref, Version: 9}}})
-	if j.cancelled {
+	if j.IsCancelled() {
 		t.Error("its own end is taken for an abort")
 	}
 }
--- a/internal/leader/queue.go
+++ b/internal/leader/queue.go
@@ -9,6 +9,7 @@
 	"swiftledge/internal/autoscaler"
 	"swiftledge/internal/clock"
 	"swiftledge/internal/config"
+	"swiftledge/internal/leader/jobs"
 	"swiftledge/wire"
 )
 
@@ -29,8 +30,8 @@
 
 // order is a job's place in its team's queue. A job without a deadline of its own has that of its
 // class's objective.
-func (l *Leader) order(age float64, j *job) jobOrder {
-	s := &j.record.Spec
+func (l *Leader) order(age float64, j *jobs.Job) jobOrder {
+	s := &j.Spec
 	due := math.Inf(1)
 	if s.DeadlineS != nil {
 		due = *s.DeadlineS
@@ -38,9 +39,9 @@
 		due = o
 	}
 	// The least time in which the rest can be done within the team's limit.
-	need := l.remaining(j)
+	need := l.jobs.RunSeconds(j)
 	if most := l.teams[s.Team].CPUsMax; most > 0 {
-		need = max(need, float64(s.Tasks-j.nDone)*s.CPUs*need/most)
+		need = max(need, float64(s.Tasks-j.Completed())*s.CPUs*need/most)
 	}
 	rank := s.Priority.Rank()
 	slack := due - age - need
@@ -64,7 +65,7 @@
 }
 
 type queued struct {
-	j          *job
+	j          *jobs.Job
 	order      jobOrder
 	waitedLong bool // it has waited long: its kind of job has a least share
 	exhausted  bool // nothing of it can be handed out in this round
@@ -80,7 +81,7 @@
 	// What services use, and whether the team has other jobs: neither may shut out the other.
 	standing float64
 	mixed    bool
-	entitled []*job // that wait and may stop other tasks to get room
+	entitled []*jobs.Job // that wait and may stop other tasks to get room
 	// Whose turn it is within the team, and the team's place among the others; they
 	// change only when the team is served.
 	pick  *queued
@@ -97,15 +98,15 @@
 // not begun in time goes first with one task, and each class, and what has waited
 // long, has a least share of what its team uses.
 func (t *teamQueue) next(floor float64) (pick *queued, least bool) {
-	t.q = slices.DeleteFunc(t.q, func(q *queued) bool { return q.exhausted || q.j.nWant == 0 })
+	t.q = slices.DeleteFunc(t.q, func(q *queued) bool { return q.exhausted || q.j.Waiting() == 0 })
 	for _, q := range t.q {
-		if q.waitedLong && !q.j.begun() {
+		if q.waitedLong && !q.j.WasDispatched() {
 			return q, true
 		}
 	}
 	var seen []string // a few classes
 	for _, q := range t.q {
-		if c := q.j.record.Spec.Class; !slices.Contains(seen, c) {
+		if c := q.j.Spec.Class; !slices.Contains(seen, c) {
 			seen = append(seen, c)
 			if t.use[c] < floor*t.u.cpus {
 				return q, false
@@ -133,9 +134,9 @@
 	t.pick, t.first = t.next(floor)
 	// What the limit holds back must not be passed by smaller tasks of less
 	// important jobs, which would take every bit of room that comes free.
-	for t.pick != nil && !t.takes(&t.pick.j.record.Spec, floor) {
+	for t.pick != nil && !t.takes(&t.pick.j.Spec, floor) {
 		t.pick.exhausted = true
-		full := !t.u.takes(&t.pick.j.record.Spec, t.team.CPULimit(), t.team.GPULimit())
+		full := !t.u.takes(&t.pick.j.Spec, t.team.CPULimit(), t.team.GPULimit())
 		for _, o := range t.q {
 			o.exhausted = o.exhausted || full && o.order.rank > t.pick.order.rank
 		}
@@ -146,7 +147,7 @@
 	}
 	t.order = teamOrder{
 		belated:        t.first,
-		overGuarantee:  !t.u.takes(&t.pick.j.record.Spec, t.team.CPUs, t.team.GPUs),
+		overGuarantee:  !t.u.takes(&t.pick.j.Spec, t.team.CPUs, t.team.GPUs),
 		rank:           t.q[0].order.rank,
 		guaranteeInUse: t.u.cpus / max(t.team.CPUs, 1),
 	}
@@ -166,16 +167,16 @@
 func (l *Leader) queues(now clock.Micros) []*teamQueue {
 	byTeam := map[string]*teamQueue{}
 	old := l.cfg.Tuning.Queues.StartWithinS
-	for _, ref := range slices.Sorted(maps.Keys(l.jobs.byRef)) {
-		j := l.jobs.byRef[ref]
-		s := &j.record.Spec
+	for _, ref := range l.jobs.Refs() {
+		j := l.jobs.Get(ref)
+		s := &j.Spec
 		t := byTeam[s.Team]
 		if t == nil {
 			t = &teamQueue{team: l.teams[s.Team], u: l.quota.of(s.Team), use: map[string]float64{}}
 			byTeam[s.Team] = t
 		}
-		age := (now + l.wallOffset - j.record.AcceptedAt).Seconds()
-		cpus := float64(len(j.out)) * s.CPUs
+		age := (now + l.wallOffset - j.AcceptedAt).Seconds()
+		cpus := float64(j.Dispatched()) * s.CPUs
 		t.use[s.Class] += cpus
 		if s.IsService() {
 			t.standing += cpus
@@ -186,13 +187,13 @@
 			t.use[longWaiting] += cpus
 		}
 		switch {
-		case j.nWant == 0 || j.failures.Waits(now):
-			j.waits = 0
-		case j.waits == 0 || !t.u.takes(s, t.team.CPULimit(), t.team.GPULimit()):
-			j.waits = now // for room, not for the team's limit
+		case j.Waiting() == 0 || j.Failures.Waits(now):
+			j.SetUnservedSince(0)
+		case j.UnservedSince() == 0 || !t.u.takes(s, t.team.CPULimit(), t.team.GPULimit()):
+			j.SetUnservedSince(now) // for room, not for the team's limit
 		}
-		if j.nWant > 0 && !j.failures.Waits(now) && !j.cancelled {
-			t.q = append(t.q, &queued{j: j, order: l.order(age, j), waitedLong: age > old && !j.failures.Suspect()})
+		if j.Waiting() > 0 && !j.Failures.Waits(now) && !j.IsCancelled() {
+			t.q = append(t.q, &queued{j: j, order: l.order(age, j), waitedLong: age > old && !j.Failures.Suspect()})
 		}
 	}
 	var out []*teamQueue
--- a/internal/leader/room.go
+++ b/internal/leader/room.go
@@ -5,6 +5,7 @@
 	"slices"
 
 	"swiftledge/internal/clock"
+	"swiftledge/internal/leader/jobs"
 	"swiftledge/internal/peer"
 	"swiftledge/wire"
 )
@@ -30,15 +31,15 @@
 )
 
 // taken are the machines that a job's next task had better not go to, and why.
-func (r *freeRoom) taken(l *Leader, j *job) map[string]int {
-	s := &j.record.Spec
+func (r *freeRoom) taken(l *Leader, j *jobs.Job) map[string]int {
+	s := &j.Spec
 	on := r.apart[s.Ref]
 	if on == nil {
 		on = map[string]int{}
 		if s.IsService() {
 			l.eachHeld(j, func(_ peer.Task, h *grantedTask) { on[h.machine] = sibling })
 		}
-		for _, name := range j.failures.Machines() {
+		for _, name := range j.Failures.Machines() {
 			on[name] = failed
 		}
 		r.apart[s.Ref] = on
@@ -49,7 +50,7 @@
 // roomKey names a list of machines as one shape of task sees it: all of them, or
 // those with an image.
 type roomKey struct {
-	shape    shape
+	shape    jobs.Shape
 	all      bool
 	image    string
 	unserved bool
@@ -127,18 +128,18 @@
 // allowed says whether the job may run on the machine. One that is not worth its price
 // for a batch is for a service, which makes it worth keeping.
 // What waits for long does not wait for a better one.
-func (m *machine) allowed(now clock.Micros, j *job) bool {
-	s := &j.record.Spec
-	return (!m.cordoned || s.IsService() || j.unserved(now)) && (s.Spot || !m.option.Spot) && (s.Zone == "" || s.Zone == m.option.Zone) &&
+func (m *machine) allowed(now clock.Micros, j *jobs.Job) bool {
+	s := &j.Spec
+	return (!m.cordoned || s.IsService() || j.IsUnserved(now)) && (s.Spot || !m.option.Spot) && (s.Zone == "" || s.Zone == m.option.Zone) &&
 		(len(s.Types) == 0 || slices.Contains(s.Types, m.option.Type.Name))
 }
 
 // first finds the first machine of a list that takes a task of the job.
-func (r *freeRoom) first(list []*machine, k roomKey, j *job) *machine {
-	s := &j.record.Spec
+func (r *freeRoom) first(list []*machine, k roomKey, j *jobs.Job) *machine {
+	s := &j.Spec
 	for i := r.passed[k]; i < len(list); i++ {
 		if m := list[i]; m.holds(s) && m.allowed(r.now, j) {
-			if _, failed := j.failures.FailedOn(m.name); !failed {
+			if _, failed := j.Failures.FailedOn(m.name); !failed {
 				return m
 			}
 		} else if i == r.passed[k] {
@@ -153,23 +154,23 @@
 
 // waitsForSoon says whether the job had better wait for the offer to another block to be settled: there is
 // room within the bound there.
-func (r *freeRoom) waitsForSoon(j *job) bool {
-	if r.even == nil || j.waits == 0 || r.now-j.waits > soonPatience {
+func (r *freeRoom) waitsForSoon(j *jobs.Job) bool {
+	if r.even == nil || j.UnservedSince() == 0 || r.now-j.UnservedSince() > soonPatience {
 		return false
 	}
-	s := &j.record.Spec
+	s := &j.Spec
 	return slices.ContainsFunc(r.soon, func(m *machine) bool { return m.holds(s) && m.allowed(r.now, j) && r.even.within(m, s) })
 }
 
 // leastLoaded is, with spreading, the machine that one more task of the job leaves least loaded.
-func (r *freeRoom) leastLoaded(j *job) (best *machine) {
+func (r *freeRoom) leastLoaded(j *jobs.Job) (best *machine) {
 	if r.even == nil {
 		return nil
 	}
-	s := &j.record.Spec
+	s := &j.Spec
 	least := 0.0
 	for _, m := range r.ms {
-		if _, failed := j.failures.FailedOn(m.name); failed || m.reserve() > 0 || !m.holds(s) || !m.allowed(r.now, j) {
+		if _, failed := j.Failures.FailedOn(m.name); failed || m.reserve() > 0 || !m.holds(s) || !m.allowed(r.now, j) {
 			continue
 		}
 		if load := m.loadWith(s); best == nil || load < least {
@@ -180,11 +181,11 @@
 }
 
 // firstWithin is first among the machines that are within the bound.
-func (r *freeRoom) firstWithin(list []*machine, k roomKey, j *job) *machine {
+func (r *freeRoom) firstWithin(list []*machine, k roomKey, j *jobs.Job) *machine {
 	if r.even == nil {
 		return r.first(list, k, j)
 	}
-	s := &j.record.Spec
+	s := &j.Spec
 	mean := r.even.mean.Value()
 	over := r.beyond[k]
 	if mean > over.mean*meanStep {
@@ -193,7 +194,7 @@
 	for i := over.before; i < len(list); i++ {
 		m := list[i]
 		if m.holds(s) && m.allowed(r.now, j) && r.even.within(m, s) {
-			if _, failed := j.failures.FailedOn(m.name); !failed {
+			if _, failed := j.Failures.FailedOn(m.name); !failed {
 				r.beyond[k] = over
 				return m
 			}
@@ -207,16 +208,16 @@
 
 // roomFor finds the machine whose room the next task of a job takes, and the
 // zone that the task is bound to, if any.
-func (l *Leader) roomFor(j *job, room *freeRoom) (*machine, string) {
-	s := &j.record.Spec
+func (l *Leader) roomFor(j *jobs.Job, room *freeRoom) (*machine, string) {
+	s := &j.Spec
 	if s.OneZone || s.Spread || s.IsService() {
 		return l.roomInZone(j, room)
 	}
-	withImage := roomKey{shape: j.shape, image: s.Image, unserved: j.unserved(room.now)}
+	withImage := roomKey{shape: j.Shape, image: s.Image, unserved: j.IsUnserved(room.now)}
 	if m := room.firstWithin(room.byImage[s.Image], withImage, j); m != nil {
 		return m, ""
 	}
-	all := roomKey{shape: j.shape, all: true, unserved: j.unserved(room.now)}
+	all := roomKey{shape: j.Shape, all: true, unserved: j.IsUnserved(room.now)}
 	if room.even != nil {
 		allWithin := all
 		allWithin.image = s.Image // which decides how far the bound is widened
@@ -237,7 +238,7 @@
 	}
 	// Better where it failed before than nowhere.
 	for _, m := range room.ms {
-		if _, failed := j.failures.FailedOn(m.name); failed && m.holds(s) && m.allowed(room.now, j) {
+		if _, failed := j.Failures.FailedOn(m.name); failed && m.holds(s) && m.allowed(room.now, j) {
 			return m, ""
 		}
 	}
@@ -245,8 +246,8 @@
 }
 
 // roomInZone is roomFor for jobs whose tasks bind each other's place.
-func (l *Leader) roomInZone(j *job, room *freeRoom) (*machine, string) {
-	s := &j.record.Spec
+func (l *Leader) roomInZone(j *jobs.Job, room *freeRoom) (*machine, string) {
+	s := &j.Spec
 	zones := l.zones(j)
 	avoid := room.taken(l, j)
 	best := room.leastAvoided(j, zones, avoid, room.even)
@@ -263,11 +264,11 @@
 }
 
 // leastAvoided finds a machine for a job whose tasks bind each other's place, among those within the bound.
-func (r *freeRoom) leastAvoided(j *job, zones zones, avoid map[string]int, even *evenness) (best *machine) {
-	s := &j.record.Spec
+func (r *freeRoom) leastAvoided(j *jobs.Job, zones zones, avoid map[string]int, even *evenness) (best *machine) {
+	s := &j.Spec
 	for _, list := range [][]*machine{r.byImage[s.Image], r.ms} {
 		for _, m := range list {
-			if !m.holds(s) || !m.allowed(r.now, j) || !zones.allow(m.option.Zone) || j.barred(r.now, m) || !even.within(m, s) {
+			if !m.holds(s) || !m.allowed(r.now, j) || !zones.allow(m.option.Zone) || j.AvoidsMachine(r.now, m.name) || !even.within(m, s) {
 				continue
 			}
 			if best == nil || avoid[m.name] < avoid[best.name] {
@@ -287,8 +288,8 @@
 	n   map[string]int
 }
 
-func (l *Leader) zones(j *job) zones {
-	z := zones{&j.record.Spec, map[string]int{}}
+func (l *Leader) zones(j *jobs.Job) zones {
+	z := zones{&j.Spec, map[string]int{}}
 	if !z.job.OneZone && !z.job.Spread {
 		return z
 	}
@@ -297,10 +298,10 @@
 }
 
 // eachHeld calls f for the job's tasks that are in grants.
-func (l *Leader) eachHeld(j *job, f func(peer.Task, *grantedTask)) {
-	for i := range j.out {
+func (l *Leader) eachHeld(j *jobs.Job, f func(peer.Task, *grantedTask)) {
+	for i := range j.DispatchedTasks() {
 		for _, b := range l.shards.all {
-			t := peer.Task{Job: j.record.Spec.Ref, Index: i}
+			t := peer.Task{Job: j.Spec.Ref, Index: i}
 			if h := b.tasks[t]; h != nil {
 				f(t, h)
 			}
--- a/internal/leader/roster_test.go
+++ b/internal/leader/roster_test.go
@@ -160,8 +160,8 @@
 	page := peer.AttemptPage{Machines: names[:1], Groups: []peer.AttemptGroup{{Job: spec.Ref, Team: "red", CPUs: 1, Attempts: []int{900, 1, 0, -1, 2, 0, 1, 3, 0}}}}
 	l := granting(t, map[string]peer.AttemptPage{"p": page})
 	b := l.shards.all[shard.ForMachine(names[0], 2)]
-	if len(b.tasks) != 3 || l.jobs.byRef[spec.Ref].out[1] != 1 || len(l.jobs.byRef[spec.Ref].out) != 1 {
-		t.Errorf("%d tasks counted, in grants %v: want all three, of which the job has one", len(b.tasks), l.jobs.byRef[spec.Ref].out)
+	if len(b.tasks) != 3 || l.jobs.Get(spec.Ref).Grants(1) != 1 || l.jobs.Get(spec.Ref).Dispatched() != 1 {
+		t.Errorf("%d tasks counted, %d dispatched: want all three, of which the job has one", len(b.tasks), l.jobs.Get(spec.Ref).Dispatched())
 	}
 	var events []peer.TaskEvent
 	for _, index := range []int{900, -1, 2, 64} {
@@ -176,7 +176,7 @@
 			t.Errorf("task %d counts after its end", task.Index)
 		}
 	}
-	if l.jobs.byRef[spec.Ref].nDone != 0 || b.tasks[peer.Task{Job: spec.Ref, Index: 1}] == nil {
-		t.Errorf("%d tasks done, the one that is there counts: %v", l.jobs.byRef[spec.Ref].nDone, b.tasks)
+	if l.jobs.Get(spec.Ref).Completed() != 0 || b.tasks[peer.Task{Job: spec.Ref, Index: 1}] == nil {
+		t.Errorf("%d tasks done, the one that is there counts: %v", l.jobs.Get(spec.Ref).Completed(), b.tasks)
 	}
 }
--- a/internal/leader/schedule.go
+++ b/internal/leader/schedule.go
@@ -4,6 +4,7 @@
 	"slices"
 
 	"swiftledge/internal/clock"
+	"swiftledge/internal/leader/jobs"
 	"swiftledge/internal/peer"
 	"swiftledge/internal/shard"
 )
@@ -64,14 +65,14 @@
 		}
 		best.known = false
 		given := l.give(now, best, job.j, room, offers, n)
-		if job.exhausted = given == 0 || job.j.failures.Suspect(); given == 0 {
+		if job.exhausted = given == 0 || job.j.Failures.Suspect(); given == 0 {
 			continue
 		}
-		cpus := float64(given) * job.j.record.Spec.CPUs
-		if job.j.record.Spec.IsService() {
+		cpus := float64(given) * job.j.Spec.CPUs
+		if job.j.Spec.IsService() {
 			best.standing += cpus
 		}
-		best.use[job.j.record.Spec.Class] += cpus
+		best.use[job.j.Spec.Class] += cpus
 		if job.waitedLong {
 			best.use[longWaiting] += cpus
 		}
@@ -87,8 +88,8 @@
 }
 
 // give hands up to n tasks of a job to one machine's block and says how many.
-func (l *Leader) give(now clock.Micros, t *teamQueue, j *job, room *freeRoom, offers map[offerKey]int, n int) int {
-	s := &j.record.Spec
+func (l *Leader) give(now clock.Micros, t *teamQueue, j *jobs.Job, room *freeRoom, offers map[offerKey]int, n int) int {
+	s := &j.Spec
 	m, zone := l.preferred(j, room), ""
 	if m != nil {
 		n = 1
@@ -101,11 +102,11 @@
 	if s.OneZone || s.Spread || s.IsService() {
 		n = 1 // each task changes where the next may be
 	}
-	if j.failures.Suspect() {
+	if j.Failures.Suspect() {
 		n = 1
-		j.failures.Probed(room.now)
+		j.Failures.Probed(room.now)
 	}
-	if !j.begun() {
+	if !j.WasDispatched() {
 		l.traceQueued(now, j)
 	}
 	b := m.shard
@@ -115,7 +116,7 @@
 	}
 	given := 0
 	for given < n && m.holds(s) && t.takes(s, l.cfg.Tuning.Queues.LeastShare) && (given == 0 || m.reserve() > 0 || room.even.within(m, s)) {
-		i := j.take()
+		i := j.DispatchFirst()
 		if i < 0 {
 			break
 		}
@@ -123,7 +124,6 @@
 		h := &grantedTask{team: s.Team, cpus: s.CPUs, gpus: s.GPUs, zone: zone}
 		b.tasks[peer.Task{Job: s.Ref, Index: i}] = h
 		l.quota.charge(h, 1)
-		j.out[i]++
 		k := offerKey{b.id, s.Ref, zone}
 		at, ok := offers[k]
 		if !ok {
@@ -133,7 +133,7 @@
 		}
 		b.orders.Offers[at].TaskIndexes = append(b.orders.Offers[at].TaskIndexes, i)
 		given++
-		j.waits = now
+		j.SetUnservedSince(now)
 	}
 	return given
 }
--- a/internal/leader/scheduling_state.go
+++ b/internal/leader/scheduling_state.go
@@ -9,6 +9,9 @@
 	ranAt     clock.Micros
 }
 
+// requestUrgently asks for a pass at once.
+func (s *schedulingState) requestUrgently() { s.requested, s.urgent = true, true }
+
 // preemptionState owns the pace of preemption.
 type preemptionState struct {
 	ranAt clock.Micros
--- a/internal/leader/service_test.go
+++ b/internal/leader/service_test.go
@@ -4,6 +4,7 @@
 	"testing"
 
 	"swiftledge/internal/clock"
+	"swiftledge/internal/leader/jobs"
 	"swiftledge/internal/peer"
 	"swiftledge/internal/shard"
 	"swiftledge/wire"
@@ -15,7 +16,7 @@
 func TestReplicaWaitsForItsLastAttempt(t *testing.T) {
 	page := peer.AttemptPage{Machines: names[:1], Groups: []peer.AttemptGroup{{Job: spec.Ref, Team: "red", CPUs: 1, Attempts: []int{0, 1, 0, 0, 2, 0, 1, 3, 0}}}}
 	l := granting(t, map[string]peer.AttemptPage{"p": page})
-	l.jobs.byRef[spec.Ref].record.Spec.Shape = wire.ShapeService
+	l.jobs.Get(spec.Ref).Spec.Shape = wire.ShapeService
 	b := l.shards.all[shard.ForMachine(names[0], 2)]
 	one := peer.Task{Job: spec.Ref, Index: 0}
 	say := func(kinds ...peer.EventKind) []Effect {
@@ -43,8 +44,8 @@
 func TestDoneReplicaRunsAgain(t *testing.T) {
 	page := peer.AttemptPage{Machines: names[:1], Groups: []peer.AttemptGroup{{Job: spec.Ref, Team: "red", CPUs: 1, Attempts: []int{0, 1, 0, 1, 2, 0}}}}
 	l := granting(t, map[string]peer.AttemptPage{"p": page})
-	j := l.jobs.byRef[spec.Ref]
-	j.record.Spec.Shape = wire.ShapeService
+	j := l.jobs.Get(spec.Ref)
+	j.Spec.Shape = wire.ShapeService
 	b := l.shards.all[shard.ForMachine(names[0], 2)]
 	one := peer.Task{Job: spec.Ref, Index: 0}
 	fx := l.Step(began+clock.Second, HolderMessage{Controller: "n0", Link: testLink("link"), Message: &peer.ToLeader{Term: 5, Updates: []peer.ShardUpdate{{Shard: b.id, FencingToken: b.token,
@@ -54,42 +55,28 @@
 		stopped = stopped || len(o.Stop) == 1 && o.Stop[0].Task == one
 		stored = stored || len(o.Persisted) == 1 && o.Persisted[0] == one
 	}
-	if !stopped || !stored || j.nDone != 0 {
-		t.Errorf("told to keep it listed %v, that it is settled %v, %d tasks done", stopped, stored, j.nDone)
+	if !stopped || !stored || j.Completed() != 0 {
+		t.Errorf("told to keep it listed %v, that it is settled %v, %d tasks done", stopped, stored, j.Completed())
 	}
 	if n := offers(fx); n != 1 {
 		t.Errorf("%d tasks offered, want the replica again", n)
 	}
 }
 
-// A service has no progress, whatever a version that took it for a batch has stored: all its
-// replicas run, and it is never done.
-func TestServiceHasNoProgress(t *testing.T) {
-	l := leading(t)
-	s := spec
-	s.Ref, s.Shape = "j-400000", wire.ShapeService
-	j := l.addJob(JobRecord{Spec: s}, 3)
-	r := ProgressRecord{Chunks: []ProgressChunk{{Job: s.Ref, Completed: []byte{3}}}}
-	l.loadProgressPage(item(t, ProgressPrefix+"1-1", 7, r), r)
-	if j.isDone(0) || j.isDone(1) {
-		t.Error("replicas count as done")
-	}
-}
-
 // A machine is faulty that fails replicas of a service which run well elsewhere.
 func TestMachineThatFailsReplicasIsDrained(t *testing.T) {
 	page := peer.AttemptPage{Machines: names[:1], Groups: []peer.AttemptGroup{{Job: spec.Ref, Team: "red", CPUs: 1, Attempts: []int{0, 1, 0}}}}
 	l := granting(t, map[string]peer.AttemptPage{"p": page})
-	j := l.jobs.byRef[spec.Ref]
-	j.record.Spec.Shape = wire.ShapeService
+	j := l.jobs.Get(spec.Ref)
+	j.Spec.Shape = wire.ShapeService
 	b := l.shards.all[shard.ForMachine(names[0], 2)]
 	l.Step(began, HolderMessage{Controller: "n0", Link: testLink("link"), Message: &peer.ToLeader{Term: 5, Updates: []peer.ShardUpdate{{Shard: b.id, FencingToken: b.token,
 		Events: []peer.TaskEvent{{Task: peer.Task{Job: spec.Ref, Index: 0}, Kind: peer.EventRunning, Machine: names[0]}}}}}})
-	l.errored(began+2*steady, j, peer.TaskEvent{Task: peer.Task{Job: spec.Ref, Index: 1}, Machine: names[1]}, &grantedTask{})
+	l.errored(began+2*jobs.StableAfter, j, peer.TaskEvent{Task: peer.Task{Job: spec.Ref, Index: 1}, Machine: names[1]}, &grantedTask{})
 	if l.inventory.machines[names[1]].draining {
 		t.Error("drained after a single failure")
 	}
-	l.errored(began+2*steady, j, peer.TaskEvent{Task: peer.Task{Job: spec.Ref, Index: 1}, Machine: names[1]}, &grantedTask{})
+	l.errored(began+2*jobs.StableAfter, j, peer.TaskEvent{Task: peer.Task{Job: spec.Ref, Index: 1}, Machine: names[1]}, &grantedTask{})
 	if !l.inventory.machines[names[1]].draining {
 		t.Error("not drained after two failures while another replica runs")
 	}
--- a/internal/leader/spread.go
+++ b/internal/leader/spread.go
@@ -6,6 +6,7 @@
 
 	"swiftledge/internal/clock"
 	"swiftledge/internal/config"
+	"swiftledge/internal/leader/jobs"
 	"swiftledge/internal/peer"
 	"swiftledge/internal/rebalancer"
 	"swiftledge/internal/shard"
@@ -131,12 +132,12 @@
 }
 
 // preferred gives the machine that the next task of a job is to move to, if it has room within the bound.
-func (l *Leader) preferred(j *job, room *freeRoom) *machine {
+func (l *Leader) preferred(j *jobs.Job, room *freeRoom) *machine {
 	if l.rebalancing == nil {
 		return nil
 	}
-	m := l.inventory.machines[l.rebalancing.Preferred(rebalancer.TaskID{Job: j.record.Spec.Ref, Index: j.first()})]
-	s := &j.record.Spec
+	m := l.inventory.machines[l.rebalancing.Preferred(rebalancer.TaskID{Job: j.Spec.Ref, Index: j.FirstWaiting()})]
+	s := &j.Spec
 	if m == nil || !room.has(m) || !m.holds(s) || !m.allowed(room.now, j) || !room.even.within(m, s) {
 		return nil
 	}
@@ -234,11 +235,11 @@
 		}
 	}
 	atLimit := map[string]bool{}
-	for ref, j := range l.jobs.byRef {
-		s := &j.record.Spec
+	for j := range l.jobs.All() {
+		s := &j.Spec
 		team := l.teams[s.Team]
 		switch {
-		case j.nWant <= moving[ref] || j.cancelled || j.failures.Waits(now):
+		case j.Waiting() <= moving[j.Spec.Ref] || j.IsCancelled() || j.Failures.Waits(now):
 		case l.quota.of(s.Team).takes(s, team.CPULimit(), team.GPULimit()):
 			v.Waiting = true
 		default:
@@ -272,7 +273,7 @@
 func (l *Leader) movableTasks(now clock.Micros, on []heldTask, atLimit map[string]bool) []rebalancer.Task {
 	var out []rebalancer.Task
 	for _, t := range on {
-		if j := l.jobs.byRef[t.task.Job]; j != nil {
+		if j := l.jobs.Get(t.task.Job); j != nil {
 			out = append(out, l.movable(now, t.task, t.held, j, atLimit[t.held.team]))
 		}
 	}
@@ -281,20 +282,20 @@
 }
 
 // movable describes a task to the planner.
-func (l *Leader) movable(now clock.Micros, t peer.Task, h *grantedTask, j *job, atLimit bool) rebalancer.Task {
-	s := &j.record.Spec
+func (l *Leader) movable(now clock.Micros, t peer.Task, h *grantedTask, j *jobs.Job, atLimit bool) rebalancer.Task {
+	s := &j.Spec
 	out := rebalancer.Task{
 		ID: taskID(t), Team: s.Team, Takes: takes(s), Image: s.Image, ImageGB: s.ImageGB, SaveS: s.SaveS, Saves: s.CheckpointS > 0,
-		Gang: s.OneZone || s.Spread, Standing: s.IsService(), Stopping: h.stopped != "" || j.cancelled, AtLimit: atLimit,
+		Gang: s.OneZone || s.Spread, Standing: s.IsService(), Stopping: h.stopped != "" || j.IsCancelled(), AtLimit: atLimit,
 		Allows: func(m *rebalancer.Machine) bool {
 			to := l.inventory.machines[m.Name]
-			_, failedThere := j.failures.FailedOn(m.Name)
+			_, failedThere := j.Failures.FailedOn(m.Name)
 			return !failedThere && to.allowed(now, j)
 		},
 	}
 	if h.running {
 		out.Running = h.since
-		out.LeftS = l.remaining(j) - (now - h.since).Seconds()
+		out.LeftS = l.jobs.RunSeconds(j) - (now - h.since).Seconds()
 	}
 	return out
 }
@@ -305,8 +306,8 @@
 	if l.rebalancing == nil {
 		return
 	}
-	if m, j := l.inventory.machines[h.machine], l.jobs.byRef[t.Job]; m != nil && j != nil {
-		h.cached = slices.Contains(m.state.Images, j.record.Spec.Image)
+	if m, j := l.inventory.machines[h.machine], l.jobs.Get(t.Job); m != nil && j != nil {
+		h.cached = slices.Contains(m.state.Images, j.Spec.Image)
 	}
 	l.rebalancing.Given(taskID(t), h.machine)
 }
@@ -317,8 +318,8 @@
 	if l.rebalancing == nil {
 		return
 	}
-	if m, j := l.inventory.machines[h.machine], l.jobs.byRef[t.Job]; m != nil && j != nil && h.givenAt > 0 && !h.cached {
-		l.rebalancing.fetches.Saw(m.option.Type.Name, j.record.Spec.ImageGB, now-h.givenAt)
+	if m, j := l.inventory.machines[h.machine], l.jobs.Get(t.Job); m != nil && j != nil && h.givenAt > 0 && !h.cached {
+		l.rebalancing.fetches.Saw(m.option.Type.Name, j.Spec.ImageGB, now-h.givenAt)
 	}
 	if m, ok := l.rebalancing.Runs(taskID(t), h.machine); ok {
 		l.emit(Log{Debug: true, Message: "task moved", Attributes: []any{"task", shard.TaskName(t), "from", m.From, "to", h.machine, "meant", m.To,
@@ -344,12 +345,12 @@
 }
 
 // jobOver takes in that a job is done or cancelled.
-func (l *Leader) jobOver(now clock.Micros, j *job, state wire.JobState) {
+func (l *Leader) jobOver(now clock.Micros, j *jobs.Job, state wire.JobState) {
 	l.traceJob(now, j, state)
 	if l.rebalancing == nil {
 		return
 	}
-	for _, m := range l.rebalancing.Forget(j.record.Spec.Ref) {
+	for _, m := range l.rebalancing.Forget(j.Spec.Ref) {
 		l.traceMove(now, m, "its job is "+string(state))
 	}
 }
--- a/internal/leader/spread_test.go
+++ b/internal/leader/spread_test.go
@@ -27,7 +27,7 @@
 	for _, m := range l.inventory.machines {
 		m.option.Spot = true // of which upkeep keeps a reserve
 	}
-	l.finish(began, l.jobs.byRef[spec.Ref])
+	l.finishJob(began, l.jobs.Get(spec.Ref))
 	l.addJob(JobRecord{Spec: savable}, 30)
 	first := shard.ForMachine(names[0], 2)
 	starts := []int{}
@@ -112,14 +112,14 @@
 func TestNothingIsMovedWhileWorkWaits(t *testing.T) {
 	waiting := wire.Job{Ref: "j-000003", Team: "red", Priority: wire.PriorityBestEffort, Tasks: 1, CPUs: 1, MemoryGB: 1, Types: []string{"not to be had"}, Spot: true, EstimateS: 10}
 	l := unevenFleet(t, true)
-	l.addJob(JobRecord{Spec: waiting}, 31).fillWaiting()
+	l.addJob(JobRecord{Spec: waiting}, 31).AwaitAll()
 	if got, _ := stops(l); len(got) != 0 || l.rebalancing.Refusals()[0].Reason != rebalancer.WorkWaits {
 		t.Errorf("stops %v, refusals %v", got, l.rebalancing.Refusals())
 	}
 	// At the team's limit its own other work would take the place.
 	l = unevenFleet(t, true)
 	waiting.CPUs = 13
-	l.addJob(JobRecord{Spec: waiting}, 31).fillWaiting()
+	l.addJob(JobRecord{Spec: waiting}, 31).AwaitAll()
 	if got, _ := stops(l); len(got) != 0 || l.rebalancing.Refusals()[0].Reason != rebalancer.TeamAtLimit {
 		t.Errorf("stops %v, refusals %v", got, l.rebalancing.Refusals())
 	}
@@ -199,7 +199,7 @@
 // offersOf submits a job of one task and gives what holders are told at once.
 func offersOf(l *Leader, now clock.Micros, j wire.Job) []peer.ShardOrders {
 	j.Ref, j.Team, j.Priority, j.Tasks, j.Spot = "j-000003", "red", wire.PriorityStandard, 1, true
-	l.addJob(JobRecord{Spec: j}, 31).fillWaiting()
+	l.addJob(JobRecord{Spec: j}, 31).AwaitAll()
 	return schedules(l, now)
 }
 
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -103,15 +103,15 @@
 	for name, t := range l.teams {
 		byTeam[name] = &peer.TeamStatus{Team: name, CPUs: l.quota.of(name).cpus, Limit: t.CPUsMax}
 	}
-	for _, j := range l.jobs.byRef {
-		s := &j.record.Spec
+	for j := range l.jobs.All() {
+		s := &j.Spec
 		t := byTeam[s.Team]
 		if t == nil {
 			continue
 		}
-		t.Waiting += j.nWant
+		t.Waiting += j.Waiting()
 		if team := l.teams[s.Team]; !l.quota.of(s.Team).takes(s, team.CPULimit(), team.GPULimit()) {
-			t.AtLimit += j.nWant
+			t.AtLimit += j.Waiting()
 		}
 	}
 	var out []peer.TeamStatus
@@ -145,14 +145,14 @@
 	waiting, room, fit, full := 0, 0.0, 0, 0
 	standing, ordinary, idle := 0, 0, 0
 	blocked := 0
-	for _, j := range l.jobs.byRef {
-		waiting += j.nWant
-		if j.record.Spec.IsService() {
-			standing += j.running
+	for j := range l.jobs.All() {
+		waiting += j.Waiting()
+		if j.Spec.IsService() {
+			standing += j.Running()
 		}
-		team := l.teams[j.record.Spec.Team]
-		if u := l.quota.byTeam[team.Name]; u != nil && !u.takes(&j.record.Spec, team.CPULimit(), team.GPULimit()) {
-			blocked += j.nWant
+		team := l.teams[j.Spec.Team]
+		if u := l.quota.byTeam[team.Name]; u != nil && !u.takes(&j.Spec, team.CPULimit(), team.GPULimit()) {
+			blocked += j.Waiting()
 		}
 	}
 	for _, m := range l.inventory.machines {
@@ -174,7 +174,7 @@
 			full++
 		}
 	}
-	l.emit(Log{Debug: true, Message: "state", Attributes: []any{"jobs", len(l.jobs.byRef), "waiting", waiting, "waiting_at_limit", blocked,
+	l.emit(Log{Debug: true, Message: "state", Attributes: []any{"jobs", l.jobs.Len(), "waiting", waiting, "waiting_at_limit", blocked,
 		"teams_at_limit", full, "cpus_held", used, "cpus_free", room, "machines", len(l.inventory.machines), "fit", fit,
 		"ordinary", ordinary, "idle", idle, "replicas", standing,
 		"failed", l.outcomes.failed, "failed_suspect", l.outcomes.failedSuspect, "preempted", l.outcomes.preempted}})
--- a/internal/leader/trace.go
+++ b/internal/leader/trace.go
@@ -4,6 +4,7 @@
 	"strconv"
 
 	"swiftledge/internal/clock"
+	"swiftledge/internal/leader/jobs"
 	"swiftledge/internal/peer"
 	"swiftledge/internal/rebalancer"
 	"swiftledge/internal/shard"
@@ -19,11 +20,11 @@
 }
 
 // submitted is when a job was accepted, in steady time.
-func (l *Leader) submitted(j *job) clock.Micros { return j.record.AcceptedAt - l.wallOffset }
+func (l *Leader) submitted(j *jobs.Job) clock.Micros { return j.AcceptedAt - l.wallOffset }
 
 // traceQueued tells how long a job waited until its first task was handed out.
-func (l *Leader) traceQueued(now clock.Micros, j *job) {
-	s := &j.record.Spec
+func (l *Leader) traceQueued(now clock.Micros, j *jobs.Job) {
+	s := &j.Spec
 	l.span(trace.Span{Job: s.Ref, Name: "queue", Begin: l.submitted(j), End: now,
 		Attributes: []trace.Attribute{{Key: "team", Value: s.Team}, {Key: "tasks", Value: strconv.Itoa(s.Tasks)}}})
 }
@@ -36,8 +37,8 @@
 }
 
 // traceJob tells of a job from its acceptance to its end.
-func (l *Leader) traceJob(now clock.Micros, j *job, state wire.JobState) {
-	l.span(trace.Span{Job: j.record.Spec.Ref, Name: "job", Begin: l.submitted(j), End: now, Attributes: []trace.Attribute{{Key: "state", Value: string(state)}}})
+func (l *Leader) traceJob(now clock.Micros, j *jobs.Job, state wire.JobState) {
+	l.span(trace.Span{Job: j.Spec.Ref, Name: "job", Begin: l.submitted(j), End: now, Attributes: []trace.Attribute{{Key: "state", Value: string(state)}}})
 }
 
 // traceMove tells of a move that has ended: the decision, the stop up to the proof, and the start.
--- a/internal/naming/naming_test.go
+++ b/internal/naming/naming_test.go
@@ -35,7 +35,7 @@
 	"internal/shard":      38,
 	"internal/compat":     1,
 	"internal/autoscaler": 1,
-	"internal/leader":     52,
+	"internal/leader":     49,
 	"internal/controller": 7,
 	"internal/peer":       2,
 	"internal/scenario":   16,
--- a/internal/scenario/history_checks_test.go
+++ b/internal/scenario/history_checks_test.go
@@ -7,6 +7,7 @@
 
 	"swiftledge/internal/fake"
 	"swiftledge/internal/leader"
+	"swiftledge/internal/leader/jobs"
 	"swiftledge/internal/peer"
 	"swiftledge/wire"
 )
@@ -29,7 +30,7 @@
 	}
 	page := peer.AttemptPage{FencingToken: token, Prefix: "host-", Machines: []string{"000001"}, Groups: []peer.AttemptGroup{{Job: "j-000001", Attempts: []int{3, 1, 0}}}}
 	roster := leader.InstanceGroupRecord{Machines: []string{machine}, Answered: true}
-	done := leader.ProgressRecord{Chunks: []leader.ProgressChunk{{Job: "j-000001", Completed: []byte{1 << 3}}}}
+	done := jobs.ProgressRecord{Chunks: []jobs.ProgressChunk{{Job: "j-000001", Completed: []byte{1 << 3}}}}
 	for _, c := range []struct {
 		name, breaks string
 		play         func(w *world, h *history)
@@ -75,7 +76,7 @@
 		}},
 		{"a new attempt after the completion was stored", "ran_again", func(w *world, h *history) {
 			h.complete(attempt(1))
-			w.put(t, leader.ProgressPrefix+"1-1", done)
+			w.put(t, jobs.ProgressPrefix+"1-1", done)
 			h.restart(attempt(2))
 		}},
 		{"a new attempt after the job was stored as done", "ran_again", func(w *world, h *history) {
@@ -85,12 +86,12 @@
 		}},
 		{"a new attempt before the completion is stored", "", func(w *world, h *history) {
 			h.complete(attempt(1))
-			w.put(t, leader.ProgressPrefix+"1-1", leader.ProgressRecord{Chunks: []leader.ProgressChunk{{Job: "j-000001", Completed: []byte{0xf7}}}})
+			w.put(t, jobs.ProgressPrefix+"1-1", jobs.ProgressRecord{Chunks: []jobs.ProgressChunk{{Job: "j-000001", Completed: []byte{0xf7}}}})
 			h.restart(attempt(2))
 		}},
 		{"a late copy of the order of the attempt that completed", "", func(w *world, h *history) {
 			h.complete(attempt(1))
-			w.put(t, leader.ProgressPrefix+"1-1", done)
+			w.put(t, jobs.ProgressPrefix+"1-1", done)
 			h.restart(attempt(1))
 		}},
 	} {
--- a/internal/scenario/history_test.go
+++ b/internal/scenario/history_test.go
@@ -7,6 +7,7 @@
 
 	"swiftledge/internal/fake"
 	"swiftledge/internal/leader"
+	"swiftledge/internal/leader/jobs"
 	"swiftledge/internal/peer"
 	"swiftledge/internal/shard"
 	"swiftledge/wire"
@@ -26,7 +27,7 @@
 	revision  uint64           // of the state service, up to which the rest is known
 	recorded  named[attemptOn] // by pages of start records
 	rostered  named[string]    // machines, by roster records
-	progress  map[string]leader.ProgressRecord
+	progress  map[string]jobs.ProgressRecord
 	ordered   map[wire.AttemptID]attemptOn // by number
 	granted   map[wire.FencingToken]int    // by token: the block
 	completed map[wire.AttemptID]bool      // attempts that have completed
@@ -42,7 +43,7 @@
 
 // forgetStored begins anew with what is known of the state service.
 func (h *history) forgetStored() {
-	h.recorded, h.rostered, h.progress = newNamed[attemptOn](), newNamed[string](), map[string]leader.ProgressRecord{}
+	h.recorded, h.rostered, h.progress = newNamed[attemptOn](), newNamed[string](), map[string]jobs.ProgressRecord{}
 }
 
 // named counts in how many stored values something is named.
@@ -91,10 +92,10 @@
 		h.storedPage(key, value)
 	case strings.HasPrefix(key, leader.InstanceGroupPrefix):
 		h.storedRoster(key, value)
-	case strings.HasPrefix(key, leader.ProgressPrefix):
+	case strings.HasPrefix(key, jobs.ProgressPrefix):
 		delete(h.progress, key)
 		if value != nil {
-			var r leader.ProgressRecord
+			var r jobs.ProgressRecord
 			must(json.Unmarshal(value, &r))
 			h.progress[key] = r
 		}
@@ -176,9 +177,9 @@
 	if _, over := h.w.store.Get(leader.FinalStatePrefix + ref); over {
 		return true
 	}
-	chunk, bit := index/leader.TasksPerChunk, index%leader.TasksPerChunk
+	chunk, bit := index/jobs.TasksPerChunk, index%jobs.TasksPerChunk
 	for _, r := range h.progress {
-		if slices.ContainsFunc(r.Chunks, func(u leader.ProgressChunk) bool {
+		if slices.ContainsFunc(r.Chunks, func(u jobs.ProgressChunk) bool {
 			return u.Job == ref && u.Chunk == chunk && bit/8 < len(u.Completed) && u.Completed[bit/8]&(1<<(bit%8)) != 0
 		}) {
 			return true
