--- a/internal/api/status.go
+++ b/internal/api/status.go
@@ -64,7 +64,7 @@
 
 // readPriority is that of a poll. With more polls than the store takes, chance would leave some jobs without
 // an answer for minutes: those that have waited go first.
-func readPriority(view View) int {
+func readPriority(view View) store.Priority {
 	if view.UnansweredFor > starvedAfter {
 		return store.PriorityStarvedReads
 	}
--- a/internal/api/status_test.go
+++ b/internal/api/status_test.go
@@ -31,7 +31,7 @@
 }
 
 // Get reads a key between its hooks.
-func (h *hookedStore) Get(_ context.Context, _ int, key string) (wire.Item, error) {
+func (h *hookedStore) Get(_ context.Context, _ store.Priority, key string) (wire.Item, error) {
 	if hook := h.beforeRead[key]; hook != nil {
 		delete(h.beforeRead, key)
 		hook()
@@ -48,7 +48,7 @@
 }
 
 // TryCommit carries a transaction out, and loses its outcome if it is told to.
-func (h *hookedStore) TryCommit(_ context.Context, _ int, txn wire.Txn) (store.TxnResult, error) {
+func (h *hookedStore) TryCommit(_ context.Context, _ store.Priority, txn wire.Txn) (store.TxnResult, error) {
 	outcome, _ := h.Store.Txn(txn)
 	if h.lostOutcomes > 0 {
 		h.lostOutcomes--
@@ -155,11 +155,11 @@
 type refusingStore struct {
 	*hookedStore
 	refuses    bool
-	priorities []int
+	priorities []store.Priority
 }
 
 // Get refuses to read a key, or reads it.
-func (r *refusingStore) Get(ctx context.Context, priority int, key string) (wire.Item, error) {
+func (r *refusingStore) Get(ctx context.Context, priority store.Priority, key string) (wire.Item, error) {
 	r.priorities = append(r.priorities, priority)
 	if r.refuses {
 		return wire.Item{}, store.ErrNotExecuted
@@ -174,7 +174,7 @@
 	st := &refusingStore{hookedStore: newHookedStore(), refuses: true}
 	var now clock.Micros
 	s := newServiceAt(t, st, func() clock.Micros { return now })
-	poll := func(at clock.Micros) int {
+	poll := func(at clock.Micros) store.Priority {
 		now = at
 		st.priorities = nil
 		s.Status(ref)
--- a/internal/compat/written_test.go
+++ b/internal/compat/written_test.go
@@ -21,16 +21,16 @@
 // frameStore keeps what is written to the state service.
 type frameStore struct{ written chan wire.Write }
 
-func (s frameStore) Get(context.Context, int, string) (wire.Item, error) {
+func (s frameStore) Get(context.Context, store.Priority, string) (wire.Item, error) {
 	return wire.Item{}, store.ErrNotFound
 }
 
-func (s frameStore) TryCommit(_ context.Context, _ int, t wire.Txn) (store.TxnResult, error) {
+func (s frameStore) TryCommit(_ context.Context, _ store.Priority, t wire.Txn) (store.TxnResult, error) {
 	s.written <- t.Writes[0]
 	return store.TxnResult{Committed: true, Revision: 1}, nil
 }
 
-func (s frameStore) List(context.Context, int, string) ([]wire.Item, uint64, error) {
+func (s frameStore) List(context.Context, store.Priority, string) ([]wire.Item, uint64, error) {
 	return nil, 0, nil
 }
 
--- a/internal/controller/holder.go
+++ b/internal/controller/holder.go
@@ -139,7 +139,7 @@
 }
 
 // keep writes start records and tells the holder what became of it.
-func (n *Controller) keep(ctx context.Context, prio int, txn func() (wire.Txn, error), settled func(store.TxnResult) any) {
+func (n *Controller) keep(ctx context.Context, prio store.Priority, txn func() (wire.Txn, error), settled func(store.TxnResult) any) {
 	ctx, cancel := context.WithTimeout(ctx, 8*time.Second)
 	defer cancel()
 	t, err := txn()
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -109,6 +109,7 @@
 	if err := n.startTracer(ctx); err != nil {
 		return err
 	}
+	go n.store.Run(ctx)
 	go n.tick(ctx)
 	go n.runPauses(ctx)
 	go n.runElector(ctx)
--- a/internal/controller/state_test.go
+++ b/internal/controller/state_test.go
@@ -34,6 +34,7 @@
 	go srv.Serve(l)
 	defer srv.Close()
 	n := &Controller{store: store.New(l.Addr().String(), store.Budget{RequestsPerSecond: 100, WritesPerSecond: 100}, func(bool) {})}
+	go n.store.Run(t.Context())
 	items, revision, err := n.readState(t.Context())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -207,7 +207,7 @@
 }
 
 // commit guards a transaction on the epoch, so that one of an older leader fails however late it is applied.
-func (l *Leader) commit(prio int, tag TxnTag, guards []wire.Condition, writes []wire.Write) {
+func (l *Leader) commit(prio store.Priority, tag TxnTag, guards []wire.Condition, writes []wire.Write) {
 	guards = append([]wire.Condition{{Key: Key, Version: uint64(l.term)}}, guards...)
 	l.emit(CommitTxn{Term: l.term, Priority: prio, Txn: wire.Txn{Conditions: guards, Writes: writes}, Tag: tag})
 }
--- a/internal/leader/messages.go
+++ b/internal/leader/messages.go
@@ -244,7 +244,7 @@
 	// CommitTxn is a transaction; Guards on the epoch are part of it.
 	CommitTxn struct {
 		Term     cluster.Term
-		Priority int
+		Priority store.Priority
 		Txn      wire.Txn
 		Tag      TxnTag
 	}
--- a/internal/peer/relay.go
+++ b/internal/peer/relay.go
@@ -18,9 +18,9 @@
 
 // FrameStore is what the relay needs of the state service.
 type FrameStore interface {
-	Get(ctx context.Context, prio int, key string) (wire.Item, error)
-	TryCommit(ctx context.Context, prio int, t wire.Txn) (store.TxnResult, error)
-	List(ctx context.Context, prio int, prefix string) ([]wire.Item, uint64, error)
+	Get(ctx context.Context, prio store.Priority, key string) (wire.Item, error)
+	TryCommit(ctx context.Context, prio store.Priority, t wire.Txn) (store.TxnResult, error)
+	List(ctx context.Context, prio store.Priority, prefix string) ([]wire.Item, uint64, error)
 	Watch(ctx context.Context, prefix string, since uint64, block clock.Micros) (wire.WatchResponse, error)
 }
 
--- a/internal/peer/relay_test.go
+++ b/internal/peer/relay_test.go
@@ -25,7 +25,7 @@
 	most    int
 }
 
-func (b *box) Get(_ context.Context, _ int, key string) (wire.Item, error) {
+func (b *box) Get(_ context.Context, _ store.Priority, key string) (wire.Item, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if it, ok := b.items[key]; ok {
@@ -34,13 +34,13 @@
 	return wire.Item{}, store.ErrNotFound
 }
 
-func (b *box) List(context.Context, int, string) ([]wire.Item, uint64, error) {
+func (b *box) List(context.Context, store.Priority, string) ([]wire.Item, uint64, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return nil, b.rev, nil
 }
 
-func (b *box) TryCommit(_ context.Context, _ int, t wire.Txn) (store.TxnResult, error) {
+func (b *box) TryCommit(_ context.Context, _ store.Priority, t wire.Txn) (store.TxnResult, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	luck := b.rng.IntN(10)
--- a/internal/scenario/network_test.go
+++ b/internal/scenario/network_test.go
@@ -133,7 +133,7 @@
 }
 
 // Get and Once serve the users' requests, which scenarios make outside of time.
-func (n *simNode) Get(_ context.Context, _ int, key string) (wire.Item, error) {
+func (n *simNode) Get(_ context.Context, _ store.Priority, key string) (wire.Item, error) {
 	n.sendsRead(key)
 	if !n.reaches() {
 		return wire.Item{}, store.ErrNotExecuted
@@ -144,7 +144,7 @@
 	return wire.Item{}, store.ErrNotFound
 }
 
-func (n *simNode) TryCommit(_ context.Context, _ int, t wire.Txn) (store.TxnResult, error) {
+func (n *simNode) TryCommit(_ context.Context, _ store.Priority, t wire.Txn) (store.TxnResult, error) {
 	n.sendsTxn(t)
 	if !n.reaches() {
 		return store.TxnResult{}, store.ErrNotExecuted
