--- a/internal/compat/written_test.go
+++ b/internal/compat/written_test.go
@@ -46,7 +46,7 @@
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	go relay.Run(ctx, nil)
-	c := relay.Open(ctx, "c1")
+	c := relay.Open("c1")
 	if _, err := io.WriteString(c, "abc"); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/controller/holder.go
+++ b/internal/controller/holder.go
@@ -16,7 +16,7 @@
 	"swiftledge/wire"
 )
 
-// holderUp and holderDown change who the holder speaks to: a *peer.Link or a localLink.
+// holderUp and holderDown change who the holder speaks to: a *peer.LeaderLink or a localLink.
 type (
 	holderUp struct {
 		epoch cluster.Term
@@ -34,12 +34,12 @@
 	for msg := range n.holder {
 		switch m := msg.(type) {
 		case holderUp:
-			if l, ok := link.(*peer.Link); ok && l != m.link {
+			if l, ok := link.(*peer.LeaderLink); ok && l != m.link {
 				l.Close()
 			}
 			link = m.link
 			slow := false
-			if l, ok := m.link.(*peer.Link); ok {
+			if l, ok := m.link.(*peer.LeaderLink); ok {
 				slow = l.ViaStore()
 			}
 			msg = shard.LeaderConnected{Term: m.epoch, ViaStore: slow}
@@ -60,7 +60,7 @@
 	switch x := fx.(type) {
 	case shard.SendToLeader:
 		switch l := link.(type) {
-		case *peer.Link:
+		case *peer.LeaderLink:
 			l.Send(&x.Message)
 		case localLink:
 			n.leader <- leader.HolderMessage{Controller: n.cfg.Name, Link: l, Message: &x.Message}
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -136,12 +136,6 @@
 	n.leader <- leader.CatalogLoaded{Types: c.Types}
 }
 
-// remoteLink is the leader's connection to another controller.
-type remoteLink struct{ *peer.Link }
-
-// Send queues a message; see peer.Link.Send.
-func (l remoteLink) Send(message *peer.FromLeader) { l.Link.Send(message) }
-
 // localLink is the way from the leader to the holder of the same process.
 type localLink struct {
 	controller *Controller
--- a/internal/controller/links.go
+++ b/internal/controller/links.go
@@ -86,9 +86,9 @@
 }
 
 // linked serves a link to the leader until it ends.
-func (n *Controller) linked(epoch cluster.Term, l *peer.Link) {
+func (n *Controller) linked(epoch cluster.Term, l *peer.LeaderLink) {
 	n.holder <- holderUp{epoch, l}
-	l.Follow(func(d *peer.FromLeader) {
+	l.Receive(func(d *peer.FromLeader) {
 		n.jobCache.Post(api.PeerContacted{})
 		n.jobCache.Post(api.LeaderMessage{Message: d})
 		n.holder <- d
@@ -125,23 +125,34 @@
 			time.Sleep(100 * time.Millisecond)
 			continue
 		}
-		go n.acceptPeer(c, false)
+		go n.acceptPeer(c, peer.TransportTCP)
 	}
 }
 
-func (n *Controller) acceptPeer(c net.Conn, slow bool) {
-	peer.Accept(c, slow, peer.Hello{Controller: n.cfg.Name, Incarnation: n.incarnation}, n.status, func(h peer.Hello) bool {
-		n.jobCache.Post(api.PeerContacted{})
-		q := askEpoch{make(chan cluster.Term, 1)}
-		n.elector <- q
-		epoch := <-q.answer
-		return epoch > 0 && epoch == h.Term
-	}, func(l *peer.Link) {
-		n.leader <- leader.PeerConnected{Controller: l.Peer.Controller, Incarnation: l.Peer.Incarnation, Link: remoteLink{l}, ViaStore: slow}
-	}, func(l *peer.Link, u *peer.ToLeader) {
-		n.jobCache.Post(api.PeerContacted{})
-		n.leader <- leader.HolderMessage{Controller: l.Peer.Controller, Link: remoteLink{l}, Message: u}
-	}, func(l *peer.Link) {
-		n.leader <- leader.PeerDisconnected{Controller: l.Peer.Controller, Link: remoteLink{l}}
-	})
+// acceptPeer answers on a connection that another controller or an operator has made.
+func (n *Controller) acceptPeer(conn net.Conn, transport peer.Transport) {
+	server := peer.Server{
+		Controller: n.cfg.Name, Incarnation: n.incarnation,
+		Status: n.status,
+		IsLeader: func(term cluster.Term) bool {
+			n.jobCache.Post(api.PeerContacted{})
+			q := askEpoch{make(chan cluster.Term, 1)}
+			n.elector <- q
+			leading := <-q.answer
+			return leading > 0 && leading == term
+		},
+		Connected: func(link *peer.HolderLink) {
+			n.leader <- leader.PeerConnected{
+				Controller: link.Peer.Controller, Incarnation: link.Peer.Incarnation, Link: link, ViaStore: link.ViaStore(),
+			}
+		},
+		Received: func(link *peer.HolderLink, message *peer.ToLeader) {
+			n.jobCache.Post(api.PeerContacted{})
+			n.leader <- leader.HolderMessage{Controller: link.Peer.Controller, Link: link, Message: message}
+		},
+		Disconnected: func(link *peer.HolderLink) {
+			n.leader <- leader.PeerDisconnected{Controller: link.Peer.Controller, Link: link}
+		},
+	}
+	server.Serve(conn, transport)
 }
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -120,7 +120,7 @@
 	}
 	go n.watchLeader(ctx)
 	go n.acceptPeers(back)
-	go n.storeTransport.Run(ctx, func(c net.Conn) { go n.acceptPeer(c, true) })
+	go n.storeTransport.Run(ctx, func(c net.Conn) { go n.acceptPeer(c, peer.TransportStore) })
 	go n.jobCache.Run(ctx)
 	svc := api.New(api.Options{
 		Config:          n.cfg,
--- a/internal/naming/naming_test.go
+++ b/internal/naming/naming_test.go
@@ -37,7 +37,6 @@
 	"internal/autoscaler": 1,
 	"internal/leader":     49,
 	"internal/controller": 7,
-	"internal/peer":       2,
 	"internal/scenario":   16,
 }
 
--- a/internal/peer/status.go
+++ b/internal/peer/status.go
@@ -1,75 +1,62 @@
 package peer
 
 import (
-	"errors"
-	"fmt"
-	"math"
-	"net"
-	"time"
-
-	"github.com/vmihailenco/msgpack/v5"
-
 	"swiftledge/internal/clock"
 	"swiftledge/internal/cluster"
-	"swiftledge/internal/netio"
 )
 
-// statusEpoch in a Hello asks for a Status in place of a link. No leader has that epoch, so a version that
-// does not know the question refuses it like a link to a leader that is none.
-const statusEpoch = math.MaxUint64
-
-// Status is what a controller tells an operator. It travels as maps and may grow.
+// Status is what a controller tells an operator. It travels as maps and may grow; its keys stay.
 type Status struct {
 	Controller string       `msgpack:"node" json:"node"`
-	Leader     string       `msgpack:"leader" json:"leader"` // whom it follows; "" if nobody
+	Leader     string       `msgpack:"leader" json:"leader"` // that it follows; "" if none
 	Term       cluster.Term `msgpack:"epoch" json:"epoch"`
 	Leading    bool         `msgpack:"leads" json:"leads"`
-	// How often it stood still since it was started, and the last time.
+	// How often the process was paused since it was started, and the last pause.
 	Pauses    int          `msgpack:"pauses" json:"pauses"`
 	LastPause *PauseStatus `msgpack:"last_pause" json:"last_pause,omitempty"`
-	// What follows is known to the leader alone.
-	Rebalancing       bool              `msgpack:"spread" json:"spread"`  // it keeps work even
-	MeanLoad          float64           `msgpack:"mean" json:"mean_load"` // of the machines that take work
+	// The leader alone knows what follows.
+	Rebalancing       bool              `msgpack:"spread" json:"spread"`  // rebalancing is on
+	MeanLoad          float64           `msgpack:"mean" json:"mean_load"` // of the schedulable machines
 	Shards            []ShardStatus     `msgpack:"blocks" json:"blocks"`
 	Machines          []MachineStatus   `msgpack:"machines" json:"machines"`
 	Teams             []TeamStatus      `msgpack:"teams" json:"teams"`
 	Migrations        []MigrationStatus `msgpack:"moves" json:"moves"`       // in flight
-	Refusals          []RefusalStatus   `msgpack:"refusals" json:"refusals"` // of the last look for moves
+	Refusals          []RefusalStatus   `msgpack:"refusals" json:"refusals"` // when migrations were last planned
 	MigrationOutcomes MigrationOutcomes `msgpack:"ended" json:"moves_of_epoch"`
 	Suspects          []SuspectStatus   `msgpack:"suspects" json:"suspect_jobs"`
 }
 
-// PauseStatus is a time in which a controller stood still.
+// PauseStatus is a pause of a controller's process.
 type PauseStatus struct {
 	EndedAt clock.Micros `msgpack:"at" json:"ended_at_us"` // time of day at which it ended
 	AgoS    float64      `msgpack:"ago_s" json:"ago_s"`
 	LengthS float64      `msgpack:"length_s" json:"length_s"`
-	Expired []string     `msgpack:"expired" json:"expired"` // what ran out meanwhile
+	Expired []string     `msgpack:"expired" json:"expired"` // what expired meanwhile
 }
 
-// SuspectStatus is a job whose tasks fail wherever they run.
+// SuspectStatus is a suspect job: its tasks fail wherever they run.
 type SuspectStatus struct {
 	Job      string  `msgpack:"job" json:"job"`
 	Team     string  `msgpack:"team" json:"team"`
 	Machines int     `msgpack:"machines" json:"failed_on_machines"`
-	Probes   int     `msgpack:"probes" json:"probes"` // tasks tried since it became suspect
+	Probes   int     `msgpack:"probes" json:"probes"` // tasks launched since it became suspect
 	NextS    float64 `msgpack:"next_s" json:"next_probe_s"`
 }
 
-// ShardStatus is a block of machines.
+// ShardStatus is a shard and its machines.
 type ShardStatus struct {
 	Shard     int     `msgpack:"block" json:"block"`
 	Holder    string  `msgpack:"holder" json:"holder"`
 	Granted   bool    `msgpack:"granted" json:"granted"`
 	Machines  int     `msgpack:"machines" json:"machines"`
-	TakeWork  int     `msgpack:"take_work" json:"take_work"` // of these
+	TakeWork  int     `msgpack:"take_work" json:"take_work"` // of these, how many are schedulable
 	MeanLoad  float64 `msgpack:"mean" json:"mean_load"`
 	MostLoad  float64 `msgpack:"most" json:"most_load"`
 	Tasks     int     `msgpack:"tasks" json:"tasks"`
-	Unstarted int     `msgpack:"unstarted" json:"unstarted"` // handed to it and not running yet
+	Unstarted int     `msgpack:"unstarted" json:"unstarted"` // offered to its holder and not running yet
 }
 
-// MachineStatus is a machine that is up.
+// MachineStatus is a machine that is running.
 type MachineStatus struct {
 	Name      string  `msgpack:"name" json:"name"`
 	Shard     int     `msgpack:"block" json:"block"`
@@ -82,7 +69,7 @@
 	WhyNot    string  `msgpack:"why_not" json:"why_not,omitempty"`
 }
 
-// TeamStatus is a team's work.
+// TeamStatus is what a team uses and what of its work waits.
 type TeamStatus struct {
 	Team    string  `msgpack:"team" json:"team"`
 	CPUs    float64 `msgpack:"cpus" json:"cpus_held"`
@@ -91,7 +78,7 @@
 	AtLimit int     `msgpack:"at_limit" json:"waiting_at_limit"` // of these
 }
 
-// MigrationStatus is a move in flight.
+// MigrationStatus is a migration in flight.
 type MigrationStatus struct {
 	Task  string  `msgpack:"task" json:"task"`
 	Team  string  `msgpack:"team" json:"team"`
@@ -103,7 +90,7 @@
 	CostS float64 `msgpack:"cost_s" json:"cost_s"`
 }
 
-// RefusalStatus says why tasks of a machine, or of all, were not moved.
+// RefusalStatus is why tasks of a machine, or of all machines, were not migrated.
 type RefusalStatus struct {
 	Machine string `msgpack:"machine" json:"machine,omitempty"`
 	Reason  string `msgpack:"reason" json:"reason"`
@@ -111,7 +98,7 @@
 	Tasks   int    `msgpack:"tasks" json:"tasks"`
 }
 
-// MigrationOutcomes counts how moves ended.
+// MigrationOutcomes counts how migrations ended.
 type MigrationOutcomes struct {
 	Begun     int `msgpack:"begun" json:"begun"`
 	Arrived   int `msgpack:"arrived" json:"arrived"`
@@ -119,51 +106,3 @@
 	Cancelled int `msgpack:"cancelled" json:"cancelled"`
 	GivenUp   int `msgpack:"given_up" json:"given_up"`
 }
-
-// ErrStatusUnsupported says that a controller does not know the question for its status.
-var ErrStatusUnsupported = errors.New("does not know the question")
-
-// statusTimeout bounds the whole question.
-const statusTimeout = 5 * time.Second
-
-// FetchStatus asks the controller at addr for its status.
-func FetchStatus(addr string) (Status, error) {
-	var s Status
-	c, err := netio.Dial(addr, time.Second)
-	if err != nil {
-		return s, fmt.Errorf("status: %w", err)
-	}
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(statusTimeout))
-	raw, err := msgpack.Marshal(Hello{Term: statusEpoch})
-	if err != nil {
-		return s, fmt.Errorf("status: %w", err)
-	}
-	if _, err := c.Write(raw); err != nil {
-		return s, fmt.Errorf("status: %w", err)
-	}
-	dec := msgpack.NewDecoder(c)
-	var back Hello
-	if err := dec.Decode(&back); err != nil {
-		return s, fmt.Errorf("status: %w", err)
-	}
-	if back.Term != statusEpoch {
-		return s, fmt.Errorf("status: %s %w", back.Controller, ErrStatusUnsupported)
-	}
-	if err := dec.Decode(&s); err != nil {
-		return s, fmt.Errorf("status: %w", err)
-	}
-	return s, nil
-}
-
-// answerStatus answers the question on a connection and closes it.
-func answerStatus(c net.Conn, me Hello, status Status) {
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(statusTimeout))
-	me.Term = statusEpoch
-	enc := msgpack.NewEncoder(c)
-	if enc.Encode(me) == nil {
-		// Whoever asked sees from what is missing that it did not come whole.
-		_ = enc.Encode(status)
-	}
-}
--- a/internal/status/status_test.go
+++ b/internal/status/status_test.go
@@ -41,11 +41,11 @@
 		Machines:   []peer.MachineStatus{{Name: "host-1", Load: 0.75, OverMean: 1.5, WhyNot: "not needed"}},
 		Migrations: []peer.MigrationStatus{{Task: "j-000001/3", From: "host-1", To: "host-2", Stage: "stopping"}},
 		Refusals:   []peer.RefusalStatus{{Machine: "host-3", Reason: "cannot save", Tasks: 4, Task: "j-000002/0"}, {Reason: "work waits for room", Tasks: 1}}}
-	never := func(peer.Hello) bool { return false }
 	cfg := &config.Config{}
 	cfg.Name = "c0"
 	cfg.Back = listen(t, func(c net.Conn) {
-		peer.Accept(c, false, peer.Hello{Controller: "c0"}, func() peer.Status { return leads }, never, nil, nil, nil)
+		server := peer.Server{Controller: "c0", Status: func() peer.Status { return leads }}
+		server.Serve(c, peer.TransportTCP)
 	})
 	// The version in production refuses an epoch that is not its own.
 	old := listen(t, func(c net.Conn) {
