--- a/internal/compat/errors_test.go
+++ b/internal/compat/errors_test.go
@@ -45,6 +45,7 @@
 		{"later limit", `"write_rps":10`, `"write_rps":-1`, "", "settings FILE: facts.state.next.write_rps is missing or invalid (gt=0)"},
 		{"form", `"host_name":"c0"`, `"host_name":7`, "", "settings FILE: json: cannot unmarshal number into Go struct field Settings.host_name of type string"},
 		{"form of a team", `"name":"vision"`, `"name":7`, "", "settings FILE: json: cannot unmarshal number into Go struct field Team.facts.teams.name of type string"},
+		{"form of an objective", `"kind":"wait"`, `"kind":7`, "", "settings FILE: json: cannot unmarshal number into Go struct field Objective.facts.objectives.kind of type string"},
 		{"unknown section", "", "", "placing: {k: 1}", "operators' settings FILE: yaml: unmarshal errors: line 1: field placing not found in type config.Tuning"},
 		{"unknown key", "", "", "placement: {q: 1}", "operators' settings FILE: yaml: unmarshal errors: line 1: field q not found in type config.Placement"},
 		{"unknown key of queues", "", "", "queues: {q: 1}", "operators' settings FILE: yaml: unmarshal errors: line 1: field q not found in type config.Queues"},
--- a/internal/config/schema.go
+++ b/internal/config/schema.go
@@ -9,41 +9,46 @@
 	"github.com/invopop/jsonschema"
 )
 
-// Schema is the JSON Schema of the operators' settings, made from the same types and ranges that are
-// checked when they are read. One rule has no form there and is told by its description alone:
+// Schema returns the JSON Schema of the operators' settings, made from the same types and ranges that are
+// checked when they are read. One rule cannot be expressed there and stands in a description alone:
 // spread.move_above is over spread.bound.
 func Schema() ([]byte, error) {
-	r := jsonschema.Reflector{FieldNameTag: "yaml", RequiredFromJSONSchemaTags: true, DoNotReference: true, ExpandedStruct: true, Anonymous: true}
-	s := r.Reflect(Tuning{})
-	s.Title = "swiftledge: the operators' settings"
-	if err := addRanges(s, reflect.ValueOf(DefaultTuning())); err != nil {
+	reflector := jsonschema.Reflector{
+		FieldNameTag:               "yaml",
+		RequiredFromJSONSchemaTags: true,
+		DoNotReference:             true,
+		ExpandedStruct:             true,
+		Anonymous:                  true,
+	}
+	schema := reflector.Reflect(Tuning{})
+	schema.Title = "swiftledge: the operators' settings"
+	if err := addRanges(schema, reflect.ValueOf(DefaultTuning())); err != nil {
 		return nil, err
 	}
-	raw, err := json.MarshalIndent(s, "", "  ")
+	raw, err := json.MarshalIndent(schema, "", "  ")
 	if err != nil {
 		return nil, fmt.Errorf("schema: %w", err)
 	}
 	return append(raw, '\n'), nil
 }
 
-// addRanges gives the schema of a struct the ranges and defaults of its fields.
-func addRanges(s *jsonschema.Schema, defaults reflect.Value) error {
-	for i := range defaults.NumField() {
-		f := defaults.Type().Field(i)
-		property, ok := s.Properties.Get(f.Tag.Get("yaml"))
+// addRanges adds the ranges and defaults of a struct's fields to its schema.
+func addRanges(schema *jsonschema.Schema, defaults reflect.Value) error {
+	for field, value := range defaults.Fields() {
+		property, ok := schema.Properties.Get(field.Tag.Get("yaml"))
 		if !ok {
-			return fmt.Errorf("schema: %s has no property", f.Name)
+			return fmt.Errorf("schema: %s has no property", field.Name)
 		}
-		if f.Type.Kind() == reflect.Struct {
-			if err := addRanges(property, defaults.Field(i)); err != nil {
+		if field.Type.Kind() == reflect.Struct {
+			if err := addRanges(property, value); err != nil {
 				return err
 			}
 			continue
 		}
-		property.Default = defaults.Field(i).Interface()
-		for rule := range strings.SplitSeq(f.Tag.Get("validate"), ",") {
+		property.Default = value.Interface()
+		for rule := range strings.SplitSeq(field.Tag.Get("validate"), ",") {
 			if err := addRange(property, rule); err != nil {
-				return fmt.Errorf("schema: %s: %w", f.Name, err)
+				return fmt.Errorf("schema: %s: %w", field.Name, err)
 			}
 		}
 	}
@@ -51,17 +56,17 @@
 }
 
 // addRange translates one rule of a validate tag.
-func addRange(s *jsonschema.Schema, rule string) error {
+func addRange(property *jsonschema.Schema, rule string) error {
 	name, bound, _ := strings.Cut(rule, "=")
 	switch name {
 	case "gte":
-		s.Minimum = json.Number(bound)
+		property.Minimum = json.Number(bound)
 	case "gt":
-		s.ExclusiveMinimum = json.Number(bound)
+		property.ExclusiveMinimum = json.Number(bound)
 	case "lte":
-		s.Maximum = json.Number(bound)
+		property.Maximum = json.Number(bound)
 	case "lt":
-		s.ExclusiveMaximum = json.Number(bound)
+		property.ExclusiveMaximum = json.Number(bound)
 	case "", "gtfield":
 	default:
 		return fmt.Errorf("rule %q has no form in the schema", rule)
--- a/internal/config/tuning.go
+++ b/internal/config/tuning.go
@@ -1,12 +1,8 @@
 package config
 
 import (
-	"errors"
 	"fmt"
-	"io"
 	"math"
-	"os"
-	"strings"
 
 	"go.yaml.in/yaml/v3"
 )
@@ -110,30 +106,3 @@
 		Trace: Trace{MostMB: 64, Share: 1, Queue: 4096},
 	}
 }
-
-// loadTuning reads the operators' files over the defaults, later ones over earlier ones. Each is checked
-// with those before it, so that a bad value is told with the file that brought it.
-func loadTuning(files []string) (Tuning, error) {
-	t := DefaultTuning()
-	for _, file := range files {
-		if err := t.overlay(file); err != nil {
-			return t, fmt.Errorf("operators' settings %s: %w", file, err)
-		}
-	}
-	return t, nil
-}
-
-// overlay takes in one file: only what it names changes.
-func (t *Tuning) overlay(file string) error {
-	f, err := os.Open(file)
-	if err != nil {
-		return errors.Unwrap(err)
-	}
-	defer f.Close()
-	dec := yaml.NewDecoder(f)
-	dec.KnownFields(true)
-	if err := dec.Decode(t); err != nil && !errors.Is(err, io.EOF) {
-		return errors.New(strings.Join(strings.Fields(err.Error()), " "))
-	}
-	return check(*t, "yaml")
-}
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -57,16 +57,16 @@
 func New(cfg *config.Config, storeOK func() bool) *Leader {
 	l := &Leader{settings: settings{cfg: cfg, self: cfg.Name, storeOK: storeOK, within: map[string]float64{}, awaited: map[string]float64{}, teams: map[string]config.Team{}}}
 	for _, o := range cfg.Facts.Objectives {
-		if o.Kind == "finished" {
+		if o.Kind == config.ObjectiveFinished {
 			l.within[o.Class] = o.WithinS
 		}
-		if o.Kind == "wait" {
+		if o.Kind == config.ObjectiveWait {
 			l.awaited[o.Class] = o.WithinS
 		}
 	}
 	// What is expected to be done as well is no service.
 	for _, o := range cfg.Facts.Objectives {
-		if o.Kind == "finished" || o.Kind == "deadline" {
+		if o.Kind == config.ObjectiveFinished || o.Kind == config.ObjectiveDeadline {
 			delete(l.awaited, o.Class)
 		}
 	}
