--- a/internal/api/handlers.go
+++ b/internal/api/handlers.go
@@ -96,5 +96,5 @@
 // isNearSocketLimit reports whether workers are to give their connections up after each answer: they come
 // every few seconds, and must not keep users and health probes out.
 func (s *Service) isNearSocketLimit(app *fiber.App) bool {
-	return int(app.Server().GetOpenConnectionsCount()) > s.options.Config.HTTPSockets()*9/10
+	return int(app.Server().GetOpenConnectionsCount()) > s.options.Config.MaxHTTPConnections()*9/10
 }
--- a/internal/api/service.go
+++ b/internal/api/service.go
@@ -81,7 +81,7 @@
 		BodyLimit:    maxBodyBytes,
 		IdleTimeout:  idleTimeout,
 		ReadTimeout:  readTimeout,
-		Concurrency:  s.options.Config.HTTPSockets(),
+		Concurrency:  s.options.Config.MaxHTTPConnections(),
 		ErrorHandler: writeError,
 		JSONEncoder:  json.Marshal,
 		JSONDecoder:  json.Unmarshal,
--- a/internal/api/service_test.go
+++ b/internal/api/service_test.go
@@ -100,7 +100,7 @@
 	cfg := smallConfig()
 	send := startService(t, cfg, shard.HeartbeatReply{Status: 200})
 	kept := 0
-	for range 2 * cfg.HTTPSockets() {
+	for range 2 * cfg.MaxHTTPConnections() {
 		res := send(heartbeatRequest())
 		if res.StatusCode() != 200 {
 			t.Fatalf("a worker gets %d: %s", res.StatusCode(), res.Body())
@@ -109,8 +109,8 @@
 			kept++
 		}
 	}
-	if kept < cfg.HTTPSockets()/2 || kept >= cfg.HTTPSockets() {
-		t.Errorf("%d workers keep their connections, of %d in all", kept, cfg.HTTPSockets())
+	if kept < cfg.MaxHTTPConnections()/2 || kept >= cfg.MaxHTTPConnections() {
+		t.Errorf("%d workers keep their connections, of %d in all", kept, cfg.MaxHTTPConnections())
 	}
 	for range 5 {
 		if res := send("GET /ready HTTP/1.1\r\nHost: a\r\n\r\n"); res.StatusCode() != 200 || res.ConnectionClose() {
--- a/internal/api/submit.go
+++ b/internal/api/submit.go
@@ -51,7 +51,7 @@
 	if err != nil {
 		return nil, &rejection{code: http.StatusBadRequest, reason: err.Error()}
 	}
-	if len(record) > s.options.Config.ValueMax() {
+	if len(record) > s.options.Config.MaxValueBytes() {
 		return nil, &rejection{job.Ref, http.StatusBadRequest, "the job is too large to store"}
 	}
 	return record, nil
--- a/internal/compat/exact_test.go
+++ b/internal/compat/exact_test.go
@@ -70,7 +70,7 @@
 
 // platformSettings has every key that the platform's file may hold.
 func platformSettings() config.Settings {
-	s := config.Settings{Name: "c0", Zone: "a", ServeOn: "127.0.0.1:1", Back: "127.0.0.1:2", Peers: []config.Peer{{Name: "c1", Zone: "b", Address: "127.0.0.1:3"}}}
+	s := config.Settings{Name: "c0", Zone: "a", ListenAddress: "127.0.0.1:1", PeerAddress: "127.0.0.1:2", Peers: []config.Peer{{Name: "c1", Zone: "b", Address: "127.0.0.1:3"}}}
 	s.Endpoints.Cloud, s.Endpoints.State = "127.0.0.1:4", "127.0.0.1:5"
 	f := &s.Facts
 	f.InitialSize, f.Zones, f.SkewMs = 3, []string{"a", "b"}, 10
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -9,13 +9,16 @@
 	"go.yaml.in/yaml/v3"
 )
 
-const good = `{"host_name":"c0","site":"a","serve_on":"127.0.0.1:1","back":"127.0.0.1:2","others":[],"novelty":1,
+// validSettings is a file of the platform.
+const validSettings = `{"host_name":"c0","site":"a","serve_on":"127.0.0.1:1","back":"127.0.0.1:2","others":[],"novelty":1,
 "endpoints":{"cloud":"127.0.0.1:3","state":"127.0.0.1:4"},
 "facts":{"initial_size":1,"zones":["a"],"teams":[{"name":"t","cpus":1,"cpus_max":2,"gpus":0,"gpus_max":0}],
 "workers":{"report_s":3,"lease_s":20,"cancel_s":40},"state":{"rps":100,"write_rps":10,"value_kb":4,"txn_ops":8},
 "cloud":{"rps":5,"list_lag_s":4},"quota":{"cpu":0.1,"mem_mb":125,"max_sockets":100},"skew_ms":10}}`
 
-func write(t *testing.T, name, text string) string {
+// writeFile writes a file of the test and returns its path.
+func writeFile(t *testing.T, name, text string) string {
+	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
@@ -25,27 +28,29 @@
 
 func TestLoad(t *testing.T) {
 	cases := []struct{ name, settings, tuning, want string }{
-		{"good", good, "", ""},
-		{"tuned", good, "placement: {k: 0.5}", ""},
-		{"empty tuning", good, "", ""},
-		{"no host name", strings.Replace(good, `"host_name":"c0",`, "", 1), "", "host_name"},
-		{"bad address", strings.Replace(good, "127.0.0.1:4", "nowhere", 1), "", "endpoints.state"},
-		{"no teams", strings.Replace(good, `"teams"`, `"crews"`, 1), "", "facts.teams"},
-		{"two faults", strings.Replace(strings.Replace(good, `"rps":100`, `"rps":0`, 1), `"txn_ops":8`, `"txn_ops":0`, 1), "", "facts.state.txn_ops"},
-		{"limits of later", strings.Replace(good, `"txn_ops":8`, `"txn_ops":8,"next":{"value_kb":2,"txn_ops":4,"write_rps":15}`, 1), "", ""},
-		{"unusable limits of later", strings.Replace(good, `"txn_ops":8`, `"txn_ops":8,"next":{"value_kb":0.5,"txn_ops":4}`, 1), "", "facts.state.next.value_kb"},
+		{"good", validSettings, "", ""},
+		{"tuned", validSettings, "placement: {k: 0.5}", ""},
+		{"empty tuning", validSettings, "", ""},
+		{"no host name", strings.Replace(validSettings, `"host_name":"c0",`, "", 1), "", "host_name"},
+		{"bad address", strings.Replace(validSettings, "127.0.0.1:4", "nowhere", 1), "", "endpoints.state"},
+		{"no teams", strings.Replace(validSettings, `"teams"`, `"crews"`, 1), "", "facts.teams"},
+		{"two faults", strings.Replace(strings.Replace(validSettings, `"rps":100`, `"rps":0`, 1), `"txn_ops":8`, `"txn_ops":0`, 1), "", "facts.state.txn_ops"},
+		{"limits of later", strings.Replace(validSettings, `"txn_ops":8`, `"txn_ops":8,"next":{"value_kb":2,"txn_ops":4,"write_rps":15}`, 1), "", ""},
+		{"unusable limits of later",
+			strings.Replace(validSettings, `"txn_ops":8`, `"txn_ops":8,"next":{"value_kb":0.5,"txn_ops":4}`, 1),
+			"", "facts.state.next.value_kb"},
 		{"broken", "{", "", "unexpected end"},
-		{"unknown key", good, "placement: {q: 1}", "q"},
-		{"out of range", good, "grants: {time_s: 0}", "grants.time_s"},
-		{"wrong form", good, "grants: {blocks: many}", "many"},
-		{"no whole number", good, "grants: {blocks: 1.5}", "1.5"},
+		{"unknown key", validSettings, "placement: {q: 1}", "q"},
+		{"out of range", validSettings, "grants: {time_s: 0}", "grants.time_s"},
+		{"wrong form", validSettings, "grants: {blocks: many}", "many"},
+		{"no whole number", validSettings, "grants: {blocks: 1.5}", "1.5"},
 	}
 	for _, c := range cases {
 		var tuning []string
 		if c.tuning != "" {
-			tuning = append(tuning, write(t, "t.yaml", c.tuning))
+			tuning = append(tuning, writeFile(t, "t.yaml", c.tuning))
 		}
-		_, err := Load(write(t, "s.json", c.settings), tuning...)
+		_, err := Load(writeFile(t, "s.json", c.settings), tuning...)
 		switch {
 		case c.want == "" && err != nil:
 			t.Errorf("%s: %v", c.name, err)
@@ -82,14 +87,14 @@
 // Several files: the later one changes what it names and nothing else, and a bad value is told in one line
 // with the file that brought it.
 func TestLaterFilesChangeWhatTheyName(t *testing.T) {
-	platform := write(t, "s.json", good)
-	base := write(t, "base.yaml", "placement: {k: 0.5, eta: 0.1}\nfleet: {idle_s: 7}")
-	c, err := Load(platform, base, write(t, "over.yaml", "placement: {eta: 0.2}\nspread: {enabled: true}"))
+	platform := writeFile(t, "s.json", validSettings)
+	base := writeFile(t, "base.yaml", "placement: {k: 0.5, eta: 0.1}\nfleet: {idle_s: 7}")
+	c, err := Load(platform, base, writeFile(t, "over.yaml", "placement: {eta: 0.2}\nspread: {enabled: true}"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	want := DefaultTuning()
-	want.Placement.K, want.Placement.Eta, want.Fleet.IdleS, want.Spread.Enabled = 0.5, 0.2, 7, true
+	want.Placement.AffinityDecay, want.Placement.MinAffinity, want.Fleet.IdleTimeoutS, want.Spread.Enabled = 0.5, 0.2, 7, true
 	if c.Tuning != want {
 		t.Errorf("got %+v, want %+v", c.Tuning, want)
 	}
@@ -99,7 +104,7 @@
 		{"order.yaml", "spread: {bound: 2}", "spread.move_above"},
 		{"form.yaml", "spread: [", "yaml"},
 	} {
-		file := write(t, bad.name, bad.text)
+		file := writeFile(t, bad.name, bad.text)
 		_, err := Load(platform, base, file)
 		if err == nil || !strings.Contains(err.Error(), bad.want) || !strings.Contains(err.Error(), file) ||
 			strings.Contains(err.Error(), base) || strings.Contains(err.Error(), "\n") {
@@ -115,16 +120,16 @@
 func TestTheSmallerLimitsHold(t *testing.T) {
 	var c Config
 	c.Facts.State.ValueKB, c.Facts.State.TxnOps = 4, 8
-	if c.ValueMax() != 4096 || c.TxnOps() != 8 {
-		t.Errorf("%d bytes and %d operations without limits of later", c.ValueMax(), c.TxnOps())
+	if c.MaxValueBytes() != 4096 || c.MaxTxnWrites() != 8 {
+		t.Errorf("%d bytes and %d operations without limits of later", c.MaxValueBytes(), c.MaxTxnWrites())
 	}
 	c.Facts.State.Next = &Next{ValueKB: 2, TxnOps: 4}
-	if c.ValueMax() != 2048 || c.ValueBytes() >= 2048 || c.TxnOps() != 4 {
-		t.Errorf("%d bytes, %d used, and %d operations", c.ValueMax(), c.ValueBytes(), c.TxnOps())
+	if c.MaxValueBytes() != 2048 || c.TargetValueBytes() >= 2048 || c.MaxTxnWrites() != 4 {
+		t.Errorf("%d bytes, %d used, and %d operations", c.MaxValueBytes(), c.TargetValueBytes(), c.MaxTxnWrites())
 	}
 	c.Facts.State.Next = &Next{ValueKB: 64}
-	if c.ValueMax() != 4096 || c.TxnOps() != 8 {
-		t.Errorf("%d bytes and %d operations with larger limits of later", c.ValueMax(), c.TxnOps())
+	if c.MaxValueBytes() != 4096 || c.MaxTxnWrites() != 8 {
+		t.Errorf("%d bytes and %d operations with larger limits of later", c.MaxValueBytes(), c.MaxTxnWrites())
 	}
 }
 
@@ -137,16 +142,17 @@
 			c := Config{Tuning: DefaultTuning()}
 			c.Tuning.Grants.TimeS, c.Tuning.Election.TTLS = 120, ttl
 			c.Facts.Workers.LeaseS, c.Facts.Workers.CancelS = s[0], s[1]
-			all := float64(c.ViewTime()+c.GrantTime()+c.LeaseTime()) / 1e6
+			all := float64(c.MaxViewAge()+c.GrantTime()+c.AgentLeaseTime()) / 1e6
 			if all += 0.0005*s[1] + 0.5; all > s[1] {
 				t.Errorf("ttl %g, lease %g, cancel %g: tasks may go on for %.2f s", ttl, s[0], s[1], all)
 			}
-			if c.LongestGrant() < c.GrantTime() {
+			if c.LongestGrantTime() < c.GrantTime() {
 				t.Error("silence is taken for proof before a grant has ended")
 			}
 		}
 	}
-	if _, err := Load(write(t, "s.json", good), write(t, "t.yaml", "election: {ttl_s: 18}")); err == nil || !strings.Contains(err.Error(), "cancel_s") {
+	_, err := Load(writeFile(t, "s.json", validSettings), writeFile(t, "t.yaml", "election: {ttl_s: 18}"))
+	if err == nil || !strings.Contains(err.Error(), "cancel_s") {
 		t.Errorf("error %v, want one that says that nothing is left for a grant", err)
 	}
 }
--- a/internal/config/grant.go
+++ b/internal/config/grant.go
@@ -22,9 +22,9 @@
 // GrantTime is how long a shard is granted to its holder: the operators' value, but no longer than the time
 // for a cancellation allows. From the confirmation of a cancellation, by whichever controller, on
 //
-//   - for ViewTime a leader that has not seen it may renew grants,
+//   - for MaxViewAge a leader that has not seen it may renew grants,
 //   - for GrantTime a holder may answer heartbeats under what was renewed,
-//   - for LeaseTime a task goes on after its agent's last answered heartbeat was sent,
+//   - for AgentLeaseTime a task goes on after its agent's last answered heartbeat was sent,
 //
 // and all of it ends cancelMargin before cancel_s is over.
 func (c *Config) GrantTime() clock.Micros {
@@ -33,23 +33,23 @@
 
 // maxGrantTime is what the time for a cancellation leaves for a grant.
 func (c *Config) maxGrantTime() clock.Micros {
-	return clock.FromSeconds(c.Facts.Workers.CancelS) - c.LeaseTime() - c.ViewTime() - cancelMargin
+	return clock.FromSeconds(c.Facts.Workers.CancelS) - c.AgentLeaseTime() - c.MaxViewAge() - cancelMargin
 }
 
-// LongestGrant is how long a grant may last with a holder of this version or the one in production: a silent
+// LongestGrantTime is how long a grant may last with a holder of this version or the one in production: a silent
 // holder's shard may go to another only after it.
-func (c *Config) LongestGrant() clock.Micros {
+func (c *Config) LongestGrantTime() clock.Micros {
 	workers := c.Facts.Workers
 	priorGrant := max(priorVersionMinGrant, workers.CancelS-workers.LeaseS-priorVersionMargin)
 	return max(c.GrantTime(), clock.FromSeconds(min(c.Tuning.Grants.TimeS, priorGrant)))
 }
 
-// ViewTime is how old the leader's view of the jobs may be for it to act on it. It is as long as its
+// MaxViewAge is how old the leader's view of the jobs may be for it to act on it. It is as long as its
 // leadership lasts without a renewal, so that one bound holds whether it lost the store or only the watch.
-func (c *Config) ViewTime() clock.Micros { return clock.FromSeconds(c.Tuning.Election.TTLS) }
+func (c *Config) MaxViewAge() clock.Micros { return clock.FromSeconds(c.Tuning.Election.TTLS) }
 
-// LeaseTime is how long an agent's lease lasts after its last answered heartbeat was sent.
-func (c *Config) LeaseTime() clock.Micros { return clock.FromSeconds(c.Facts.Workers.LeaseS) }
+// AgentLeaseTime is how long an agent's lease lasts after its last answered heartbeat was sent.
+func (c *Config) AgentLeaseTime() clock.Micros { return clock.FromSeconds(c.Facts.Workers.LeaseS) }
 
 // checkGrantTime returns an error if no grant is short enough for cancellations to be carried out in time.
 func (c *Config) checkGrantTime() error {
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -20,9 +20,9 @@
 	relayBacklogMemoryDivisor = 32 // of the controller's memory
 )
 
-// ValueMax is how many bytes a value in the store may hold, now and later: limits may fall at any moment, and
+// MaxValueBytes is how many bytes a value in the store may hold, now and later: limits may fall at any moment, and
 // a value over them would be refused for ever.
-func (c *Config) ValueMax() int {
+func (c *Config) MaxValueBytes() int {
 	limitKB := c.Facts.State.ValueKB
 	if next := c.Facts.State.Next; next != nil && next.ValueKB > 0 {
 		limitKB = min(limitKB, next.ValueKB)
@@ -30,13 +30,13 @@
 	return int(limitKB * bytesPerKB)
 }
 
-// ValueBytes is how many bytes are put into one value in the store: ValueMax less a tenth for what a
+// TargetValueBytes is how many bytes are put into one value in the store: MaxValueBytes less a tenth for what a
 // transaction adds.
-func (c *Config) ValueBytes() int { return c.ValueMax() * 9 / 10 }
+func (c *Config) TargetValueBytes() int { return c.MaxValueBytes() * 9 / 10 }
 
-// TxnOps is how many puts and deletes a transaction may hold, now and later. The rate of writes needs no such
+// MaxTxnWrites is how many puts and deletes a transaction may hold, now and later. The rate of writes needs no such
 // care: it follows what the store answers.
-func (c *Config) TxnOps() int {
+func (c *Config) MaxTxnWrites() int {
 	limit := c.Facts.State.TxnOps
 	if next := c.Facts.State.Next; next != nil && next.TxnOps > 0 {
 		limit = min(limit, next.TxnOps)
@@ -44,16 +44,18 @@
 	return limit
 }
 
-// RelayBacklog is how many bytes may wait on a link through the store. A grant names each machine of its
+// StoreTransportBacklog is how many bytes may wait on a link through the store. A grant names each machine of its
 // shard and each task there, so it grows with the site.
-func (c *Config) RelayBacklog() int {
+func (c *Config) StoreTransportBacklog() int {
 	return max(minRelayBacklog, int(c.Facts.Quota.MemMB*bytesPerMB)/relayBacklogMemoryDivisor)
 }
 
-// HTTPSockets is how many connections from users and workers are served at once.
-func (c *Config) HTTPSockets() int {
+// MaxHTTPConnections is how many connections from users and workers are served at once.
+func (c *Config) MaxHTTPConnections() int {
 	return max(minHTTPSockets, c.Facts.Quota.MaxSockets*httpSocketsPercent/100)
 }
 
-// CommandSockets is how many connections for direct commands are kept open.
-func (c *Config) CommandSockets() int { return c.Facts.Quota.MaxSockets * commandSocketsPercent / 100 }
+// MaxCommandConnections is how many connections for direct commands are kept open.
+func (c *Config) MaxCommandConnections() int {
+	return c.Facts.Quota.MaxSockets * commandSocketsPercent / 100
+}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -58,12 +58,12 @@
 // The parts without a name of their own have none on purpose: error texts that operators know name the types
 // of what they are about.
 type Settings struct {
-	Name      string `json:"host_name" validate:"required"`
-	Zone      string `json:"site"`
-	ServeOn   string `json:"serve_on" validate:"required,hostname_port"`
-	Back      string `json:"back" validate:"required,hostname_port"`
-	Peers     []Peer `json:"others" validate:"dive"`
-	Endpoints struct {
+	Name          string `json:"host_name" validate:"required"`
+	Zone          string `json:"site"`
+	ListenAddress string `json:"serve_on" validate:"required,hostname_port"`
+	PeerAddress   string `json:"back" validate:"required,hostname_port"`
+	Peers         []Peer `json:"others" validate:"dive"`
+	Endpoints     struct {
 		Cloud string `json:"cloud" validate:"required,hostname_port"`
 		State string `json:"state" validate:"required,hostname_port"`
 	} `json:"endpoints"`
--- a/internal/controller/holder.go
+++ b/internal/controller/holder.go
@@ -109,7 +109,7 @@
 	req.Header.SetContentType("application/json")
 	req.SetRequestURI("http://" + o.Address + "/orders")
 	req.SetBodyRaw(raw)
-	if n.dialled.count() > n.cfg.CommandSockets() {
+	if n.dialled.count() > n.cfg.MaxCommandConnections() {
 		req.SetConnectionClose()
 	}
 	switch err := n.workers.DoTimeout(req, res, 3*time.Second); {
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -42,7 +42,7 @@
 
 // mostDirects is how many direct commands may be under way: one to a machine that cannot be reached
 // takes a second or more, and a zone of thousands may be out of reach while others are to be told.
-func mostDirects(cfg *config.Config) int { return max(leastDirects, cfg.CommandSockets()/4) }
+func mostDirects(cfg *config.Config) int { return max(leastDirects, cfg.MaxCommandConnections()/4) }
 
 // Controller is one controller.
 type Controller struct {
@@ -78,7 +78,7 @@
 		NoDefaultUserAgentHeader: true, ReadBufferSize: 2048, WriteBufferSize: 2048,
 		Dial: n.dialled.dial}
 	n.jobCache = api.NewJobCache(cfg, n.clock.Now)
-	n.storeTransport = peer.NewStoreTransport(cfg.Name, n.store, cfg.ValueBytes(), cfg.RelayBacklog(), peer.FrameInterval)
+	n.storeTransport = peer.NewStoreTransport(cfg.Name, n.store, cfg.TargetValueBytes(), cfg.StoreTransportBacklog(), peer.FrameInterval)
 	return n
 }
 
@@ -98,11 +98,11 @@
 
 // Serve runs the node until ctx ends or a listener fails.
 func (n *Controller) Serve(ctx context.Context) error {
-	back, err := netio.Listen(n.cfg.Back)
+	back, err := netio.Listen(n.cfg.PeerAddress)
 	if err != nil {
 		return fmt.Errorf("listen for controllers: %w", err)
 	}
-	front, err := netio.Listen(n.cfg.ServeOn)
+	front, err := netio.Listen(n.cfg.ListenAddress)
 	if err != nil {
 		return fmt.Errorf("listen for users and workers: %w", err)
 	}
@@ -132,7 +132,7 @@
 		TimeOfDay:       clock.Wall,
 		Tracer:          n.tracer,
 	})
-	n.log.Info("serving", "node", n.cfg.Name, "on", n.cfg.ServeOn)
+	n.log.Info("serving", "node", n.cfg.Name, "on", n.cfg.ListenAddress)
 	return svc.Serve(ctx, front)
 }
 
@@ -142,7 +142,7 @@
 	if t.File == "" {
 		return nil
 	}
-	s := trace.Settings{File: t.File, MostBytes: int64(t.MostMB * (1 << 20)), Share: t.Share, Queue: int(t.Queue)}
+	s := trace.Settings{File: t.File, MostBytes: int64(t.MaxFileMB * (1 << 20)), Share: t.JobShare, Queue: int(t.Queue)}
 	if n.tracer, err = trace.New(s, n.cfg.Name, n.clock, n.log); err != nil {
 		return err
 	}
--- a/internal/controller/state.go
+++ b/internal/controller/state.go
@@ -65,7 +65,7 @@
 
 func (n *Controller) watchJobs(ctx context.Context, epoch cluster.Term, rev uint64) {
 	// Two answers, one behind the other, have to come within the time that a view may be old.
-	wait := n.cfg.ViewTime() / 3
+	wait := n.cfg.MaxViewAge() / 3
 	for i := 0; ctx.Err() == nil; {
 		asked := n.clock.Now()
 		a, err := n.store.Watch(ctx, leader.JobPrefix, rev, wait)
--- a/internal/leader/failures_test.go
+++ b/internal/leader/failures_test.go
@@ -93,7 +93,7 @@
 	}
 	list(began)
 	l.machineReported(began+clock.Second, peer.MachineState{Name: healthy.name, Type: "small", Schedulable: true})
-	late := clock.FromSeconds(20 * l.cfg.Tuning.Fleet.LateFactor)
+	late := clock.FromSeconds(20 * l.cfg.Tuning.Fleet.BootTimeoutFactor)
 	for _, c := range []struct {
 		at   clock.Micros
 		m    *machine
--- a/internal/leader/fleet.go
+++ b/internal/leader/fleet.go
@@ -195,7 +195,7 @@
 // silentBootTimeout is how long a machine may be listed as up without a report. Whatever an earlier holder had started there
 // has lost its lease by then.
 func (l *Leader) silentBootTimeout(late clock.Micros) clock.Micros {
-	return max(late, 2*l.cfg.LeaseTime())
+	return max(late, 2*l.cfg.AgentLeaseTime())
 }
 
 // maxBootFailures bounds by how much an option's machines that did not come up count.
@@ -230,7 +230,7 @@
 
 // bootFailureReason says why a machine is given up whose worker was never heard; "": it may come up yet.
 func (l *Leader) bootFailureReason(now clock.Micros, m *machine) string {
-	late := clock.FromSeconds(m.option.Type.BootS*l.cfg.Tuning.Fleet.LateFactor + l.cfg.Facts.Cloud.ListLagS)
+	late := clock.FromSeconds(m.option.Type.BootS*l.cfg.Tuning.Fleet.BootTimeoutFactor + l.cfg.Facts.Cloud.ListLagS)
 	switch {
 	case (m.booting || m.listedAt == 0) && now-m.firstSeenAt > late && now-l.startedAt > late/2:
 		return reasonNeverCameUp
@@ -244,7 +244,7 @@
 func (l *Leader) planCapacity(now clock.Micros, rent bool) []string {
 	flat := l.capacityDemand(now)
 	var supply []autoscaler.Capacity
-	idleFor := clock.FromSeconds(l.cfg.Tuning.Fleet.IdleS)
+	idleFor := clock.FromSeconds(l.cfg.Tuning.Fleet.IdleTimeoutS)
 	targets := l.moveTargets()
 	for _, name := range slices.Sorted(maps.Keys(l.inventory.machines)) {
 		m := l.inventory.machines[name]
@@ -278,7 +278,7 @@
 		}
 	}
 	tune := l.cfg.Tuning.Fleet
-	d := autoscaler.Plan(flat, supply, opts, autoscaler.Params{SpotClearS: tune.SpotClearS, OrdinaryClearS: tune.OrdinaryClearS, Reserve: tune.Reserve},
+	d := autoscaler.Plan(flat, supply, opts, autoscaler.Params{SpotClearS: tune.SpotBacklogS, OrdinaryClearS: tune.OnDemandBacklogS, Reserve: tune.Reserve},
 		func(o autoscaler.Option) bool { return now >= l.autoscaler.refusals[o.Key()].until })
 	l.applyExclusions(d, stuck)
 	l.scheduling.requested = true // what is no longer cordoned has room again
--- a/internal/leader/grants.go
+++ b/internal/leader/grants.go
@@ -58,7 +58,7 @@
 func (l *Leader) takeoverTime() clock.Micros {
 	machines := float64(len(l.inventory.machines)) / float64(len(l.shards.all))
 	busy := machines * takeoverCost / l.cfg.Facts.Quota.CPU
-	return clock.FromSeconds(min(busy, l.cfg.LeaseTime().Seconds()/takeoversPerLease))
+	return clock.FromSeconds(min(busy, l.cfg.AgentLeaseTime().Seconds()/takeoversPerLease))
 }
 
 // reassignDelay is how long blocks beyond that wait for a holder to come back: the last
@@ -67,7 +67,7 @@
 	if l.cfg.Facts.InitialSize <= 1 {
 		return 0
 	}
-	return l.cfg.LeaseTime() * 9 / 10
+	return l.cfg.AgentLeaseTime() * 9 / 10
 }
 
 func (l *Leader) refusedByStore(name string, now clock.Micros) bool {
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -79,7 +79,7 @@
 
 func (l *Leader) reset() {
 	l.termState = termState{
-		leadership: leadership{valueBytes: l.cfg.ValueBytes(), txnOps: l.cfg.TxnOps()},
+		leadership: leadership{valueBytes: l.cfg.TargetValueBytes(), txnOps: l.cfg.MaxTxnWrites()},
 		jobs:       jobs.NewTable(),
 		progress:   jobs.NewProgressPages(0),
 		quota:      quotaUsage{byTeam: map[string]*resourceUsage{}},
@@ -133,7 +133,7 @@
 // tasks on it. A watch may hang while all else is served: a leader that cannot know of
 // cancellations must not let the workers of their tasks go on (config.GrantTime).
 func (l *Leader) current(now clock.Micros) bool {
-	return now < l.jobsViewedAt+l.cfg.ViewTime().Shorter()
+	return now < l.jobsViewedAt+l.cfg.MaxViewAge().Shorter()
 }
 
 // handleEvent takes in what happens while the controller leads, whatever it has asked for.
--- a/internal/leader/preempt.go
+++ b/internal/leader/preempt.go
@@ -195,7 +195,7 @@
 	zones := p.l.zones(j)
 	standing := t.standing
 	for n := min(j.Waiting(), mostPreempted); n > 0; n-- {
-		if !t.mayStand(s, standing, p.l.cfg.Tuning.Queues.LeastShare) {
+		if !t.mayStand(s, standing, p.l.cfg.Tuning.Queues.MinShare) {
 			return
 		}
 		c, ok := p.claim(t, s)
--- a/internal/leader/queue.go
+++ b/internal/leader/queue.go
@@ -166,7 +166,7 @@
 // queues sorts the jobs that wait by team.
 func (l *Leader) queues(now clock.Micros) []*teamQueue {
 	byTeam := map[string]*teamQueue{}
-	old := l.cfg.Tuning.Queues.StartWithinS
+	old := l.cfg.Tuning.Queues.StartTargetS
 	for _, ref := range l.jobs.Refs() {
 		j := l.jobs.Get(ref)
 		s := &j.Spec
--- a/internal/leader/schedule.go
+++ b/internal/leader/schedule.go
@@ -48,7 +48,7 @@
 // offer hands out tasks until nobody who is served next finds room.
 func (l *Leader) offer(now clock.Micros, queues []*teamQueue, room *freeRoom) {
 	offers := map[offerKey]int{}
-	floor := l.cfg.Tuning.Queues.LeastShare
+	floor := l.cfg.Tuning.Queues.MinShare
 	for {
 		var best *teamQueue
 		for _, t := range queues {
@@ -115,7 +115,7 @@
 		b.orders.Include = append(b.orders.Include, m.name)
 	}
 	given := 0
-	for given < n && m.holds(s) && t.takes(s, l.cfg.Tuning.Queues.LeastShare) && (given == 0 || m.reserve() > 0 || room.even.within(m, s)) {
+	for given < n && m.holds(s) && t.takes(s, l.cfg.Tuning.Queues.MinShare) && (given == 0 || m.reserve() > 0 || room.even.within(m, s)) {
 		i := j.DispatchFirst()
 		if i < 0 {
 			break
--- a/internal/leader/spread.go
+++ b/internal/leader/spread.go
@@ -34,12 +34,12 @@
 	}
 	bound := rebalancer.Bound{Relative: s.Bound, ImbalanceS: s.ImbalanceS}
 	p := rebalancer.Params{
-		Bound: bound, MoveAbove: s.MoveAbove, LeastLoad: s.LeastLoad, MigrationBudget: s.MovesPart, TeamPart: s.TeamPart,
-		LeastRun: clock.FromSeconds(s.LeastRunS), Pause: clock.FromSeconds(s.PauseS),
-		Calm: clock.FromSeconds(s.CalmS), GiveUp: clock.FromSeconds(s.GiveUpS),
+		Bound: bound, MoveAbove: s.MigrateAbove, LeastLoad: s.MinLoad, MigrationBudget: s.MigrationShare, TeamPart: s.TeamShare,
+		LeastRun: clock.FromSeconds(s.MinRunS), Pause: clock.FromSeconds(s.TaskCooldownS),
+		Calm: clock.FromSeconds(s.LeaderCooldownS), GiveUp: clock.FromSeconds(s.TimeoutS),
 	}
 	return &rebalancing{Balancer: rebalancer.New(p, now), bound: bound, fetches: rebalancer.NewFetchRates(),
-		every: clock.FromSeconds(s.EveryS), impossible: map[string]bool{}}
+		every: clock.FromSeconds(s.IntervalS), impossible: map[string]bool{}}
 }
 
 func taskID(t peer.Task) rebalancer.TaskID { return rebalancer.TaskID{Job: t.Job, Index: t.Index} }
--- a/internal/loopback/settings.go
+++ b/internal/loopback/settings.go
@@ -51,7 +51,13 @@
 // writeSettings writes the platform's file for a controller.
 func (c *Cluster) writeSettings(k *Controller) error {
 	shape := c.site.shape
-	s := config.Settings{Name: k.Name, Zone: zone, ServeOn: k.ServeAddress, Back: k.PeerAddress, Peers: []config.Peer{}}
+	s := config.Settings{
+		Name:          k.Name,
+		Zone:          zone,
+		ListenAddress: k.ServeAddress,
+		PeerAddress:   k.PeerAddress,
+		Peers:         []config.Peer{},
+	}
 	s.Endpoints.Cloud, s.Endpoints.State = k.CloudLink.listen, k.StoreLink.listen
 	for _, other := range c.Controllers {
 		if other != k {
--- a/internal/scenario/random_faults_test.go
+++ b/internal/scenario/random_faults_test.go
@@ -324,7 +324,7 @@
 // The same with work that is moved as often as can be: tasks are stopped and started again all the time,
 // in the midst of the faults.
 func TestRandomFaultsWhileTasksAreMoved(t *testing.T) {
-	spread := config.Spread{Enabled: true, Bound: 1.05, ImbalanceS: 3600, MoveAbove: 1.06, EveryS: 0.25, CalmS: 1, MovesPart: 0.25, TeamPart: 1, GiveUpS: 30}
+	spread := config.Spread{Enabled: true, Bound: 1.05, ImbalanceS: 3600, MigrateAbove: 1.06, IntervalS: 0.25, LeaderCooldownS: 1, MigrationShare: 0.25, TeamShare: 1, TimeoutS: 30}
 	moved := 0
 	checkPart(t, 2, func(t *rapid.T) { moved += tryFaults(t, 30, 150, spread) })
 	if moved == 0 {
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -74,8 +74,8 @@
 	if d.HasArg("spread") {
 		spread := &cfg.Tuning.Spread
 		spread.Enabled = true
-		spread.CalmS, spread.LeastRunS = float64(arg(t, d, "calm", 5)), float64(arg(t, d, "least_run", 5))
-		spread.PauseS = float64(arg(t, d, "pause", 60))
+		spread.LeaderCooldownS, spread.MinRunS = float64(arg(t, d, "calm", 5)), float64(arg(t, d, "least_run", 5))
+		spread.TaskCooldownS = float64(arg(t, d, "pause", 60))
 	}
 	cfg.Tuning.Fleet.Reserve = arg(t, d, "reserve", cfg.Tuning.Fleet.Reserve)
 	f.State.RPS, f.State.WriteRPS = 100, 20
--- a/internal/scenario/worker_test.go
+++ b/internal/scenario/worker_test.go
@@ -40,7 +40,7 @@
 	s := &simWorker{rented: m, Worker: &fake.Worker{
 		Identity:  fake.Identity{Name: m.Name, Address: m.Address, Type: m.Type, Zone: m.Zone, Spot: m.Spot},
 		Resources: fake.Resources{CPUs: t.CPUs, Memory: t.MemoryGB, FetchSeconds: 1},
-		LeaseTime: w.cfg.LeaseTime(),
+		LeaseTime: w.cfg.AgentLeaseTime(),
 		Workload:  workload{w},
 		Observer:  observer{w},
 		Outputs:   w.outputs,
--- a/internal/shard/holder.go
+++ b/internal/shard/holder.go
@@ -49,13 +49,13 @@
 // FromConfig makes a controller's holder.
 func FromConfig(cfg *config.Config, storeOK func() bool) *Holder {
 	f, t := &cfg.Facts, cfg.Tuning.Placement
-	p := Params{Controller: cfg.Name, GrantTime: cfg.GrantTime(), LongestGrant: cfg.LongestGrant(), AgentLease: cfg.LeaseTime(), HeartbeatInterval: clock.FromSeconds(f.Workers.ReportS),
-		ValueBytes: cfg.ValueBytes(), TxnOps: cfg.TxnOps()}
+	p := Params{Controller: cfg.Name, GrantTime: cfg.GrantTime(), LongestGrant: cfg.LongestGrantTime(), AgentLease: cfg.AgentLeaseTime(), HeartbeatInterval: clock.FromSeconds(f.Workers.ReportS),
+		ValueBytes: cfg.TargetValueBytes(), TxnOps: cfg.MaxTxnWrites()}
 	p.TracingEnabled = cfg.Tuning.Trace.File != ""
 	if s := cfg.Tuning.Spread; s.Enabled {
 		p.Bound = &rebalancer.Bound{Relative: s.Bound, ImbalanceS: s.ImbalanceS}
 	}
-	return New(p, placement.Params{K: t.K, Eta: t.Eta, Epsilon: t.Epsilon, Small: t.Small}, storeOK)
+	return New(p, placement.Params{K: t.AffinityDecay, Eta: t.MinAffinity, Epsilon: t.MinPriceRise, Small: t.UnstartedOffset}, storeOK)
 }
 
 // Step takes one message at a time.
--- a/internal/shard/messages.go
+++ b/internal/shard/messages.go
@@ -198,7 +198,7 @@
 type Params struct {
 	Controller string
 	GrantTime  clock.Micros
-	// LongestGrant is the most that any other holder's grant may last.
+	// LongestGrantTime is the most that any other holder's grant may last.
 	LongestGrant      clock.Micros
 	AgentLease        clock.Micros
 	HeartbeatInterval clock.Micros
--- a/internal/status/status.go
+++ b/internal/status/status.go
@@ -27,7 +27,7 @@
 
 // Ask asks all controllers of a site at once.
 func Ask(cfg *config.Config) []Controller {
-	all := []Controller{{Name: cfg.Name, Address: cfg.Back}}
+	all := []Controller{{Name: cfg.Name, Address: cfg.PeerAddress}}
 	for _, p := range cfg.Peers {
 		all = append(all, Controller{Name: p.Name, Address: p.Address})
 	}
--- a/internal/status/status_test.go
+++ b/internal/status/status_test.go
@@ -43,7 +43,7 @@
 		Refusals:   []peer.RefusalStatus{{Machine: "host-3", Reason: "cannot save", Tasks: 4, Task: "j-000002/0"}, {Reason: "work waits for room", Tasks: 1}}}
 	cfg := &config.Config{}
 	cfg.Name = "c0"
-	cfg.Back = listen(t, func(c net.Conn) {
+	cfg.PeerAddress = listen(t, func(c net.Conn) {
 		server := peer.Server{Controller: "c0", Status: func() peer.Status { return leads }}
 		server.Serve(c, peer.TransportTCP)
 	})
