--- a/internal/controller/cloud.go
+++ b/internal/controller/cloud.go
@@ -7,7 +7,7 @@
 	"swiftledge/wire"
 )
 
-func (n *Controller) toCloud(f func()) {
+func (n *Controller) toCloud(f func(context.Context)) {
 	select {
 	case n.cloudWork <- f:
 	default:
@@ -25,16 +25,16 @@
 		case <-ctx.Done():
 			return
 		case f := <-n.cloudWork:
-			f()
+			f(ctx)
 		}
 	}
 }
 
-func (n *Controller) list() {
+func (n *Controller) list(ctx context.Context) {
 	var all []wire.Machine
 	after := ""
 	for {
-		l, err := n.cloud.List(after)
+		l, err := n.cloud.List(ctx, after)
 		if err != nil {
 			n.log.Debug("machine list", "error", err)
 			return
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -62,10 +62,10 @@
 	case leader.Log:
 		n.logForLeader(x)
 	case leader.ProvisionMachines:
-		n.toCloud(func() { n.provision(x) })
+		n.toCloud(func(ctx context.Context) { n.provision(ctx, x) })
 	case leader.DeleteMachines:
-		n.toCloud(func() {
-			n.leader <- leader.MachinesDeleted{Term: x.Term, Machines: x.Machines, Err: n.cloud.Delete(x.Machines)}
+		n.toCloud(func(ctx context.Context) {
+			n.leader <- leader.MachinesDeleted{Term: x.Term, Machines: x.Machines, Err: n.cloud.Delete(ctx, x.Machines)}
 		})
 	case leader.ListMachines:
 		n.toCloud(n.list)
@@ -120,15 +120,15 @@
 }
 
 // provision asks the cloud for machines.
-func (n *Controller) provision(x leader.ProvisionMachines) {
-	names, err := n.cloud.Provision(x.Request)
+func (n *Controller) provision(ctx context.Context, x leader.ProvisionMachines) {
+	names, err := n.cloud.Provision(ctx, x.Request)
 	n.leader <- leader.MachinesProvisioned{Term: x.Term, RequestID: x.Request.RequestID, Machines: names,
 		NoCapacity: errors.Is(err, cloud.ErrNoCapacity), Err: err}
 }
 
 // loadCatalog asks the cloud for its catalog.
-func (n *Controller) loadCatalog() {
-	c, err := n.cloud.Catalog()
+func (n *Controller) loadCatalog(ctx context.Context) {
+	c, err := n.cloud.Catalog(ctx)
 	if err != nil {
 		n.log.Debug("catalog", "error", err)
 		return
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -61,7 +61,7 @@
 
 	elector, holder, pauses mailbox
 	leader                  chan leader.Message
-	cloudWork               chan func()
+	cloudWork               chan func(context.Context)
 	commandSlots            chan struct{}
 }
 
@@ -69,7 +69,7 @@
 func New(cfg *config.Config, log *slog.Logger) *Controller {
 	n := &Controller{cfg: cfg, log: log, clock: clock.NewSteady(), incarnation: cluster.Incarnation(rand.Uint64() >> 1),
 		elector: make(mailbox, leastMailbox), leader: make(chan leader.Message, mailboxSize(cfg)), holder: make(mailbox, mailboxSize(cfg)),
-		pauses: make(mailbox, 16), cloudWork: make(chan func(), 64), commandSlots: make(chan struct{}, mostDirects(cfg))}
+		pauses: make(mailbox, 16), cloudWork: make(chan func(context.Context), 64), commandSlots: make(chan struct{}, mostDirects(cfg))}
 	n.health = newHealth()
 	n.store = store.New(cfg.Endpoints.State, n.share(false), n.health.note)
 	n.cloud = cloud.New(cfg.Endpoints.Cloud, cfg.Facts.Cloud.RPS)
