--- a/internal/leader/assign_test.go
+++ b/internal/leader/assign_test.go
@@ -7,6 +7,7 @@
 	"testing"
 
 	"swiftledge/internal/clock"
+	"swiftledge/internal/leader/assignment"
 	"swiftledge/internal/peer"
 	"swiftledge/internal/shard"
 )
@@ -25,7 +26,7 @@
 			l.Step(now, HolderMessage{Controller: "n0", Link: testLink("link"), Message: &peer.ToLeader{Term: 5, StoreOK: true}})
 			l.Step(now, Tick{})
 		}
-		return l.shards.all[0].holder == "n1" || l.shards.all[1].holder == "n1"
+		return l.shards.all[0].Holder == "n1" || l.shards.all[1].Holder == "n1"
 	}
 	if moved(true) {
 		t.Error("a block goes to a controller with a slow link")
@@ -52,7 +53,7 @@
 		for i := range c.machines {
 			l.inventory.machines[fmt.Sprint("more", i)] = &machine{}
 		}
-		if n := l.maxShards(); n < c.least || n > c.most {
+		if n := l.controllerCapacity().MaxShards(len(l.shards.all)); n < c.least || n > c.most {
 			t.Errorf("%g of a core and %d machines: %d of 6 blocks, want %d to %d", c.cpu, c.machines, n, c.least, c.most)
 		}
 	}
@@ -90,7 +91,7 @@
 	f.InitialSize, f.Quota.CPU, f.Workers.ReportS, f.Workers.LeaseS = 3, cpu, 3, 17
 	l.shards.all = nil
 	for i, h := range holders {
-		l.shards.all = append(l.shards.all, &shardLease{id: i, holder: h, attemptsRead: true, tasks: map[peer.Task]*grantedTask{}})
+		l.shards.all = append(l.shards.all, &shardLease{Shard: assignment.Shard{ID: i, Holder: h, AttemptsRead: true}, tasks: map[peer.Task]*grantedTask{}})
 	}
 	for _, m := range l.inventory.machines {
 		m.shard = l.shards.all[0]
@@ -122,7 +123,7 @@
 			l.Step(at, Tick{})
 			taken = 0
 			for _, b := range l.shards.all[2:] {
-				if b.holder == "n0" {
+				if b.Holder == "n0" {
 					taken++
 				}
 			}
@@ -151,10 +152,10 @@
 	l.Step(joined, LeadershipExtended{Until: joined + 10*clock.Second})
 	l.shards.controllers["n0"].lastHeartbeat = joined
 	l.Step(joined, PeerConnected{Controller: "n1", Link: testLink("other")})
-	if n := blockWrites(t, l.Step(joined+minConnectedTime/2, Tick{}), "n1"); n != 0 {
+	if n := blockWrites(t, l.Step(joined+assignment.MinConnectedTime/2, Tick{}), "n1"); n != 0 {
 		t.Errorf("%d blocks move before the controller has settled", n)
 	}
-	if n := blockWrites(t, l.Step(joined+2*minConnectedTime, Tick{}), "n1"); n < 2 || n > 3 {
+	if n := blockWrites(t, l.Step(joined+2*assignment.MinConnectedTime, Tick{}), "n1"); n < 2 || n > 3 {
 		t.Errorf("%d blocks move, want two or three of six", n)
 	}
 }
--- a/internal/leader/fleet.go
+++ b/internal/leader/fleet.go
@@ -33,7 +33,7 @@
 	if len(l.autoscaler.types) == 0 {
 		return
 	}
-	// While an answer is out, machines that nobody knows may be its rental's.
+	// While an answer is out, machines that nobody knows may be its provision request's.
 	if pending == 0 {
 		l.adoptDiscovered(now)
 	}
@@ -51,7 +51,7 @@
 	l.deleteMachines(doomed)
 }
 
-// pollCloud has the machine list and the catalog read when it is time. Lists give way to rentals, which
+// pollCloud has the machine list and the catalog read when it is time. Lists give way to provision requests, which
 // share the cloud's few calls with them.
 func (l *Leader) pollCloud(now clock.Micros, renting bool) {
 	every := max(clock.FromSeconds(l.cfg.Facts.Cloud.ListLagS)/2, 2*clock.Second, l.minListInterval())
@@ -84,16 +84,16 @@
 	leastCloudRate = 0.1
 )
 
-// minListInterval is how far apart machine lists are for their pages to leave calls to rentals and deletions.
+// minListInterval is how far apart machine lists are for their pages to leave calls to provision requests and deletions.
 func (l *Leader) minListInterval() clock.Micros {
 	pages := float64(len(l.inventory.machines)/listPage + 1)
 	return clock.FromSeconds(pages / (listShare * max(l.cfg.Facts.Cloud.RPS, leastCloudRate)))
 }
 
-// provisionRetryAfter is how long a rental's answer is waited for before it is asked for again.
+// provisionRetryAfter is how long a provision request's answer is waited for before it is asked for again.
 const provisionRetryAfter = 8 * clock.Second
 
-// reconcileInstanceGroups asks again for rentals without an answer, and takes machines that are gone out of the
+// reconcileInstanceGroups asks again for provision requests without an answer, and takes machines that are gone out of the
 // records of the others.
 func (l *Leader) reconcileInstanceGroups(now clock.Micros) {
 	for _, key := range slices.Sorted(maps.Keys(l.inventory.groups)) {
@@ -130,7 +130,7 @@
 	}
 }
 
-// adoptDiscovered takes machines into the roster that nobody here knows to have rented.
+// adoptDiscovered takes machines into the inventory that nobody here knows to have provisioned.
 func (l *Leader) adoptDiscovered(now clock.Micros) {
 	if len(l.inventory.discovered) == 0 {
 		return
@@ -145,7 +145,7 @@
 	kinds := slices.SortedFunc(maps.Keys(byKind), func(a, c wire.ProvisionRequest) int { return strings.Compare(byKind[a][0], byKind[c][0]) })
 	for _, k := range kinds {
 		names := byKind[k]
-		// As many as a rental has at most: more might not fit into a value.
+		// As many as a provision request has at most: more might not fit into a value.
 		for part := range slices.Chunk(names, autoscaler.MaxMachinesPerRequest) {
 			l.inventory.requestSeq++
 			rt := &instanceGroup{key: fmt.Sprintf("%sfound-%d-%d", InstanceGroupPrefix, l.term, l.inventory.requestSeq), busy: true,
@@ -209,7 +209,7 @@
 }
 
 // giveUpReason says why a machine serves nobody any more; "": it does, or may yet. alone: not many of its
-// block are silent.
+// shard are silent.
 func (l *Leader) giveUpReason(now clock.Micros, m *machine, alone bool) string {
 	lag := clock.FromSeconds(l.cfg.Facts.Cloud.ListLagS)
 	switch {
@@ -295,7 +295,7 @@
 	return d.ScaleIn
 }
 
-// unansweredTimeout is how long a rental is without an answer before the cloud counts as away.
+// unansweredTimeout is how long a provision request is without an answer before the cloud counts as away.
 const unansweredTimeout = 10 * clock.Second
 
 // applyExclusions tells the holders which machines their auctions are to leave out. Those not
--- a/internal/leader/holders.go
+++ b/internal/leader/holders.go
@@ -14,18 +14,18 @@
 	}
 	n.lastHeartbeat = now
 	if m.Message.NoAgentContact {
-		n.noAgentContactAt = now
+		n.NoAgentContactAt = now
 	}
 	if m.Message.StoreOK {
-		n.refusedSince = 0
-	} else if n.refusedSince == 0 {
-		n.refusedSince = now
+		n.RefusedSince = 0
+	} else if n.RefusedSince == 0 {
+		n.RefusedSince = now
 	}
 	if m.Message.RenewSeq > 0 && l.loaded && l.authorised(now) && l.current(now) {
 		d := peer.FromLeader{Term: l.term, RenewedSeq: m.Message.RenewSeq, FencingTokens: map[int]wire.FencingToken{}, StoreOK: l.storeOK()}
 		for _, b := range l.shards.all {
 			if b.state == granted && b.link == m.Link {
-				d.FencingTokens[b.id] = b.token
+				d.FencingTokens[b.ID] = b.token
 			}
 		}
 		l.emit(SendToHolder{m.Link, d})
@@ -167,7 +167,7 @@
 		if b.state != granted || len(o.Offers)+len(o.Stop)+len(o.Persisted)+len(o.Added)+len(o.Drain)+len(o.Terminated)+len(o.Exclude)+len(o.Include) == 0 {
 			continue
 		}
-		o.Shard, o.FencingToken = b.id, b.token
+		o.Shard, o.FencingToken = b.ID, b.token
 		d := byLink[b.link]
 		if d == nil {
 			d = &peer.FromLeader{Term: l.term}
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -10,6 +10,7 @@
 
 	"swiftledge/internal/clock"
 	"swiftledge/internal/config"
+	"swiftledge/internal/leader/assignment"
 	"swiftledge/internal/leader/jobs"
 	"swiftledge/internal/pausedetect"
 	"swiftledge/internal/peer"
@@ -182,9 +183,12 @@
 // peerConnected takes in a new link. What the controller was told over an older one may be lost: its blocks
 // are granted anew.
 func (l *Leader) peerConnected(now clock.Micros, m PeerConnected) {
-	l.shards.controllers[m.Controller] = &controller{name: m.Controller, incarnation: m.Incarnation, link: m.Link, viaStore: m.ViaStore, joinedAt: now, lastHeartbeat: now}
+	l.shards.controllers[m.Controller] = &controller{
+		Controller:  assignment.Controller{Name: m.Controller, ViaStore: m.ViaStore, ConnectedAt: now},
+		incarnation: m.Incarnation, link: m.Link, lastHeartbeat: now,
+	}
 	for _, b := range l.shards.all {
-		if b.holder == m.Controller && b.link != m.Link && b.state != writing {
+		if b.Holder == m.Controller && b.link != m.Link && b.state != writing {
 			b.state = unassigned
 		}
 	}
@@ -193,7 +197,7 @@
 
 // controllersByName are the controllers in touch in a fixed order: the same state gives the same effects.
 func (l *Leader) controllersByName() []*controller {
-	return slices.SortedFunc(maps.Values(l.shards.controllers), func(a, b *controller) int { return strings.Compare(a.name, b.name) })
+	return slices.SortedFunc(maps.Values(l.shards.controllers), func(a, b *controller) int { return strings.Compare(a.Name, b.Name) })
 }
 
 func (l *Leader) emit(e Effect) { l.effects = append(l.effects, e) }
--- a/internal/leader/limits_test.go
+++ b/internal/leader/limits_test.go
@@ -4,6 +4,7 @@
 	"testing"
 
 	"swiftledge/internal/clock"
+	"swiftledge/internal/leader/assignment"
 	"swiftledge/internal/store"
 	"swiftledge/wire"
 )
@@ -34,7 +35,10 @@
 	now, revision, last := began, uint64(20), wire.FencingToken(0)
 	for i := range 3 << tokenBits {
 		revision++
-		l.shards.all[0].unassignedSince, l.shards.controllers["n0"].lastHeartbeat, l.shards.controllers["n0"].busyUntil = 0, now, 0
+		// Nothing but the tokens holds up the next grant.
+		l.shards.all[0].UnassignedSince = 0
+		n0 := l.shards.controllers["n0"]
+		n0.lastHeartbeat, n0.Controller = now, assignment.Controller{Name: "n0"}
 		token, ok := regrant(l, now, revision)
 		if !ok {
 			t.Fatalf("no token for grant %d", i)
--- a/internal/leader/load.go
+++ b/internal/leader/load.go
@@ -4,6 +4,7 @@
 	"strings"
 
 	"swiftledge/internal/clock"
+	"swiftledge/internal/leader/assignment"
 	"swiftledge/internal/leader/jobs"
 	"swiftledge/internal/peer"
 	"swiftledge/internal/shard"
@@ -11,7 +12,7 @@
 	"swiftledge/wire"
 )
 
-// load takes in what the state service holds at the start of an epoch.
+// load takes in what the store holds at the start of an term.
 func (l *Leader) load(now clock.Micros, m StateLoaded) {
 	l.wallOffset = m.TimeOfDay - now
 	l.jobsViewedAt = m.RequestedAt
@@ -41,8 +42,8 @@
 	l.info("leading", "epoch", l.term, "jobs", l.jobs.Len(), "machines", len(l.inventory.machines), "blocks", len(l.shards.all))
 }
 
-// loadBlocks makes the blocks, to which the machines belong, and learns the machine types. The first
-// leader of a state service stores how many blocks there are.
+// loadBlocks makes the shards, to which the machines belong, and learns the machine types. The first
+// leader of a store stores how many shards there are.
 func (l *Leader) loadBlocks(items []wire.Item) {
 	n, haveLayout := int(l.cfg.Tuning.Grants.Blocks), false
 	stamps := map[string]uint64{}
@@ -65,7 +66,8 @@
 	}
 	for i := range n {
 		key := shard.Key(i)
-		l.shards.all = append(l.shards.all, &shardLease{id: i, keyVersion: stamps[key], holder: holders[key].Holder, tasks: map[peer.Task]*grantedTask{}})
+		l.shards.all = append(l.shards.all, &shardLease{
+			Shard: assignment.Shard{ID: i, Holder: holders[key].Holder}, keyVersion: stamps[key], tasks: map[peer.Task]*grantedTask{}})
 	}
 	if !haveLayout {
 		l.commit(store.PriorityUrgent, nil, []wire.Condition{{Key: LayoutKey}}, []wire.Write{put(LayoutKey, LayoutRecord{n})})
--- a/internal/leader/machines.go
+++ b/internal/leader/machines.go
@@ -12,7 +12,7 @@
 	"swiftledge/wire"
 )
 
-// machine is one of the roster, as the cloud and its holder see it.
+// machine is one of the inventory, as the cloud and its holder see it.
 type machine struct {
 	name          string
 	group         string
@@ -69,7 +69,7 @@
 	}
 	if s.Type == "" {
 		// Known by name only, not heard yet. One that was up under its former holder,
-		// and ended while the block changed hands, would never be missed otherwise.
+		// and ended while the shard changed hands, would never be missed otherwise.
 		m.state.Silent = m.up && s.Silent
 		return
 	}
--- a/internal/leader/messages.go
+++ b/internal/leader/messages.go
@@ -1,5 +1,5 @@
 // Package leader is the leading controller's part: jobs, team queues, limits,
-// block grants and the fleet. It holds no I/O: a message and the time give effects.
+// shard grants and the fleet. It holds no I/O: a message and the time give effects.
 package leader
 
 import (
@@ -42,12 +42,12 @@
 	Incarnation  cluster.Incarnation `json:"run"`
 }
 
-// LayoutRecord fixes how machines are split into blocks.
+// LayoutRecord fixes how machines are split into shards.
 type LayoutRecord struct {
 	Shards int `json:"blocks"`
 }
 
-// InstanceGroupRecord is a rental, or machines that were found: the durable roster.
+// InstanceGroupRecord is a provision request, or machines that were found: the durable inventory.
 type InstanceGroupRecord struct {
 	Request  wire.ProvisionRequest `json:"rental"`
 	Machines []string              `json:"machines"`
@@ -73,16 +73,16 @@
 
 // Messages to a Leader.
 type (
-	// LeadershipAcquired begins an epoch; every write guards on Epoch, the leader key's version.
+	// LeadershipAcquired begins an term; every write guards on Epoch, the leader key's version.
 	LeadershipAcquired struct {
 		Term        cluster.Term
 		Incarnation cluster.Incarnation
 	}
 	// LeadershipExtended says until when the leader may act without a further renewal.
 	LeadershipExtended struct{ Until clock.Micros }
-	// LeadershipLost ends the epoch.
+	// LeadershipLost ends the term.
 	LeadershipLost struct{}
-	// StateLoaded is the store's content at the start of an epoch.
+	// StateLoaded is the store's content at the start of an term.
 	StateLoaded struct {
 		Term        cluster.Term
 		Items       []wire.Item
@@ -95,7 +95,7 @@
 		Controller  string
 		Incarnation cluster.Incarnation
 		Link        Link
-		ViaStore    bool // through the state service: messages take seconds
+		ViaStore    bool // through the store: messages take seconds
 	}
 	// PeerDisconnected is its end.
 	PeerDisconnected struct {
@@ -122,7 +122,7 @@
 		Result store.TxnResult
 		Err    error
 	}
-	// AttemptsLoaded are a block's start records, read after its key was written.
+	// AttemptsLoaded are a shard's attempt records, read after its key was written.
 	AttemptsLoaded struct {
 		Term         cluster.Term
 		Shard        int
@@ -140,7 +140,7 @@
 	CatalogLoaded struct{ Types []wire.MachineType }
 	// MachinesListed is the cloud's full machine list.
 	MachinesListed struct{ Machines []wire.Machine }
-	// MachinesProvisioned is a rental's end.
+	// MachinesProvisioned is a provision request's end.
 	MachinesProvisioned struct {
 		Term       cluster.Term
 		RequestID  string
@@ -235,13 +235,13 @@
 	}
 	// LoadState asks for all that the store holds of ours, and a watch of the jobs from there on.
 	LoadState struct{ Term cluster.Term }
-	// LoadAttempts asks for a block's start records.
+	// LoadAttempts asks for a shard's attempt records.
 	LoadAttempts struct {
 		Term         cluster.Term
 		Shard        int
 		FencingToken wire.FencingToken
 	}
-	// CommitTxn is a transaction; Guards on the epoch are part of it.
+	// CommitTxn is a transaction; Guards on the term are part of it.
 	CommitTxn struct {
 		Term     cluster.Term
 		Priority store.Priority
@@ -275,7 +275,7 @@
 		ReplyTo chan<- peer.Status
 		Status  peer.Status
 	}
-	// Resign gives up the epoch.
+	// Resign gives up the term.
 	Resign struct{ Reason string }
 	// RecordSpan is a span to be written.
 	RecordSpan struct{ Span trace.Span }
--- a/internal/leader/needs.go
+++ b/internal/leader/needs.go
@@ -135,7 +135,7 @@
 // arrivals is for how long back the services that came are counted, and at least.
 const arrivals, leastArrivals = 120, 30
 
-// addArrivalReserve adds the room that services need which come while a machine rented for them
+// addArrivalReserve adds the room that services need which come while a machine provisioned for them
 // would still boot: what came lately, for that long, and half as much again as it varies.
 func (l *Leader) addArrivalReserve(now clock.Micros, n *demandSet) {
 	type recentArrivals struct {
--- a/internal/leader/proofs_test.go
+++ b/internal/leader/proofs_test.go
@@ -24,7 +24,7 @@
 
 // saying is what a holder says of a block under a token.
 func saying(b *shardLease, token wire.FencingToken, events ...peer.TaskEvent) HolderMessage {
-	return HolderMessage{Controller: "n0", Link: testLink("link"), Message: &peer.ToLeader{Term: 5, Updates: []peer.ShardUpdate{{Shard: b.id, FencingToken: token, Events: events}}}}
+	return HolderMessage{Controller: "n0", Link: testLink("link"), Message: &peer.ToLeader{Term: 5, Updates: []peer.ShardUpdate{{Shard: b.ID, FencingToken: token, Events: events}}}}
 }
 
 func eventOf(index int, kind peer.EventKind) peer.TaskEvent {
@@ -53,8 +53,8 @@
 func TestTaskWaitsWhenItHasLeftItsLastGrant(t *testing.T) {
 	l := leading(t)
 	for _, b := range l.shards.all {
-		machine := names[slices.IndexFunc(names, func(n string) bool { return shard.ForMachine(n, 2) == b.id })]
-		l.Step(began, AttemptsLoaded{Term: 5, Shard: b.id, FencingToken: b.token, Pages: recordsOf(machine, 0)})
+		machine := names[slices.IndexFunc(names, func(n string) bool { return shard.ForMachine(n, 2) == b.ID })]
+		l.Step(began, AttemptsLoaded{Term: 5, Shard: b.ID, FencingToken: b.token, Pages: recordsOf(machine, 0)})
 	}
 	j := l.jobs.Get(spec.Ref)
 	l.Step(began, saying(l.shards.all[0], l.shards.all[0].token, eventOf(0, peer.EventReleased)))
@@ -76,10 +76,10 @@
 func TestRecordedTasksStayOutWhenABlockIsGrantedAnew(t *testing.T) {
 	l := leading(t)
 	b := l.shards.all[shard.ForMachine(names[0], 2)]
-	l.Step(began, AttemptsLoaded{Term: 5, Shard: b.id, FencingToken: b.token, Pages: recordsOf(names[0], 0, 1)})
+	l.Step(began, AttemptsLoaded{Term: 5, Shard: b.ID, FencingToken: b.token, Pages: recordsOf(names[0], 0, 1)})
 	j := l.jobs.Get(spec.Ref)
 	b.state = reading
-	l.Step(began, AttemptsLoaded{Term: 5, Shard: b.id, FencingToken: b.token, Pages: recordsOf(names[0], 1)})
+	l.Step(began, AttemptsLoaded{Term: 5, Shard: b.ID, FencingToken: b.token, Pages: recordsOf(names[0], 1)})
 	if j.Grants(0) != 0 || !j.IsWaiting(0) || j.Grants(1) != 1 || j.IsWaiting(1) {
 		t.Errorf("in %d and %d grants, waiting %t and %t: want task 1 in one and task 0 to wait", j.Grants(0), j.Grants(1), j.IsWaiting(0), j.IsWaiting(1))
 	}
@@ -93,7 +93,7 @@
 		if m.FencingToken = b.token; m.Term == 5 {
 			m.FencingToken--
 		}
-		if l.Step(began, m); b.state != reading || b.attemptsRead {
+		if l.Step(began, m); b.state != reading || b.AttemptsRead {
 			t.Errorf("records of epoch %d and token %d are taken for those of 5 and %d", m.Term, m.FencingToken, b.token)
 		}
 	}
@@ -105,8 +105,8 @@
 		l := leading(t)
 		b := l.shards.all[0]
 		b.state = writing
-		tag := shardsTag{map[int]wire.FencingToken{b.id: b.token}}
-		key := shard.Key(b.id)
+		tag := shardsTag{map[int]wire.FencingToken{b.ID: b.token}}
+		key := shard.Key(b.ID)
 		l.Step(began, TxnCompleted{Term: 5, Tag: tag, Result: store.TxnResult{Ambiguous: true, FailedKeys: []string{key}}})
 		if b.state != writing {
 			t.Error("taken for written by a failed guard")
--- a/internal/leader/rentals.go
+++ b/internal/leader/rentals.go
@@ -39,14 +39,14 @@
 	l.commit(store.PriorityAttempts, instanceGroupTag{rt.key}, []wire.Condition{{Key: rt.key, Version: rt.keyVersion}}, []wire.Write{put(rt.key, rt.record)})
 }
 
-// pruneEvery is how long machines that are gone may stay in the roster: there they do
+// pruneEvery is how long machines that are gone may stay in the inventory: there they do
 // no harm but to a new leader, which waits for them a while, and each write costs a put.
 const pruneEvery = 20 * clock.Second
 
 // machineEntryBytes is about what a machine takes in its record, with its part of the rest.
 const machineEntryBytes = 20
 
-// pruneInstanceGroup takes machines that are gone out of the durable roster.
+// pruneInstanceGroup takes machines that are gone out of the durable inventory.
 func (l *Leader) pruneInstanceGroup(now clock.Micros, rt *instanceGroup) {
 	left := slices.DeleteFunc(slices.Clone(rt.record.Machines), func(n string) bool { return l.inventory.terminated[n] })
 	if len(left) > 0 && (len(left) == len(rt.record.Machines) || now-rt.prunedAt < pruneEvery) {
@@ -66,7 +66,7 @@
 	l.writeInstanceGroup(rt)
 }
 
-// instanceGroupWritten goes on after a write of a rental's record. Only a write that succeeded proves what
+// instanceGroupWritten goes on after a write of a provision request's record. Only a write that succeeded proves what
 // is stored. A failed guard does not: the write of ours that changed the record may have been an
 // earlier one than this, whose answer was lost.
 func (l *Leader) instanceGroupWritten(now clock.Micros, tag instanceGroupTag, m TxnCompleted) {
@@ -84,7 +84,7 @@
 	}
 }
 
-// instanceGroupRead compares what is stored of a rental with what was to be written, and writes it again
+// instanceGroupRead compares what is stored of a provision request with what was to be written, and writes it again
 // if it is something else.
 func (l *Leader) instanceGroupRead(now clock.Micros, tag instanceGroupTag, m KeyRead) {
 	rt := l.inventory.groups[tag.key]
@@ -109,7 +109,7 @@
 	return r.Request == o.Request && r.Answered == o.Answered && slices.Equal(r.Machines, o.Machines)
 }
 
-// instanceGroupStored goes on once a rental's record is known to be stored as it is here: a recorded
+// instanceGroupStored goes on once a provision request's record is known to be stored as it is here: a recorded
 // request is sent, and recorded machines are used.
 func (l *Leader) instanceGroupStored(now clock.Micros, rt *instanceGroup) {
 	rt.busy = false
--- a/internal/leader/roster.go
+++ b/internal/leader/roster.go
@@ -9,16 +9,16 @@
 )
 
 // A holder takes the tasks of a machine that its grant does not list for gone: machines leave the
-// durable roster only after their proven end. That holds as long as no machine works that no stored
+// durable inventory only after their proven end. That holds as long as no machine works that no stored
 // record names. A leader of the version in production may have broken it: after a lost answer it can
-// take a rental's record for written that was not. Such a record is still without the cloud's answer.
+// take a provision request's record for written that was not. Such a record is still without the cloud's answer.
 // Nor does it hold while a record cannot be read.
 //
-// So while rentals of former leaders are without a stored answer, machines that only start records
+// So while provision requests of former leaders are without a stored answer, machines that only attempt records
 // name are granted as well, drained: their tasks count as running until the answer, or their own
 // reports, prove something else.
 
-// machinesOfAttemptsOnly names the machines of start records that no roster record names, although one of them
+// machinesOfAttemptsOnly names the machines of attempt records that no inventory record names, although one of them
 // may have to.
 func (l *Leader) machinesOfAttemptsOnly(pages map[string]peer.AttemptPage) []string {
 	if len(l.inventory.unansweredRequests) == 0 {
@@ -36,7 +36,7 @@
 	return slices.Sorted(maps.Keys(names))
 }
 
-// grantUnconfirmed adds such machines to a block's grant.
+// grantUnconfirmed adds such machines to a shard's grant.
 func (l *Leader) grantUnconfirmed(b *shardLease, pages map[string]peer.AttemptPage) (roster []peer.InventoryMachine) {
 	for _, name := range l.machinesOfAttemptsOnly(pages) {
 		l.inventory.unconfirmed[name] = true
@@ -46,8 +46,8 @@
 	return roster
 }
 
-// settleFormerRequest notes that a rental's answer is stored. Once that is true of all of them, the
-// roster names every machine that may work: what it does not name has ended.
+// settleFormerRequest notes that a provision request's answer is stored. Once that is true of all of them, the
+// inventory names every machine that may work: what it does not name has ended.
 func (l *Leader) settleFormerRequest(now clock.Micros, rt *instanceGroup) {
 	if !l.inventory.unansweredRequests[rt.key] {
 		return
--- a/internal/leader/roster_test.go
+++ b/internal/leader/roster_test.go
@@ -170,7 +170,7 @@
 		}
 	}
 	l.Step(began+clock.Second, HolderMessage{Controller: "n0", Link: testLink("link"), Message: &peer.ToLeader{Term: 5, Updates: []peer.ShardUpdate{
-		{Shard: -1, FencingToken: b.token}, {Shard: 99, FencingToken: b.token}, {Shard: b.id, FencingToken: b.token, Events: events}}}})
+		{Shard: -1, FencingToken: b.token}, {Shard: 99, FencingToken: b.token}, {Shard: b.ID, FencingToken: b.token, Events: events}}}})
 	for task := range b.tasks {
 		if task.Index < 0 || task.Index >= spec.Tasks {
 			t.Errorf("task %d counts after its end", task.Index)
--- a/internal/leader/schedule.go
+++ b/internal/leader/schedule.go
@@ -30,7 +30,7 @@
 	}
 	// Until every block's start records are read, a task that waits here may run
 	// in one of them, and the teams' use is not known.
-	if slices.ContainsFunc(l.shards.all, func(b *shardLease) bool { return !b.attemptsRead }) {
+	if slices.ContainsFunc(l.shards.all, func(b *shardLease) bool { return !b.AttemptsRead }) {
 		return
 	}
 	l.scheduling.requested, l.scheduling.urgent = false, false
@@ -124,7 +124,7 @@
 		h := &grantedTask{team: s.Team, cpus: s.CPUs, gpus: s.GPUs, zone: zone}
 		b.tasks[peer.Task{Job: s.Ref, Index: i}] = h
 		l.quota.charge(h, 1)
-		k := offerKey{b.id, s.Ref, zone}
+		k := offerKey{b.ID, s.Ref, zone}
 		at, ok := offers[k]
 		if !ok {
 			at = len(b.orders.Offers)
--- a/internal/leader/service_test.go
+++ b/internal/leader/service_test.go
@@ -20,7 +20,7 @@
 	b := l.shards.all[shard.ForMachine(names[0], 2)]
 	one := peer.Task{Job: spec.Ref, Index: 0}
 	say := func(kinds ...peer.EventKind) []Effect {
-		u := peer.ShardUpdate{Shard: b.id, FencingToken: b.token}
+		u := peer.ShardUpdate{Shard: b.ID, FencingToken: b.token}
 		for _, kind := range kinds {
 			u.Events = append(u.Events, peer.TaskEvent{Task: one, Kind: kind, Machine: names[0]})
 		}
@@ -48,7 +48,7 @@
 	j.Spec.Shape = wire.ShapeService
 	b := l.shards.all[shard.ForMachine(names[0], 2)]
 	one := peer.Task{Job: spec.Ref, Index: 0}
-	fx := l.Step(began+clock.Second, HolderMessage{Controller: "n0", Link: testLink("link"), Message: &peer.ToLeader{Term: 5, Updates: []peer.ShardUpdate{{Shard: b.id, FencingToken: b.token,
+	fx := l.Step(began+clock.Second, HolderMessage{Controller: "n0", Link: testLink("link"), Message: &peer.ToLeader{Term: 5, Updates: []peer.ShardUpdate{{Shard: b.ID, FencingToken: b.token,
 		Events: []peer.TaskEvent{{Task: one, Kind: peer.EventCompleted, Machine: names[0]}}}}}})
 	stopped, stored := false, false
 	for _, o := range toldOf(fx) {
@@ -70,7 +70,7 @@
 	j := l.jobs.Get(spec.Ref)
 	j.Spec.Shape = wire.ShapeService
 	b := l.shards.all[shard.ForMachine(names[0], 2)]
-	l.Step(began, HolderMessage{Controller: "n0", Link: testLink("link"), Message: &peer.ToLeader{Term: 5, Updates: []peer.ShardUpdate{{Shard: b.id, FencingToken: b.token,
+	l.Step(began, HolderMessage{Controller: "n0", Link: testLink("link"), Message: &peer.ToLeader{Term: 5, Updates: []peer.ShardUpdate{{Shard: b.ID, FencingToken: b.token,
 		Events: []peer.TaskEvent{{Task: peer.Task{Job: spec.Ref, Index: 0}, Kind: peer.EventRunning, Machine: names[0]}}}}}})
 	l.errored(began+2*jobs.StableAfter, j, peer.TaskEvent{Task: peer.Task{Job: spec.Ref, Index: 1}, Machine: names[1]}, &grantedTask{})
 	if l.inventory.machines[names[1]].draining {
--- a/internal/leader/shard_table.go
+++ b/internal/leader/shard_table.go
@@ -3,6 +3,7 @@
 import (
 	"swiftledge/internal/clock"
 	"swiftledge/internal/cluster"
+	"swiftledge/internal/leader/assignment"
 	"swiftledge/internal/peer"
 	"swiftledge/wire"
 )
@@ -17,17 +18,40 @@
 
 // controller is a controller in touch.
 type controller struct {
-	name             string
-	incarnation      cluster.Incarnation
-	link             Link
-	viaStore         bool // messages take seconds
-	joinedAt         clock.Micros
-	lastHeartbeat    clock.Micros
-	noAgentContactAt clock.Micros // when it last heard none of its workers
-	triedAt          clock.Micros // when it was last given a shard after that
-	// until when it is busy with the workers of the shard that it took over last
-	busyUntil    clock.Micros
-	refusedSince clock.Micros // since when the store refuses it; 0: it does not
+	assignment.Controller
+	incarnation   cluster.Incarnation
+	link          Link
+	lastHeartbeat clock.Micros
+}
+
+// phase is how far the lease has come, as the assignment of holders sees it.
+func (b *shardLease) phase() assignment.Phase {
+	switch b.state {
+	case writing, reading:
+		return assignment.Moving
+	case granted:
+		return assignment.Granted
+	case unassigned:
+	}
+	return assignment.Unassigned
+}
+
+// assign finds holders for shards and returns the leases whose keys are to be written.
+func (s *shardTable) assign(round assignment.Round) []*shardLease {
+	for _, b := range s.all {
+		c := s.controllers[b.Holder]
+		b.Phase, b.HolderConnected = b.phase(), c != nil && c.link == b.link
+		round.Shards = append(round.Shards, &b.Shard)
+	}
+	round.Controllers = map[string]*assignment.Controller{}
+	for name, c := range s.controllers {
+		round.Controllers[name] = &c.Controller
+	}
+	var changed []*shardLease
+	for _, moved := range assignment.Assign(round) {
+		changed = append(changed, s.all[moved.ID])
+	}
+	return changed
 }
 
 // disconnect forgets a controller whose link has ended, unless it is connected anew already.
@@ -41,20 +65,20 @@
 type leaseState int
 
 const (
-	unassigned leaseState = iota // no holder under this epoch
+	unassigned leaseState = iota // no holder under this term
 	writing                      // its key is being written
-	reading                      // its start records are being read
+	reading                      // its attempt records are being read
 	granted
 )
 
-// grantedTask is a task that is in a block's grant: it counts in full.
+// grantedTask is a task that is in a shard's grant: it counts in full.
 type grantedTask struct {
 	team       string
 	cpus, gpus float64
 	zone       string
 	running    bool
 	remains    bool         // one of several attempts has ended, and another may run yet
-	inherited  bool         // from the start records of an earlier grant
+	inherited  bool         // from the attempt records of an earlier grant
 	since      clock.Micros // when it was first seen to run
 	machine    string
 	givenAt    clock.Micros // to its machine; 0: not known
@@ -65,17 +89,14 @@
 
 // shardLease is the lease of one shard.
 type shardLease struct {
-	id              int
-	state           leaseState
-	token           wire.FencingToken
-	keyVersion      uint64
-	holder          string
-	link            Link
-	tasks           map[peer.Task]*grantedTask
-	offerSeq        uint64
-	offerPending    bool         // an offer is not settled yet
-	attemptsRead    bool         // its start records were read in this epoch
-	unassignedSince clock.Micros // since when it has no holder in touch; 0: it has
-	orders          peer.ShardOrders
-	unpersisted     []peer.Task // told done, not stored yet
+	assignment.Shard
+	state        leaseState
+	token        wire.FencingToken
+	keyVersion   uint64
+	link         Link
+	tasks        map[peer.Task]*grantedTask
+	offerSeq     uint64
+	offerPending bool // an offer is not settled yet
+	orders       peer.ShardOrders
+	unpersisted  []peer.Task // told done, not stored yet
 }
--- a/internal/leader/spread_test.go
+++ b/internal/leader/spread_test.go
@@ -100,8 +100,8 @@
 	}
 	fx = tell(l, now, []peer.TaskEvent{{Task: got[0].Task, Kind: peer.EventReleased, Machine: names[0]}}, func(*peer.MachineState) {})
 	told := toldOf(fx)
-	if len(told) != 1 || told[0].Shard != to.shard.id || len(told[0].Offers) != 1 || told[0].Offers[0].TaskIndexes[0] != id.Index {
-		t.Errorf("told %+v, want the task offered to block %d", told, to.shard.id)
+	if len(told) != 1 || told[0].Shard != to.shard.ID || len(told[0].Offers) != 1 || told[0].Offers[0].TaskIndexes[0] != id.Index {
+		t.Errorf("told %+v, want the task offered to block %d", told, to.shard.ID)
 	}
 	if told[0].Offers[0].Job.FleetLoad <= 0 {
 		t.Error("the offer does not tell the mean load")
@@ -191,7 +191,7 @@
 	l.rebalancing.bound.Relative = 1.05
 	m := l.inventory.machines[names[1]]
 	m.deprioritized, m.state.CPUs, m.state.MemoryGB = false, 1, 7
-	if told := offersOf(l, began+95*clock.Second, wire.Job{CPUs: 1, MemoryGB: 7}); len(told) != 1 || told[0].Shard != m.shard.id || len(told[0].Include) != 0 {
+	if told := offersOf(l, began+95*clock.Second, wire.Job{CPUs: 1, MemoryGB: 7}); len(told) != 1 || told[0].Shard != m.shard.ID || len(told[0].Include) != 0 {
 		t.Errorf("told %+v, want the task offered for the fuller machine that is not at rest", told)
 	}
 }
@@ -224,7 +224,7 @@
 	if told := offersOf(l, now, wire.Job{CPUs: 1, MemoryGB: 1}); len(told) != 0 {
 		t.Fatalf("told %+v while another block has room within the bound in a moment", told)
 	}
-	if told := schedules(l, now+soonPatience+clock.Millisecond); len(told) != 1 || told[0].Shard != full.id {
+	if told := schedules(l, now+soonPatience+clock.Millisecond); len(told) != 1 || told[0].Shard != full.ID {
 		t.Errorf("told %+v, want the task offered beyond the bound after %v", told, soonPatience)
 	}
 }
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -40,7 +40,7 @@
 	means := make([]rebalancer.Mean, len(l.shards.all))
 	out := make([]peer.ShardStatus, len(l.shards.all))
 	for i, b := range l.shards.all {
-		out[i] = peer.ShardStatus{Shard: i, Holder: b.holder, Granted: b.state == granted, Tasks: len(b.tasks)}
+		out[i] = peer.ShardStatus{Shard: i, Holder: b.Holder, Granted: b.state == granted, Tasks: len(b.tasks)}
 		for _, h := range b.tasks {
 			if !h.running {
 				out[i].Unstarted++
@@ -51,7 +51,7 @@
 		if !m.up {
 			continue
 		}
-		b := &out[m.shard.id]
+		b := &out[m.shard.ID]
 		b.Machines++
 		if !m.takesWork() {
 			continue
@@ -59,7 +59,7 @@
 		b.TakeWork++
 		b.MostLoad = max(b.MostLoad, m.load())
 		all.Add(m.load())
-		means[m.shard.id].Add(m.load())
+		means[m.shard.ID].Add(m.load())
 	}
 	for i := range out {
 		out[i].MeanLoad = means[i].Value()
@@ -68,7 +68,7 @@
 }
 
 func (l *Leader) machineStatus(m *machine, mean float64) peer.MachineStatus {
-	s := peer.MachineStatus{Name: m.name, Shard: m.shard.id, Type: m.option.Type.Name, Zone: m.option.Zone, Load: m.load(), Tasks: m.state.Tasks,
+	s := peer.MachineStatus{Name: m.name, Shard: m.shard.ID, Type: m.option.Type.Name, Zone: m.option.Zone, Load: m.load(), Tasks: m.state.Tasks,
 		TakesWork: m.takesWork(), WhyNot: m.whyNoWork()}
 	if mean > 0 {
 		s.OverMean = s.Load / mean
