--- a/internal/leader/needs.go
+++ b/internal/leader/demand.go
@@ -13,9 +13,9 @@
 
 // demandKey tells needs apart.
 type demandKey struct {
-	shape    jobs.Shape
-	standing bool
-	zone     string // of those that are to be spread
+	shape   jobs.Shape
+	service bool
+	zone    string // of those that are to be spread
 }
 
 // demandSet gathers what is wanted, services first: they cannot wait, and few machines are
@@ -43,28 +43,28 @@
 // capacityDemand is what machines are wanted for.
 func (l *Leader) capacityDemand(now clock.Micros) []autoscaler.Demand {
 	n := &demandSet{byKey: map[demandKey]*autoscaler.Demand{}}
-	room := map[string]float64{}
+	capacity := map[string]float64{}
 	refs := l.jobs.Refs()
-	for _, standing := range []bool{true, false} {
+	for _, services := range []bool{true, false} {
 		for _, ref := range refs {
 			j := l.jobs.Get(ref)
 			s := &j.Spec
 			left := s.Tasks - j.Completed()
-			if s.IsService() != standing || left <= 0 || j.Failures.Waits(now) {
+			if s.IsService() != services || left <= 0 || j.Failures.Waits(now) {
 				continue
 			}
 			if j.Failures.Suspect() {
 				left = min(left, j.Dispatched()+1) // a probe
 			}
-			if _, ok := room[s.Team]; !ok {
-				room[s.Team] = l.teams[s.Team].CPULimit()
+			if _, ok := capacity[s.Team]; !ok {
+				capacity[s.Team] = l.teams[s.Team].CPULimit()
 			}
 			most := left
 			if s.CPUs > 0 {
-				most = int(min(float64(most), room[s.Team]/s.CPUs+1e-9))
+				most = int(min(float64(most), capacity[s.Team]/s.CPUs+1e-9))
 			}
-			room[s.Team] -= float64(most) * s.CPUs
-			if standing {
+			capacity[s.Team] -= float64(most) * s.CPUs
+			if services {
 				l.addServiceDemand(now, n, j, most)
 				continue
 			}
@@ -72,7 +72,7 @@
 			need.Tasks += most
 			need.Seconds += float64(left) * l.jobs.RunSeconds(j)
 		}
-		if standing {
+		if services {
 			l.addArrivalReserve(now, n)
 		}
 	}
@@ -105,7 +105,7 @@
 		most -= in.n[zone]
 	}
 	for ; most > 0; most-- {
-		zone := slices.MinFunc(over, func(a, b string) int { return in.n[a] - in.n[b] })
+		zone := slices.MinFunc(over, func(a, lease string) int { return in.n[a] - in.n[lease] })
 		in.add(zone)
 		add(zone, 1)
 	}
--- a/internal/leader/failures_test.go
+++ b/internal/leader/failures_test.go
@@ -97,15 +97,15 @@
 	for _, c := range []struct {
 		at   clock.Micros
 		m    *machine
-		want string
+		want giveUpReason
 	}{
-		{began + late, silent, ""},
-		{began + l.silentBootTimeout(late) + clock.Second, silent, "never reported"},
-		{began + late + clock.Second, booting, reasonNeverCameUp},
-		{began + 10*late, healthy, ""},
+		{began + late, silent, giveUpNone},
+		{began + l.silentBootTimeout(late) + clock.Second, silent, giveUpNeverReported},
+		{began + late + clock.Second, booting, giveUpNeverCameUp},
+		{began + 10*late, healthy, giveUpNone},
 	} {
-		if why := l.giveUpReason(c.at, c.m, true); why != c.want {
-			t.Errorf("%s after %.0f s: %q, want %q", c.m.name, (c.at - began).Seconds(), why, c.want)
+		if reason := l.giveUpReason(c.at, c.m, shardSilence{up: 3, silent: 1}); reason != c.want {
+			t.Errorf("%s after %.0f s: %q, want %q", c.m.name, (c.at - began).Seconds(), reason, c.want)
 		}
 	}
 	l.machinesToGiveUp(began + late + clock.Second)
--- a/internal/leader/fleet_test.go
+++ b/internal/leader/fleet_test.go
@@ -192,10 +192,10 @@
 	}
 	for _, c := range []struct {
 		m    *machine
-		want string
-	}{{works, ""}, {idle, "no longer listed"}, {silent, "no longer listed"}} {
-		if why := l.giveUpReason(at, c.m, false); why != c.want {
-			t.Errorf("%s: %q, want %q", c.m.name, why, c.want)
+		want giveUpReason
+	}{{works, giveUpNone}, {idle, giveUpUnlisted}, {silent, giveUpUnlisted}} {
+		if reason := l.giveUpReason(at, c.m, shardSilence{up: 2, silent: 2}); reason != c.want {
+			t.Errorf("%s: %q, want %q", c.m.name, reason, c.want)
 		}
 	}
 }
--- /dev/null
+++ b/internal/leader/holder_messages.go
@@ -0,0 +1,88 @@
+package leader
+
+import (
+	"swiftledge/internal/clock"
+	"swiftledge/internal/peer"
+	"swiftledge/wire"
+)
+
+// holderMessage takes in what a controller says as a holder of shards.
+func (l *Leader) holderMessage(now clock.Micros, m HolderMessage) {
+	c := l.shards.controllers[m.Controller]
+	if c == nil || c.link != m.Link || m.Message.Term != l.term {
+		return
+	}
+	c.heartbeat(now, m.Message)
+	if m.Message.RenewSeq > 0 && l.loaded && l.authorised(now) && l.current(now) {
+		l.renewLeases(m.Link, m.Message.RenewSeq)
+	}
+	for _, update := range m.Message.Updates {
+		lease := l.shards.leaseOf(update, m.Link)
+		switch {
+		case lease == nil:
+		case update.NeedsRegrant:
+			lease.state = unassigned
+		default:
+			l.shardUpdated(now, lease, update)
+		}
+	}
+}
+
+// renewLeases renews the leases of all shards that were granted over a link.
+func (l *Leader) renewLeases(link Link, seq uint64) {
+	renewal := peer.FromLeader{
+		Term: l.term, RenewedSeq: seq, FencingTokens: map[int]wire.FencingToken{}, StoreOK: l.storeOK(),
+	}
+	for _, lease := range l.shards.all {
+		if lease.state == granted && lease.link == link {
+			renewal.FencingTokens[lease.ID] = lease.token
+		}
+	}
+	l.emit(SendToHolder{link, renewal})
+}
+
+// shardUpdated takes in what has changed in a shard.
+func (l *Leader) shardUpdated(now clock.Micros, lease *shardLease, update peer.ShardUpdate) {
+	for _, event := range update.Events {
+		l.taskEvent(now, lease, event)
+	}
+	for _, machine := range update.Machines {
+		l.machineReported(now, machine)
+	}
+	if update.SettledOfferSeq == lease.offerSeq {
+		lease.offerPending = false
+	}
+	l.scheduling.requested = true
+}
+
+// flushOrders sends the orders that have gathered for the holders, one message to each.
+func (l *Leader) flushOrders() {
+	byLink := map[Link]*peer.FromLeader{}
+	var links []Link
+	for _, lease := range l.shards.all {
+		if lease.state != granted || !lease.hasOrders() {
+			continue
+		}
+		message := byLink[lease.link]
+		if message == nil {
+			message = &peer.FromLeader{Term: l.term}
+			byLink[lease.link] = message
+			links = append(links, lease.link)
+		}
+		message.Orders = append(message.Orders, lease.takeOrders())
+	}
+	for _, link := range links {
+		l.emit(SendToHolder{link, *byLink[link]})
+	}
+}
+
+// reportTaskCounts tells the controllers which jobs' counts have changed, for users who ask.
+func (l *Leader) reportTaskCounts() {
+	counts := l.jobs.ChangedCounts()
+	if len(counts) == 0 {
+		return
+	}
+	for _, c := range l.controllersByName() {
+		l.emit(SendToHolder{c.link, peer.FromLeader{Term: l.term, TaskCounts: counts}})
+	}
+}
--- a/internal/leader/inventory.go
+++ b/internal/leader/inventory.go
@@ -31,6 +31,16 @@
 	}
 }
 
+// unansweredGroups counts the requests that the cloud has not answered.
+func (i *inventory) unansweredGroups() (n int) {
+	for _, group := range i.groups {
+		if !group.record.Answered {
+			n++
+		}
+	}
+	return n
+}
+
 // instanceGroup is a request to the cloud, and the record of what it brought.
 type instanceGroup struct {
 	key         string
--- a/internal/leader/load.go
+++ b/internal/leader/load.go
@@ -17,17 +17,17 @@
 	l.wallOffset = m.TimeOfDay - now
 	l.jobsViewedAt = m.RequestedAt
 	l.loadBlocks(m.Items)
-	for _, it := range m.Items {
+	for _, item := range m.Items {
 		switch {
-		case strings.HasPrefix(it.Key, JobPrefix):
-			if r, ok := decode[JobRecord](l, it); ok {
-				l.addJob(r, it.Version)
+		case strings.HasPrefix(item.Key, JobPrefix):
+			if r, ok := decode[JobRecord](l, item); ok {
+				l.addJob(r, item.Version)
 			}
-		case strings.HasPrefix(it.Key, InstanceGroupPrefix):
-			if r, ok := decode[InstanceGroupRecord](l, it); ok {
-				l.loadInstanceGroup(now, it, r)
+		case strings.HasPrefix(item.Key, InstanceGroupPrefix):
+			if r, ok := decode[InstanceGroupRecord](l, item); ok {
+				l.loadInstanceGroup(now, item, r)
 			} else {
-				l.inventory.unansweredRequests[it.Key] = true // whatever machines it names may work
+				l.inventory.unansweredRequests[item.Key] = true // whatever machines it names may work
 			}
 		}
 	}
@@ -48,19 +48,19 @@
 	n, haveLayout := int(l.cfg.Tuning.Grants.Blocks), false
 	stamps := map[string]uint64{}
 	holders := map[string]ShardRecord{}
-	for _, it := range items {
+	for _, item := range items {
 		switch {
-		case it.Key == LayoutKey:
-			if r, ok := decode[LayoutRecord](l, it); ok && r.Shards > 0 {
+		case item.Key == LayoutKey:
+			if r, ok := decode[LayoutRecord](l, item); ok && r.Shards > 0 {
 				n, haveLayout = r.Shards, true
 			}
-		case it.Key == CatalogKey:
-			if c, ok := decode[wire.Catalog](l, it); ok {
+		case item.Key == CatalogKey:
+			if c, ok := decode[wire.Catalog](l, item); ok {
 				l.setTypes(c.Types)
 			}
-		case strings.HasPrefix(it.Key, shard.KeyPrefix):
-			if r, ok := decode[ShardRecord](l, it); ok {
-				stamps[it.Key], holders[it.Key] = it.Version, r
+		case strings.HasPrefix(item.Key, shard.KeyPrefix):
+			if r, ok := decode[ShardRecord](l, item); ok {
+				stamps[item.Key], holders[item.Key] = item.Version, r
 			}
 		}
 	}
@@ -77,12 +77,12 @@
 // loadProgress takes in which tasks of the jobs have completed. All others wait, until the attempt records say which
 // of them may run.
 func (l *Leader) loadProgress(items []wire.Item) {
-	for _, it := range items {
-		if !strings.HasPrefix(it.Key, jobs.ProgressPrefix) {
+	for _, item := range items {
+		if !strings.HasPrefix(item.Key, jobs.ProgressPrefix) {
 			continue
 		}
-		if r, ok := decode[jobs.ProgressRecord](l, it); ok {
-			page := jobs.StoredPage{Key: it.Key, Version: it.Version, Record: r}
+		if r, ok := decode[jobs.ProgressRecord](l, item); ok {
+			page := jobs.StoredPage{Key: item.Key, Version: item.Version, Record: r}
 			l.progress.Load(page, l.jobs, l.valueBytes)
 		}
 	}
--- a/internal/leader/machines.go
+++ b/internal/leader/machines.go
@@ -38,14 +38,18 @@
 	freeCPUs, freeGPUs, freeMemory float64
 }
 
-func (l *Leader) addMachine(now clock.Micros, name string, rt *instanceGroup) {
+// addMachine takes a machine of an instance group in, unless it is known.
+func (l *Leader) addMachine(now clock.Micros, name string, group *instanceGroup) {
 	if l.inventory.machines[name] != nil {
 		return
 	}
-	l.inventory.machines[name] = &machine{name: name, group: rt.key, option: l.option(rt.record.Request), shard: l.blockOf(name), firstSeenAt: now, idleSince: now}
+	l.inventory.machines[name] = &machine{
+		name: name, group: group.key, option: l.option(group.record.Request), shard: l.shardOfMachine(name),
+		firstSeenAt: now, idleSince: now,
+	}
 	delete(l.inventory.discovered, name)
-	if b := l.blockOf(name); b.state == granted {
-		b.orders.Added = append(b.orders.Added, name)
+	if lease := l.shardOfMachine(name); lease.state == granted {
+		lease.orders.Added = append(lease.orders.Added, name)
 	}
 }
 
@@ -54,10 +58,10 @@
 	m := l.inventory.machines[s.Name]
 	if m == nil {
 		if l.inventory.terminated[s.Name] {
-			b := l.blockOf(s.Name)
-			b.orders.Terminated = append(b.orders.Terminated, s.Name)
+			lease := l.shardOfMachine(s.Name)
+			lease.orders.Terminated = append(lease.orders.Terminated, s.Name)
 		} else if s.Type != "" && s.TokenConfirmed {
-			// What is only heard of may be a late copy of a report of a machine long
+			// What is only heard of may be a late copy of a heartbeat of a machine long
 			// deleted; one that has seen our token is there, and so is one that is listed.
 			l.inventory.discovered[s.Name] = wire.Machine{Name: s.Name, Type: s.Type, Zone: s.Zone, Spot: s.Spot}
 		}
@@ -90,43 +94,45 @@
 
 // checkpointTasks stops the tasks that can save their progress before their machine goes.
 func (l *Leader) checkpointTasks(now clock.Micros, m *machine) {
-	b := m.shard
-	var room *freeRoom
+	lease := m.shard
+	var capacity *freeRoom
 	var on []peer.Task
-	for t, h := range b.tasks {
+	for t, h := range lease.tasks {
 		if h.machine == m.name && l.jobs.Get(t.Job) != nil {
 			on = append(on, t)
 		}
 	}
 	slices.SortFunc(on, func(a, c peer.Task) int { return cmp.Or(strings.Compare(a.Job, c.Job), a.Index-c.Index) })
 	for _, t := range on {
-		h, j := b.tasks[t], l.jobs.Get(t.Job)
+		h, j := lease.tasks[t], l.jobs.Get(t.Job)
 		// A replica moves at once if there is room for it; else it runs to the end here.
 		moves := false
 		if j.Spec.IsService() && m.state.PreemptionNotice {
-			if room == nil {
-				room = l.freeRoom(now)
+			if capacity == nil {
+				capacity = l.freeRoom(now)
 			}
-			to, _ := l.roomFor(j, room)
+			to, _ := l.roomFor(j, capacity)
 			moves = to != nil && to != m
 		}
 		if moves {
 			h.stopped, h.stoppedAt = "notice", now
 		}
 		if moves || j.Spec.CheckpointS > 0 && !j.Spec.IsService() {
-			b.orders.Stop = append(b.orders.Stop, peer.StopTask{Task: t, Checkpoint: true})
+			lease.orders.Stop = append(lease.orders.Stop, peer.StopTask{Task: t, Checkpoint: true})
 		}
 	}
 }
 
-func (l *Leader) drainMachine(now clock.Micros, m *machine, why string) {
+// drainMachine has a machine emptied: it gets no new tasks, and those that can save do so and leave.
+func (l *Leader) drainMachine(now clock.Micros, m *machine, reason string) {
 	m.draining = true
-	b := m.shard
-	b.orders.Drain = append(b.orders.Drain, m.name)
+	lease := m.shard
+	lease.orders.Drain = append(lease.orders.Drain, m.name)
 	l.checkpointTasks(now, m)
-	l.info("draining machine", "machine", m.name, "why", why)
+	l.info("draining machine", "machine", m.name, "reason", reason)
 }
 
+// machinesListed takes in the cloud's list of machines.
 func (l *Leader) machinesListed(now clock.Micros, list []wire.Machine) {
 	seen := map[string]bool{}
 	for _, w := range list {
@@ -157,15 +163,16 @@
 	}
 }
 
-func (l *Leader) machinesDeleted(now clock.Micros, m MachinesDeleted) {
+// machinesDeleted takes in the end of a deletion.
+func (l *Leader) machinesDeleted(now clock.Micros, deletion MachinesDeleted) {
 	l.inventory.deletionsInFlight = max(0, l.inventory.deletionsInFlight-1)
-	for _, name := range m.Machines {
-		mc := l.inventory.machines[name]
-		if mc == nil {
+	for _, name := range deletion.Machines {
+		m := l.inventory.machines[name]
+		if m == nil {
 			continue
 		}
-		if m.Err != nil {
-			mc.deleting = false
+		if deletion.Err != nil {
+			m.deleting = false
 			continue
 		}
 		l.markTerminated(name)
@@ -176,7 +183,7 @@
 func (l *Leader) markTerminated(name string) {
 	delete(l.inventory.machines, name)
 	l.inventory.terminated[name] = true
-	if b := l.blockOf(name); b.state == granted {
-		b.orders.Terminated = append(b.orders.Terminated, name)
+	if lease := l.shardOfMachine(name); lease.state == granted {
+		lease.orders.Terminated = append(lease.orders.Terminated, name)
 	}
 }
--- a/internal/leader/schedule.go
+++ b/internal/leader/schedule.go
@@ -138,6 +138,6 @@
 	return given
 }
 
-func (l *Leader) blockOf(machine string) *shardLease {
+func (l *Leader) shardOfMachine(machine string) *shardLease {
 	return l.shards.all[shard.ForMachine(machine, len(l.shards.all))]
 }
--- a/internal/leader/shard_table.go
+++ b/internal/leader/shard_table.go
@@ -24,9 +24,51 @@
 	lastHeartbeat clock.Micros
 }
 
+// heartbeat takes in how a controller is.
+func (c *controller) heartbeat(now clock.Micros, message *peer.ToLeader) {
+	c.lastHeartbeat = now
+	if message.NoAgentContact {
+		c.NoAgentContactAt = now
+	}
+	if message.StoreOK {
+		c.RefusedSince = 0
+	} else if c.RefusedSince == 0 {
+		c.RefusedSince = now
+	}
+}
+
+// leaseOf returns the lease that an update is about, or nil if the lease is not that of the update's fencing token
+// any more, or was granted over another link.
+func (s *shardTable) leaseOf(update peer.ShardUpdate, link Link) *shardLease {
+	if update.Shard < 0 || update.Shard >= len(s.all) {
+		return nil
+	}
+	lease := s.all[update.Shard]
+	if lease.state != granted || lease.token != update.FencingToken || lease.link != link {
+		return nil
+	}
+	return lease
+}
+
+// hasOrders reports whether there is anything to tell the holder.
+func (lease *shardLease) hasOrders() bool {
+	o := &lease.orders
+	tasks := len(o.Offers) + len(o.Stop) + len(o.Persisted)
+	machines := len(o.Added) + len(o.Drain) + len(o.Terminated) + len(o.Exclude) + len(o.Include)
+	return tasks+machines > 0
+}
+
+// takeOrders returns the orders that have gathered, and begins anew.
+func (lease *shardLease) takeOrders() peer.ShardOrders {
+	orders := lease.orders
+	orders.Shard, orders.FencingToken = lease.ID, lease.token
+	lease.orders = peer.ShardOrders{}
+	return orders
+}
+
 // phase is how far the lease has come, as the assignment of holders sees it.
-func (b *shardLease) phase() assignment.Phase {
-	switch b.state {
+func (lease *shardLease) phase() assignment.Phase {
+	switch lease.state {
 	case writing, reading:
 		return assignment.Moving
 	case granted:
@@ -38,10 +80,10 @@
 
 // assign finds holders for shards and returns the leases whose keys are to be written.
 func (s *shardTable) assign(round assignment.Round) []*shardLease {
-	for _, b := range s.all {
-		c := s.controllers[b.Holder]
-		b.Phase, b.HolderConnected = b.phase(), c != nil && c.link == b.link
-		round.Shards = append(round.Shards, &b.Shard)
+	for _, lease := range s.all {
+		c := s.controllers[lease.Holder]
+		lease.Phase, lease.HolderConnected = lease.phase(), c != nil && c.link == lease.link
+		round.Shards = append(round.Shards, &lease.Shard)
 	}
 	round.Controllers = map[string]*assignment.Controller{}
 	for name, c := range s.controllers {
--- a/internal/leader/roster.go
+++ b/internal/leader/unconfirmed_machines.go
@@ -37,22 +37,22 @@
 }
 
 // grantUnconfirmed adds such machines to a shard's grant.
-func (l *Leader) grantUnconfirmed(b *shardLease, pages map[string]peer.AttemptPage) (roster []peer.InventoryMachine) {
+func (l *Leader) grantUnconfirmed(lease *shardLease, pages map[string]peer.AttemptPage) (machines []peer.InventoryMachine) {
 	for _, name := range l.machinesOfAttemptsOnly(pages) {
 		l.inventory.unconfirmed[name] = true
-		b.orders.Drain = append(b.orders.Drain, name)
-		roster = append(roster, peer.InventoryMachine{Name: name})
+		lease.orders.Drain = append(lease.orders.Drain, name)
+		machines = append(machines, peer.InventoryMachine{Name: name})
 	}
-	return roster
+	return machines
 }
 
 // settleFormerRequest notes that a provision request's answer is stored. Once that is true of all of them, the
 // inventory names every machine that may work: what it does not name has ended.
-func (l *Leader) settleFormerRequest(now clock.Micros, rt *instanceGroup) {
-	if !l.inventory.unansweredRequests[rt.key] {
+func (l *Leader) settleFormerRequest(now clock.Micros, group *instanceGroup) {
+	if !l.inventory.unansweredRequests[group.key] {
 		return
 	}
-	delete(l.inventory.unansweredRequests, rt.key)
+	delete(l.inventory.unansweredRequests, group.key)
 	if len(l.inventory.unansweredRequests) > 0 {
 		return
 	}
