--- a/internal/api/heartbeat_test.go
+++ b/internal/api/heartbeat_test.go
@@ -72,12 +72,21 @@
 	weights := placement.Params{K: 0.001, Eta: 0.05, Epsilon: 0.01, Small: 0.5}
 	h := shard.New(params, weights, func() bool { return true })
 	h.Step(0, shard.LeaderConnected{Term: 9})
-	h.Step(0, &peer.FromLeader{Term: 9, Holders: []string{"n0"},
-		Grants: []peer.ShardGrant{{Shard: 0, FencingToken: 50, KeyVersion: 7}}})
-	h.Step(0, &peer.FromLeader{Term: 9, RenewedSeq: 2, FencingTokens: map[int]wire.FencingToken{0: 50}})
+	for _, message := range []*peer.FromLeader{
+		{Term: 9, Holders: []string{"n0"}, Grants: []peer.ShardGrant{{Shard: 0, FencingToken: 50, KeyVersion: 7}}},
+		{Term: 9, RenewedSeq: 2, FencingTokens: map[int]wire.FencingToken{0: 50}},
+	} {
+		h.Step(0, shard.LeaderMessage{Message: message})
+	}
 	return h
 }
 
+// replyChannel takes the reply to one heartbeat.
+type replyChannel chan shard.HeartbeatReply
+
+// Respond gives the reply to whoever waits for it.
+func (c replyChannel) Respond(reply shard.HeartbeatReply) { c <- reply }
+
 // startHolder has a goroutine of its own answer heartbeats until the test ends.
 func startHolder(tb testing.TB) func(*wire.Heartbeat) shard.HeartbeatReply {
 	tb.Helper()
@@ -91,14 +100,14 @@
 			case message := <-received:
 				for _, effect := range h.Step(clock.Second, message) {
 					if reply, ok := effect.(shard.HeartbeatReply); ok {
-						reply.ReplyTo.(chan shard.HeartbeatReply) <- reply
+						reply.ReplyTo.Respond(reply)
 					}
 				}
 			}
 		}
 	}()
 	return func(heartbeat *wire.Heartbeat) shard.HeartbeatReply {
-		replies := make(chan shard.HeartbeatReply, 1)
+		replies := make(replyChannel, 1)
 		received <- shard.HeartbeatReceived{ReplyTo: replies, Heartbeat: heartbeat}
 		return <-replies
 	}
--- a/internal/controller/holder.go
+++ b/internal/controller/holder.go
@@ -49,14 +49,16 @@
 			}
 			link = nil
 			msg = shard.LeaderDisconnected{Term: m.epoch}
+		case *peer.FromLeader:
+			msg = shard.LeaderMessage{Message: m}
 		}
-		for _, fx := range h.Step(n.clock.Now(), msg) {
+		for _, fx := range h.Step(n.clock.Now(), msg.(shard.Message)) {
 			n.holderEffect(ctx, link, fx)
 		}
 	}
 }
 
-func (n *Controller) holderEffect(ctx context.Context, link, fx any) {
+func (n *Controller) holderEffect(ctx context.Context, link any, fx shard.Effect) {
 	switch x := fx.(type) {
 	case shard.SendToLeader:
 		switch l := link.(type) {
@@ -66,7 +68,7 @@
 			n.leader <- leader.HolderMessage{Controller: n.cfg.Name, Link: l, Message: &x.Message}
 		}
 	case shard.HeartbeatReply:
-		x.ReplyTo.(chan shard.HeartbeatReply) <- x
+		x.ReplyTo.Respond(x)
 	case shard.RecordSpan:
 		n.tracer.Post(x.Span)
 	case shard.PauseDetected:
@@ -79,9 +81,9 @@
 		go n.inspect(x)
 	case shard.WriteAttempts:
 		// No task of it is ordered before the store has said yes.
-		go n.keep(ctx, store.PriorityAttempts, x.Txn, func(o store.TxnResult) any { return x.Result(o) })
+		go n.keep(ctx, store.PriorityAttempts, x.Txn, func(o store.TxnResult) shard.Message { return x.Result(o) })
 	case shard.CompactPages:
-		go n.keep(ctx, store.PriorityBackground, x.Txn, func(o store.TxnResult) any { return x.Result(o) })
+		go n.keep(ctx, store.PriorityBackground, x.Txn, func(o store.TxnResult) shard.Message { return x.Result(o) })
 	case shard.DeletePages:
 		go func() {
 			if _, err := n.store.TryCommit(ctx, store.PriorityBackground, x.Txn()); err != nil {
@@ -99,7 +101,7 @@
 	req, res := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(res)
-	done := shard.CommandsAnswered{SendCommands: o}
+	done := shard.CommandsAnswered{Request: o}
 	raw, err := json.Marshal(o.Body)
 	if err != nil {
 		n.log.Error("encode orders", "error", err)
@@ -129,7 +131,7 @@
 func (n *Controller) inspect(x shard.InspectAgent) {
 	n.commandSlots <- struct{}{}
 	defer func() { <-n.commandSlots }()
-	done := shard.InspectionAnswered{InspectAgent: x}
+	done := shard.InspectionAnswered{Request: x}
 	status, body, err := n.workers.GetTimeout(nil, "http://"+x.Address+"/inspect", 2*time.Second)
 	var r wire.Heartbeat
 	if err == nil && status == 200 && json.Unmarshal(body, &r) == nil && r.Machine == x.Machine {
@@ -139,7 +141,7 @@
 }
 
 // keep writes start records and tells the holder what became of it.
-func (n *Controller) keep(ctx context.Context, prio store.Priority, txn func() (wire.Txn, error), settled func(store.TxnResult) any) {
+func (n *Controller) keep(ctx context.Context, prio store.Priority, txn func() (wire.Txn, error), settled func(store.TxnResult) shard.Message) {
 	ctx, cancel := context.WithTimeout(ctx, 8*time.Second)
 	defer cancel()
 	t, err := txn()
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -150,9 +150,15 @@
 	return nil
 }
 
+// replyChannel takes the one answer to a heartbeat.
+type replyChannel chan shard.HeartbeatReply
+
+// Respond gives the answer to whoever waits for it.
+func (c replyChannel) Respond(reply shard.HeartbeatReply) { c <- reply }
+
 // report hands a worker's report to the holder and waits for its answer.
 func (n *Controller) report(r *wire.Heartbeat) shard.HeartbeatReply {
-	ch := make(chan shard.HeartbeatReply, 1)
+	ch := make(replyChannel, 1)
 	n.holder <- shard.HeartbeatReceived{ReplyTo: ch, Heartbeat: r}
 	return <-ch
 }
--- a/internal/scenario/node_test.go
+++ b/internal/scenario/node_test.go
@@ -199,13 +199,13 @@
 	}
 }
 
-func (n *simNode) holderStep(msg any) {
+func (n *simNode) holderStep(msg shard.Message) {
 	for _, fx := range n.holder.Step(n.w.now, msg) {
 		n.holderEffect(fx)
 	}
 }
 
-func (n *simNode) holderEffect(fx any) {
+func (n *simNode) holderEffect(fx shard.Effect) {
 	switch x := fx.(type) {
 	case shard.SendToLeader:
 		if l := n.link; l != nil {
@@ -213,7 +213,7 @@
 			l.carry(l.leader, func() { l.leader.leaderStep(leader.HolderMessage{Controller: n.name, Link: l, Message: &x.Message}) })
 		}
 	case shard.HeartbeatReply:
-		x.ReplyTo.(func(shard.HeartbeatReply))(x)
+		x.ReplyTo.Respond(x)
 	case shard.RecordSpan:
 	case shard.PauseDetected:
 		n.pauses.Add(x.Pause)
@@ -224,9 +224,9 @@
 	case shard.InspectAgent:
 		n.inspect(x)
 	case shard.WriteAttempts:
-		n.keep(x.Txn, func(o store.TxnResult) any { return x.Result(o) })
+		n.keep(x.Txn, func(o store.TxnResult) shard.Message { return x.Result(o) })
 	case shard.CompactPages:
-		n.keep(x.Txn, func(o store.TxnResult) any { return x.Result(o) })
+		n.keep(x.Txn, func(o store.TxnResult) shard.Message { return x.Result(o) })
 	case shard.DeletePages:
 		n.txn(x.Txn(), func(store.TxnResult, error) {})
 	default:
@@ -235,7 +235,7 @@
 }
 
 // keep writes start records and tells the holder what became of it.
-func (n *simNode) keep(txn func() (wire.Txn, error), settled func(store.TxnResult) any) {
+func (n *simNode) keep(txn func() (wire.Txn, error), settled func(store.TxnResult) shard.Message) {
 	t, err := txn()
 	must(err)
 	for _, put := range t.Writes {
@@ -253,7 +253,7 @@
 	settle := func(r *wire.Heartbeat) {
 		if !settled {
 			settled = true
-			n.holderStep(shard.InspectionAnswered{InspectAgent: x, Status: r})
+			n.holderStep(shard.InspectionAnswered{Request: x, Status: r})
 		}
 	}
 	n.w.after(2*clock.Second, n.still(func() { settle(nil) }))
@@ -273,7 +273,7 @@
 	n.sendsJSON(toWorker(o.Machine), "POST /orders", &o.Body)
 	w := n.w
 	s := w.worker(o.Machine)
-	done := shard.CommandsAnswered{SendCommands: o}
+	done := shard.CommandsAnswered{Request: o}
 	if s == nil || s.dead || n.blind || (s.cut && s.holdUntil <= w.now) {
 		done.Code = shard.NotSent
 		w.after(clock.Second, n.still(func() { n.holderStep(done) }))
@@ -316,10 +316,10 @@
 
 // report brings a worker's report to the controller.
 func (n *simNode) report(r *wire.Heartbeat, answer func(shard.HeartbeatReply)) {
-	n.holderStep(shard.HeartbeatReceived{Heartbeat: r, ReplyTo: func(a shard.HeartbeatReply) {
+	n.holderStep(shard.HeartbeatReceived{Heartbeat: r, ReplyTo: replyFunc(func(a shard.HeartbeatReply) {
 		n.answersReport(r.Machine, a)
 		answer(a)
-	}})
+	})})
 }
 
 // submit has a user submit a job.
@@ -387,7 +387,7 @@
 			l.follower.directory.Post(api.PeerContacted{})
 			l.leader.directory.Post(api.PeerContacted{})
 			l.follower.directory.Post(api.LeaderMessage{Message: &x.Message})
-			l.follower.holderStep(&x.Message)
+			l.follower.holderStep(shard.LeaderMessage{Message: &x.Message})
 		})
 	case leader.LoadState:
 		n.load(x.Term)
--- a/internal/scenario/transcript_test.go
+++ b/internal/scenario/transcript_test.go
@@ -208,6 +208,11 @@
 	n.sends(toStore, "DELETE /grants/"+strconv.FormatUint(lease, 10))
 }
 
+// replyFunc takes the answer to a heartbeat.
+type replyFunc func(shard.HeartbeatReply)
+
+func (f replyFunc) Respond(reply shard.HeartbeatReply) { f(reply) }
+
 // answersReport records the answer to a worker's report.
 func (n *simNode) answersReport(machine string, a shard.HeartbeatReply) {
 	message := "answer " + strconv.Itoa(a.Status)
--- a/internal/shard/cycle_test.go
+++ b/internal/shard/cycle_test.go
@@ -21,7 +21,7 @@
 		for i := range n {
 			o.TaskIndexes = append(o.TaskIndexes, i)
 		}
-		for _, e := range h.Step(now, &peer.FromLeader{Term: 9, Orders: []peer.ShardOrders{{Shard: 0, FencingToken: 50, OfferSeq: seq, Offers: []peer.TaskOffer{o}}}}) {
+		for _, e := range h.Step(now, LeaderMessage{&peer.FromLeader{Term: 9, Orders: []peer.ShardOrders{{Shard: 0, FencingToken: 50, OfferSeq: seq, Offers: []peer.TaskOffer{o}}}}}) {
 			if r, ok := e.(WriteAttempts); ok {
 				return r
 			}
@@ -64,7 +64,7 @@
 // many of them as it holds, nothing could start until some task ended.
 func TestFullPagesDoNotHoldBackStarts(t *testing.T) {
 	h := holding(t)
-	h.Step(now, &peer.FromLeader{Term: 9, Types: []wire.MachineType{{Name: "small", CPUs: 4000, MemoryGB: 8000}}})
+	h.Step(now, LeaderMessage{&peer.FromLeader{Term: 9, Types: []wire.MachineType{{Name: "small", CPUs: 4000, MemoryGB: 8000}}}})
 	h.Step(now, beat("m1", 1, 50))
 	job := 100000
 	for seq := uint64(1); seq <= 15; seq++ {
@@ -73,8 +73,8 @@
 		for i := range idx {
 			idx[i] = i
 		}
-		fx := h.Step(now, &peer.FromLeader{Term: 9, Orders: []peer.ShardOrders{{Shard: 0, FencingToken: 50, OfferSeq: seq,
-			Offers: []peer.TaskOffer{{Job: wire.Job{Ref: "j-" + strconv.Itoa(job), Team: "red", CPUs: 1, Spot: true, Tasks: 250}, TaskIndexes: idx}}}}})
+		fx := h.Step(now, LeaderMessage{&peer.FromLeader{Term: 9, Orders: []peer.ShardOrders{{Shard: 0, FencingToken: 50, OfferSeq: seq,
+			Offers: []peer.TaskOffer{{Job: wire.Job{Ref: "j-" + strconv.Itoa(job), Team: "red", CPUs: 1, Spot: true, Tasks: 250}, TaskIndexes: idx}}}}}})
 		started := 0
 		for _, e := range fx {
 			r, ok := e.(WriteAttempts)
@@ -117,8 +117,8 @@
 			pages["run/000/1-"+strconv.Itoa(p)] = peer.AttemptPage{FencingToken: 40, Machines: []string{"m1"}, Groups: []peer.AttemptGroup{g}}
 			run = append(run, wire.TaskStatus{Task: TaskName(peer.Task{Job: task.Job, Index: 100 * p}), Attempt: peer.NewAttemptID(40, uint64(100*p+1)), State: wire.TaskRunning})
 		}
-		h.Step(now, &peer.FromLeader{Term: 10, Grants: []peer.ShardGrant{{Shard: 0, FencingToken: 60, KeyVersion: 8, Machines: []peer.InventoryMachine{{Name: "m1", Address: "a1"}}, Pages: pages}}})
-		h.Step(now, &peer.FromLeader{Term: 10, RenewedSeq: h.renew, FencingTokens: map[int]wire.FencingToken{0: 60}})
+		h.Step(now, LeaderMessage{&peer.FromLeader{Term: 10, Grants: []peer.ShardGrant{{Shard: 0, FencingToken: 60, KeyVersion: 8, Machines: []peer.InventoryMachine{{Name: "m1", Address: "a1"}}, Pages: pages}}}})
+		h.Step(now, LeaderMessage{&peer.FromLeader{Term: 10, RenewedSeq: h.renew, FencingTokens: map[int]wire.FencingToken{0: 60}}})
 		h.Step(later(10), beat("m1", 1, 60, run...))
 		var got *CompactPages
 		for _, e := range h.Step(later(11), Tick{}) {
@@ -152,7 +152,7 @@
 					}
 				}
 			}
-			h.Step(later(20+10*i), &peer.FromLeader{Term: 10, RenewedSeq: h.renew, FencingTokens: map[int]wire.FencingToken{0: 60}})
+			h.Step(later(20+10*i), LeaderMessage{&peer.FromLeader{Term: 10, RenewedSeq: h.renew, FencingTokens: map[int]wire.FencingToken{0: 60}}})
 		}
 		if !keys[got.Put.Key] || len(keys) != c.erased {
 			t.Errorf("%s: erased %v, want %d keys", c.name, keys, c.erased)
@@ -164,8 +164,8 @@
 func TestTooLargeWritesGetSmaller(t *testing.T) {
 	h := holding(t)
 	h.Step(now, beat("m1", 1, 50))
-	fx := h.Step(now, &peer.FromLeader{Term: 9, Orders: []peer.ShardOrders{{Shard: 0, FencingToken: 50, OfferSeq: 1,
-		Offers: []peer.TaskOffer{{Job: wire.Job{Ref: "j-000009", Team: "red", CPUs: 1, Spot: true, Tasks: 1}, TaskIndexes: []int{0}}}}}})
+	fx := h.Step(now, LeaderMessage{&peer.FromLeader{Term: 9, Orders: []peer.ShardOrders{{Shard: 0, FencingToken: 50, OfferSeq: 1,
+		Offers: []peer.TaskOffer{{Job: wire.Job{Ref: "j-000009", Team: "red", CPUs: 1, Spot: true, Tasks: 1}, TaskIndexes: []int{0}}}}}}})
 	was := h.p
 	for _, e := range fx {
 		if r, ok := e.(WriteAttempts); ok {
@@ -185,8 +185,8 @@
 	h.Step(now, beat("m1", 1, 50, failed))
 	h.Step(now, beat("m2", 1, 50, running(2)))
 	where := func(seq uint64, index int) string {
-		for _, e := range h.Step(now, &peer.FromLeader{Term: 9, Orders: []peer.ShardOrders{{Shard: 0, FencingToken: 50, OfferSeq: seq,
-			Offers: []peer.TaskOffer{{Job: wire.Job{Ref: task.Job, Shape: wire.ShapeService, Team: "red", CPUs: 1, Tasks: 9}, TaskIndexes: []int{index}}}}}}) {
+		for _, e := range h.Step(now, LeaderMessage{&peer.FromLeader{Term: 9, Orders: []peer.ShardOrders{{Shard: 0, FencingToken: 50, OfferSeq: seq,
+			Offers: []peer.TaskOffer{{Job: wire.Job{Ref: task.Job, Shape: wire.ShapeService, Team: "red", CPUs: 1, Tasks: 9}, TaskIndexes: []int{index}}}}}}}) {
 			if r, ok := e.(WriteAttempts); ok {
 				at := h.blocks[0].writing.recs[0].m.name
 				h.Step(now, r.Result(store.TxnResult{Committed: true, Revision: 30 + seq}))
@@ -198,7 +198,7 @@
 	if m := where(1, 4); m != "m2" {
 		t.Errorf("a replica goes to %q, where one failed, want m2", m)
 	}
-	h.Step(now, &peer.FromLeader{Term: 9, Orders: []peer.ShardOrders{{Shard: 0, FencingToken: 50, Added: []string{"m3"}}}})
+	h.Step(now, LeaderMessage{&peer.FromLeader{Term: 9, Orders: []peer.ShardOrders{{Shard: 0, FencingToken: 50, Added: []string{"m3"}}}}})
 	h.Step(now, beat("m3", 1, 50))
 	if m := where(2, 5); m != "m3" {
 		t.Errorf("a replica goes to %q, want m3, which has none", m)
--- a/internal/shard/dialogue.go
+++ b/internal/shard/dialogue.go
@@ -81,11 +81,11 @@
 }
 
 func (h *Holder) inspected(now clock.Micros, a InspectionAnswered) {
-	b := h.blocks[a.Shard]
-	if b == nil || b.token != a.FencingToken {
+	b := h.blocks[a.Request.Shard]
+	if b == nil || b.token != a.Request.FencingToken {
 		return
 	}
-	m := b.machines[a.Machine]
+	m := b.machines[a.Request.Machine]
 	if m == nil {
 		return
 	}
@@ -154,15 +154,15 @@
 
 // answered handles the end of a direct command.
 func (h *Holder) answered(now clock.Micros, a CommandsAnswered) {
-	b := h.blocks[a.Shard]
-	if b == nil || b.token != a.Body.FencingToken {
+	b := h.blocks[a.Request.Shard]
+	if b == nil || b.token != a.Request.Body.FencingToken {
 		return
 	}
-	m := b.machines[a.Machine]
+	m := b.machines[a.Request.Machine]
 	if m == nil {
 		return
 	}
-	if len(a.Body.Commands) == 0 {
+	if len(a.Request.Body.Commands) == 0 {
 		m.fencing = false
 	}
 	if m.gone {
@@ -174,7 +174,7 @@
 	}
 	if a.Code == 200 || a.Code == 409 || a.Code == NotSent {
 		// Answered or never sent: this copy is carried out or never will be.
-		for _, c := range a.Body.Commands {
+		for _, c := range a.Request.Body.Commands {
 			if c.Verb == wire.VerbRun {
 				if r := m.find(c.Attempt); r != nil && r.inflight > 0 {
 					r.inflight--
--- a/internal/shard/holder.go
+++ b/internal/shard/holder.go
@@ -36,7 +36,7 @@
 	late    clock.Micros // when a Tick was last handled late
 	pauses  pausedetect.Detector
 	storeOK func() bool
-	fx      []any
+	effects []Effect
 }
 
 // New makes a holder without blocks. storeOK is told to the others, who judge
@@ -59,8 +59,8 @@
 }
 
 // Step takes one message at a time.
-func (h *Holder) Step(now clock.Micros, msg any) []any {
-	h.fx = nil
+func (h *Holder) Step(now clock.Micros, msg Message) []Effect {
+	h.effects = nil
 	if began, paused := h.pauses.Observe(now); paused {
 		h.paused(began, now)
 	}
@@ -75,8 +75,8 @@
 		if m.Term == h.epoch {
 			h.linked = false
 		}
-	case *peer.FromLeader:
-		h.down(now, m)
+	case LeaderMessage:
+		h.down(now, m.Message)
 	case HeartbeatReceived:
 		h.report(now, m)
 	case CommandsAnswered:
@@ -91,7 +91,7 @@
 		h.tick(now)
 	}
 	h.flush(now)
-	return h.fx
+	return h.effects
 }
 
 // paused tells that this controller stood still, and which grants ran out meanwhile.
@@ -105,7 +105,7 @@
 	h.emit(PauseDetected{p})
 }
 
-func (h *Holder) emit(e any) { h.fx = append(h.fx, e) }
+func (h *Holder) emit(e Effect) { h.effects = append(h.effects, e) }
 
 func (h *Holder) sendRenew(now clock.Micros) {
 	h.renew++
--- a/internal/shard/holder_test.go
+++ b/internal/shard/holder_test.go
@@ -23,20 +23,25 @@
 		placement.Params{K: 0.001, Eta: 0.05, Epsilon: 0.01, Small: 0.5}, func() bool { return true })
 	h.Step(now, LeaderConnected{Term: 9})
 	page := peer.AttemptPage{Machines: []string{"m1", "m2"}, Groups: []peer.AttemptGroup{{Job: task.Job, Team: "red", CPUs: 1, Attempts: []int{3, 1, 0, 3, 2, 1}}}}
-	h.Step(now, &peer.FromLeader{Term: 9, Holders: []string{"n0"}, Types: []wire.MachineType{{Name: "small", CPUs: 4, MemoryGB: 8}},
-		Grants: []peer.ShardGrant{{Shard: 0, FencingToken: 50, KeyVersion: 7, Machines: []peer.InventoryMachine{{Name: "m1", Address: "a1"}, {Name: "m2"}}, Pages: map[string]peer.AttemptPage{"run/000/1-1": page}}}})
-	h.Step(now, &peer.FromLeader{Term: 9, RenewedSeq: h.renew, FencingTokens: map[int]wire.FencingToken{0: 50}})
+	h.Step(now, LeaderMessage{&peer.FromLeader{Term: 9, Holders: []string{"n0"}, Types: []wire.MachineType{{Name: "small", CPUs: 4, MemoryGB: 8}},
+		Grants: []peer.ShardGrant{{Shard: 0, FencingToken: 50, KeyVersion: 7, Machines: []peer.InventoryMachine{{Name: "m1", Address: "a1"}, {Name: "m2"}}, Pages: map[string]peer.AttemptPage{"run/000/1-1": page}}}}})
+	h.Step(now, LeaderMessage{&peer.FromLeader{Term: 9, RenewedSeq: h.renew, FencingTokens: map[int]wire.FencingToken{0: 50}}})
 	return h
 }
 
+// unusedResponder stands where an answer would go: tests read answers from the effects.
+type unusedResponder struct{}
+
+func (unusedResponder) Respond(HeartbeatReply) {}
+
 func beat(machine string, seq uint64, token wire.FencingToken, tasks ...wire.TaskStatus) HeartbeatReceived {
-	return HeartbeatReceived{ReplyTo: machine, Heartbeat: &wire.Heartbeat{Machine: machine, Address: "a", Type: "small", AgentEpoch: 1, Seq: seq, FencingToken: token, Tasks: tasks}}
+	return HeartbeatReceived{ReplyTo: unusedResponder{}, Heartbeat: &wire.Heartbeat{Machine: machine, Address: "a", Type: "small", AgentEpoch: 1, Seq: seq, FencingToken: token, Tasks: tasks}}
 }
 
 // later is a time at which the leader is told of all that came before.
 func later(n int) clock.Micros { return now + clock.Micros(n)*flushEvery }
 
-func eventsOf(fx []any) (out []peer.EventKind) {
+func eventsOf(fx []Effect) (out []peer.EventKind) {
 	for _, e := range fx {
 		if s, ok := e.(SendToLeader); ok {
 			for _, u := range s.Message.Updates {
@@ -49,7 +54,7 @@
 	return out
 }
 
-func answerOf(t *testing.T, fx []any) HeartbeatReply {
+func answerOf(t *testing.T, fx []Effect) HeartbeatReply {
 	t.Helper()
 	for _, e := range fx {
 		if a, ok := e.(HeartbeatReply); ok {
@@ -129,7 +134,7 @@
 	if a := answerOf(t, fx); len(a.Body.Commands) != 0 {
 		t.Errorf("commands %v before the completion is stored", a.Body.Commands)
 	}
-	h.Step(now, &peer.FromLeader{Term: 9, Orders: []peer.ShardOrders{{Shard: 0, FencingToken: 50, Persisted: []peer.Task{task}}}})
+	h.Step(now, LeaderMessage{&peer.FromLeader{Term: 9, Orders: []peer.ShardOrders{{Shard: 0, FencingToken: 50, Persisted: []peer.Task{task}}}}})
 	if a := answerOf(t, h.Step(now, beat("m2", 2, 50, exit))); len(a.Body.Commands) != 1 || a.Body.Commands[0].Verb != wire.VerbForget {
 		t.Errorf("commands %v, want forget", a.Body.Commands)
 	}
@@ -139,11 +144,11 @@
 // with start records on it. The holder knows better: they are over, and the leader hears.
 func TestDeletedMachineIsNotWaitedFor(t *testing.T) {
 	h := holding(t)
-	h.Step(now, &peer.FromLeader{Term: 9, Orders: []peer.ShardOrders{{Shard: 0, FencingToken: 50, Terminated: []string{"m1"}}}})
+	h.Step(now, LeaderMessage{&peer.FromLeader{Term: 9, Orders: []peer.ShardOrders{{Shard: 0, FencingToken: 50, Terminated: []string{"m1"}}}}})
 	h.Step(now, LeaderConnected{Term: 10})
 	page := peer.AttemptPage{Machines: []string{"m1"}, Groups: []peer.AttemptGroup{{Job: task.Job, Team: "red", CPUs: 1, Attempts: []int{3, 1, 0}}}}
-	fx := h.Step(later(2), &peer.FromLeader{Term: 10, Grants: []peer.ShardGrant{{Shard: 0, FencingToken: 60, KeyVersion: 8,
-		Machines: []peer.InventoryMachine{{Name: "m1", Address: "a1"}, {Name: "m2"}}, Pages: map[string]peer.AttemptPage{"run/000/1-1": page}}}})
+	fx := h.Step(later(2), LeaderMessage{&peer.FromLeader{Term: 10, Grants: []peer.ShardGrant{{Shard: 0, FencingToken: 60, KeyVersion: 8,
+		Machines: []peer.InventoryMachine{{Name: "m1", Address: "a1"}, {Name: "m2"}}, Pages: map[string]peer.AttemptPage{"run/000/1-1": page}}}}})
 	if ev := eventsOf(fx); len(ev) != 1 || ev[0] != peer.EventReleased {
 		t.Errorf("events %v, want the task back", ev)
 	}
@@ -168,7 +173,7 @@
 	h := holding(t)
 	h.Step(now, beat("m1", 1, 50, wire.TaskStatus{Task: TaskName(task), Attempt: 1, State: wire.TaskRunning}))
 	ended := beat("m1", 3, 50, wire.TaskStatus{Task: TaskName(task), Attempt: 1, State: wire.TaskExited, Cause: wire.ExitDone}).Heartbeat
-	h.Step(now, CommandsAnswered{SendCommands: SendCommands{Shard: 0, Machine: "m1", Body: wire.CommandBatch{FencingToken: 50, AgentEpoch: 1}}, Code: 200, Status: ended})
+	h.Step(now, CommandsAnswered{Request: SendCommands{Shard: 0, Machine: "m1", Body: wire.CommandBatch{FencingToken: 50, AgentEpoch: 1}}, Code: 200, Status: ended})
 	h.Step(now, beat("m1", 2, 50, wire.TaskStatus{Task: TaskName(task), Attempt: 1, State: wire.TaskRunning}))
 	if r := h.blocks[0].machines["m1"].find(1); r == nil || r.state != exited {
 		t.Error("an ended attempt runs again by an older report")
@@ -186,12 +191,12 @@
 	r := &taskAttempt{task: peer.Task{Job: "j-000007"}, attempt: 50<<peer.AttemptBits | 9, m: m, group: &peer.AttemptGroup{Job: "j-000007"}, state: ordered, session: 1, direct: true, inflight: 1, stop: 2}
 	b.add(r)
 	order.Body.Commands = []wire.Command{r.run()}
-	h.Step(now, CommandsAnswered{SendCommands: order})
+	h.Step(now, CommandsAnswered{Request: order})
 	if h.Step(now+clock.Second, beat("m1", 2, 50)); m.find(r.attempt) == nil {
 		t.Error("taken for gone while its order may be carried out yet")
 	}
 	// Its answer, late, or another session end the doubt.
-	h.Step(now+2*clock.Second, CommandsAnswered{SendCommands: order, Code: 409, Status: beat("m1", 3, 50).Heartbeat})
+	h.Step(now+2*clock.Second, CommandsAnswered{Request: order, Code: 409, Status: beat("m1", 3, 50).Heartbeat})
 	if h.Step(now+3*clock.Second, beat("m1", 4, 50)); m.find(r.attempt) != nil {
 		t.Error("kept although its order was refused and no report lists it")
 	}
@@ -214,13 +219,13 @@
 }
 
 // offerOne offers one task to a holder and gives the effects.
-func offerOne(h *Holder, at clock.Micros) []any {
+func offerOne(h *Holder, at clock.Micros) []Effect {
 	offer := peer.TaskOffer{Job: wire.Job{Ref: "j-000009", Team: "red", Tasks: 1, CPUs: 1, MemoryGB: 1, Spot: true}, TaskIndexes: []int{0}}
-	return h.Step(at, &peer.FromLeader{Term: 9, Orders: []peer.ShardOrders{{Shard: 0, FencingToken: 50, OfferSeq: 1, Offers: []peer.TaskOffer{offer}}}})
+	return h.Step(at, LeaderMessage{&peer.FromLeader{Term: 9, Orders: []peer.ShardOrders{{Shard: 0, FencingToken: 50, OfferSeq: 1, Offers: []peer.TaskOffer{offer}}}}})
 }
 
 // recordOf is the write of start records among the effects.
-func recordOf(t *testing.T, fx []any) WriteAttempts {
+func recordOf(t *testing.T, fx []Effect) WriteAttempts {
 	t.Helper()
 	for _, e := range fx {
 		if r, ok := e.(WriteAttempts); ok {
@@ -232,7 +237,7 @@
 }
 
 // started offers a task to a holder, confirms its start record, and gives the effects of that.
-func started(t *testing.T, h *Holder, at clock.Micros) []any {
+func started(t *testing.T, h *Holder, at clock.Micros) []Effect {
 	t.Helper()
 	record := recordOf(t, offerOne(h, at))
 	return h.Step(at, record.Result(store.TxnResult{Committed: true, Revision: 8}))
--- a/internal/shard/limits_test.go
+++ b/internal/shard/limits_test.go
@@ -11,12 +11,12 @@
 )
 
 // offerTo offers tasks of one job to a holder's block.
-func offerTo(h *Holder, n int) []any {
+func offerTo(h *Holder, n int) []Effect {
 	o := peer.TaskOffer{Job: wire.Job{Ref: "j-000009", Team: "red", CPUs: 0.001, Spot: true}}
 	for i := range n {
 		o.TaskIndexes = append(o.TaskIndexes, i)
 	}
-	return h.Step(now, &peer.FromLeader{Term: 9, Orders: []peer.ShardOrders{{Shard: 0, FencingToken: 50, OfferSeq: 1, Offers: []peer.TaskOffer{o}}}})
+	return h.Step(now, LeaderMessage{&peer.FromLeader{Term: 9, Orders: []peer.ShardOrders{{Shard: 0, FencingToken: 50, OfferSeq: 1, Offers: []peer.TaskOffer{o}}}}})
 }
 
 // The attempts of a grant are as many as their bits; one more would be an attempt of the next token. A
@@ -78,7 +78,7 @@
 	}
 	const most = 64 << 10
 	killed := 0
-	for _, e := range h.Step(now, &peer.FromLeader{Term: 9, Orders: []peer.ShardOrders{{Shard: 0, FencingToken: 50, Stop: append(stop, peer.StopTask{Task: task})}}}) {
+	for _, e := range h.Step(now, LeaderMessage{&peer.FromLeader{Term: 9, Orders: []peer.ShardOrders{{Shard: 0, FencingToken: 50, Stop: append(stop, peer.StopTask{Task: task})}}}}) {
 		if o, ok := e.(SendCommands); ok {
 			raw, _ := json.Marshal(o.Body)
 			if len(raw) > most {
@@ -124,7 +124,7 @@
 	if n := inquiries() + inquiries(); n != 0 {
 		t.Errorf("%d more inquiries while the first has no answer", n)
 	}
-	h.Step(at, InspectionAnswered{InspectAgent: InspectAgent{Shard: 0, FencingToken: 50, Machine: "m1"}})
+	h.Step(at, InspectionAnswered{Request: InspectAgent{Shard: 0, FencingToken: 50, Machine: "m1"}})
 	if n := inquiries(); n != 1 {
 		t.Errorf("%d inquiries after the first failed, want one", n)
 	}
--- a/internal/shard/messages.go
+++ b/internal/shard/messages.go
@@ -1,6 +1,6 @@
-// Package shard is one controller's part as a holder of machine blocks: the
-// dialogue with its workers, the placement cycles and the start records. It
-// holds no I/O: a message and the time give effects.
+// Package shard is a controller's part as the holder of shard leases: the dialogue with the agents of a shard's
+// machines, the placement cycles, and the write-ahead attempt records. It holds no I/O: a message and the time give
+// effects.
 package shard
 
 import (
@@ -42,6 +42,19 @@
 // NotSent is the status of a direct command that certainly never left.
 const NotSent = -1
 
+// Message is what a Holder takes in, one at a time.
+//
+//sumtype:decl
+type Message interface{ shardMessage() }
+
+// Effect is what a Holder asks to have done; Step returns effects in the order in which they are to be carried out.
+//
+//sumtype:decl
+type Effect interface{ shardEffect() }
+
+// Responder is where the answer to a heartbeat goes.
+type Responder interface{ Respond(HeartbeatReply) }
+
 // Messages to a Holder.
 type (
 	// LeaderConnected says that a link to the leader of an epoch is up; Slow, that its messages
@@ -52,21 +65,23 @@
 	}
 	// LeaderDisconnected says that it ended.
 	LeaderDisconnected struct{ Term cluster.Term }
+	// LeaderMessage is a message that came from the leader over the link that is up.
+	LeaderMessage struct{ Message *peer.FromLeader }
 	// HeartbeatReceived is a worker's heartbeat that waits for an answer under ReplyTo.
 	HeartbeatReceived struct {
-		ReplyTo   any
+		ReplyTo   Responder
 		Heartbeat *wire.Heartbeat
 	}
 	// CommandsAnswered is the end of a direct command: the worker's status, or 0 without an answer.
 	CommandsAnswered struct {
-		SendCommands
-		Code   int
-		Status *wire.Heartbeat
+		Request SendCommands
+		Code    int
+		Status  *wire.Heartbeat
 	}
 	// InspectionAnswered is the end of an Inspect; R is nil without an answer.
 	InspectionAnswered struct {
-		InspectAgent
-		Status *wire.Heartbeat
+		Request InspectAgent
+		Status  *wire.Heartbeat
 	}
 	// AttemptsWritten is the end of a cycle's write of start records. Revision is the new
 	// version of its pages, or 0 when it is not known.
@@ -90,7 +105,7 @@
 	SendToLeader struct{ Message peer.ToLeader }
 	// HeartbeatReply goes to the worker that waits under Tag. Status is 200, 421 or 503.
 	HeartbeatReply struct {
-		ReplyTo  any
+		ReplyTo  Responder
 		Status   int
 		Body     wire.HeartbeatResponse
 		Redirect wire.Redirect
@@ -140,6 +155,27 @@
 	}
 )
 
+func (LeaderConnected) shardMessage()    {}
+func (LeaderDisconnected) shardMessage() {}
+func (LeaderMessage) shardMessage()      {}
+func (HeartbeatReceived) shardMessage()  {}
+func (CommandsAnswered) shardMessage()   {}
+func (InspectionAnswered) shardMessage() {}
+func (AttemptsWritten) shardMessage()    {}
+func (PagesCompacted) shardMessage()     {}
+func (Tick) shardMessage()               {}
+
+func (SendToLeader) shardEffect()   {}
+func (HeartbeatReply) shardEffect() {}
+func (SendCommands) shardEffect()   {}
+func (InspectAgent) shardEffect()   {}
+func (WriteAttempts) shardEffect()  {}
+func (CompactPages) shardEffect()   {}
+func (DeletePages) shardEffect()    {}
+func (RecordSpan) shardEffect()     {}
+func (PauseDetected) shardEffect()  {}
+func (Log) shardEffect()            {}
+
 // Txn writes the pages, guarded on the block's key and on the version of each page:
 // a copy that is applied late must not put an older page over a newer one.
 func (r WriteAttempts) Txn() (wire.Txn, error) {
--- a/internal/shard/observe.go
+++ b/internal/shard/observe.go
@@ -281,7 +281,7 @@
 		r.m.noteFailure(r.task.Job)
 	case wire.ExitStopped, wire.ExitFull, wire.ExitBusy:
 		fallthrough
-	default: // an exit cause that this version does not know
+	default: // as is a cause that is not known
 		e.Kind = peer.EventReleased
 		r.stored = true
 	}
--- a/internal/shard/overload_test.go
+++ b/internal/shard/overload_test.go
@@ -28,10 +28,11 @@
 	}
 }
 
-func directCommands(fx []any) (n int) {
+func directCommands(fx []Effect) (n int) {
 	for _, e := range fx {
-		switch e.(type) {
-		case SendCommands, InspectAgent:
+		_, commands := e.(SendCommands)
+		_, inspection := e.(InspectAgent)
+		if commands || inspection {
 			n++
 		}
 	}
@@ -90,8 +91,8 @@
 			at += 2 * lateTick
 		}
 		h.Step(at, Tick{})
-		fx := h.Step(at, &peer.FromLeader{Term: 9, Grants: []peer.ShardGrant{{Shard: 0, FencingToken: 51, KeyVersion: 8,
-			Machines: []peer.InventoryMachine{{Name: "m1", Address: "a1"}, {Name: "m2", Address: "a2"}}}}})
+		fx := h.Step(at, LeaderMessage{&peer.FromLeader{Term: 9, Grants: []peer.ShardGrant{{Shard: 0, FencingToken: 51, KeyVersion: 8,
+			Machines: []peer.InventoryMachine{{Name: "m1", Address: "a1"}, {Name: "m2", Address: "a2"}}}}}})
 		if n := directCommands(fx); (n == 0) != overloaded {
 			t.Errorf("overloaded %v: %d direct commands", overloaded, n)
 		}
--- a/internal/shard/pauses_test.go
+++ b/internal/shard/pauses_test.go
@@ -26,7 +26,7 @@
 			t.Errorf("%s is silent", m.name)
 		}
 	}
-	at := slices.IndexFunc(fx, func(e any) bool { _, ok := e.(PauseDetected); return ok })
+	at := slices.IndexFunc(fx, func(e Effect) bool { _, ok := e.(PauseDetected); return ok })
 	if at < 0 {
 		t.Fatal("the pause was not noticed")
 	}
--- a/internal/shard/proofs_test.go
+++ b/internal/shard/proofs_test.go
@@ -89,7 +89,7 @@
 	h := holding(t)
 	b := h.blocks[0]
 	for _, token := range []wire.FencingToken{50, 49} {
-		h.Step(now, &peer.FromLeader{Term: 9, Grants: []peer.ShardGrant{{Shard: 0, FencingToken: token, KeyVersion: 7}}})
+		h.Step(now, LeaderMessage{&peer.FromLeader{Term: 9, Grants: []peer.ShardGrant{{Shard: 0, FencingToken: token, KeyVersion: 7}}}})
 		if h.blocks[0] != b {
 			t.Errorf("token %d begins a grant after 50", token)
 		}
@@ -114,11 +114,11 @@
 	gone := func(token wire.FencingToken) []peer.ShardOrders {
 		return []peer.ShardOrders{{Shard: 0, FencingToken: token, Terminated: []string{"m1"}}}
 	}
-	for name, d := range map[string]*peer.FromLeader{
-		"an older leader's orders":  {Term: 8, Orders: gone(50)},
-		"orders of an older grant":  {Term: 9, Orders: gone(49)},
-		"an older leader's grant":   {Term: 8, Grants: []peer.ShardGrant{{Shard: 0, FencingToken: 60, KeyVersion: 9}}},
-		"an older leader's holders": {Term: 8, Holders: []string{"n1"}},
+	for name, d := range map[string]LeaderMessage{
+		"an older leader's orders":  {&peer.FromLeader{Term: 8, Orders: gone(50)}},
+		"orders of an older grant":  {&peer.FromLeader{Term: 9, Orders: gone(49)}},
+		"an older leader's grant":   {&peer.FromLeader{Term: 8, Grants: []peer.ShardGrant{{Shard: 0, FencingToken: 60, KeyVersion: 9}}}},
+		"an older leader's holders": {&peer.FromLeader{Term: 8, Holders: []string{"n1"}}},
 	} {
 		h := holding(t)
 		h.Step(now, d)
@@ -129,7 +129,7 @@
 	h := holding(t)
 	expires := h.blocks[0].expires
 	h.Step(now+2*clock.Second, Tick{})
-	h.Step(now+2*clock.Second, &peer.FromLeader{Term: 9, RenewedSeq: h.renew, FencingTokens: map[int]wire.FencingToken{0: 49}})
+	h.Step(now+2*clock.Second, LeaderMessage{&peer.FromLeader{Term: 9, RenewedSeq: h.renew, FencingTokens: map[int]wire.FencingToken{0: 49}}})
 	if h.blocks[0].expires != expires {
 		t.Error("the renewal of an older grant prolongs this one")
 	}
--- a/internal/shard/reach_test.go
+++ b/internal/shard/reach_test.go
@@ -16,7 +16,7 @@
 	in := func(s clock.Micros) clock.Micros { return now + s*clock.Second }
 	r := beat("m2", 1, 50).Heartbeat
 	r.AgentEpoch = 2
-	h.Step(in(35), CommandsAnswered{SendCommands: SendCommands{Shard: 0, Machine: "m2", Body: wire.CommandBatch{FencingToken: 50, AgentEpoch: 2}}, Code: 200, Status: r})
+	h.Step(in(35), CommandsAnswered{Request: SendCommands{Shard: 0, Machine: "m2", Body: wire.CommandBatch{FencingToken: 50, AgentEpoch: 2}}, Code: 200, Status: r})
 	m := h.blocks[0].machines["m2"]
 	h.blocks[0].add(&taskAttempt{task: task, attempt: 50<<peer.AttemptBits | 1, m: m, group: &peer.AttemptGroup{Job: task.Job}, state: shown, session: 2})
 	if h.Step(in(54), Tick{}); len(m.recs) != 1 {
@@ -39,7 +39,7 @@
 	if !fitNow(h, now, "m1") {
 		t.Fatal("not fit after it showed our token")
 	}
-	lost := CommandsAnswered{SendCommands: SendCommands{Shard: 0, Machine: "m1", Body: wire.CommandBatch{FencingToken: 50, AgentEpoch: 1}}}
+	lost := CommandsAnswered{Request: SendCommands{Shard: 0, Machine: "m1", Body: wire.CommandBatch{FencingToken: 50, AgentEpoch: 1}}}
 	for range deafAfter {
 		h.Step(now, lost)
 	}
@@ -75,7 +75,7 @@
 		t.Error("copies count as being heard or answered")
 	}
 	// One that a newer answer to a command has overtaken is no copy: the worker waits.
-	h.Step(at, CommandsAnswered{SendCommands: SendCommands{Shard: 0, Machine: "m1", Body: wire.CommandBatch{FencingToken: 50, AgentEpoch: 1}}, Code: 200, Status: beat("m1", 7, 50).Heartbeat})
+	h.Step(at, CommandsAnswered{Request: SendCommands{Shard: 0, Machine: "m1", Body: wire.CommandBatch{FencingToken: 50, AgentEpoch: 1}}, Code: 200, Status: beat("m1", 7, 50).Heartbeat})
 	if a := answerOf(t, h.Step(at, beat("m1", 6, 50))); a.Status != 200 {
 		t.Errorf("status %d for a report that was only overtaken", a.Status)
 	}
@@ -90,7 +90,7 @@
 	in := func(s clock.Micros) clock.Micros { return now + s*clock.Second }
 	for s := clock.Micros(2); s <= 12; s += 2 {
 		seq++
-		h.Step(in(s), CommandsAnswered{SendCommands: SendCommands{Shard: 0, Machine: "m1", Body: wire.CommandBatch{FencingToken: 50, AgentEpoch: 1}}, Code: 200, Status: beat("m1", seq, 50).Heartbeat})
+		h.Step(in(s), CommandsAnswered{Request: SendCommands{Shard: 0, Machine: "m1", Body: wire.CommandBatch{FencingToken: 50, AgentEpoch: 1}}, Code: 200, Status: beat("m1", seq, 50).Heartbeat})
 	}
 	if fitNow(h, in(12), "m1") {
 		t.Error("fit although none of its reports has come for four report times")
--- a/internal/shard/record_test.go
+++ b/internal/shard/record_test.go
@@ -11,27 +11,25 @@
 )
 
 // runOrders counts the run orders among the effects, direct or in answers.
-func runOrders(fx []any) (n int) {
+func runOrders(fx []Effect) (n int) {
 	isRun := func(c wire.Command) bool { return c.Verb == wire.VerbRun }
 	for _, e := range fx {
-		switch x := e.(type) {
-		case SendCommands:
+		if x, ok := e.(SendCommands); ok {
 			for _, c := range x.Body.Commands {
 				if isRun(c) {
 					n++
 				}
 			}
-		case HeartbeatReply:
-			if slices.ContainsFunc(x.Body.Commands, isRun) {
-				n++
-			}
+		}
+		if x, ok := e.(HeartbeatReply); ok && slices.ContainsFunc(x.Body.Commands, isRun) {
+			n++
 		}
 	}
 	return n
 }
 
 // given counts how often the task that is started in these tests was given back.
-func given(fx []any) (n int) {
+func given(fx []Effect) (n int) {
 	for _, e := range fx {
 		if s, ok := e.(SendToLeader); ok {
 			for _, u := range s.Message.Updates {
@@ -50,9 +48,9 @@
 // Whatever it is: the task is given back or ordered, never both, and not before the write's end.
 func TestWhatHappensWhileAStartIsRecorded(t *testing.T) {
 	good := store.TxnResult{Committed: true, Revision: 8}
-	orders := func(o peer.ShardOrders) *peer.FromLeader {
+	orders := func(o peer.ShardOrders) LeaderMessage {
 		o.FencingToken = 50
-		return &peer.FromLeader{Term: 9, Orders: []peer.ShardOrders{o}}
+		return LeaderMessage{&peer.FromLeader{Term: 9, Orders: []peer.ShardOrders{o}}}
 	}
 	next := func(machine string) HeartbeatReceived {
 		r := beat(machine, 2, 50)
@@ -61,17 +59,17 @@
 	}
 	for _, c := range []struct {
 		name    string
-		mean    []any
+		mean    []Message
 		wait    clock.Micros
 		outcome store.TxnResult
 		ordered bool
 	}{
 		{"nothing", nil, 0, good, true},
-		{"the worker's next session", []any{next("m1"), next("m2")}, 0, good, false},
-		{"the machine is deleted", []any{orders(peer.ShardOrders{Terminated: []string{"m1", "m2"}})}, 0, good, false},
-		{"the task is called off", []any{orders(peer.ShardOrders{Stop: []peer.StopTask{{Task: peer.Task{Job: "j-000009"}}}})}, 0, good, false},
+		{"the worker's next session", []Message{next("m1"), next("m2")}, 0, good, false},
+		{"the machine is deleted", []Message{orders(peer.ShardOrders{Terminated: []string{"m1", "m2"}})}, 0, good, false},
+		{"the task is called off", []Message{orders(peer.ShardOrders{Stop: []peer.StopTask{{Task: peer.Task{Job: "j-000009"}}}})}, 0, good, false},
 		{"the grant ends", nil, 25 * clock.Second, good, false},
-		{"the machine's lease ends", []any{}, 45 * clock.Second, good, false},
+		{"the machine's lease ends", []Message{}, 45 * clock.Second, good, false},
 		{"the write is refused", nil, 0, store.TxnResult{}, false},
 		{"the write gets no answer", nil, 0, store.TxnResult{Ambiguous: true}, false},
 		{"a repeat shows that the write went through", nil, 0, store.TxnResult{Ambiguous: true, FailedKeys: []string{"run/000/50-1"}}, true},
@@ -83,7 +81,7 @@
 		h.Step(now, beat("m2", 1, 50, running(2)))
 		at := later(1)
 		record := recordOf(t, offerOne(h, at))
-		var before []any
+		var before []Effect
 		for _, msg := range c.mean {
 			before = append(before, h.Step(at, msg)...)
 		}
@@ -123,7 +121,7 @@
 	h = holding(t)
 	h.Step(now, beat("m1", 1, 50))
 	offerOne(h, later(1))
-	h.Step(later(1), &peer.FromLeader{Term: 9, Orders: []peer.ShardOrders{{FencingToken: 50, Terminated: []string{"m1"}}}})
+	h.Step(later(1), LeaderMessage{&peer.FromLeader{Term: 9, Orders: []peer.ShardOrders{{FencingToken: 50, Terminated: []string{"m1"}}}}})
 	if len(h.blocks[0].byTask[peer.Task{Job: "j-000009"}]) != 1 {
 		t.Error("given back while its start is being recorded")
 	}
@@ -152,7 +150,7 @@
 	m := b.machines["m1"]
 	r := &taskAttempt{task: peer.Task{Job: "j-000009"}, attempt: 50<<peer.AttemptBits | 1, m: m, group: &peer.AttemptGroup{Job: "j-000009"}, state: ordered, session: 1, stop: stopAtOnce}
 	b.add(r)
-	answer := CommandsAnswered{SendCommands: SendCommands{Shard: 0, Machine: "m1", Body: wire.CommandBatch{FencingToken: 50, AgentEpoch: 1}}, Code: 200}
+	answer := CommandsAnswered{Request: SendCommands{Shard: 0, Machine: "m1", Body: wire.CommandBatch{FencingToken: 50, AgentEpoch: 1}}, Code: 200}
 	answer.Status = beat("m1", 2, 50).Heartbeat
 	if h.Step(now, answer); m.find(r.attempt) == nil {
 		t.Error("taken for gone by the answer to a direct command")
--- a/internal/shard/tokens_test.go
+++ b/internal/shard/tokens_test.go
@@ -13,7 +13,7 @@
 func TestFencesByItself(t *testing.T) {
 	h := holding(t)
 	r := beat("m1", 1, 49, running(1)).Heartbeat
-	fx := h.Step(now, InspectionAnswered{InspectAgent: InspectAgent{Shard: 0, FencingToken: 50, Machine: "m1"}, Status: r})
+	fx := h.Step(now, InspectionAnswered{Request: InspectAgent{Shard: 0, FencingToken: 50, Machine: "m1"}, Status: r})
 	sent := false
 	for _, e := range fx {
 		if o, ok := e.(SendCommands); ok && o.Body.FencingToken == 50 && o.Body.AgentEpoch == 1 && len(o.Body.Commands) == 0 {
@@ -24,11 +24,11 @@
 		t.Fatalf("effects %+v, want our token sent to m1", fx)
 	}
 	after := beat("m1", 2, 50, running(1)).Heartbeat
-	h.Step(now, CommandsAnswered{SendCommands: SendCommands{Shard: 0, Machine: "m1", Body: wire.CommandBatch{FencingToken: 50, AgentEpoch: 1}}, Code: 200, Status: after})
+	h.Step(now, CommandsAnswered{Request: SendCommands{Shard: 0, Machine: "m1", Body: wire.CommandBatch{FencingToken: 50, AgentEpoch: 1}}, Code: 200, Status: after})
 	if !h.blocks[0].machines["m1"].shown {
 		t.Error("m1 is not taken as fenced after it showed our token")
 	}
-	if h.Step(now, InspectionAnswered{InspectAgent: InspectAgent{Shard: 0, FencingToken: 50, Machine: "m2"}, Status: beat("m2", 1, 51).Heartbeat}); h.blocks[0] != nil {
+	if h.Step(now, InspectionAnswered{Request: InspectAgent{Shard: 0, FencingToken: 50, Machine: "m2"}, Status: beat("m2", 1, 51).Heartbeat}); h.blocks[0] != nil {
 		t.Error("keeps a block whose machine shows a newer token")
 	}
 }
@@ -46,8 +46,8 @@
 	if a := answerOf(t, h.Step(now, beat("m1", 2, 50, exit))); len(a.Body.Commands) != 0 {
 		t.Errorf("commands %v while a copy of its order would be obeyed", a.Body.Commands)
 	}
-	h.Step(now, &peer.FromLeader{Term: 9, Grants: []peer.ShardGrant{{Shard: 0, FencingToken: 60, KeyVersion: 8, Machines: []peer.InventoryMachine{{Name: "m1", Address: "a1"}}}}})
-	h.Step(now, &peer.FromLeader{Term: 9, RenewedSeq: h.renew, FencingTokens: map[int]wire.FencingToken{0: 60}})
+	h.Step(now, LeaderMessage{&peer.FromLeader{Term: 9, Grants: []peer.ShardGrant{{Shard: 0, FencingToken: 60, KeyVersion: 8, Machines: []peer.InventoryMachine{{Name: "m1", Address: "a1"}}}}}})
+	h.Step(now, LeaderMessage{&peer.FromLeader{Term: 9, RenewedSeq: h.renew, FencingTokens: map[int]wire.FencingToken{0: 60}}})
 	if a := answerOf(t, h.Step(now, beat("m1", 3, 60, exit))); len(a.Body.Commands) != 1 || a.Body.Commands[0].Verb != wire.VerbForget {
 		t.Errorf("commands %v under the higher token, want forget", a.Body.Commands)
 	}
@@ -82,7 +82,7 @@
 // answer ends the tasks of cancelled jobs, or they would go on for a lease more.
 func TestAnswerToAnUnfencedMachineEndsCancelledTasks(t *testing.T) {
 	h := holding(t)
-	h.Step(now, &peer.FromLeader{Term: 9, Orders: []peer.ShardOrders{{Shard: 0, FencingToken: 50, Stop: []peer.StopTask{{Task: task}}}}})
+	h.Step(now, LeaderMessage{&peer.FromLeader{Term: 9, Orders: []peer.ShardOrders{{Shard: 0, FencingToken: 50, Stop: []peer.StopTask{{Task: task}}}}}})
 	a := answerOf(t, h.Step(now, beat("m1", 1, 41, wire.TaskStatus{Task: TaskName(task), Attempt: 1, State: wire.TaskRunning})))
 	if len(a.Body.Commands) != 1 || a.Body.Commands[0].Verb != wire.VerbKill || a.Body.Commands[0].Attempt != 1 {
 		t.Errorf("status %d with %+v, want the task ended", a.Status, a.Body.Commands)
@@ -134,13 +134,13 @@
 	if m.name == "m2" {
 		rest = append(rest, running(2))
 	}
-	h.Step(later(2), &peer.FromLeader{Term: 9, Orders: []peer.ShardOrders{{Shard: 0, FencingToken: 50, Stop: []peer.StopTask{{Task: one}}}}})
+	h.Step(later(2), LeaderMessage{&peer.FromLeader{Term: 9, Orders: []peer.ShardOrders{{Shard: 0, FencingToken: 50, Stop: []peer.StopTask{{Task: one}}}}}})
 	h.Step(later(3), beat(m.name, 2, 50, rest...))
 	if asksForToken(h, now+h.p.AgentLease+clock.Second) {
 		t.Error("asked for a token while the answer may come")
 	}
 	at := now + h.p.AgentLease + 2*clock.Second
-	h.Step(at-clock.Second, &peer.FromLeader{Term: 9, RenewedSeq: h.renew, FencingTokens: map[int]wire.FencingToken{0: 50}})
+	h.Step(at-clock.Second, LeaderMessage{&peer.FromLeader{Term: 9, RenewedSeq: h.renew, FencingTokens: map[int]wire.FencingToken{0: 50}}})
 	h.Step(at, beat(m.name, 3, 50, rest...))
 	if len(b.byTask[one]) != 1 {
 		t.Fatal("taken for gone while its order may be carried out")
