--- a/internal/shard/compact.go
+++ b/internal/shard/compact.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	// compactEvery is the pause between two compactions of a block.
-	compactEvery = clock.Second
-	// wasteful is how many records of attempts that are gone make one worth its puts.
-	wasteful = 24
+	// compactionInterval is the pause between two compactions of a block.
+	compactionInterval = clock.Second
+	// minStaleRecords is how many records of attempts that are gone make one worth its puts.
+	minStaleRecords = 24
 )
 
 // CompactPages replaces pages by one that holds what of them is not proven gone. A replica that
@@ -53,69 +53,69 @@
 	return PagesCompacted{Shard: c.Shard, FencingToken: c.FencingToken, Committed: r.Committed, Fenced: r.Fenced, Revision: r.Revision}
 }
 
-// waste is how many records of the page's stored value name attempts that are gone.
-func (p *page) waste() int { return p.stored - len(p.recs) }
+// staleRecords is how many records of the page's stored value name attempts that are gone.
+func (p *attemptPage) staleRecords() int { return p.storedRecords - len(p.attempts) }
 
 // compact looks for pages of one grant, this or an earlier one, whose value is mostly waste,
 // and puts what is left of them on one page. It does not hold up the cycles: the pages
 // that it takes are theirs no more.
-func (h *Holder) compact(now clock.Micros, b *heldBlock) {
-	if b.compacting != nil || now-b.compactedAt < compactEvery || now >= b.expires {
+func (h *Holder) compact(now clock.Micros, b *heldShard) {
+	if b.compacting != nil || now-b.lastCompaction < compactionInterval || now >= b.expiresAt {
 		return
 	}
-	b.compactedAt = now
-	var pages []*page
+	b.lastCompaction = now
+	var pages []*attemptPage
 	for _, p := range b.pages {
-		if len(p.recs) > 0 && p.waste() > len(p.recs) && (b.writing == nil || !slices.Contains(b.writing.pages, p)) {
+		if len(p.attempts) > 0 && p.staleRecords() > len(p.attempts) && (b.writing == nil || !slices.Contains(b.writing.pages, p)) {
 			pages = append(pages, p)
 		}
 	}
 	if len(pages) == 0 {
 		return
 	}
-	slices.SortStableFunc(pages, func(a, c *page) int { return cmp.Compare(c.waste(), a.waste()) })
-	token := pages[0].token
-	pager := peer.NewAttemptPager(token, h.p.ValueBytes)
-	var from []*page
+	slices.SortStableFunc(pages, func(a, c *attemptPage) int { return cmp.Compare(c.staleRecords(), a.staleRecords()) })
+	token := pages[0].fencingToken
+	pager := peer.NewAttemptPager(token, h.params.ValueBytes)
+	var from []*attemptPage
 	var recs []*taskAttempt
 	var gone []string
 	waste := 0
 	for _, p := range pages {
-		if p.token != token || len(gone)+1+len(p.also) >= h.p.TxnOps {
+		if p.fencingToken != token || len(gone)+1+len(p.replacedKeys) >= h.params.TxnOps {
 			continue
 		}
-		if !p.fits(pager) {
+		if !p.fitsInto(pager) {
 			break // part of it may be in the pager: that does no harm, a record more is an upper bound
 		}
 		from = append(from, p)
-		recs = append(recs, p.recs...)
-		gone = append(append(gone, p.key), p.also...)
-		waste += p.waste()
+		recs = append(recs, p.attempts...)
+		gone = append(append(gone, p.key), p.replacedKeys...)
+		waste += p.staleRecords()
 	}
-	if waste < wasteful || len(from) == 0 {
+	if waste < minStaleRecords || len(from) == 0 {
 		return
 	}
 	to := b.newPage(token)
-	to.stored, to.also, to.busy = pager.Len(), gone, true
+	to.storedRecords, to.replacedKeys, to.compacting = pager.Len(), gone, true
 	for _, r := range recs {
 		to.add(r)
 	}
-	b.pages = append(slices.DeleteFunc(b.pages, func(p *page) bool { return slices.Contains(from, p) }), to)
+	b.pages = append(slices.DeleteFunc(b.pages, func(p *attemptPage) bool { return slices.Contains(from, p) }), to)
 	b.compacting = to
-	h.emit(CompactPages{Shard: b.id, FencingToken: b.token, KeyVersion: b.stamp, Put: PageWrite{Key: to.key, Page: pager.Page()}, Delete: gone})
+	h.emit(CompactPages{Shard: b.id, FencingToken: b.fencingToken, KeyVersion: b.keyVersion, Put: PageWrite{Key: to.key, Page: pager.Page()}, Delete: gone})
 }
 
-func (h *Holder) compacted(m PagesCompacted) {
-	b := h.answeredFor(m.Shard, m.FencingToken, m.Fenced)
+func (h *Holder) handlePagesCompacted(m PagesCompacted) {
+	b := h.shardOfWrite(m.Shard, m.FencingToken, m.Fenced)
 	if b == nil || b.compacting == nil {
 		return
 	}
 	p := b.compacting
-	b.compacting, p.busy = nil, false
+	b.compacting, p.compacting = nil, false
 	// Unless it is known to be there, and the others gone, all of them are erased in the end.
 	if m.Committed {
-		p.also = nil
+		p.replacedKeys = nil
 	}
 	p.version = m.Revision
-	p.fixed = p.token != b.token || m.Revision == 0
+	p.sealed = p.fencingToken != b.fencingToken || m.Revision == 0
 }
--- a/internal/shard/cycle.go
+++ b/internal/shard/cycle.go
@@ -11,66 +11,66 @@
 	"swiftledge/wire"
 )
 
-// page is one key of start records. Pages of this grant are written over, live
+// attemptPage is one key of start records. Pages of this grant are written over, live
 // records first, so that a cycle costs one put and no deletes; those of earlier
 // grants, and those whose last write is uncertain, are only erased.
-type page struct {
-	key     string
-	version uint64
-	recs    []*taskAttempt    // whose attempts are not proven gone
-	fixed   bool              // never written again
-	token   wire.FencingToken // of the grant whose attempts it names
-	stored  int               // how many records its stored value has
-	also    []string          // keys that may hold its records, too
-	busy    bool              // it is being written in place of others
-	empty   clock.Micros
+type attemptPage struct {
+	key           string
+	version       uint64
+	attempts      []*taskAttempt    // whose attempts are not proven gone
+	sealed        bool              // never written again
+	fencingToken  wire.FencingToken // of the grant whose attempts it names
+	storedRecords int               // how many records its stored value has
+	replacedKeys  []string          // keys that may hold its records, too
+	compacting    bool              // it is being written in place of others
+	emptySince    clock.Micros
 }
 
 // newPage is a page of this grant's for records of that or an earlier token.
-func (b *heldBlock) newPage(token wire.FencingToken) *page {
+func (b *heldShard) newPage(token wire.FencingToken) *attemptPage {
 	b.pageSeq++
-	return &page{key: AttemptPrefix(b.id) + strconv.FormatUint(uint64(b.token), 10) + "-" + strconv.Itoa(b.pageSeq), token: token}
+	return &attemptPage{key: AttemptPrefix(b.id) + strconv.FormatUint(uint64(b.fencingToken), 10) + "-" + strconv.Itoa(b.pageSeq), fencingToken: token}
 }
 
-// fits adds what the page holds to a pager; false when not all of it fits.
-func (p *page) fits(pager *peer.AttemptPager) bool {
-	for _, r := range p.recs {
-		if !pager.Add(r.group, r.task.Index, r.attempt, r.m.name) {
+// fitsInto adds what the page holds to a pager; false when not all of it fits.
+func (p *attemptPage) fitsInto(pager *peer.AttemptPager) bool {
+	for _, r := range p.attempts {
+		if !pager.Add(r.group, r.task.Index, r.id, r.machine.name) {
 			return false
 		}
 	}
 	return true
 }
 
-func (p *page) add(r *taskAttempt) {
-	r.page, r.place = p, len(p.recs)
-	p.recs = append(p.recs, r)
+func (p *attemptPage) add(r *taskAttempt) {
+	r.page, r.pageIndex = p, len(p.attempts)
+	p.attempts = append(p.attempts, r)
 }
 
-func (p *page) drop(r *taskAttempt) {
-	last := p.recs[len(p.recs)-1]
-	p.recs[r.place], last.place = last, r.place
-	p.recs = p.recs[:len(p.recs)-1]
+func (p *attemptPage) remove(r *taskAttempt) {
+	last := p.attempts[len(p.attempts)-1]
+	p.attempts[r.pageIndex], last.pageIndex = last, r.pageIndex
+	p.attempts = p.attempts[:len(p.attempts)-1]
 	r.page = nil
 }
 
-// cycleWrite is the one write of start records that a block has under way.
-type cycleWrite struct {
-	seq   int
-	pages []*page
-	recs  []*taskAttempt
+// attemptWrite is the one write of start records that a block has under way.
+type attemptWrite struct {
+	seq      int
+	pages    []*attemptPage
+	attempts []*taskAttempt
 }
 
-// cycle places offered tasks by auctions, and writes the start records of what
+// placeOffers places offered tasks by auctions, and writes the start records of what
 // found a place. One write at a time: what comes meanwhile gathers with the
 // leader, so the state service's limit sets the length of the cycles.
-func (h *Holder) cycle(now clock.Micros, b *heldBlock, offers []peer.TaskOffer) {
-	tuning := h.tuning
-	if h.p.Bound != nil {
-		tuning.Spread = &placement.Spread{Bound: *h.p.Bound, Fetch: h.fetches, Fleet: fleetLoad(offers)}
+func (h *Holder) placeOffers(now clock.Micros, b *heldShard, offers []peer.TaskOffer) {
+	tuning := h.placementParams
+	if h.params.Bound != nil {
+		tuning.Spread = &placement.Spread{Bound: *h.params.Bound, Fetch: h.fetchRates, Fleet: meanLoad(offers)}
 	}
 	var ms []*placement.Machine
-	if b.writing == nil && now < b.expires && b.attemptsLeft() {
+	if b.writing == nil && now < b.expiresAt && b.hasAttemptsLeft() {
 		ms = h.candidates(now, b, tuning.Spread)
 	}
 	var groups []*placement.Group
@@ -85,26 +85,26 @@
 		g := &placement.Group{Key: j.Ref, Indexes: o.TaskIndexes, Image: j.Image, Zone: zone, Types: j.Types, Spot: j.Spot,
 			CPUs: j.CPUs, GPUs: j.GPUs, Memory: j.MemoryGB, ImageGB: j.ImageGB}
 		if j.IsService() {
-			g.Avoid = b.avoided(j.Ref)
+			g.Avoid = b.avoidedMachines(j.Ref)
 		}
 		groups = append(groups, g)
 		specs[g] = &peer.AttemptGroup{Job: j.Ref, Team: j.Team, CPUs: j.CPUs, GPUs: j.GPUs, MemoryGB: j.MemoryGB,
 			SaveS: j.SaveS, CheckpointS: j.CheckpointS, Image: j.Image, ImageGB: j.ImageGB}
 	}
-	matches := placement.Cycle(groups, ms, h.book, tuning, now)
+	matches := placement.Cycle(groups, ms, h.images, tuning, now)
 	placed := map[peer.Task]bool{}
-	w := newCycleWriter(h, b)
+	w := newAttemptWriter(h, b)
 	for _, mt := range matches {
 		m := b.machines[mt.Machine.Name]
-		m.free = nil // the auction has taken from it
-		r := &taskAttempt{task: peer.Task{Job: mt.Group.Key, Index: mt.Index}, attempt: peer.NewAttemptID(b.token, b.counter+1), m: m,
-			group: specs[mt.Group], session: m.session}
+		m.freeCapacity = nil // the auction has taken from it
+		r := &taskAttempt{task: peer.Task{Job: mt.Group.Key, Index: mt.Index}, id: peer.NewAttemptID(b.fencingToken, b.attemptCount+1), machine: m,
+			group: specs[mt.Group], agentEpoch: m.epoch}
 		if !w.add(r) {
 			continue // more than one transaction holds: another cycle's
 		}
-		b.counter++
+		b.attemptCount++
 		placed[r.task] = true
-		b.add(r)
+		b.addAttempt(r)
 		b.events = append(b.events, peer.TaskEvent{Task: r.task, Kind: peer.EventAssigned, Machine: m.name})
 	}
 	w.write()
@@ -117,8 +117,8 @@
 	}
 }
 
-// fleetLoad is the mean load that a leader names with its offers; 0 if none does, or it makes no sense.
-func fleetLoad(offers []peer.TaskOffer) (load float64) {
+// meanLoad is the mean load that a leader names with its offers; 0 if none does, or it makes no sense.
+func meanLoad(offers []peer.TaskOffer) (load float64) {
 	for i := range offers {
 		if l := offers[i].Job.FleetLoad; l > 0 && l <= 1 {
 			load = max(load, l)
@@ -129,13 +129,13 @@
 
 // candidates are the machines that have room for new tasks. With spreading, the mean load is that of all
 // machines that take work, the full ones too.
-func (h *Holder) candidates(now clock.Micros, b *heldBlock, spread *placement.Spread) (ms []*placement.Machine) {
-	for _, m := range b.order {
-		if !h.fit(now, b, m) || m.rest {
+func (h *Holder) candidates(now clock.Micros, b *heldShard, spread *placement.Spread) (ms []*placement.Machine) {
+	for _, m := range b.machineOrder {
+		if !h.isSchedulable(now, b, m) || m.excluded {
 			continue
 		}
-		pm := h.room(m)
-		if _, known := h.types[m.typ]; known && spread != nil {
+		pm := h.freeCapacity(m)
+		if _, known := h.machineTypes[m.typeName]; known && spread != nil {
 			spread.Mean.Add(pm.Load())
 		}
 		if pm.CPUs > 0 {
@@ -145,57 +145,57 @@
 	return ms
 }
 
-// avoided are the machines where another replica of a service had better not go: those
+// avoidedMachines are the machines where another replica of a service had better not go: those
 // that have one, and more so those where one failed.
-func (b *heldBlock) avoided(job string) map[string]int {
+func (b *heldShard) avoidedMachines(job string) map[string]int {
 	out := map[string]int{}
-	for _, m := range b.order {
+	for _, m := range b.machineOrder {
 		switch {
-		case slices.Contains(m.failed, job):
+		case slices.Contains(m.failedJobs, job):
 			out[m.name] = 2
-		case slices.ContainsFunc(m.recs, func(r *taskAttempt) bool { return r.task.Job == job && r.state != exited }):
+		case slices.ContainsFunc(m.attempts, func(r *taskAttempt) bool { return r.task.Job == job && r.state != attemptExited }):
 			out[m.name] = 1
 		}
 	}
 	return out
 }
 
-// mostFailed is how many jobs whose tasks failed a machine is remembered for.
-const mostFailed = 32
+// maxFailedJobs is how many jobs whose tasks failed a machine is remembered for.
+const maxFailedJobs = 32
 
-// txnBytes is what the values of one transaction may take together.
-const txnBytes = 56 << 10
+// maxTxnBytes is what the values of one transaction may take together.
+const maxTxnBytes = 56 << 10
 
-// cycleWriter fills pages with a cycle's records, those with most room first.
-type cycleWriter struct {
+// attemptWriter fills pages with a cycle's records, those with most room first.
+type attemptWriter struct {
 	h      *Holder
-	b      *heldBlock
-	usable []*page // emptiest first
-	cw     *cycleWrite
+	b      *heldShard
+	usable []*attemptPage // emptiest first
+	cw     *attemptWrite
 	out    []PageWrite
 	pager  *peer.AttemptPager
 	added  int // to the page that is open
 }
 
-func newCycleWriter(h *Holder, b *heldBlock) *cycleWriter {
-	w := &cycleWriter{h: h, b: b, cw: &cycleWrite{seq: b.writeSeq + 1}}
+func newAttemptWriter(h *Holder, b *heldShard) *attemptWriter {
+	w := &attemptWriter{h: h, b: b, cw: &attemptWrite{seq: b.writeSeq + 1}}
 	for _, p := range b.pages {
-		if !p.fixed && !p.busy {
+		if !p.sealed && !p.compacting {
 			w.usable = append(w.usable, p)
 		}
 	}
-	slices.SortStableFunc(w.usable, func(a, c *page) int { return len(a.recs) - len(c.recs) })
+	slices.SortStableFunc(w.usable, func(a, c *attemptPage) int { return len(a.attempts) - len(c.attempts) })
 	return w
 }
 
 // add finds a page for a record; false when the transaction holds no more.
-func (w *cycleWriter) add(r *taskAttempt) bool {
+func (w *attemptWriter) add(r *taskAttempt) bool {
 	for {
 		if w.pager != nil {
-			if w.pager.Add(r.group, r.task.Index, r.attempt, r.m.name) {
+			if w.pager.Add(r.group, r.task.Index, r.id, r.machine.name) {
 				w.added++
 				w.cw.pages[len(w.cw.pages)-1].add(r)
-				w.cw.recs = append(w.cw.recs, r)
+				w.cw.attempts = append(w.cw.attempts, r)
 				return true
 			}
 			if w.added > 0 {
@@ -207,7 +207,7 @@
 				w.cw.pages = w.cw.pages[:len(w.cw.pages)-1]
 			}
 		}
-		if len(w.out) >= min(w.h.p.TxnOps, max(1, txnBytes/w.h.p.ValueBytes)) {
+		if len(w.out) >= min(w.h.params.TxnOps, max(1, maxTxnBytes/w.h.params.ValueBytes)) {
 			return false
 		}
 		w.open()
@@ -215,68 +215,68 @@
 }
 
 // open begins the next page, with what it already holds.
-func (w *cycleWriter) open() {
+func (w *attemptWriter) open() {
 	w.added = 0
 	if len(w.usable) > 0 {
 		p := w.usable[0]
 		w.usable = w.usable[1:]
-		w.pager = peer.NewAttemptPager(w.b.token, w.h.p.ValueBytes)
-		if p.fits(w.pager) {
+		w.pager = peer.NewAttemptPager(w.b.fencingToken, w.h.params.ValueBytes)
+		if p.fitsInto(w.pager) {
 			w.cw.pages = append(w.cw.pages, p)
 			return
 		}
 		w.usable = nil
 	}
-	w.pager = peer.NewAttemptPager(w.b.token, w.h.p.ValueBytes)
-	p := w.b.newPage(w.b.token)
+	w.pager = peer.NewAttemptPager(w.b.fencingToken, w.h.params.ValueBytes)
+	p := w.b.newPage(w.b.fencingToken)
 	w.b.pages = append(w.b.pages, p)
 	w.cw.pages = append(w.cw.pages, p)
 }
 
-func (w *cycleWriter) close() {
+func (w *attemptWriter) close() {
 	if w.pager == nil {
 		return
 	}
 	p := w.cw.pages[len(w.cw.pages)-1]
-	p.stored = w.pager.Len()
+	p.storedRecords = w.pager.Len()
 	w.out = append(w.out, PageWrite{Key: p.key, Version: p.version, Page: w.pager.Page()})
 	w.pager = nil
 }
 
-func (w *cycleWriter) write() {
-	if w.close(); len(w.cw.recs) == 0 {
+func (w *attemptWriter) write() {
+	if w.close(); len(w.cw.attempts) == 0 {
 		return
 	}
 	w.b.writeSeq++
 	w.b.writing = w.cw
-	w.h.emit(WriteAttempts{Shard: w.b.id, FencingToken: w.b.token, Seq: w.cw.seq, KeyVersion: w.b.stamp, Pages: w.out})
+	w.h.emit(WriteAttempts{Shard: w.b.id, FencingToken: w.b.fencingToken, Seq: w.cw.seq, KeyVersion: w.b.keyVersion, Pages: w.out})
 }
 
-// answeredFor is the block whose write of start records has ended, if it still is ours.
-func (h *Holder) answeredFor(id int, token wire.FencingToken, fenced bool) *heldBlock {
-	b := h.blocks[id]
-	if b == nil || b.token != token {
+// shardOfWrite is the block whose write of start records has ended, if it still is ours.
+func (h *Holder) shardOfWrite(id int, token wire.FencingToken, fenced bool) *heldShard {
+	b := h.shards[id]
+	if b == nil || b.fencingToken != token {
 		return nil
 	}
 	if fenced {
 		// Another holder has the block: what we know of it counts no more.
-		h.void(b)
+		h.dropShard(b)
 		return nil
 	}
 	return b
 }
 
-func (h *Holder) recorded(now clock.Micros, m AttemptsWritten) {
-	b := h.answeredFor(m.Shard, m.FencingToken, m.Fenced)
+func (h *Holder) handleAttemptsWritten(now clock.Micros, m AttemptsWritten) {
+	b := h.shardOfWrite(m.Shard, m.FencingToken, m.Fenced)
 	if b == nil || b.writing == nil || b.writing.seq != m.Seq {
 		return
 	}
 	w := b.writing
 	b.writing = nil
-	b.seq, b.tell = b.taken, true
+	b.settledOfferSeq, b.urgent = b.takenOfferSeq, true
 	if m.TooLarge {
 		// Limits fell below what the settings say.
-		h.p.ValueBytes, h.p.TxnOps = store.ReducedLimits(h.p.ValueBytes, h.p.TxnOps)
+		h.params.ValueBytes, h.params.TxnOps = store.ReducedLimits(h.params.ValueBytes, h.params.TxnOps)
 	}
 	for _, p := range w.pages {
 		// Without the new version no guard would protect the next write: what the
@@ -284,56 +284,56 @@
 		if m.Revision > 0 {
 			p.version = m.Revision
 		} else if !m.NeverExecuted {
-			p.fixed = true
+			p.sealed = true
 		}
 	}
 	var to []*machine
 	cmds := map[*machine][]wire.Command{}
-	for _, r := range w.recs {
-		mc := r.m
-		if !m.Committed || r.stop != goOn || now >= b.expires || mc.gone || mc.lost || mc.session != r.session {
+	for _, r := range w.attempts {
+		mc := r.machine
+		if !m.Committed || r.stopMode != keepRunning || now >= b.expiresAt || mc.terminated || mc.leaseExpired || mc.epoch != r.agentEpoch {
 			// Never ordered: it can run nowhere.
-			b.lose(r, peer.EventReleased)
+			b.removeAttempt(r, peer.EventReleased)
 			continue
 		}
-		r.state, r.orderedAt = ordered, now
-		if h.answerCarriesRuns(now, mc) {
+		r.state, r.launchedAt = attemptLaunched, now
+		if h.deliversRunsInReply(now, mc) {
 			continue
 		}
-		if mc.reachable() {
-			r.inflight++
-			r.direct = true
+		if mc.acceptsCommands() {
+			r.unansweredRuns++
+			r.launchedDirectly = true
 		}
 		if cmds[mc] == nil {
 			to = append(to, mc)
 		}
-		cmds[mc] = append(cmds[mc], r.run())
+		cmds[mc] = append(cmds[mc], r.runCommand())
 	}
 	for _, mc := range to {
-		h.direct(b, mc, cmds[mc])
+		h.sendCommands(b, mc, cmds[mc])
 	}
 }
 
-// eraseEmptyPages erases pages that name no attempt any more.
-func (h *Holder) eraseEmptyPages(now clock.Micros, b *heldBlock) {
-	b.pages = slices.DeleteFunc(b.pages, func(p *page) bool {
+// deleteEmptyPages erases pages that name no attempt any more.
+func (h *Holder) deleteEmptyPages(now clock.Micros, b *heldShard) {
+	b.pages = slices.DeleteFunc(b.pages, func(p *attemptPage) bool {
 		switch {
-		case len(p.recs) > 0 || p.busy || b.writing != nil && slices.Contains(b.writing.pages, p):
-			p.empty = 0
+		case len(p.attempts) > 0 || p.compacting || b.writing != nil && slices.Contains(b.writing.pages, p):
+			p.emptySince = 0
 			return false
-		case p.empty == 0:
-			p.empty = now
+		case p.emptySince == 0:
+			p.emptySince = now
 		}
-		if p.fixed || now-p.empty > 5*clock.Second {
-			b.erase = append(append(b.erase, p.key), p.also...)
+		if p.sealed || now-p.emptySince > 5*clock.Second {
+			b.deletions = append(append(b.deletions, p.key), p.replacedKeys...)
 			return true
 		}
 		return false
 	})
-	if n := len(b.erase); n > 0 && now < b.expires && (n >= h.p.TxnOps || now-b.erasedAt > 5*clock.Second) {
-		n = min(n, h.p.TxnOps)
-		h.emit(DeletePages{Shard: b.id, KeyVersion: b.stamp, Keys: slices.Clone(b.erase[:n])})
-		b.erase = b.erase[n:]
-		b.erasedAt = now
+	if n := len(b.deletions); n > 0 && now < b.expiresAt && (n >= h.params.TxnOps || now-b.lastDeletion > 5*clock.Second) {
+		n = min(n, h.params.TxnOps)
+		h.emit(DeletePages{Shard: b.id, KeyVersion: b.keyVersion, Keys: slices.Clone(b.deletions[:n])})
+		b.deletions = b.deletions[n:]
+		b.lastDeletion = now
 	}
 }
--- a/internal/shard/cycle_test.go
+++ b/internal/shard/cycle_test.go
@@ -12,9 +12,9 @@
 // A cycle costs one put whatever the number of its tasks, and what is written over a
 // page keeps all records that are not proven gone.
 func TestCycleWritesOnePage(t *testing.T) {
-	h := holding(t)
-	h.Step(now, beat("m1", 1, 50))
-	h.Step(now, beat("m2", 1, 50, running(2)))
+	h := newTestHolder(t)
+	h.Step(now, heartbeat("m1", 1, 50))
+	h.Step(now, heartbeat("m2", 1, 50, running(2)))
 	offer := func(seq uint64, ref string, n int) WriteAttempts {
 		t.Helper()
 		o := peer.TaskOffer{Job: wire.Job{Ref: ref, Team: "red", CPUs: 0.01, Image: "img"}}
@@ -50,7 +50,7 @@
 		t.Errorf("the page holds %d records, want 80", n)
 	}
 	txn, err := second.Txn()
-	if err != nil || len(txn.Writes) != 1 || len(txn.Writes[0].Value) > h.p.ValueBytes {
+	if err != nil || len(txn.Writes) != 1 || len(txn.Writes[0].Value) > h.params.ValueBytes {
 		t.Errorf("transaction of %d puts, %v", len(txn.Writes), err)
 	}
 	// No answer: a copy may be carried out yet, so the page is not written again.
@@ -63,9 +63,9 @@
 // Pages that are full must not take the place of new ones in a transaction: with as
 // many of them as it holds, nothing could start until some task ended.
 func TestFullPagesDoNotHoldBackStarts(t *testing.T) {
-	h := holding(t)
+	h := newTestHolder(t)
 	h.Step(now, LeaderMessage{&peer.FromLeader{Term: 9, Types: []wire.MachineType{{Name: "small", CPUs: 4000, MemoryGB: 8000}}}})
-	h.Step(now, beat("m1", 1, 50))
+	h.Step(now, heartbeat("m1", 1, 50))
 	job := 100000
 	for seq := uint64(1); seq <= 15; seq++ {
 		job++
@@ -82,14 +82,14 @@
 				continue
 			}
 			txn, err := r.Txn()
-			if err != nil || len(txn.Writes) > h.p.TxnOps {
+			if err != nil || len(txn.Writes) > h.params.TxnOps {
 				t.Fatalf("cycle %d: %d puts in a transaction, %v", seq, len(txn.Writes), err)
 			}
-			started = len(h.blocks[0].writing.recs)
+			started = len(h.shards[0].writing.attempts)
 			h.Step(now, r.Result(store.TxnResult{Committed: true, Revision: 30 + seq}))
 		}
 		if started != 250 {
-			t.Fatalf("cycle %d starts %d of 250 tasks, with %d pages in use", seq, started, len(h.blocks[0].pages))
+			t.Fatalf("cycle %d starts %d of 250 tasks, with %d pages in use", seq, started, len(h.shards[0].pages))
 		}
 	}
 }
@@ -105,7 +105,7 @@
 		{"answered", store.TxnResult{Committed: true, Revision: 40}, 1},
 		{"no answer", store.TxnResult{Ambiguous: true}, 3},
 	} {
-		h := holding(t)
+		h := newTestHolder(t)
 		h.Step(now, LeaderConnected{Term: 10})
 		pages := map[string]peer.AttemptPage{}
 		var run []wire.TaskStatus
@@ -118,8 +118,8 @@
 			run = append(run, wire.TaskStatus{Task: TaskName(peer.Task{Job: task.Job, Index: 100 * p}), Attempt: peer.NewAttemptID(40, uint64(100*p+1)), State: wire.TaskRunning})
 		}
 		h.Step(now, LeaderMessage{&peer.FromLeader{Term: 10, Grants: []peer.ShardGrant{{Shard: 0, FencingToken: 60, KeyVersion: 8, Machines: []peer.InventoryMachine{{Name: "m1", Address: "a1"}}, Pages: pages}}}})
-		h.Step(now, LeaderMessage{&peer.FromLeader{Term: 10, RenewedSeq: h.renew, FencingTokens: map[int]wire.FencingToken{0: 60}}})
-		h.Step(later(10), beat("m1", 1, 60, run...))
+		h.Step(now, LeaderMessage{&peer.FromLeader{Term: 10, RenewedSeq: h.renewSeq, FencingTokens: map[int]wire.FencingToken{0: 60}}})
+		h.Step(later(10), heartbeat("m1", 1, 60, run...))
 		var got *CompactPages
 		for _, e := range h.Step(later(11), Tick{}) {
 			if x, ok := e.(CompactPages); ok {
@@ -142,7 +142,7 @@
 		for i := range run {
 			run[i].State, run[i].Cause = wire.TaskExited, wire.ExitStopped
 		}
-		h.Step(later(13), beat("m1", 2, 60, run...))
+		h.Step(later(13), heartbeat("m1", 2, 60, run...))
 		keys := map[string]bool{}
 		for i := range 60 {
 			for _, e := range h.Step(later(20+10*i), Tick{}) {
@@ -152,7 +152,7 @@
 					}
 				}
 			}
-			h.Step(later(20+10*i), LeaderMessage{&peer.FromLeader{Term: 10, RenewedSeq: h.renew, FencingTokens: map[int]wire.FencingToken{0: 60}}})
+			h.Step(later(20+10*i), LeaderMessage{&peer.FromLeader{Term: 10, RenewedSeq: h.renewSeq, FencingTokens: map[int]wire.FencingToken{0: 60}}})
 		}
 		if !keys[got.Put.Key] || len(keys) != c.erased {
 			t.Errorf("%s: erased %v, want %d keys", c.name, keys, c.erased)
@@ -162,33 +162,33 @@
 
 // What the state service refuses for its size is tried in smaller pieces, not for ever.
 func TestTooLargeWritesGetSmaller(t *testing.T) {
-	h := holding(t)
-	h.Step(now, beat("m1", 1, 50))
+	h := newTestHolder(t)
+	h.Step(now, heartbeat("m1", 1, 50))
 	fx := h.Step(now, LeaderMessage{&peer.FromLeader{Term: 9, Orders: []peer.ShardOrders{{Shard: 0, FencingToken: 50, OfferSeq: 1,
 		Offers: []peer.TaskOffer{{Job: wire.Job{Ref: "j-000009", Team: "red", CPUs: 1, Spot: true, Tasks: 1}, TaskIndexes: []int{0}}}}}}})
-	was := h.p
+	was := h.params
 	for _, e := range fx {
 		if r, ok := e.(WriteAttempts); ok {
 			h.Step(now, r.Result(store.TxnResult{Rejected: true}))
 		}
 	}
-	if h.p.ValueBytes != was.ValueBytes/2 || h.p.TxnOps != was.TxnOps/2 {
-		t.Errorf("values of %d bytes and %d operations after a refusal, were %d and %d", h.p.ValueBytes, h.p.TxnOps, was.ValueBytes, was.TxnOps)
+	if h.params.ValueBytes != was.ValueBytes/2 || h.params.TxnOps != was.TxnOps/2 {
+		t.Errorf("values of %d bytes and %d operations after a refusal, were %d and %d", h.params.ValueBytes, h.params.TxnOps, was.ValueBytes, was.TxnOps)
 	}
 }
 
 // A replica goes to a machine that has none of its service, and rather to one that has than
 // to one where another failed.
 func TestReplicasAvoidMachines(t *testing.T) {
-	h := holding(t)
+	h := newTestHolder(t)
 	failed := wire.TaskStatus{Task: TaskName(task), Attempt: 1, State: wire.TaskExited, Cause: wire.ExitError}
-	h.Step(now, beat("m1", 1, 50, failed))
-	h.Step(now, beat("m2", 1, 50, running(2)))
+	h.Step(now, heartbeat("m1", 1, 50, failed))
+	h.Step(now, heartbeat("m2", 1, 50, running(2)))
 	where := func(seq uint64, index int) string {
 		for _, e := range h.Step(now, LeaderMessage{&peer.FromLeader{Term: 9, Orders: []peer.ShardOrders{{Shard: 0, FencingToken: 50, OfferSeq: seq,
 			Offers: []peer.TaskOffer{{Job: wire.Job{Ref: task.Job, Shape: wire.ShapeService, Team: "red", CPUs: 1, Tasks: 9}, TaskIndexes: []int{index}}}}}}}) {
 			if r, ok := e.(WriteAttempts); ok {
-				at := h.blocks[0].writing.recs[0].m.name
+				at := h.shards[0].writing.attempts[0].machine.name
 				h.Step(now, r.Result(store.TxnResult{Committed: true, Revision: 30 + seq}))
 				return at
 			}
@@ -199,7 +199,7 @@
 		t.Errorf("a replica goes to %q, where one failed, want m2", m)
 	}
 	h.Step(now, LeaderMessage{&peer.FromLeader{Term: 9, Orders: []peer.ShardOrders{{Shard: 0, FencingToken: 50, Added: []string{"m3"}}}}})
-	h.Step(now, beat("m3", 1, 50))
+	h.Step(now, heartbeat("m3", 1, 50))
 	if m := where(2, 5); m != "m3" {
 		t.Errorf("a replica goes to %q, want m3, which has none", m)
 	}
--- a/internal/shard/flush.go
+++ b/internal/shard/flush.go
@@ -8,46 +8,46 @@
 	"swiftledge/internal/peer"
 )
 
-// flushEvery is how long what the leader is to know is gathered, so that many
+// updateInterval is how long what the leader is to know is gathered, so that many
 // reports cost it one message; what it waits for goes at once.
-const flushEvery = 150 * clock.Millisecond
+const updateInterval = 150 * clock.Millisecond
 
-// flush tells the leader what has changed.
-func (h *Holder) flush(now clock.Micros) {
-	if !h.linked {
+// sendUpdates tells the leader what has changed.
+func (h *Holder) sendUpdates(now clock.Micros) {
+	if !h.connected {
 		return
 	}
-	every := flushEvery
-	if h.slow {
+	every := updateInterval
+	if h.viaStore {
 		every = clock.Second
 	}
-	due := now-h.flushed >= every
+	due := now-h.lastUpdate >= every
 	var ups []peer.ShardUpdate
-	for _, id := range slices.Sorted(maps.Keys(h.blocks)) {
-		b := h.blocks[id]
-		if !b.tell && !(due && len(b.events)+len(b.changed) > 0) {
+	for _, id := range slices.Sorted(maps.Keys(h.shards)) {
+		b := h.shards[id]
+		if !b.urgent && !(due && len(b.events)+len(b.changed) > 0) {
 			continue
 		}
-		u := peer.ShardUpdate{Shard: id, FencingToken: b.token, SettledOfferSeq: b.seq, Events: b.events}
+		u := peer.ShardUpdate{Shard: id, FencingToken: b.fencingToken, SettledOfferSeq: b.settledOfferSeq, Events: b.events}
 		for _, m := range b.changed {
-			m.dirty, m.wasFit = false, h.fit(now, b, m)
-			u.Machines = append(u.Machines, h.state(m))
+			m.changed, m.reportedSchedulable = false, h.isSchedulable(now, b, m)
+			u.Machines = append(u.Machines, h.machineState(m))
 		}
-		b.events, b.changed, b.tell = nil, nil, false
+		b.events, b.changed, b.urgent = nil, nil, false
 		ups = append(ups, u)
 	}
 	if len(ups) > 0 {
-		h.flushed = now
-		h.emit(SendToLeader{peer.ToLeader{Term: h.epoch, StoreOK: h.storeOK(), Updates: ups}})
+		h.lastUpdate = now
+		h.emit(SendToLeader{peer.ToLeader{Term: h.term, StoreOK: h.storeOK(), Updates: ups}})
 	}
 }
 
-func (h *Holder) state(m *machine) peer.MachineState {
-	pm := h.room(m)
-	s := peer.MachineState{Name: m.name, Type: m.typ, Zone: m.zone, Address: m.address, Spot: m.spot, Schedulable: m.wasFit,
-		Silent: m.silent, PreemptionNotice: m.notice, Terminated: m.gone, TokenConfirmed: m.shown, CPUs: pm.CPUs, GPUs: pm.GPUs, MemoryGB: pm.Memory}
-	for _, r := range m.recs {
-		if r.state != exited {
+func (h *Holder) machineState(m *machine) peer.MachineState {
+	pm := h.freeCapacity(m)
+	s := peer.MachineState{Name: m.name, Type: m.typeName, Zone: m.zone, Address: m.address, Spot: m.spot, Schedulable: m.reportedSchedulable,
+		Silent: m.silent, PreemptionNotice: m.preemptionNotice, Terminated: m.terminated, TokenConfirmed: m.tokenConfirmed, CPUs: pm.CPUs, GPUs: pm.GPUs, MemoryGB: pm.Memory}
+	for _, r := range m.attempts {
+		if r.state != attemptExited {
 			s.Tasks++
 			if !slices.Contains(s.Images, r.group.Image) {
 				s.Images = append(s.Images, r.group.Image)
--- a/internal/shard/holder.go
+++ b/internal/shard/holder.go
@@ -17,33 +17,33 @@
 
 // Holder is the actor's state.
 type Holder struct {
-	p       Params
-	tuning  placement.Params
-	epoch   cluster.Term
-	linked  bool
-	slow    bool // the link's messages take seconds
-	blocks  map[int]*heldBlock
-	holders []string
-	types   map[string]wire.MachineType
-	book    *placement.Book
-	fetches *rebalancer.FetchRates // as seen on this controller's machines
-	renew   uint64
-	sentAt  map[uint64]clock.Micros
-	renewed clock.Micros
-	flushed clock.Micros
-	heard   clock.Micros // when any worker was last heard
-	ticked  clock.Micros // when the last Tick was handled
-	late    clock.Micros // when a Tick was last handled late
-	pauses  pausedetect.Detector
-	storeOK func() bool
-	effects []Effect
+	params          Params
+	placementParams placement.Params
+	term            cluster.Term
+	connected       bool
+	viaStore        bool // the link's messages take seconds
+	shards          map[int]*heldShard
+	holders         []string
+	machineTypes    map[string]wire.MachineType
+	images          *placement.Book
+	fetchRates      *rebalancer.FetchRates // as seen on this controller's machines
+	renewSeq        uint64
+	renewSentAt     map[uint64]clock.Micros
+	lastRenewal     clock.Micros
+	lastUpdate      clock.Micros
+	lastStatus      clock.Micros // when any worker was last heard
+	lastTick        clock.Micros // when the last Tick was handled
+	lastLateTick    clock.Micros // when a Tick was last handled late
+	pauseDetector   pausedetect.Detector
+	storeOK         func() bool
+	effects         []Effect
 }
 
 // New makes a holder without blocks. storeOK is told to the others, who judge
 // by it whether the state service fails one node or all.
 func New(p Params, t placement.Params, storeOK func() bool) *Holder {
-	return &Holder{p: p, tuning: t, blocks: map[int]*heldBlock{}, types: map[string]wire.MachineType{},
-		book: placement.NewBook(), fetches: rebalancer.NewFetchRates(), sentAt: map[uint64]clock.Micros{}, storeOK: storeOK}
+	return &Holder{params: p, placementParams: t, shards: map[int]*heldShard{}, machineTypes: map[string]wire.MachineType{},
+		images: placement.NewBook(), fetchRates: rebalancer.NewFetchRates(), renewSentAt: map[uint64]clock.Micros{}, storeOK: storeOK}
 }
 
 // FromConfig makes a controller's holder.
@@ -61,44 +61,44 @@
 // Step takes one message at a time.
 func (h *Holder) Step(now clock.Micros, msg Message) []Effect {
 	h.effects = nil
-	if began, paused := h.pauses.Observe(now); paused {
-		h.paused(began, now)
+	if began, paused := h.pauseDetector.Observe(now); paused {
+		h.handlePause(began, now)
 	}
 	switch m := msg.(type) {
 	case LeaderConnected:
-		if m.Term >= h.epoch {
-			h.epoch, h.linked, h.slow = m.Term, true, m.ViaStore
-			h.sentAt = map[uint64]clock.Micros{}
+		if m.Term >= h.term {
+			h.term, h.connected, h.viaStore = m.Term, true, m.ViaStore
+			h.renewSentAt = map[uint64]clock.Micros{}
 			h.sendRenew(now)
 		}
 	case LeaderDisconnected:
-		if m.Term == h.epoch {
-			h.linked = false
+		if m.Term == h.term {
+			h.connected = false
 		}
 	case LeaderMessage:
-		h.down(now, m.Message)
+		h.handleLeaderMessage(now, m.Message)
 	case HeartbeatReceived:
-		h.report(now, m)
+		h.handleHeartbeat(now, m)
 	case CommandsAnswered:
-		h.answered(now, m)
+		h.handleCommandsAnswered(now, m)
 	case InspectionAnswered:
-		h.inspected(now, m)
+		h.handleInspection(now, m)
 	case AttemptsWritten:
-		h.recorded(now, m)
+		h.handleAttemptsWritten(now, m)
 	case PagesCompacted:
-		h.compacted(m)
+		h.handlePagesCompacted(m)
 	case Tick:
-		h.tick(now)
+		h.handleTick(now)
 	}
-	h.flush(now)
+	h.sendUpdates(now)
 	return h.effects
 }
 
-// paused tells that this controller stood still, and which grants ran out meanwhile.
-func (h *Holder) paused(began, now clock.Micros) {
+// handlePause tells that this controller stood still, and which grants ran out meanwhile.
+func (h *Holder) handlePause(began, now clock.Micros) {
 	p := pausedetect.Pause{Began: began, Ended: now}
-	for _, id := range slices.Sorted(maps.Keys(h.blocks)) {
-		if e := h.blocks[id].expires; e > began && e <= now {
+	for _, id := range slices.Sorted(maps.Keys(h.shards)) {
+		if e := h.shards[id].expiresAt; e > began && e <= now {
 			p.Expired = append(p.Expired, fmt.Sprintf("grant of block %d", id))
 		}
 	}
@@ -108,159 +108,159 @@
 func (h *Holder) emit(e Effect) { h.effects = append(h.effects, e) }
 
 func (h *Holder) sendRenew(now clock.Micros) {
-	h.renew++
-	h.renewed = now
-	h.sentAt[h.renew] = now
-	delete(h.sentAt, h.renew-16)
-	h.emit(SendToLeader{peer.ToLeader{Term: h.epoch, RenewSeq: h.renew, StoreOK: h.storeOK(), NoAgentContact: h.blind(now)}})
+	h.renewSeq++
+	h.lastRenewal = now
+	h.renewSentAt[h.renewSeq] = now
+	delete(h.renewSentAt, h.renewSeq-16)
+	h.emit(SendToLeader{peer.ToLeader{Term: h.term, RenewSeq: h.renewSeq, StoreOK: h.storeOK(), NoAgentContact: h.hasLostAgentContact(now)}})
 }
 
-func (h *Holder) down(now clock.Micros, d *peer.FromLeader) {
+func (h *Holder) handleLeaderMessage(now clock.Micros, d *peer.FromLeader) {
 	// An older leader's word, late or from a link that outlived its epoch.
-	if d.Term != h.epoch || !h.linked {
+	if d.Term != h.term || !h.connected {
 		return
 	}
 	if d.Holders != nil {
 		h.holders = d.Holders
 		for id, name := range d.Holders {
 			// The block goes elsewhere: its workers are sent there from now on.
-			if h.blocks[id] != nil && name != "" && name != h.p.Controller {
-				delete(h.blocks, id)
+			if h.shards[id] != nil && name != "" && name != h.params.Controller {
+				delete(h.shards, id)
 			}
 		}
 	}
 	for _, t := range d.Types {
-		h.types[t.Name] = t
-		h.fetches.Published(t.Name, t.FetchGBPS)
+		h.machineTypes[t.Name] = t
+		h.fetchRates.Published(t.Name, t.FetchGBPS)
 	}
 	for _, g := range d.Grants {
-		h.grant(now, g)
+		h.acceptGrant(now, g)
 	}
 	if len(d.Grants) > 0 {
 		h.sendRenew(now)
 	}
 	// The time runs from when we asked, not from when the answer came.
-	if at, ok := h.sentAt[d.RenewedSeq]; ok && d.RenewedSeq > 0 {
+	if at, ok := h.renewSentAt[d.RenewedSeq]; ok && d.RenewedSeq > 0 {
 		for id, token := range d.FencingTokens {
-			if b := h.blocks[id]; b != nil && b.token == token {
-				b.expires = max(b.expires, at+h.p.GrantTime.Shorter())
+			if b := h.shards[id]; b != nil && b.fencingToken == token {
+				b.expiresAt = max(b.expiresAt, at+h.params.GrantTime.Shorter())
 			}
 		}
 	}
 	for _, o := range d.Orders {
-		if b := h.blocks[o.Shard]; b != nil && b.token == o.FencingToken {
-			h.orders(now, b, o)
+		if b := h.shards[o.Shard]; b != nil && b.fencingToken == o.FencingToken {
+			h.applyOrders(now, b, o)
 		}
 	}
 }
 
-// orders carries out what the leader says of a block.
-func (h *Holder) orders(now clock.Micros, b *heldBlock, o peer.ShardOrders) {
+// applyOrders carries out what the leader says of a block.
+func (h *Holder) applyOrders(now clock.Micros, b *heldShard, o peer.ShardOrders) {
 	for _, name := range o.Added {
-		m := b.machine(name)
-		m.known = true
-		b.mark(m)
+		m := b.ensureMachine(name)
+		m.inInventory = true
+		b.markChanged(m)
 	}
 	for _, name := range o.Drain {
-		m := b.machine(name)
-		m.drain = true
-		b.mark(m)
+		m := b.ensureMachine(name)
+		m.draining = true
+		b.markChanged(m)
 	}
 	for _, name := range o.Terminated {
-		h.removeMachine(b, b.machine(name))
+		h.terminateMachine(b, b.ensureMachine(name))
 	}
 	for _, t := range o.Persisted {
 		for _, r := range b.byTask[t] {
-			if r.state == exited {
-				r.stored = true
-				b.settle(r)
+			if r.state == attemptExited {
+				r.endPersisted = true
+				b.releaseRecord(r)
 			}
 		}
 	}
 	for _, name := range o.Exclude {
-		b.machine(name).rest = true
+		b.ensureMachine(name).excluded = true
 	}
 	for _, name := range o.Include {
-		b.machine(name).rest = false
+		b.ensureMachine(name).excluded = false
 	}
 	h.stopTasks(now, b, o.Stop)
 	if len(o.Offers) > 0 {
-		h.cycle(now, b, o.Offers)
-		b.taken = o.OfferSeq
+		h.placeOffers(now, b, o.Offers)
+		b.takenOfferSeq = o.OfferSeq
 		if b.writing == nil {
-			b.seq, b.tell = o.OfferSeq, true
+			b.settledOfferSeq, b.urgent = o.OfferSeq, true
 		}
 	}
 }
 
-// removeMachine takes in that a machine is deleted: nothing runs there any more.
-func (h *Holder) removeMachine(b *heldBlock, m *machine) {
-	m.gone = true
-	b.mark(m)
-	for _, r := range slices.Clone(m.recs) {
-		if r.state == recording {
-			r.stop = stopAtOnce
+// terminateMachine takes in that a machine is deleted: nothing runs there any more.
+func (h *Holder) terminateMachine(b *heldShard, m *machine) {
+	m.terminated = true
+	b.markChanged(m)
+	for _, r := range slices.Clone(m.attempts) {
+		if r.state == attemptRecording {
+			r.stopMode = stopImmediately
 		} else {
-			b.lose(r, peer.EventReleased)
+			b.removeAttempt(r, peer.EventReleased)
 		}
 	}
-	h.book.Drop(m.name)
+	h.images.Drop(m.name)
 }
 
 // stopTasks ends all attempts of tasks, with one direct command to each machine.
-func (h *Holder) stopTasks(now clock.Micros, b *heldBlock, tasks []peer.StopTask) {
+func (h *Holder) stopTasks(now clock.Micros, b *heldShard, tasks []peer.StopTask) {
 	var stopped []*machine
 	kills := map[*machine][]wire.Command{}
 	for _, s := range tasks {
 		for _, r := range b.byTask[s.Task] {
-			if !r.toStop(now, s.Checkpoint) {
+			if !r.requestStop(now, s.Checkpoint) {
 				continue
 			}
-			if kills[r.m] == nil {
-				stopped = append(stopped, r.m)
+			if kills[r.machine] == nil {
+				stopped = append(stopped, r.machine)
 			}
-			kills[r.m] = append(kills[r.m], r.kill())
+			kills[r.machine] = append(kills[r.machine], r.killCommand())
 		}
 	}
 	for _, m := range stopped {
-		h.direct(b, m, kills[m])
+		h.sendCommands(b, m, kills[m])
 	}
 }
 
-// toStop notes that an attempt is to end, and says whether its worker is to be told now.
-func (r *taskAttempt) toStop(now clock.Micros, save bool) bool {
-	how := stopAtOnce
+// requestStop notes that an attempt is to end, and says whether its worker is to be told now.
+func (r *taskAttempt) requestStop(now clock.Micros, save bool) bool {
+	how := stopImmediately
 	if save && r.group.CheckpointS > 0 {
-		how = stopWithSave
+		how = stopWithCheckpoint
 	}
-	if r.stop >= how {
+	if r.stopMode >= how {
 		return false
 	}
-	r.stop = how
-	if r.state == exited {
+	r.stopMode = how
+	if r.state == attemptExited {
 		return false // a late copy of its order must find it listed still
 	}
-	r.stopAt = now
-	return r.state != recording
+	r.stopRequestedAt = now
+	return r.state != attemptRecording
 }
 
-// fit says whether a machine can be given tasks now. One that only answers commands, while
+// isSchedulable says whether a machine can be given tasks now. One that only answers commands, while
 // none of its reports comes, has a lease that runs out whatever it answers.
-func (h *Holder) fit(now clock.Micros, b *heldBlock, m *machine) bool {
-	fresh := 3 * h.p.HeartbeatInterval
-	return now-max(m.answered, b.since) < fresh && m.shown && m.known && !m.drain && !m.notice && !m.gone && !m.lost && m.deaf == 0 && now-m.heard < fresh
+func (h *Holder) isSchedulable(now clock.Micros, b *heldShard, m *machine) bool {
+	fresh := 3 * h.params.HeartbeatInterval
+	return now-max(m.lastReply, b.grantedAt) < fresh && m.tokenConfirmed && m.inInventory && !m.draining && !m.preemptionNotice && !m.terminated && !m.leaseExpired && m.unreachableSince == 0 && now-m.lastStatus < fresh
 }
 
-// room is what is free on a machine; kept until something changes there.
-func (h *Holder) room(m *machine) *placement.Machine {
-	if m.free != nil {
-		return m.free
+// freeCapacity is what is free on a machine; kept until something changes there.
+func (h *Holder) freeCapacity(m *machine) *placement.Machine {
+	if m.freeCapacity != nil {
+		return m.freeCapacity
 	}
-	t := h.types[m.typ]
-	pm := &placement.Machine{Name: m.name, Type: m.typ, Zone: m.zone, Spot: m.spot, CPUs: t.CPUs, GPUs: t.GPUs, Memory: t.MemoryGB, Images: m.images,
+	t := h.machineTypes[m.typeName]
+	pm := &placement.Machine{Name: m.name, Type: m.typeName, Zone: m.zone, Spot: m.spot, CPUs: t.CPUs, GPUs: t.GPUs, Memory: t.MemoryGB, Images: m.images,
 		Capacity: rebalancer.Resources{CPUs: t.CPUs, GPUs: t.GPUs, Memory: t.MemoryGB}}
-	for _, r := range m.recs {
-		if r.state == exited {
+	for _, r := range m.attempts {
+		if r.state == attemptExited {
 			continue
 		}
 		pm.CPUs -= r.group.CPUs
@@ -271,17 +271,17 @@
 			pm.Fetches = append(pm.Fetches, r.group.Image)
 		}
 	}
-	m.free = pm
+	m.freeCapacity = pm
 	return pm
 }
 
-// askAnew tells the leader that the block needs a new grant.
-func (h *Holder) askAnew(b *heldBlock) {
-	h.emit(SendToLeader{peer.ToLeader{Term: h.epoch, Updates: []peer.ShardUpdate{{Shard: b.id, FencingToken: b.token, NeedsRegrant: true}}}})
+// requestRegrant tells the leader that the block needs a new grant.
+func (h *Holder) requestRegrant(b *heldShard) {
+	h.emit(SendToLeader{peer.ToLeader{Term: h.term, Updates: []peer.ShardUpdate{{Shard: b.id, FencingToken: b.fencingToken, NeedsRegrant: true}}}})
 }
 
-// void gives up a block whose machines or key show a newer token.
-func (h *Holder) void(b *heldBlock) {
-	h.askAnew(b)
-	delete(h.blocks, b.id)
+// dropShard gives up a block whose machines or key show a newer token.
+func (h *Holder) dropShard(b *heldShard) {
+	h.requestRegrant(b)
+	delete(h.shards, b.id)
 }
--- a/internal/shard/keys_test.go
+++ b/internal/shard/keys_test.go
@@ -9,7 +9,7 @@
 // The key of a page of start records names the grant that wrote it, and its count there; leaders of any
 // version find the pages of a block by the beginning of their keys.
 func TestKeyOfARecordPage(t *testing.T) {
-	b := &heldBlock{id: 2, token: 7<<12 | 3}
+	b := &heldShard{id: 2, fencingToken: 7<<12 | 3}
 	cases := []struct {
 		name, want string
 		token      wire.FencingToken
--- a/internal/shard/limits_test.go
+++ b/internal/shard/limits_test.go
@@ -10,8 +10,8 @@
 	"swiftledge/wire"
 )
 
-// offerTo offers tasks of one job to a holder's block.
-func offerTo(h *Holder, n int) []Effect {
+// offerTasks offers tasks of one job to a holder's block.
+func offerTasks(h *Holder, n int) []Effect {
 	o := peer.TaskOffer{Job: wire.Job{Ref: "j-000009", Team: "red", CPUs: 0.001, Spot: true}}
 	for i := range n {
 		o.TaskIndexes = append(o.TaskIndexes, i)
@@ -26,13 +26,13 @@
 		given        uint64
 		places, asks bool
 	}{{0, true, false}, {1<<peer.AttemptBits - attemptReserve - 1, true, true}, {1<<peer.AttemptBits - attemptReserve, false, true}} {
-		h := holding(t)
-		h.Step(now, beat("m1", 1, 50))
-		h.Step(now, beat("m1", 2, 50))
-		b := h.blocks[0]
-		b.counter = c.given
+		h := newTestHolder(t)
+		h.Step(now, heartbeat("m1", 1, 50))
+		h.Step(now, heartbeat("m1", 2, 50))
+		b := h.shards[0]
+		b.attemptCount = c.given
 		placed := 0
-		for _, e := range offerTo(h, 3) {
+		for _, e := range offerTasks(h, 3) {
 			if r, ok := e.(WriteAttempts); ok {
 				for _, p := range r.Pages {
 					for _, g := range p.Page.Groups {
@@ -52,8 +52,8 @@
 		if (placed > 0) != c.places || asked != c.asks {
 			t.Errorf("%d attempts given: %d tasks placed, a new grant asked for: %v", c.given, placed, asked)
 		}
-		if b.counter >= 1<<peer.AttemptBits {
-			t.Errorf("attempt %d does not fit its bits", b.counter)
+		if b.attemptCount >= 1<<peer.AttemptBits {
+			t.Errorf("attempt %d does not fit its bits", b.attemptCount)
 		}
 	}
 }
@@ -61,18 +61,18 @@
 // A machine may hold more tasks than one message to its worker has room for: what ends tasks goes first,
 // and all goes in time.
 func TestCommandsFitIntoAMessage(t *testing.T) {
-	const tasks = 3 * mostCommands
-	h := holding(t)
-	h.Step(now, beat("m1", 1, 50))
-	b := h.blocks[0]
+	const tasks = 3 * maxCommandsPerBatch
+	h := newTestHolder(t)
+	h.Step(now, heartbeat("m1", 1, 50))
+	b := h.shards[0]
 	var listed []wire.TaskStatus
 	var stop []peer.StopTask
 	for i := range tasks {
 		task := peer.Task{Job: "j-000002", Index: i}
 		attempt := peer.NewAttemptID(50, uint64(i+1))
-		b.add(&taskAttempt{task: task, attempt: attempt, m: b.machines["m1"], group: &peer.AttemptGroup{Job: task.Job}, state: shown, session: 1})
+		b.addAttempt(&taskAttempt{task: task, id: attempt, machine: b.machines["m1"], group: &peer.AttemptGroup{Job: task.Job}, state: attemptConfirmed, agentEpoch: 1})
 		listed = append(listed, wire.TaskStatus{Task: TaskName(task), Attempt: attempt, State: wire.TaskRunning})
-		if i >= 2*mostCommands {
+		if i >= 2*maxCommandsPerBatch {
 			stop = append(stop, peer.StopTask{Task: task})
 		}
 	}
@@ -91,11 +91,11 @@
 		t.Errorf("%d of %d tasks are killed", killed, len(stop))
 	}
 	// Starts that were not seen come again with the answer, behind the kills.
-	for i := range 2 * mostCommands {
-		r := b.machines["m1"].recs[i+1]
-		r.state = ordered
+	for i := range 2 * maxCommandsPerBatch {
+		r := b.machines["m1"].attempts[i+1]
+		r.state = attemptLaunched
 	}
-	a := answerOf(t, h.Step(now, beat("m1", 5, 50, listed[2*mostCommands:]...)))
+	a := replyOf(t, h.Step(now, heartbeat("m1", 5, 50, listed[2*maxCommandsPerBatch:]...)))
 	raw, _ := json.Marshal(a.Body)
 	if len(raw) > most {
 		t.Errorf("an answer of %d bytes", len(raw))
@@ -110,10 +110,10 @@
 // Machines that cannot be reached are told the token once at a time: the commands to all others go
 // through the same line.
 func TestFenceWaitsForItsAnswer(t *testing.T) {
-	h := holding(t)
+	h := newTestHolder(t)
 	at := now
 	inquiries := func() (n int) {
-		at += fenceAfter + clock.Second
+		at += fenceInterval + clock.Second
 		for _, e := range h.Step(at, Tick{}) {
 			if x, ok := e.(InspectAgent); ok && x.Machine == "m1" {
 				n++
@@ -133,7 +133,7 @@
 // A leader that names a mean load which makes no sense is taken for one that names none.
 func TestMeanLoadThatMakesNoSenseIsLeftOut(t *testing.T) {
 	for _, c := range []struct{ told, want float64 }{{0.4, 0.4}, {0, 0}, {-1, 0}, {1.5, 0}, {math.NaN(), 0}, {math.Inf(1), 0}} {
-		if got := fleetLoad([]peer.TaskOffer{{Job: wire.Job{FleetLoad: c.told}}, {}}); got != c.want {
+		if got := meanLoad([]peer.TaskOffer{{Job: wire.Job{FleetLoad: c.told}}, {}}); got != c.want {
 			t.Errorf("%g is told, %g is used, want %g", c.told, got, c.want)
 		}
 	}
--- a/internal/shard/messages.go
+++ b/internal/shard/messages.go
@@ -30,12 +30,12 @@
 const KeyPrefix = "block/"
 
 // Key is the store key that says who holds a block.
-func Key(block int) string { return KeyPrefix + pad(block) }
+func Key(block int) string { return KeyPrefix + padShard(block) }
 
 // AttemptPrefix is where a block's start records are kept.
-func AttemptPrefix(block int) string { return "run/" + pad(block) + "/" }
+func AttemptPrefix(block int) string { return "run/" + padShard(block) + "/" }
 
-func pad(n int) string {
+func padShard(n int) string {
 	return string([]byte{'0' + byte(n/100%10), '0' + byte(n/10%10), '0' + byte(n%10)})
 }
 
--- a/internal/shard/overload_test.go
+++ b/internal/shard/overload_test.go
@@ -12,15 +12,15 @@
 // What a report costs must not grow with the number of machines: hundreds come a second.
 func TestReportCostsTheSameHoweverManyMachines(t *testing.T) {
 	cost := func(machines int) float64 {
-		h := holding(t)
+		h := newTestHolder(t)
 		for i := range machines {
-			h.Step(now, beat("x"+strconv.Itoa(i), 1, 50))
+			h.Step(now, heartbeat("x"+strconv.Itoa(i), 1, 50))
 		}
 		h.Step(later(1), Tick{}) // the leader is told of them all
 		seq := uint64(1)
 		return testing.AllocsPerRun(100, func() {
 			seq++
-			h.Step(later(1), beat("x3", seq, 50))
+			h.Step(later(1), heartbeat("x3", seq, 50))
 		})
 	}
 	if few, many := cost(10), cost(2000); many > few+1 {
@@ -28,7 +28,7 @@
 	}
 }
 
-func directCommands(fx []Effect) (n int) {
+func countCommands(fx []Effect) (n int) {
 	for _, e := range fx {
 		_, commands := e.(SendCommands)
 		_, inspection := e.(InspectAgent)
@@ -42,7 +42,7 @@
 // A direct command costs a controller more than the answer to a report. One that is behind with
 // its work lets the next report's answer carry a start; one that is not sends it at once.
 func TestStartsWaitForReportsUnderOverload(t *testing.T) {
-	const onTime, late = lateTick / 2, 2 * lateTick
+	const onTime, late = lateTickThreshold / 2, 2 * lateTickThreshold
 	for _, c := range []struct {
 		name  string
 		ticks clock.Micros
@@ -53,23 +53,23 @@
 		{"a late tick", late, 0, 0},
 		{"a late tick, and the report is overdue", late, 3 * clock.Second, 1},
 	} {
-		h := holding(t)
+		h := newTestHolder(t)
 		at := now + clock.Second
-		h.Step(at, beat("m1", 1, 50, running(1)))
+		h.Step(at, heartbeat("m1", 1, 50, running(1)))
 		h.Step(at, Tick{})
 		at += c.ticks
 		h.Step(at, Tick{})
-		h.Step(at, beat("m1", 2, 50, running(1)))
+		h.Step(at, heartbeat("m1", 2, 50, running(1)))
 		at += c.quiet
-		h.ticked = at // ticks meanwhile came as before
+		h.lastTick = at // ticks meanwhile came as before
 		if c.ticks == late {
-			h.late = at
+			h.lastLateTick = at
 		}
-		if n := directCommands(started(t, h, at)); n != c.want {
+		if n := countCommands(launchTask(t, h, at)); n != c.want {
 			t.Errorf("%s: %d direct commands, want %d", c.name, n, c.want)
 		}
 		runs := 0
-		for _, cmd := range answerOf(t, h.Step(at, beat("m1", 3, 50, running(1)))).Body.Commands {
+		for _, cmd := range replyOf(t, h.Step(at, heartbeat("m1", 3, 50, running(1)))).Body.Commands {
 			if cmd.Verb == wire.VerbRun {
 				runs++
 			}
@@ -84,16 +84,16 @@
 // a direct command to each.
 func TestGrantUnderOverloadSendsNoCommands(t *testing.T) {
 	for _, overloaded := range []bool{false, true} {
-		h := holding(t)
+		h := newTestHolder(t)
 		at := now + clock.Second
 		h.Step(at, Tick{})
 		if overloaded {
-			at += 2 * lateTick
+			at += 2 * lateTickThreshold
 		}
 		h.Step(at, Tick{})
 		fx := h.Step(at, LeaderMessage{&peer.FromLeader{Term: 9, Grants: []peer.ShardGrant{{Shard: 0, FencingToken: 51, KeyVersion: 8,
 			Machines: []peer.InventoryMachine{{Name: "m1", Address: "a1"}, {Name: "m2", Address: "a2"}}}}}})
-		if n := directCommands(fx); (n == 0) != overloaded {
+		if n := countCommands(fx); (n == 0) != overloaded {
 			t.Errorf("overloaded %v: %d direct commands", overloaded, n)
 		}
 	}
--- a/internal/shard/pauses_test.go
+++ b/internal/shard/pauses_test.go
@@ -18,10 +18,10 @@
 	h.Step(began, Tick{})
 	thawed := began + 12*clock.Second
 	fx := h.Step(thawed, Tick{})
-	if h.blind(thawed) {
+	if h.hasLostAgentContact(thawed) {
 		t.Error("calls itself blind for reports that it has not read yet")
 	}
-	for _, m := range b.order {
+	for _, m := range b.machineOrder {
 		if m.silent {
 			t.Errorf("%s is silent", m.name)
 		}
@@ -33,27 +33,27 @@
 	if p := fx[at].(PauseDetected).Pause; p.Length() != 12*clock.Second || !slices.Equal(p.Expired, []string{"grant of block 0"}) {
 		t.Errorf("%+v", p)
 	}
-	silentFor := 3 * h.p.HeartbeatInterval
+	silentFor := 3 * h.params.HeartbeatInterval
 	for at := thawed; at <= thawed+silentFor; at += pausedetect.Threshold / 4 {
 		h.Step(at, Tick{})
 	}
-	if !h.blind(thawed + silentFor) {
+	if !h.hasLostAgentContact(thawed + silentFor) {
 		t.Error("silence after the pause does not count")
 	}
 }
 
 // pausedHolder is a holder of one block of a few machines, whose grant runs out soon after a minute.
-func pausedHolder(t *testing.T) (*Holder, *heldBlock) {
+func pausedHolder(t *testing.T) (*Holder, *heldShard) {
 	t.Helper()
 	h := New(Params{Controller: "n0", GrantTime: 20 * clock.Second, LongestGrant: 20 * clock.Second, AgentLease: 20 * clock.Second,
 		HeartbeatInterval: 3 * clock.Second, ValueBytes: 3600, TxnOps: 8}, placement.Params{}, func() bool { return true })
-	b := &heldBlock{id: 0, token: 1, since: clock.Second, expires: clock.Minute + 5*clock.Second, machines: map[string]*machine{}}
-	h.blocks[0] = b
+	b := &heldShard{id: 0, fencingToken: 1, grantedAt: clock.Second, expiresAt: clock.Minute + 5*clock.Second, machines: map[string]*machine{}}
+	h.shards[0] = b
 	for _, name := range []string{"host-000001", "host-000002", "host-000003", "host-000004"} {
-		m := b.machine(name)
-		m.known, m.shown = true, true
-		m.heard, m.answered = clock.Minute, clock.Minute
-		h.noteReport(clock.Minute, b, m, &wire.Heartbeat{Machine: name, AgentEpoch: 1, Seq: 1, FencingToken: 1, Type: "small"})
+		m := b.ensureMachine(name)
+		m.inInventory, m.tokenConfirmed = true, true
+		m.lastStatus, m.lastReply = clock.Minute, clock.Minute
+		h.recordStatus(clock.Minute, b, m, &wire.Heartbeat{Machine: name, AgentEpoch: 1, Seq: 1, FencingToken: 1, Type: "small"})
 	}
 	return h, b
 }
--- a/internal/shard/proofs_test.go
+++ b/internal/shard/proofs_test.go
@@ -13,10 +13,10 @@
 // An end is told once, however often the worker lists it: told again, it would be taken for the end of
 // the attempt that the task has then.
 func TestAnEndIsToldOnce(t *testing.T) {
-	h := holding(t)
-	h.Step(now, beat("m1", 1, 50)) // the other attempt's record is stale
-	first := eventsOf(h.Step(later(1), beat("m2", 1, 50, exitedAs(2, wire.ExitStopped))))
-	again := eventsOf(h.Step(later(2), beat("m2", 2, 50, exitedAs(2, wire.ExitStopped))))
+	h := newTestHolder(t)
+	h.Step(now, heartbeat("m1", 1, 50)) // the other attempt's record is stale
+	first := eventsOf(h.Step(later(1), heartbeat("m2", 1, 50, exitedAs(2, wire.ExitStopped))))
+	again := eventsOf(h.Step(later(2), heartbeat("m2", 2, 50, exitedAs(2, wire.ExitStopped))))
 	if !slices.Equal(first, []peer.EventKind{peer.EventReleased}) || len(again) != 0 {
 		t.Errorf("events %v, then %v", first, again)
 	}
@@ -25,12 +25,12 @@
 // An attempt whose end was told is forgotten while the task runs as another one: that is no end of the
 // other.
 func TestForgettingAnAttemptEndsNoOther(t *testing.T) {
-	h := holding(t)
-	b := h.blocks[0]
-	h.Step(now, beat("m1", 1, 50))
-	h.Step(later(1), beat("m2", 1, 50, exitedAs(2, wire.ExitStopped)))
-	b.add(&taskAttempt{task: task, attempt: 50<<peer.AttemptBits | 1, m: b.machines["m1"], group: &peer.AttemptGroup{Job: task.Job}, state: shown, session: 1})
-	if ev := eventsOf(h.Step(later(2), beat("m2", 2, 50))); len(ev) != 0 {
+	h := newTestHolder(t)
+	b := h.shards[0]
+	h.Step(now, heartbeat("m1", 1, 50))
+	h.Step(later(1), heartbeat("m2", 1, 50, exitedAs(2, wire.ExitStopped)))
+	b.addAttempt(&taskAttempt{task: task, id: 50<<peer.AttemptBits | 1, machine: b.machines["m1"], group: &peer.AttemptGroup{Job: task.Job}, state: attemptConfirmed, agentEpoch: 1})
+	if ev := eventsOf(h.Step(later(2), heartbeat("m2", 2, 50))); len(ev) != 0 {
 		t.Errorf("events %v as the former attempt is forgotten", ev)
 	}
 }
@@ -38,10 +38,10 @@
 // An attempt whose end was told goes on, as a late copy of its order has come to a worker that began
 // anew: its task may run elsewhere, so it is ended.
 func TestAttemptThatGoesOnAfterItsEndIsKilled(t *testing.T) {
-	h := holding(t)
-	h.Step(now, beat("m1", 1, 50))
-	h.Step(later(1), beat("m2", 1, 50, exitedAs(2, wire.ExitStopped)))
-	cmds := answerOf(t, h.Step(later(2), beat("m2", 2, 50, running(2)))).Body.Commands
+	h := newTestHolder(t)
+	h.Step(now, heartbeat("m1", 1, 50))
+	h.Step(later(1), heartbeat("m2", 1, 50, exitedAs(2, wire.ExitStopped)))
+	cmds := replyOf(t, h.Step(later(2), heartbeat("m2", 2, 50, running(2)))).Body.Commands
 	if len(cmds) != 1 || cmds[0].Verb != wire.VerbKill || *cmds[0].GraceS != 0 {
 		t.Errorf("commands %v, want kill at once", cmds)
 	}
@@ -54,14 +54,14 @@
 		r    taskAttempt
 		want bool
 	}{
-		{"completed and stored", taskAttempt{done: true, stored: true, direct: true}, true},
-		{"completed, not stored", taskAttempt{done: true, direct: true}, false},
-		{"completed, a direct order without an answer", taskAttempt{done: true, stored: true, direct: true, inflight: 1}, false},
-		{"completed, and to be stopped", taskAttempt{done: true, stored: true, direct: true, stop: stopAtOnce}, false},
-		{"stopped, ordered directly", taskAttempt{stored: true, direct: true}, false},
-		{"stopped, ordered in an answer, which cannot come late", taskAttempt{stored: true}, true},
+		{"completed and stored", taskAttempt{completed: true, endPersisted: true, launchedDirectly: true}, true},
+		{"completed, not stored", taskAttempt{completed: true, launchedDirectly: true}, false},
+		{"completed, a direct order without an answer", taskAttempt{completed: true, endPersisted: true, launchedDirectly: true, unansweredRuns: 1}, false},
+		{"completed, and to be stopped", taskAttempt{completed: true, endPersisted: true, launchedDirectly: true, stopMode: stopImmediately}, false},
+		{"stopped, ordered directly", taskAttempt{endPersisted: true, launchedDirectly: true}, false},
+		{"stopped, ordered in an answer, which cannot come late", taskAttempt{endPersisted: true}, true},
 	} {
-		if got := c.r.forgettable(); got != c.want {
+		if got := c.r.canForget(); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
 		}
 	}
@@ -70,12 +70,12 @@
 // A page that is being written keeps its place: a compaction would delete what the write is to hold.
 func TestPageBeingWrittenIsNotCompacted(t *testing.T) {
 	for _, writing := range []bool{false, true} {
-		h := holding(t)
-		b := h.blocks[0]
+		h := newTestHolder(t)
+		b := h.shards[0]
 		p := b.pages[0]
-		p.stored = 100
+		p.storedRecords = 100
 		if writing {
-			b.writing = &cycleWrite{pages: []*page{p}}
+			b.writing = &attemptWrite{pages: []*attemptPage{p}}
 		}
 		h.compact(later(1), b)
 		if (b.compacting == nil) != writing {
@@ -86,11 +86,11 @@
 
 // A grant that comes again begins nothing anew: numbers of attempts would repeat.
 func TestGrantThatComesAgainIsTheSame(t *testing.T) {
-	h := holding(t)
-	b := h.blocks[0]
+	h := newTestHolder(t)
+	b := h.shards[0]
 	for _, token := range []wire.FencingToken{50, 49} {
 		h.Step(now, LeaderMessage{&peer.FromLeader{Term: 9, Grants: []peer.ShardGrant{{Shard: 0, FencingToken: token, KeyVersion: 7}}}})
-		if h.blocks[0] != b {
+		if h.shards[0] != b {
 			t.Errorf("token %d begins a grant after 50", token)
 		}
 	}
@@ -98,13 +98,13 @@
 
 // A machine gets no task before it has shown the token: it would obey an older holder's orders, too.
 func TestNoTaskBeforeTheTokenIsShown(t *testing.T) {
-	h := holding(t)
-	h.Step(now, beat("m1", 1, 49))
-	if fitNow(h, now, "m1") {
+	h := newTestHolder(t)
+	h.Step(now, heartbeat("m1", 1, 49))
+	if isSchedulable(h, now, "m1") {
 		t.Error("gets work under an older token")
 	}
-	h.Step(now, beat("m1", 2, 50))
-	if !fitNow(h, now, "m1") {
+	h.Step(now, heartbeat("m1", 2, 50))
+	if !isSchedulable(h, now, "m1") {
 		t.Error("gets no work although it has shown the token")
 	}
 }
@@ -120,28 +120,28 @@
 		"an older leader's grant":   {&peer.FromLeader{Term: 8, Grants: []peer.ShardGrant{{Shard: 0, FencingToken: 60, KeyVersion: 9}}}},
 		"an older leader's holders": {&peer.FromLeader{Term: 8, Holders: []string{"n1"}}},
 	} {
-		h := holding(t)
+		h := newTestHolder(t)
 		h.Step(now, d)
-		if b := h.blocks[0]; b == nil || b.token != 50 || b.machines["m1"].gone {
+		if b := h.shards[0]; b == nil || b.fencingToken != 50 || b.machines["m1"].terminated {
 			t.Errorf("%s are obeyed", name)
 		}
 	}
-	h := holding(t)
-	expires := h.blocks[0].expires
+	h := newTestHolder(t)
+	expires := h.shards[0].expiresAt
 	h.Step(now+2*clock.Second, Tick{})
-	h.Step(now+2*clock.Second, LeaderMessage{&peer.FromLeader{Term: 9, RenewedSeq: h.renew, FencingTokens: map[int]wire.FencingToken{0: 49}}})
-	if h.blocks[0].expires != expires {
+	h.Step(now+2*clock.Second, LeaderMessage{&peer.FromLeader{Term: 9, RenewedSeq: h.renewSeq, FencingTokens: map[int]wire.FencingToken{0: 49}}})
+	if h.shards[0].expiresAt != expires {
 		t.Error("the renewal of an older grant prolongs this one")
 	}
 }
 
 // A direct order names the session in which it is to be carried out, and no other.
 func TestOrderNamesItsSession(t *testing.T) {
-	h := holding(t)
-	third := beat("m1", 1, 50)
+	h := newTestHolder(t)
+	third := heartbeat("m1", 1, 50)
 	third.Heartbeat.AgentEpoch = 3
 	h.Step(now, third)
-	for _, e := range started(t, h, later(1)) {
+	for _, e := range launchTask(t, h, later(1)) {
 		if o, ok := e.(SendCommands); ok && o.Machine == "m1" && o.Body.AgentEpoch != 3 {
 			t.Errorf("an order for session %d, want 3", o.Body.AgentEpoch)
 		}
--- a/internal/shard/record_test.go
+++ b/internal/shard/record_test.go
@@ -10,8 +10,8 @@
 	"swiftledge/wire"
 )
 
-// runOrders counts the run orders among the effects, direct or in answers.
-func runOrders(fx []Effect) (n int) {
+// countRunCommands counts the run orders among the effects, direct or in answers.
+func countRunCommands(fx []Effect) (n int) {
 	isRun := func(c wire.Command) bool { return c.Verb == wire.VerbRun }
 	for _, e := range fx {
 		if x, ok := e.(SendCommands); ok {
@@ -28,8 +28,8 @@
 	return n
 }
 
-// given counts how often the task that is started in these tests was given back.
-func given(fx []Effect) (n int) {
+// countReleased counts how often the task that is started in these tests was given back.
+func countReleased(fx []Effect) (n int) {
 	for _, e := range fx {
 		if s, ok := e.(SendToLeader); ok {
 			for _, u := range s.Message.Updates {
@@ -53,7 +53,7 @@
 		return LeaderMessage{&peer.FromLeader{Term: 9, Orders: []peer.ShardOrders{o}}}
 	}
 	next := func(machine string) HeartbeatReceived {
-		r := beat(machine, 2, 50)
+		r := heartbeat(machine, 2, 50)
 		r.Heartbeat.AgentEpoch = 2
 		return r
 	}
@@ -76,11 +76,11 @@
 		{"a page's guard fails at once", nil, 0, store.TxnResult{FailedKeys: []string{"run/000/50-1"}}, false},
 		{"the block is another's", nil, 0, store.TxnResult{Ambiguous: true, FailedKeys: []string{Key(0), "run/000/50-1"}}, false},
 	} {
-		h := holding(t)
-		h.Step(now, beat("m1", 1, 50))
-		h.Step(now, beat("m2", 1, 50, running(2)))
+		h := newTestHolder(t)
+		h.Step(now, heartbeat("m1", 1, 50))
+		h.Step(now, heartbeat("m2", 1, 50, running(2)))
 		at := later(1)
-		record := recordOf(t, offerOne(h, at))
+		record := writeOf(t, offerTask(h, at))
 		var before []Effect
 		for _, msg := range c.mean {
 			before = append(before, h.Step(at, msg)...)
@@ -90,18 +90,18 @@
 			before = append(before, h.Step(at, Tick{})...)
 		}
 		// A flush tells the leader of what has gathered.
-		before = append(before, h.Step(at+flushEvery, Tick{})...)
-		if n := runOrders(before); n != 0 || given(before) != 0 {
+		before = append(before, h.Step(at+updateInterval, Tick{})...)
+		if n := countRunCommands(before); n != 0 || countReleased(before) != 0 {
 			t.Errorf("%s: %d run orders, events %v before the write has ended", c.name, n, eventsOf(before))
 		}
-		after := h.Step(at+flushEvery, record.Result(c.outcome))
-		after = append(after, h.Step(at+2*flushEvery, Tick{})...)
-		backs := given(after)
-		voided := h.blocks[0] == nil
+		after := h.Step(at+updateInterval, record.Result(c.outcome))
+		after = append(after, h.Step(at+2*updateInterval, Tick{})...)
+		backs := countReleased(after)
+		voided := h.shards[0] == nil
 		if voided != (c.name == "the block is another's") {
 			t.Errorf("%s: the block was given up: %v", c.name, voided)
 		}
-		if n := runOrders(after); (n == 1) != c.ordered || !voided && (backs == 1) == c.ordered {
+		if n := countRunCommands(after); (n == 1) != c.ordered || !voided && (backs == 1) == c.ordered {
 			t.Errorf("%s: %d run orders and given back %d times, want ordered %v", c.name, n, backs, c.ordered)
 		}
 	}
@@ -110,19 +110,19 @@
 // A machine whose lease ended while a start on it was recorded, and that is heard again: the task is
 // not given back before the write's end, or it would be ordered as well.
 func TestLeaseEndLeavesWhatIsBeingRecorded(t *testing.T) {
-	h := holding(t)
-	h.Step(now, beat("m1", 1, 50))
-	offerOne(h, later(1))
-	m := h.blocks[0].machines["m1"]
-	h.tickMachine(h.leaseEnd(h.blocks[0], m)+1, h.blocks[0], m)
-	if !m.lost || len(h.blocks[0].byTask[peer.Task{Job: "j-000009"}]) != 1 {
-		t.Errorf("lost %v, %d attempts: want the one that is being recorded", m.lost, len(h.blocks[0].byTask[peer.Task{Job: "j-000009"}]))
+	h := newTestHolder(t)
+	h.Step(now, heartbeat("m1", 1, 50))
+	offerTask(h, later(1))
+	m := h.shards[0].machines["m1"]
+	h.tickMachine(h.leaseExpiry(h.shards[0], m)+1, h.shards[0], m)
+	if !m.leaseExpired || len(h.shards[0].byTask[peer.Task{Job: "j-000009"}]) != 1 {
+		t.Errorf("lost %v, %d attempts: want the one that is being recorded", m.leaseExpired, len(h.shards[0].byTask[peer.Task{Job: "j-000009"}]))
 	}
-	h = holding(t)
-	h.Step(now, beat("m1", 1, 50))
-	offerOne(h, later(1))
+	h = newTestHolder(t)
+	h.Step(now, heartbeat("m1", 1, 50))
+	offerTask(h, later(1))
 	h.Step(later(1), LeaderMessage{&peer.FromLeader{Term: 9, Orders: []peer.ShardOrders{{FencingToken: 50, Terminated: []string{"m1"}}}}})
-	if len(h.blocks[0].byTask[peer.Task{Job: "j-000009"}]) != 1 {
+	if len(h.shards[0].byTask[peer.Task{Job: "j-000009"}]) != 1 {
 		t.Error("given back while its start is being recorded")
 	}
 }
@@ -130,32 +130,32 @@
 // A machine whose lease has ended when the start on it is recorded gets no order, which its next session
 // would refuse: the task is given back.
 func TestNoOrderForAMachineWhoseLeaseEnded(t *testing.T) {
-	h := holding(t)
-	h.Step(now, beat("m1", 1, 50))
-	record := recordOf(t, offerOne(h, later(1)))
-	h.blocks[0].machines["m1"].lost = true
+	h := newTestHolder(t)
+	h.Step(now, heartbeat("m1", 1, 50))
+	record := writeOf(t, offerTask(h, later(1)))
+	h.shards[0].machines["m1"].leaseExpired = true
 	fx := h.Step(later(2), record.Result(store.TxnResult{Committed: true, Revision: 8}))
 	fx = append(fx, h.Step(later(3), Tick{})...)
-	if runOrders(fx) != 0 || given(fx) != 1 {
-		t.Errorf("%d run orders, given back %d times", runOrders(fx), given(fx))
+	if countRunCommands(fx) != 0 || countReleased(fx) != 1 {
+		t.Errorf("%d run orders, given back %d times", countRunCommands(fx), countReleased(fx))
 	}
 }
 
 // An order in a report's answer is carried out or dropped before the worker's next report of its own;
 // the answer to a direct command may have overtaken it and proves nothing.
 func TestAnswerToACommandDoesNotProveAnOrderDropped(t *testing.T) {
-	h := holding(t)
-	h.Step(now, beat("m1", 1, 50))
-	b := h.blocks[0]
+	h := newTestHolder(t)
+	h.Step(now, heartbeat("m1", 1, 50))
+	b := h.shards[0]
 	m := b.machines["m1"]
-	r := &taskAttempt{task: peer.Task{Job: "j-000009"}, attempt: 50<<peer.AttemptBits | 1, m: m, group: &peer.AttemptGroup{Job: "j-000009"}, state: ordered, session: 1, stop: stopAtOnce}
-	b.add(r)
+	r := &taskAttempt{task: peer.Task{Job: "j-000009"}, id: 50<<peer.AttemptBits | 1, machine: m, group: &peer.AttemptGroup{Job: "j-000009"}, state: attemptLaunched, agentEpoch: 1, stopMode: stopImmediately}
+	b.addAttempt(r)
 	answer := CommandsAnswered{Request: SendCommands{Shard: 0, Machine: "m1", Body: wire.CommandBatch{FencingToken: 50, AgentEpoch: 1}}, Code: 200}
-	answer.Status = beat("m1", 2, 50).Heartbeat
-	if h.Step(now, answer); m.find(r.attempt) == nil {
+	answer.Status = heartbeat("m1", 2, 50).Heartbeat
+	if h.Step(now, answer); m.attempt(r.id) == nil {
 		t.Error("taken for gone by the answer to a direct command")
 	}
-	if h.Step(now, beat("m1", 3, 50)); m.find(r.attempt) != nil {
+	if h.Step(now, heartbeat("m1", 3, 50)); m.attempt(r.id) != nil {
 		t.Error("kept although the worker's next report does not list it")
 	}
 }
--- a/internal/shard/tick.go
+++ b/internal/shard/tick.go
@@ -8,63 +8,63 @@
 	"swiftledge/internal/peer"
 )
 
-// lateTick is the time between two Ticks from which this controller counts as overloaded: they
+// lateTickThreshold is the time between two Ticks from which this controller counts as overloaded: they
 // are sent several times as often, so messages wait for longer than that to be handled.
-const lateTick = 500 * clock.Millisecond
+const lateTickThreshold = 500 * clock.Millisecond
 
-// overloadMemory is how long after the last late Tick the controller still counts as overloaded.
-const overloadMemory = 2 * clock.Second
+// overloadCooldown is how long after the last late Tick the controller still counts as overloaded.
+const overloadCooldown = 2 * clock.Second
 
 // overloaded says whether this controller has lately fallen behind with its messages.
 func (h *Holder) overloaded(now clock.Micros) bool {
-	return h.late > 0 && now-h.late < overloadMemory
+	return h.lastLateTick > 0 && now-h.lastLateTick < overloadCooldown
 }
 
-func (h *Holder) tick(now clock.Micros) {
-	if h.ticked > 0 && now-h.ticked > lateTick {
-		h.late = now
+func (h *Holder) handleTick(now clock.Micros) {
+	if h.lastTick > 0 && now-h.lastTick > lateTickThreshold {
+		h.lastLateTick = now
 	}
-	h.ticked = now
-	if h.linked && now-h.renewed >= clock.Second {
+	h.lastTick = now
+	if h.connected && now-h.lastRenewal >= clock.Second {
 		h.sendRenew(now)
 	}
-	for _, id := range slices.Sorted(maps.Keys(h.blocks)) {
-		h.tickBlock(now, h.blocks[id])
+	for _, id := range slices.Sorted(maps.Keys(h.shards)) {
+		h.tickShard(now, h.shards[id])
 	}
 }
 
-// goneMemory is how long a machine that is gone and was not heard since is remembered.
-const goneMemory = 10 * 60 * clock.Second
+// terminatedRetention is how long a machine that is gone and was not heard since is remembered.
+const terminatedRetention = 10 * 60 * clock.Second
 
-func (h *Holder) tickBlock(now clock.Micros, b *heldBlock) {
+func (h *Holder) tickShard(now clock.Micros, b *heldShard) {
 	kept := 0
-	for _, m := range b.order {
-		kept += m.lingering()
-		if !m.gone {
+	for _, m := range b.machineOrder {
+		kept += m.retainedAttempts()
+		if !m.terminated {
 			h.tickMachine(now, b, m)
 		}
 	}
-	b.order = slices.DeleteFunc(b.order, func(m *machine) bool {
-		forgotten := m.gone && len(m.recs) == 0 && now-m.heard > goneMemory
+	b.machineOrder = slices.DeleteFunc(b.machineOrder, func(m *machine) bool {
+		forgotten := m.terminated && len(m.attempts) == 0 && now-m.lastStatus > terminatedRetention
 		if forgotten {
 			delete(b.machines, m.name)
 		}
 		return forgotten
 	})
 	// A worker that goes on to lose its tasks must not use up the tokens.
-	stuck := b.stuck && now-b.since > h.p.AgentLease
-	if (kept > b.mostLingering() || stuck || !b.attemptsLeft()) && !b.raise && h.linked {
-		b.raise = true
-		h.askAnew(b)
+	stuck := b.needsHigherToken && now-b.grantedAt > h.params.AgentLease
+	if (kept > b.maxRetainedAttempts() || stuck || !b.hasAttemptsLeft()) && !b.regrantRequested && h.connected {
+		b.regrantRequested = true
+		h.requestRegrant(b)
 	}
-	h.eraseEmptyPages(now, b)
+	h.deleteEmptyPages(now, b)
 	h.compact(now, b)
 }
 
-// lingering counts the attempts that are over and may not be forgotten yet.
-func (m *machine) lingering() (n int) {
-	for _, r := range m.recs {
-		if r.state == exited && r.stored && !r.forgettable() {
+// retainedAttempts counts the attempts that are over and may not be forgotten yet.
+func (m *machine) retainedAttempts() (n int) {
+	for _, r := range m.attempts {
+		if r.state == attemptExited && r.endPersisted && !r.canForget() {
 			n++
 		}
 	}
@@ -72,44 +72,44 @@
 }
 
 // tickMachine judges a machine's silence.
-func (h *Holder) tickMachine(now clock.Micros, b *heldBlock, m *machine) {
-	knows := m.heard > 0 || len(m.recs) > 0
+func (h *Holder) tickMachine(now clock.Micros, b *heldShard, m *machine) {
+	knows := m.lastStatus > 0 || len(m.attempts) > 0
 	if silent := h.isSilent(now, b, m, knows); silent != m.silent {
 		m.silent = silent
-		b.mark(m)
+		b.markChanged(m)
 	}
-	if !m.lost && knows && now > h.leaseEnd(b, m) {
-		m.lost = true
-		b.mark(m)
-		for _, r := range slices.Clone(m.recs) {
-			if r.state != recording {
-				b.lose(r, peer.EventReleased)
+	if !m.leaseExpired && knows && now > h.leaseExpiry(b, m) {
+		m.leaseExpired = true
+		b.markChanged(m)
+		for _, r := range slices.Clone(m.attempts) {
+			if r.state != attemptRecording {
+				b.removeAttempt(r, peer.EventReleased)
 			}
 		}
 	}
-	if (!m.shown && !m.lost && m.fenced > 0 || m.deaf > 0) && now-m.fenced > h.fencePatience(now) {
+	if (!m.tokenConfirmed && !m.leaseExpired && m.lastFence > 0 || m.unreachableSince > 0) && now-m.lastFence > h.fenceRetryInterval(now) {
 		h.fence(now, b, m)
 	}
-	if fit := h.fit(now, b, m); fit != m.wasFit {
-		b.mark(m)
+	if fit := h.isSchedulable(now, b, m); fit != m.reportedSchedulable {
+		b.markChanged(m)
 	}
 }
 
 // isSilent says whether a machine that is known to be there has not been heard for long, or does not
 // hear. One that is only in the roster may not be up yet; the leader knows which were.
-func (h *Holder) isSilent(now clock.Micros, b *heldBlock, m *machine, knows bool) bool {
-	quiet := h.p.AgentLease * 11 / 20
-	if m.notice {
-		quiet = min(quiet, h.p.HeartbeatInterval*5/2) // announced, so it needs no second look
+func (h *Holder) isSilent(now clock.Micros, b *heldShard, m *machine, knows bool) bool {
+	quiet := h.params.AgentLease * 11 / 20
+	if m.preemptionNotice {
+		quiet = min(quiet, h.params.HeartbeatInterval*5/2) // announced, so it needs no second look
 	}
-	since := h.pauses.ExcludePause(max(m.heard, b.since))
-	return (knows || m.known) && now-since > quiet || m.deaf > 0 && now-m.deaf > quiet
+	since := h.pauseDetector.ExcludePause(max(m.lastStatus, b.grantedAt))
+	return (knows || m.inInventory) && now-since > quiet || m.unreachableSince > 0 && now-m.unreachableSince > quiet
 }
 
-// leaseEnd is when a silent machine's tasks are proven gone: after every grant that could have
+// leaseExpiry is when a silent machine's tasks are proven gone: after every grant that could have
 // answered it, and the worker's lease. A session has its lease from its beginning, also when none of
 // its reports was ever answered and its tasks were ordered directly.
-func (h *Holder) leaseEnd(b *heldBlock, m *machine) clock.Micros {
-	base := max(m.answered, m.began, m.stale, b.since+h.p.LongestGrant.Longer())
-	return base + h.p.AgentLease.Longer() + clock.Second
+func (h *Holder) leaseExpiry(b *heldShard, m *machine) clock.Micros {
+	base := max(m.lastReply, m.epochSince, m.lastOutdated, b.grantedAt+h.params.LongestGrant.Longer())
+	return base + h.params.AgentLease.Longer() + clock.Second
 }
--- a/internal/shard/tokens_test.go
+++ b/internal/shard/tokens_test.go
@@ -11,8 +11,8 @@
 // A new holder shows its token to the machines at once: an older holder that is
 // cut off may answer their reports until its grant ends.
 func TestFencesByItself(t *testing.T) {
-	h := holding(t)
-	r := beat("m1", 1, 49, running(1)).Heartbeat
+	h := newTestHolder(t)
+	r := heartbeat("m1", 1, 49, running(1)).Heartbeat
 	fx := h.Step(now, InspectionAnswered{Request: InspectAgent{Shard: 0, FencingToken: 50, Machine: "m1"}, Status: r})
 	sent := false
 	for _, e := range fx {
@@ -23,12 +23,12 @@
 	if !sent {
 		t.Fatalf("effects %+v, want our token sent to m1", fx)
 	}
-	after := beat("m1", 2, 50, running(1)).Heartbeat
+	after := heartbeat("m1", 2, 50, running(1)).Heartbeat
 	h.Step(now, CommandsAnswered{Request: SendCommands{Shard: 0, Machine: "m1", Body: wire.CommandBatch{FencingToken: 50, AgentEpoch: 1}}, Code: 200, Status: after})
-	if !h.blocks[0].machines["m1"].shown {
+	if !h.shards[0].machines["m1"].tokenConfirmed {
 		t.Error("m1 is not taken as fenced after it showed our token")
 	}
-	if h.Step(now, InspectionAnswered{Request: InspectAgent{Shard: 0, FencingToken: 50, Machine: "m2"}, Status: beat("m2", 1, 51).Heartbeat}); h.blocks[0] != nil {
+	if h.Step(now, InspectionAnswered{Request: InspectAgent{Shard: 0, FencingToken: 50, Machine: "m2"}, Status: heartbeat("m2", 1, 51).Heartbeat}); h.shards[0] != nil {
 		t.Error("keeps a block whose machine shows a newer token")
 	}
 }
@@ -36,30 +36,30 @@
 // A run order may come once more, late: what it started and what was stopped stays
 // listed until the machine has shown a higher token, which refuses the copy.
 func TestStoppedTaskStaysListedUntilItsOrderIsRefused(t *testing.T) {
-	h := holding(t)
-	h.Step(now, beat("m1", 1, 50))
-	b := h.blocks[0]
+	h := newTestHolder(t)
+	h.Step(now, heartbeat("m1", 1, 50))
+	b := h.shards[0]
 	attempt := peer.NewAttemptID(50, 1)
 	other := peer.Task{Job: "j-000002"}
-	b.add(&taskAttempt{task: other, attempt: attempt, m: b.machines["m1"], group: &peer.AttemptGroup{Job: other.Job}, state: ordered, session: 1, direct: true, stop: 2})
+	b.addAttempt(&taskAttempt{task: other, id: attempt, machine: b.machines["m1"], group: &peer.AttemptGroup{Job: other.Job}, state: attemptLaunched, agentEpoch: 1, launchedDirectly: true, stopMode: 2})
 	exit := wire.TaskStatus{Task: TaskName(other), Attempt: attempt, State: wire.TaskExited, Cause: wire.ExitStopped}
-	if a := answerOf(t, h.Step(now, beat("m1", 2, 50, exit))); len(a.Body.Commands) != 0 {
+	if a := replyOf(t, h.Step(now, heartbeat("m1", 2, 50, exit))); len(a.Body.Commands) != 0 {
 		t.Errorf("commands %v while a copy of its order would be obeyed", a.Body.Commands)
 	}
 	h.Step(now, LeaderMessage{&peer.FromLeader{Term: 9, Grants: []peer.ShardGrant{{Shard: 0, FencingToken: 60, KeyVersion: 8, Machines: []peer.InventoryMachine{{Name: "m1", Address: "a1"}}}}}})
-	h.Step(now, LeaderMessage{&peer.FromLeader{Term: 9, RenewedSeq: h.renew, FencingTokens: map[int]wire.FencingToken{0: 60}}})
-	if a := answerOf(t, h.Step(now, beat("m1", 3, 60, exit))); len(a.Body.Commands) != 1 || a.Body.Commands[0].Verb != wire.VerbForget {
+	h.Step(now, LeaderMessage{&peer.FromLeader{Term: 9, RenewedSeq: h.renewSeq, FencingTokens: map[int]wire.FencingToken{0: 60}}})
+	if a := replyOf(t, h.Step(now, heartbeat("m1", 3, 60, exit))); len(a.Body.Commands) != 1 || a.Body.Commands[0].Verb != wire.VerbForget {
 		t.Errorf("commands %v under the higher token, want forget", a.Body.Commands)
 	}
 }
 
 // A block with many of these asks for a higher token by itself.
 func TestAsksForAHigherToken(t *testing.T) {
-	h := holding(t)
-	b := h.blocks[0]
-	for i := range leastLingering + 1 {
-		b.add(&taskAttempt{task: peer.Task{Job: "j-000002", Index: i}, attempt: peer.NewAttemptID(50, uint64(i+1)), m: b.machines["m1"],
-			group: &peer.AttemptGroup{Job: "j-000002"}, state: exited, direct: true, told: true, stored: true})
+	h := newTestHolder(t)
+	b := h.shards[0]
+	for i := range minRetainedLimit + 1 {
+		b.addAttempt(&taskAttempt{task: peer.Task{Job: "j-000002", Index: i}, id: peer.NewAttemptID(50, uint64(i+1)), machine: b.machines["m1"],
+			group: &peer.AttemptGroup{Job: "j-000002"}, state: attemptExited, launchedDirectly: true, endReported: true, endPersisted: true})
 	}
 	asked := 0
 	for i := range 2 {
@@ -73,7 +73,7 @@
 			}
 		}
 	}
-	if asked != 1 || h.blocks[0] == nil {
+	if asked != 1 || h.shards[0] == nil {
 		t.Errorf("asked %d times, want once, with the block kept until then", asked)
 	}
 }
@@ -81,13 +81,13 @@
 // A machine that has not shown our token yet proves nothing, but a 200 renews its lease: the
 // answer ends the tasks of cancelled jobs, or they would go on for a lease more.
 func TestAnswerToAnUnfencedMachineEndsCancelledTasks(t *testing.T) {
-	h := holding(t)
+	h := newTestHolder(t)
 	h.Step(now, LeaderMessage{&peer.FromLeader{Term: 9, Orders: []peer.ShardOrders{{Shard: 0, FencingToken: 50, Stop: []peer.StopTask{{Task: task}}}}}})
-	a := answerOf(t, h.Step(now, beat("m1", 1, 41, wire.TaskStatus{Task: TaskName(task), Attempt: 1, State: wire.TaskRunning})))
+	a := replyOf(t, h.Step(now, heartbeat("m1", 1, 41, wire.TaskStatus{Task: TaskName(task), Attempt: 1, State: wire.TaskRunning})))
 	if len(a.Body.Commands) != 1 || a.Body.Commands[0].Verb != wire.VerbKill || a.Body.Commands[0].Attempt != 1 {
 		t.Errorf("status %d with %+v, want the task ended", a.Status, a.Body.Commands)
 	}
-	if len(h.blocks[0].machines["m1"].recs) != 1 {
+	if len(h.shards[0].machines["m1"].attempts) != 1 {
 		t.Error("taken for gone before the machine has shown the token")
 	}
 }
@@ -96,21 +96,21 @@
 // under its name. Its order may come late and start it again, as the worker has lost the token, too:
 // nothing is given back before a higher token has been shown, and that is asked for.
 func TestVanishedTaskAsksForAHigherToken(t *testing.T) {
-	h := holding(t)
-	h.Step(later(1), beat("m2", 1, 50, running(2)))
-	if ev := eventsOf(h.Step(later(2), beat("m2", 2, 50))); len(ev) != 0 {
+	h := newTestHolder(t)
+	h.Step(later(1), heartbeat("m2", 1, 50, running(2)))
+	if ev := eventsOf(h.Step(later(2), heartbeat("m2", 2, 50))); len(ev) != 0 {
 		t.Errorf("events %v: a late copy of the order may start it again", ev)
 	}
-	if asksForToken(h, now+h.p.AgentLease/2) {
+	if requestsRegrant(h, now+h.params.AgentLease/2) {
 		t.Error("asked for a token sooner than a lease after the last")
 	}
-	if !asksForToken(h, now+h.p.AgentLease+clock.Second) {
+	if !requestsRegrant(h, now+h.params.AgentLease+clock.Second) {
 		t.Error("no higher token was asked for")
 	}
 }
 
-// asksForToken says whether a tick has the leader asked for a new grant.
-func asksForToken(h *Holder, at clock.Micros) bool {
+// requestsRegrant says whether a tick has the leader asked for a new grant.
+func requestsRegrant(h *Holder, at clock.Micros) bool {
 	for _, e := range h.Step(at, Tick{}) {
 		if s, ok := e.(SendToLeader); ok && len(s.Message.Updates) > 0 && s.Message.Updates[0].NeedsRegrant {
 			return true
@@ -123,29 +123,29 @@
 // carried out at any time and is not sent again, so no report ever settled it and the job never ended:
 // a higher token is asked for, which refuses the order.
 func TestStoppedOrderWithoutAnAnswerAsksForAHigherToken(t *testing.T) {
-	h := holding(t)
-	h.Step(now, beat("m1", 1, 50))
-	h.Step(now, beat("m2", 1, 50, running(2)))
-	b := h.blocks[0]
-	started(t, h, later(1))
+	h := newTestHolder(t)
+	h.Step(now, heartbeat("m1", 1, 50))
+	h.Step(now, heartbeat("m2", 1, 50, running(2)))
+	b := h.shards[0]
+	launchTask(t, h, later(1))
 	one := peer.Task{Job: "j-000009"}
-	m := b.byTask[one][0].m
+	m := b.byTask[one][0].machine
 	rest := []wire.TaskStatus{}
 	if m.name == "m2" {
 		rest = append(rest, running(2))
 	}
 	h.Step(later(2), LeaderMessage{&peer.FromLeader{Term: 9, Orders: []peer.ShardOrders{{Shard: 0, FencingToken: 50, Stop: []peer.StopTask{{Task: one}}}}}})
-	h.Step(later(3), beat(m.name, 2, 50, rest...))
-	if asksForToken(h, now+h.p.AgentLease+clock.Second) {
+	h.Step(later(3), heartbeat(m.name, 2, 50, rest...))
+	if requestsRegrant(h, now+h.params.AgentLease+clock.Second) {
 		t.Error("asked for a token while the answer may come")
 	}
-	at := now + h.p.AgentLease + 2*clock.Second
-	h.Step(at-clock.Second, LeaderMessage{&peer.FromLeader{Term: 9, RenewedSeq: h.renew, FencingTokens: map[int]wire.FencingToken{0: 50}}})
-	h.Step(at, beat(m.name, 3, 50, rest...))
+	at := now + h.params.AgentLease + 2*clock.Second
+	h.Step(at-clock.Second, LeaderMessage{&peer.FromLeader{Term: 9, RenewedSeq: h.renewSeq, FencingTokens: map[int]wire.FencingToken{0: 50}}})
+	h.Step(at, heartbeat(m.name, 3, 50, rest...))
 	if len(b.byTask[one]) != 1 {
 		t.Fatal("taken for gone while its order may be carried out")
 	}
-	if !asksForToken(h, at+clock.Second) {
+	if !requestsRegrant(h, at+clock.Second) {
 		t.Error("no higher token was asked for")
 	}
 }
