--- /dev/null
+++ b/internal/shard/attempt_writer.go
@@ -0,0 +1,118 @@
+package shard
+
+import (
+	"slices"
+
+	"swiftledge/internal/peer"
+)
+
+// maxTxnBytes is what the values of one transaction may take together.
+const maxTxnBytes = 56 << 10
+
+// attemptWriter fills pages of an attempt log with new records, those with the fewest attempts first.
+type attemptWriter struct {
+	log      *attemptLog
+	limits   storeLimits
+	reusable []*attemptPage // emptiest first
+	write    *attemptWrite
+	puts     []PageWrite
+	pager    *peer.AttemptPager // of the last of the write's pages; nil when none is open
+	added    int                // new records on the open page
+}
+
+// newWriter begins a write. There must be none under way, unless nothing is added.
+func (l *attemptLog) newWriter(limits storeLimits) *attemptWriter {
+	w := &attemptWriter{log: l, limits: limits, write: &attemptWrite{seq: l.writeSeq + 1}}
+	for _, p := range l.pages {
+		if !p.sealed && !p.compacting {
+			w.reusable = append(w.reusable, p)
+		}
+	}
+	slices.SortStableFunc(w.reusable, func(a, b *attemptPage) int { return len(a.attempts) - len(b.attempts) })
+	return w
+}
+
+// add finds a page for an attempt's record; false when the transaction holds no more.
+func (w *attemptWriter) add(a *taskAttempt) bool {
+	for {
+		if w.pager != nil {
+			if w.pager.Add(a.group, a.task.Index, a.id, a.machine.name) {
+				w.added++
+				w.openPage().add(a)
+				w.write.attempts = append(w.write.attempts, a)
+				return true
+			}
+			w.finishPage()
+		}
+		if len(w.puts) >= min(w.limits.txnOps, max(1, maxTxnBytes/w.limits.valueBytes)) {
+			return false
+		}
+		w.nextPage()
+	}
+}
+
+// openPage returns the page that is being filled.
+func (w *attemptWriter) openPage() *attemptPage { return w.write.pages[len(w.write.pages)-1] }
+
+// finishPage closes a page that takes no further record.
+func (w *attemptWriter) finishPage() {
+	if w.added > 0 {
+		w.closePage()
+		return
+	}
+	// The page was full before. Written as it is it would only take the place of one with free space, and the others
+	// that are in use are fuller still.
+	w.reusable, w.pager = nil, nil
+	w.write.pages = w.write.pages[:len(w.write.pages)-1]
+}
+
+// nextPage opens the next page, with what it already holds.
+func (w *attemptWriter) nextPage() {
+	w.added = 0
+	w.pager = w.newPager()
+	if len(w.reusable) > 0 {
+		page := w.reusable[0]
+		w.reusable = w.reusable[1:]
+		if page.addTo(w.pager) {
+			w.write.pages = append(w.write.pages, page)
+			return
+		}
+		w.reusable = nil
+		w.pager = w.newPager()
+	}
+	page := w.log.newPage(w.log.fencingToken)
+	w.log.pages = append(w.log.pages, page)
+	w.write.pages = append(w.write.pages, page)
+}
+
+func (w *attemptWriter) newPager() *peer.AttemptPager {
+	return peer.NewAttemptPager(w.log.fencingToken, w.limits.valueBytes)
+}
+
+// closePage adds the open page to the transaction.
+func (w *attemptWriter) closePage() {
+	page := w.openPage()
+	page.stored = w.pager.Len()
+	w.puts = append(w.puts, PageWrite{Key: page.key, Version: page.version, Page: w.pager.Page()})
+	w.pager = nil
+}
+
+// finish begins the write and returns its effect; false when nothing was added.
+func (w *attemptWriter) finish() (effect WriteAttempts, ok bool) {
+	if w.pager != nil {
+		w.closePage()
+	}
+	if len(w.write.attempts) == 0 {
+		return WriteAttempts{}, false
+	}
+	l := w.log
+	l.writeSeq++
+	l.write = w.write
+	return WriteAttempts{
+		Shard:        l.shard,
+		FencingToken: l.fencingToken,
+		Seq:          w.write.seq,
+		KeyVersion:   l.keyVersion,
+		Pages:        w.puts,
+	}, true
+}
--- a/internal/shard/cycle_test.go
+++ b/internal/shard/cycle_test.go
@@ -50,7 +50,7 @@
 		t.Errorf("the page holds %d records, want 80", n)
 	}
 	txn, err := second.Txn()
-	if err != nil || len(txn.Writes) != 1 || len(txn.Writes[0].Value) > h.params.ValueBytes {
+	if err != nil || len(txn.Writes) != 1 || len(txn.Writes[0].Value) > h.params.MaxValueBytes {
 		t.Errorf("transaction of %d puts, %v", len(txn.Writes), err)
 	}
 	// No answer: a copy may be carried out yet, so the page is not written again.
@@ -82,14 +82,14 @@
 				continue
 			}
 			txn, err := r.Txn()
-			if err != nil || len(txn.Writes) > h.params.TxnOps {
+			if err != nil || len(txn.Writes) > h.params.MaxTxnOps {
 				t.Fatalf("cycle %d: %d puts in a transaction, %v", seq, len(txn.Writes), err)
 			}
-			started = len(h.shards[0].writing.attempts)
+			started = len(h.shards[0].log.write.attempts)
 			h.Step(now, r.Result(store.TxnResult{Committed: true, Revision: 30 + seq}))
 		}
 		if started != 250 {
-			t.Fatalf("cycle %d starts %d of 250 tasks, with %d pages in use", seq, started, len(h.shards[0].pages))
+			t.Fatalf("cycle %d starts %d of 250 tasks, with %d pages in use", seq, started, len(h.shards[0].log.pages))
 		}
 	}
 }
@@ -118,7 +118,7 @@
 			run = append(run, wire.TaskStatus{Task: TaskName(peer.Task{Job: task.Job, Index: 100 * p}), Attempt: peer.NewAttemptID(40, uint64(100*p+1)), State: wire.TaskRunning})
 		}
 		h.Step(now, LeaderMessage{&peer.FromLeader{Term: 10, Grants: []peer.ShardGrant{{Shard: 0, FencingToken: 60, KeyVersion: 8, Machines: []peer.InventoryMachine{{Name: "m1", Address: "a1"}}, Pages: pages}}}})
-		h.Step(now, LeaderMessage{&peer.FromLeader{Term: 10, RenewedSeq: h.renewSeq, FencingTokens: map[int]wire.FencingToken{0: 60}}})
+		h.Step(now, LeaderMessage{&peer.FromLeader{Term: 10, RenewedSeq: h.leader.renewSeq, FencingTokens: map[int]wire.FencingToken{0: 60}}})
 		h.Step(later(10), heartbeat("m1", 1, 60, run...))
 		var got *CompactPages
 		for _, e := range h.Step(later(11), Tick{}) {
@@ -152,7 +152,7 @@
 					}
 				}
 			}
-			h.Step(later(20+10*i), LeaderMessage{&peer.FromLeader{Term: 10, RenewedSeq: h.renewSeq, FencingTokens: map[int]wire.FencingToken{0: 60}}})
+			h.Step(later(20+10*i), LeaderMessage{&peer.FromLeader{Term: 10, RenewedSeq: h.leader.renewSeq, FencingTokens: map[int]wire.FencingToken{0: 60}}})
 		}
 		if !keys[got.Put.Key] || len(keys) != c.erased {
 			t.Errorf("%s: erased %v, want %d keys", c.name, keys, c.erased)
@@ -172,8 +172,8 @@
 			h.Step(now, r.Result(store.TxnResult{Rejected: true}))
 		}
 	}
-	if h.params.ValueBytes != was.ValueBytes/2 || h.params.TxnOps != was.TxnOps/2 {
-		t.Errorf("values of %d bytes and %d operations after a refusal, were %d and %d", h.params.ValueBytes, h.params.TxnOps, was.ValueBytes, was.TxnOps)
+	if h.params.MaxValueBytes != was.MaxValueBytes/2 || h.params.MaxTxnOps != was.MaxTxnOps/2 {
+		t.Errorf("values of %d bytes and %d operations after a refusal, were %d and %d", h.params.MaxValueBytes, h.params.MaxTxnOps, was.MaxValueBytes, was.MaxTxnOps)
 	}
 }
 
@@ -188,7 +188,7 @@
 		for _, e := range h.Step(now, LeaderMessage{&peer.FromLeader{Term: 9, Orders: []peer.ShardOrders{{Shard: 0, FencingToken: 50, OfferSeq: seq,
 			Offers: []peer.TaskOffer{{Job: wire.Job{Ref: task.Job, Shape: wire.ShapeService, Team: "red", CPUs: 1, Tasks: 9}, TaskIndexes: []int{index}}}}}}}) {
 			if r, ok := e.(WriteAttempts); ok {
-				at := h.shards[0].writing.attempts[0].machine.name
+				at := h.shards[0].log.write.attempts[0].machine.name
 				h.Step(now, r.Result(store.TxnResult{Committed: true, Revision: 30 + seq}))
 				return at
 			}
--- /dev/null
+++ b/internal/shard/heartbeat.go
@@ -0,0 +1,77 @@
+package shard
+
+import (
+	"swiftledge/internal/clock"
+	"swiftledge/wire"
+)
+
+// handleHeartbeat answers an agent's heartbeat.
+func (h *Holder) handleHeartbeat(now clock.Micros, m HeartbeatReceived) {
+	reply := h.replyTo(now, m.Heartbeat)
+	reply.ReplyTo = m.ReplyTo
+	h.emit(reply)
+}
+
+// replyTo takes in a heartbeat and returns the reply to it.
+func (h *Holder) replyTo(now clock.Micros, heartbeat *wire.Heartbeat) HeartbeatReply {
+	if len(h.holders) == 0 {
+		return HeartbeatReply{Status: statusUnavailable}
+	}
+	id := ForMachine(heartbeat.Machine, len(h.holders))
+	s := h.shards[id]
+	if s == nil || s.lease.hasExpired(now) {
+		if s != nil && s.machines[heartbeat.Machine] != nil {
+			s.machines[heartbeat.Machine].agent.noteOutdated(now, heartbeat)
+		}
+		return h.redirect(id)
+	}
+	if heartbeat.FencingToken > s.lease.fencingToken {
+		// A newer holder has spoken to this machine.
+		h.dropShard(s)
+		return HeartbeatReply{Status: statusMisdirected}
+	}
+	m := s.ensureMachine(heartbeat.Machine)
+	if m.terminated || m.agent.noteOutdated(now, heartbeat) {
+		return HeartbeatReply{Status: statusUnavailable}
+	}
+	m.agent.recordHeartbeat(heartbeat)
+	if h.lostItsLease(now, m, heartbeat) {
+		h.markUnreachable(now, s, m)
+	}
+	commands := limitToOneReply(h.applyStatus(now, s, m, heartbeat, fromHeartbeat))
+	m.agent.lastReply = now
+	body := wire.HeartbeatResponse{FencingToken: s.lease.fencingToken, Commands: commands}
+	return HeartbeatReply{Status: statusOK, Body: body}
+}
+
+// redirect sends an agent to the holder of its shard, or nowhere if none is known but this controller.
+func (h *Holder) redirect(shard int) HeartbeatReply {
+	holder := h.holders[shard]
+	if holder == h.params.Controller {
+		holder = ""
+	}
+	return HeartbeatReply{Status: statusMisdirected, Redirect: wire.Redirect{Controller: holder}}
+}
+
+// lostItsLease says whether an agent's lease expired although its heartbeats were answered: the replies do not
+// arrive.
+func (h *Holder) lostItsLease(now clock.Micros, m *machine, heartbeat *wire.Heartbeat) bool {
+	newEpoch := m.agent.epoch > 0 && heartbeat.AgentEpoch > m.agent.epoch
+	answeredLately := m.agent.lastReply > 0 && now-m.agent.lastReply < h.params.AgentLease
+	return newEpoch && answeredLately && m.fence.confirmed
+}
+
+// recordStatus takes in what a status newer than all before says of the machine itself.
+func (h *Holder) recordStatus(now clock.Micros, s *heldShard, m *machine, status *wire.Heartbeat) {
+	info := infoFrom(status)
+	described := m.info.typeName == info.typeName && m.info.preemptionNotice == info.preemptionNotice
+	heardAgain := m.silent && !m.commands.isUnreachable()
+	if !described || m.leaseExpired || heardAgain {
+		s.markChanged(m)
+		m.silent = m.silent && m.commands.isUnreachable()
+	}
+	h.lastStatus = now
+	m.agent.record(now, status)
+	m.info = info
+	m.leaseExpired = false
+}
--- a/internal/shard/holder.go
+++ b/internal/shard/holder.go
@@ -1,3 +1,13 @@
+// Package shard is a controller's part as the holder of shard leases. A shard is a fixed share of the machines; the
+// leader grants its lease, under a fencing token, to one controller at a time.
+//
+// The Holder owns what is known of the machines of its shards and of the task attempts on them. It answers the
+// heartbeats of their agents, sends them commands, places the tasks that the leader offers by auction, and keeps a
+// write-ahead record of each attempt in the store before its agent is told to run it. A Message and the time go in;
+// Effects come out, in the order in which they are to be carried out.
+//
+// The package does no I/O and starts no goroutines. It never gives a task back while an attempt of it may still run:
+// an attempt ends by the word of its agent, by the end of the agent's lease, or by a higher fencing token.
 package shard
 
 import (
@@ -6,7 +16,6 @@
 	"slices"
 
 	"swiftledge/internal/clock"
-	"swiftledge/internal/cluster"
 	"swiftledge/internal/config"
 	"swiftledge/internal/pausedetect"
 	"swiftledge/internal/peer"
@@ -15,66 +24,88 @@
 	"swiftledge/wire"
 )
 
-// Holder is the actor's state.
+// Params are a Holder's settings.
+type Params struct {
+	// Controller is the name of the controller that this Holder is part of.
+	Controller string
+	// GrantTime is how long a renewed shard lease lasts.
+	GrantTime clock.Micros
+	// LongestGrant is the most that any other holder's shard lease may last.
+	LongestGrant clock.Micros
+	// AgentLease is how long an agent keeps its tasks without a reply to its heartbeats.
+	AgentLease        clock.Micros
+	HeartbeatInterval clock.Micros
+	// MaxValueBytes and MaxTxnOps are what the store takes in one value and in one transaction.
+	MaxValueBytes int
+	MaxTxnOps     int
+	// LoadBound limits where tasks are placed, by load; nil: nothing does.
+	LoadBound *rebalancer.Bound
+	// TracingEnabled asks for spans of the attempts.
+	TracingEnabled bool
+}
+
+// Holder holds the leases of shards. It is not safe for concurrent use.
 type Holder struct {
 	params          Params
 	placementParams placement.Params
-	term            cluster.Term
-	connected       bool
-	viaStore        bool // the link's messages take seconds
+	leader          leaderLink
+	overload        overloadDetector
+	pauseDetector   pausedetect.Detector
 	shards          map[int]*heldShard
-	holders         []string
+	holders         []string // by shard: the controller that answers its agents
 	machineTypes    map[string]wire.MachineType
-	images          *placement.Book
+	visits          *placement.Book
 	fetchRates      *rebalancer.FetchRates // as seen on this controller's machines
-	renewSeq        uint64
-	renewSentAt     map[uint64]clock.Micros
-	lastRenewal     clock.Micros
-	lastUpdate      clock.Micros
-	lastStatus      clock.Micros // when any worker was last heard
-	lastTick        clock.Micros // when the last Tick was handled
-	lastLateTick    clock.Micros // when a Tick was last handled late
-	pauseDetector   pausedetect.Detector
+	lastStatus      clock.Micros           // when any agent's status last came
 	storeOK         func() bool
 	effects         []Effect
 }
 
-// New makes a holder without blocks. storeOK is told to the others, who judge
-// by it whether the state service fails one node or all.
-func New(p Params, t placement.Params, storeOK func() bool) *Holder {
-	return &Holder{params: p, placementParams: t, shards: map[int]*heldShard{}, machineTypes: map[string]wire.MachineType{},
-		images: placement.NewBook(), fetchRates: rebalancer.NewFetchRates(), renewSentAt: map[uint64]clock.Micros{}, storeOK: storeOK}
+// New returns a Holder without shards. The result of storeOK goes to the leader, which judges by it whether the
+// store fails one controller or all.
+func New(params Params, placementParams placement.Params, storeOK func() bool) *Holder {
+	return &Holder{
+		params:          params,
+		placementParams: placementParams,
+		leader:          leaderLink{renewSentAt: map[uint64]clock.Micros{}},
+		shards:          map[int]*heldShard{},
+		machineTypes:    map[string]wire.MachineType{},
+		visits:          placement.NewBook(),
+		fetchRates:      rebalancer.NewFetchRates(),
+		storeOK:         storeOK,
+	}
 }
 
-// FromConfig makes a controller's holder.
+// FromConfig returns the Holder that a controller's settings ask for.
 func FromConfig(cfg *config.Config, storeOK func() bool) *Holder {
-	f, t := &cfg.Facts, cfg.Tuning.Placement
-	p := Params{Controller: cfg.Name, GrantTime: cfg.GrantTime(), LongestGrant: cfg.LongestGrantTime(), AgentLease: cfg.AgentLeaseTime(), HeartbeatInterval: clock.FromSeconds(f.Workers.ReportS),
-		ValueBytes: cfg.TargetValueBytes(), TxnOps: cfg.MaxTxnWrites()}
-	p.TracingEnabled = cfg.Tuning.Trace.File != ""
-	if s := cfg.Tuning.Spread; s.Enabled {
-		p.Bound = &rebalancer.Bound{Relative: s.Bound, ImbalanceS: s.ImbalanceS}
-	}
-	return New(p, placement.Params{K: t.AffinityDecay, Eta: t.MinAffinity, Epsilon: t.MinPriceRise, Small: t.UnstartedOffset}, storeOK)
+	params := Params{
+		Controller:        cfg.Name,
+		GrantTime:         cfg.GrantTime(),
+		LongestGrant:      cfg.LongestGrantTime(),
+		AgentLease:        cfg.AgentLeaseTime(),
+		HeartbeatInterval: clock.FromSeconds(cfg.Facts.Workers.ReportS),
+		MaxValueBytes:     cfg.TargetValueBytes(),
+		MaxTxnOps:         cfg.MaxTxnWrites(),
+		TracingEnabled:    cfg.Tuning.Trace.File != "",
+	}
+	if spread := cfg.Tuning.Spread; spread.Enabled {
+		params.LoadBound = &rebalancer.Bound{Relative: spread.Bound, ImbalanceS: spread.ImbalanceS}
+	}
+	auction := cfg.Tuning.Placement
+	return New(params, placement.Params{K: auction.AffinityDecay, Eta: auction.MinAffinity, Epsilon: auction.MinPriceRise, Small: auction.UnstartedOffset}, storeOK)
 }
 
-// Step takes one message at a time.
-func (h *Holder) Step(now clock.Micros, msg Message) []Effect {
+// Step handles one message and returns the effects that follow from it.
+func (h *Holder) Step(now clock.Micros, message Message) []Effect {
 	h.effects = nil
 	if began, paused := h.pauseDetector.Observe(now); paused {
 		h.handlePause(began, now)
 	}
-	switch m := msg.(type) {
+	switch m := message.(type) {
 	case LeaderConnected:
-		if m.Term >= h.term {
-			h.term, h.connected, h.viaStore = m.Term, true, m.ViaStore
-			h.renewSentAt = map[uint64]clock.Micros{}
-			h.sendRenew(now)
-		}
+		h.handleLeaderConnected(now, m)
 	case LeaderDisconnected:
-		if m.Term == h.term {
-			h.connected = false
-		}
+		h.leader.disconnect(m.Term)
 	case LeaderMessage:
 		h.handleLeaderMessage(now, m.Message)
 	case HeartbeatReceived:
@@ -82,7 +113,7 @@
 	case CommandsAnswered:
 		h.handleCommandsAnswered(now, m)
 	case InspectionAnswered:
-		h.handleInspection(now, m)
+		h.handleInspectionAnswered(now, m)
 	case AttemptsWritten:
 		h.handleAttemptsWritten(now, m)
 	case PagesCompacted:
@@ -94,194 +125,56 @@
 	return h.effects
 }
 
-// handlePause tells that this controller stood still, and which grants ran out meanwhile.
-func (h *Holder) handlePause(began, now clock.Micros) {
-	p := pausedetect.Pause{Began: began, Ended: now}
-	for _, id := range slices.Sorted(maps.Keys(h.shards)) {
-		if e := h.shards[id].expiresAt; e > began && e <= now {
-			p.Expired = append(p.Expired, fmt.Sprintf("grant of block %d", id))
-		}
-	}
-	h.emit(PauseDetected{p})
-}
-
-func (h *Holder) emit(e Effect) { h.effects = append(h.effects, e) }
+func (h *Holder) emit(effect Effect) { h.effects = append(h.effects, effect) }
 
-func (h *Holder) sendRenew(now clock.Micros) {
-	h.renewSeq++
-	h.lastRenewal = now
-	h.renewSentAt[h.renewSeq] = now
-	delete(h.renewSentAt, h.renewSeq-16)
-	h.emit(SendToLeader{peer.ToLeader{Term: h.term, RenewSeq: h.renewSeq, StoreOK: h.storeOK(), NoAgentContact: h.hasLostAgentContact(now)}})
-}
-
-func (h *Holder) handleLeaderMessage(now clock.Micros, d *peer.FromLeader) {
-	// An older leader's word, late or from a link that outlived its epoch.
-	if d.Term != h.term || !h.connected {
-		return
-	}
-	if d.Holders != nil {
-		h.holders = d.Holders
-		for id, name := range d.Holders {
-			// The block goes elsewhere: its workers are sent there from now on.
-			if h.shards[id] != nil && name != "" && name != h.params.Controller {
-				delete(h.shards, id)
-			}
-		}
-	}
-	for _, t := range d.Types {
-		h.machineTypes[t.Name] = t
-		h.fetchRates.Published(t.Name, t.FetchGBPS)
-	}
-	for _, g := range d.Grants {
-		h.acceptGrant(now, g)
-	}
-	if len(d.Grants) > 0 {
-		h.sendRenew(now)
-	}
-	// The time runs from when we asked, not from when the answer came.
-	if at, ok := h.renewSentAt[d.RenewedSeq]; ok && d.RenewedSeq > 0 {
-		for id, token := range d.FencingTokens {
-			if b := h.shards[id]; b != nil && b.fencingToken == token {
-				b.expiresAt = max(b.expiresAt, at+h.params.GrantTime.Shorter())
-			}
-		}
-	}
-	for _, o := range d.Orders {
-		if b := h.shards[o.Shard]; b != nil && b.fencingToken == o.FencingToken {
-			h.applyOrders(now, b, o)
-		}
-	}
-}
-
-// applyOrders carries out what the leader says of a block.
-func (h *Holder) applyOrders(now clock.Micros, b *heldShard, o peer.ShardOrders) {
-	for _, name := range o.Added {
-		m := b.ensureMachine(name)
-		m.inInventory = true
-		b.markChanged(m)
-	}
-	for _, name := range o.Drain {
-		m := b.ensureMachine(name)
-		m.draining = true
-		b.markChanged(m)
-	}
-	for _, name := range o.Terminated {
-		h.terminateMachine(b, b.ensureMachine(name))
-	}
-	for _, t := range o.Persisted {
-		for _, r := range b.byTask[t] {
-			if r.state == attemptExited {
-				r.endPersisted = true
-				b.releaseRecord(r)
-			}
-		}
-	}
-	for _, name := range o.Exclude {
-		b.ensureMachine(name).excluded = true
-	}
-	for _, name := range o.Include {
-		b.ensureMachine(name).excluded = false
-	}
-	h.stopTasks(now, b, o.Stop)
-	if len(o.Offers) > 0 {
-		h.placeOffers(now, b, o.Offers)
-		b.takenOfferSeq = o.OfferSeq
-		if b.writing == nil {
-			b.settledOfferSeq, b.urgent = o.OfferSeq, true
-		}
-	}
-}
-
-// terminateMachine takes in that a machine is deleted: nothing runs there any more.
-func (h *Holder) terminateMachine(b *heldShard, m *machine) {
-	m.terminated = true
-	b.markChanged(m)
-	for _, r := range slices.Clone(m.attempts) {
-		if r.state == attemptRecording {
-			r.stopMode = stopImmediately
-		} else {
-			b.removeAttempt(r, peer.EventReleased)
+// handlePause reports that this process was paused, and which shard leases expired meanwhile.
+func (h *Holder) handlePause(began, now clock.Micros) {
+	pause := pausedetect.Pause{Began: began, Ended: now}
+	for id, s := range h.shardsInOrder() {
+		if expiresAt := s.lease.expiresAt; expiresAt > began && expiresAt <= now {
+			// Operators read this text in the status, in their own words.
+			pause.Expired = append(pause.Expired, fmt.Sprintf("grant of block %d", id))
 		}
 	}
-	h.images.Drop(m.name)
+	h.emit(PauseDetected{pause})
 }
 
-// stopTasks ends all attempts of tasks, with one direct command to each machine.
-func (h *Holder) stopTasks(now clock.Micros, b *heldShard, tasks []peer.StopTask) {
-	var stopped []*machine
-	kills := map[*machine][]wire.Command{}
-	for _, s := range tasks {
-		for _, r := range b.byTask[s.Task] {
-			if !r.requestStop(now, s.Checkpoint) {
-				continue
+// shardsInOrder yields the held shards by their numbers.
+func (h *Holder) shardsInOrder() func(yield func(int, *heldShard) bool) {
+	return func(yield func(int, *heldShard) bool) {
+		for _, id := range slices.Sorted(maps.Keys(h.shards)) {
+			if !yield(id, h.shards[id]) {
+				return
 			}
-			if kills[r.machine] == nil {
-				stopped = append(stopped, r.machine)
-			}
-			kills[r.machine] = append(kills[r.machine], r.killCommand())
 		}
 	}
-	for _, m := range stopped {
-		h.sendCommands(b, m, kills[m])
-	}
 }
 
-// requestStop notes that an attempt is to end, and says whether its worker is to be told now.
-func (r *taskAttempt) requestStop(now clock.Micros, save bool) bool {
-	how := stopImmediately
-	if save && r.group.CheckpointS > 0 {
-		how = stopWithCheckpoint
-	}
-	if r.stopMode >= how {
-		return false
+// shardUnder returns the shard if it is held under the fencing token, else nil.
+func (h *Holder) shardUnder(id int, token wire.FencingToken) *heldShard {
+	if s := h.shards[id]; s != nil && s.lease.fencingToken == token {
+		return s
 	}
-	r.stopMode = how
-	if r.state == attemptExited {
-		return false // a late copy of its order must find it listed still
-	}
-	r.stopRequestedAt = now
-	return r.state != attemptRecording
-}
-
-// isSchedulable says whether a machine can be given tasks now. One that only answers commands, while
-// none of its reports comes, has a lease that runs out whatever it answers.
-func (h *Holder) isSchedulable(now clock.Micros, b *heldShard, m *machine) bool {
-	fresh := 3 * h.params.HeartbeatInterval
-	return now-max(m.lastReply, b.grantedAt) < fresh && m.tokenConfirmed && m.inInventory && !m.draining && !m.preemptionNotice && !m.terminated && !m.leaseExpired && m.unreachableSince == 0 && now-m.lastStatus < fresh
+	return nil
 }
 
-// freeCapacity is what is free on a machine; kept until something changes there.
-func (h *Holder) freeCapacity(m *machine) *placement.Machine {
-	if m.freeCapacity != nil {
-		return m.freeCapacity
-	}
-	t := h.machineTypes[m.typeName]
-	pm := &placement.Machine{Name: m.name, Type: m.typeName, Zone: m.zone, Spot: m.spot, CPUs: t.CPUs, GPUs: t.GPUs, Memory: t.MemoryGB, Images: m.images,
-		Capacity: rebalancer.Resources{CPUs: t.CPUs, GPUs: t.GPUs, Memory: t.MemoryGB}}
-	for _, r := range m.attempts {
-		if r.state == attemptExited {
-			continue
-		}
-		pm.CPUs -= r.group.CPUs
-		pm.GPUs -= r.group.GPUs
-		pm.Memory -= r.group.MemoryGB
-		if !r.running {
-			pm.Unstarted++
-			pm.Fetches = append(pm.Fetches, r.group.Image)
-		}
+// machineUnder returns a machine and its shard if the shard is held under the fencing token, else nil.
+func (h *Holder) machineUnder(id int, token wire.FencingToken, name string) (*heldShard, *machine) {
+	s := h.shardUnder(id, token)
+	if s == nil {
+		return nil, nil
 	}
-	m.freeCapacity = pm
-	return pm
+	return s, s.machines[name]
 }
 
-// requestRegrant tells the leader that the block needs a new grant.
-func (h *Holder) requestRegrant(b *heldShard) {
-	h.emit(SendToLeader{peer.ToLeader{Term: h.term, Updates: []peer.ShardUpdate{{Shard: b.id, FencingToken: b.fencingToken, NeedsRegrant: true}}}})
+// dropShard gives up a shard whose machines or store key show a newer token: what is known of it no longer counts.
+func (h *Holder) dropShard(s *heldShard) {
+	h.requestRegrant(s)
+	delete(h.shards, s.id)
 }
 
-// dropShard gives up a block whose machines or key show a newer token.
-func (h *Holder) dropShard(b *heldShard) {
-	h.requestRegrant(b)
-	delete(h.shards, b.id)
+// requestRegrant asks the leader for a new grant of the shard.
+func (h *Holder) requestRegrant(s *heldShard) {
+	update := peer.ShardUpdate{Shard: s.id, FencingToken: s.lease.fencingToken, NeedsRegrant: true}
+	h.emit(SendToLeader{peer.ToLeader{Term: h.leader.term, Updates: []peer.ShardUpdate{update}}})
 }
--- a/internal/shard/holder_test.go
+++ b/internal/shard/holder_test.go
@@ -19,13 +19,13 @@
 // (attempt 1) and m2 (attempt 2).
 func newTestHolder(t *testing.T) *Holder {
 	t.Helper()
-	h := New(Params{Controller: "n0", GrantTime: 20 * clock.Second, LongestGrant: 20 * clock.Second, AgentLease: 20 * clock.Second, HeartbeatInterval: 3 * clock.Second, ValueBytes: 4000, TxnOps: 8},
+	h := New(Params{Controller: "n0", GrantTime: 20 * clock.Second, LongestGrant: 20 * clock.Second, AgentLease: 20 * clock.Second, HeartbeatInterval: 3 * clock.Second, MaxValueBytes: 4000, MaxTxnOps: 8},
 		placement.Params{K: 0.001, Eta: 0.05, Epsilon: 0.01, Small: 0.5}, func() bool { return true })
 	h.Step(now, LeaderConnected{Term: 9})
 	page := peer.AttemptPage{Machines: []string{"m1", "m2"}, Groups: []peer.AttemptGroup{{Job: task.Job, Team: "red", CPUs: 1, Attempts: []int{3, 1, 0, 3, 2, 1}}}}
 	h.Step(now, LeaderMessage{&peer.FromLeader{Term: 9, Holders: []string{"n0"}, Types: []wire.MachineType{{Name: "small", CPUs: 4, MemoryGB: 8}},
 		Grants: []peer.ShardGrant{{Shard: 0, FencingToken: 50, KeyVersion: 7, Machines: []peer.InventoryMachine{{Name: "m1", Address: "a1"}, {Name: "m2"}}, Pages: map[string]peer.AttemptPage{"run/000/1-1": page}}}}})
-	h.Step(now, LeaderMessage{&peer.FromLeader{Term: 9, RenewedSeq: h.renewSeq, FencingTokens: map[int]wire.FencingToken{0: 50}}})
+	h.Step(now, LeaderMessage{&peer.FromLeader{Term: 9, RenewedSeq: h.leader.renewSeq, FencingTokens: map[int]wire.FencingToken{0: 50}}})
 	return h
 }
 
@@ -188,7 +188,7 @@
 	b := h.shards[0]
 	m := b.machines["m1"]
 	order := SendCommands{Shard: 0, Machine: "m1", Body: wire.CommandBatch{FencingToken: 50, AgentEpoch: 1}}
-	r := &taskAttempt{task: peer.Task{Job: "j-000007"}, id: 50<<peer.AttemptBits | 9, machine: m, group: &peer.AttemptGroup{Job: "j-000007"}, state: attemptLaunched, agentEpoch: 1, launchedDirectly: true, unansweredRuns: 1, stopMode: 2}
+	r := &taskAttempt{task: peer.Task{Job: "j-000007"}, id: 50<<peer.AttemptBits | 9, machine: m, group: &peer.AttemptGroup{Job: "j-000007"}, state: attemptLaunched, launch: attemptLaunch{agentEpoch: 1, sent: true, unanswered: 1}, stop: stopImmediately}
 	b.addAttempt(r)
 	order.Body.Commands = []wire.Command{r.runCommand()}
 	h.Step(now, CommandsAnswered{Request: order})
--- a/internal/shard/keys_test.go
+++ b/internal/shard/keys_test.go
@@ -9,7 +9,7 @@
 // The key of a page of start records names the grant that wrote it, and its count there; leaders of any
 // version find the pages of a block by the beginning of their keys.
 func TestKeyOfARecordPage(t *testing.T) {
-	b := &heldShard{id: 2, fencingToken: 7<<12 | 3}
+	l := attemptLog{shard: 2, fencingToken: 7<<12 | 3}
 	cases := []struct {
 		name, want string
 		token      wire.FencingToken
@@ -19,7 +19,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			if got := b.newPage(c.token).key; got != c.want {
+			if got := l.newPage(c.token).key; got != c.want {
 				t.Errorf("the key is %s, want %s", got, c.want)
 			}
 		})
--- a/internal/shard/limits_test.go
+++ b/internal/shard/limits_test.go
@@ -30,7 +30,7 @@
 		h.Step(now, heartbeat("m1", 1, 50))
 		h.Step(now, heartbeat("m1", 2, 50))
 		b := h.shards[0]
-		b.attemptCount = c.given
+		b.attempts.count = c.given
 		placed := 0
 		for _, e := range offerTasks(h, 3) {
 			if r, ok := e.(WriteAttempts); ok {
@@ -52,8 +52,8 @@
 		if (placed > 0) != c.places || asked != c.asks {
 			t.Errorf("%d attempts given: %d tasks placed, a new grant asked for: %v", c.given, placed, asked)
 		}
-		if b.attemptCount >= 1<<peer.AttemptBits {
-			t.Errorf("attempt %d does not fit its bits", b.attemptCount)
+		if b.attempts.count >= 1<<peer.AttemptBits {
+			t.Errorf("attempt %d does not fit its bits", b.attempts.count)
 		}
 	}
 }
@@ -61,7 +61,7 @@
 // A machine may hold more tasks than one message to its worker has room for: what ends tasks goes first,
 // and all goes in time.
 func TestCommandsFitIntoAMessage(t *testing.T) {
-	const tasks = 3 * maxCommandsPerBatch
+	const tasks = 3 * maxCommandsPerMessage
 	h := newTestHolder(t)
 	h.Step(now, heartbeat("m1", 1, 50))
 	b := h.shards[0]
@@ -70,9 +70,9 @@
 	for i := range tasks {
 		task := peer.Task{Job: "j-000002", Index: i}
 		attempt := peer.NewAttemptID(50, uint64(i+1))
-		b.addAttempt(&taskAttempt{task: task, id: attempt, machine: b.machines["m1"], group: &peer.AttemptGroup{Job: task.Job}, state: attemptConfirmed, agentEpoch: 1})
+		b.addAttempt(&taskAttempt{task: task, id: attempt, machine: b.machines["m1"], group: &peer.AttemptGroup{Job: task.Job}, state: attemptConfirmed, launch: attemptLaunch{agentEpoch: 1}})
 		listed = append(listed, wire.TaskStatus{Task: TaskName(task), Attempt: attempt, State: wire.TaskRunning})
-		if i >= 2*maxCommandsPerBatch {
+		if i >= 2*maxCommandsPerMessage {
 			stop = append(stop, peer.StopTask{Task: task})
 		}
 	}
@@ -91,11 +91,11 @@
 		t.Errorf("%d of %d tasks are killed", killed, len(stop))
 	}
 	// Starts that were not seen come again with the answer, behind the kills.
-	for i := range 2 * maxCommandsPerBatch {
+	for i := range 2 * maxCommandsPerMessage {
 		r := b.machines["m1"].attempts[i+1]
 		r.state = attemptLaunched
 	}
-	a := replyOf(t, h.Step(now, heartbeat("m1", 5, 50, listed[2*maxCommandsPerBatch:]...)))
+	a := replyOf(t, h.Step(now, heartbeat("m1", 5, 50, listed[2*maxCommandsPerMessage:]...)))
 	raw, _ := json.Marshal(a.Body)
 	if len(raw) > most {
 		t.Errorf("an answer of %d bytes", len(raw))
--- a/internal/shard/overload_test.go
+++ b/internal/shard/overload_test.go
@@ -61,9 +61,9 @@
 		h.Step(at, Tick{})
 		h.Step(at, heartbeat("m1", 2, 50, running(1)))
 		at += c.quiet
-		h.lastTick = at // ticks meanwhile came as before
+		h.overload.lastTick = at // ticks meanwhile came as before
 		if c.ticks == late {
-			h.lastLateTick = at
+			h.overload.lastLateTick = at
 		}
 		if n := countCommands(launchTask(t, h, at)); n != c.want {
 			t.Errorf("%s: %d direct commands, want %d", c.name, n, c.want)
--- a/internal/shard/pauses_test.go
+++ b/internal/shard/pauses_test.go
@@ -46,13 +46,13 @@
 func pausedHolder(t *testing.T) (*Holder, *heldShard) {
 	t.Helper()
 	h := New(Params{Controller: "n0", GrantTime: 20 * clock.Second, LongestGrant: 20 * clock.Second, AgentLease: 20 * clock.Second,
-		HeartbeatInterval: 3 * clock.Second, ValueBytes: 3600, TxnOps: 8}, placement.Params{}, func() bool { return true })
-	b := &heldShard{id: 0, fencingToken: 1, grantedAt: clock.Second, expiresAt: clock.Minute + 5*clock.Second, machines: map[string]*machine{}}
+		HeartbeatInterval: 3 * clock.Second, MaxValueBytes: 3600, MaxTxnOps: 8}, placement.Params{}, func() bool { return true })
+	b := newHeldShard(0, shardLease{fencingToken: 1, grantedAt: clock.Second, expiresAt: clock.Minute + 5*clock.Second})
 	h.shards[0] = b
 	for _, name := range []string{"host-000001", "host-000002", "host-000003", "host-000004"} {
 		m := b.ensureMachine(name)
-		m.inInventory, m.tokenConfirmed = true, true
-		m.lastStatus, m.lastReply = clock.Minute, clock.Minute
+		m.inInventory, m.fence.confirmed = true, true
+		m.agent.lastStatus, m.agent.lastReply = clock.Minute, clock.Minute
 		h.recordStatus(clock.Minute, b, m, &wire.Heartbeat{Machine: name, AgentEpoch: 1, Seq: 1, FencingToken: 1, Type: "small"})
 	}
 	return h, b
--- a/internal/shard/proofs_test.go
+++ b/internal/shard/proofs_test.go
@@ -29,7 +29,7 @@
 	b := h.shards[0]
 	h.Step(now, heartbeat("m1", 1, 50))
 	h.Step(later(1), heartbeat("m2", 1, 50, exitedAs(2, wire.ExitStopped)))
-	b.addAttempt(&taskAttempt{task: task, id: 50<<peer.AttemptBits | 1, machine: b.machines["m1"], group: &peer.AttemptGroup{Job: task.Job}, state: attemptConfirmed, agentEpoch: 1})
+	b.addAttempt(&taskAttempt{task: task, id: 50<<peer.AttemptBits | 1, machine: b.machines["m1"], group: &peer.AttemptGroup{Job: task.Job}, state: attemptConfirmed, launch: attemptLaunch{agentEpoch: 1}})
 	if ev := eventsOf(h.Step(later(2), heartbeat("m2", 2, 50))); len(ev) != 0 {
 		t.Errorf("events %v as the former attempt is forgotten", ev)
 	}
@@ -54,11 +54,11 @@
 		r    taskAttempt
 		want bool
 	}{
-		{"completed and stored", taskAttempt{completed: true, endPersisted: true, launchedDirectly: true}, true},
-		{"completed, not stored", taskAttempt{completed: true, launchedDirectly: true}, false},
-		{"completed, a direct order without an answer", taskAttempt{completed: true, endPersisted: true, launchedDirectly: true, unansweredRuns: 1}, false},
-		{"completed, and to be stopped", taskAttempt{completed: true, endPersisted: true, launchedDirectly: true, stopMode: stopImmediately}, false},
-		{"stopped, ordered directly", taskAttempt{endPersisted: true, launchedDirectly: true}, false},
+		{"completed and stored", taskAttempt{end: endCompleted, endPersisted: true, launch: attemptLaunch{sent: true}}, true},
+		{"completed, not stored", taskAttempt{end: endCompleted, launch: attemptLaunch{sent: true}}, false},
+		{"completed, a direct order without an answer", taskAttempt{end: endCompleted, endPersisted: true, launch: attemptLaunch{sent: true, unanswered: 1}}, false},
+		{"completed, and to be stopped", taskAttempt{end: endCompleted, endPersisted: true, launch: attemptLaunch{sent: true}, stop: stopImmediately}, false},
+		{"stopped, ordered directly", taskAttempt{endPersisted: true, launch: attemptLaunch{sent: true}}, false},
 		{"stopped, ordered in an answer, which cannot come late", taskAttempt{endPersisted: true}, true},
 	} {
 		if got := c.r.canForget(); got != c.want {
@@ -72,14 +72,14 @@
 	for _, writing := range []bool{false, true} {
 		h := newTestHolder(t)
 		b := h.shards[0]
-		p := b.pages[0]
-		p.storedRecords = 100
+		p := b.log.pages[0]
+		p.stored = 100
 		if writing {
-			b.writing = &attemptWrite{pages: []*attemptPage{p}}
+			b.log.write = &attemptWrite{pages: []*attemptPage{p}}
 		}
-		h.compact(later(1), b)
-		if (b.compacting == nil) != writing {
-			t.Errorf("being written %v: compacting %v", writing, b.compacting != nil)
+		b.log.compact(later(1), h.params.limits())
+		if (b.log.compaction == nil) != writing {
+			t.Errorf("being written %v: compacting %v", writing, b.log.compaction != nil)
 		}
 	}
 }
@@ -122,15 +122,15 @@
 	} {
 		h := newTestHolder(t)
 		h.Step(now, d)
-		if b := h.shards[0]; b == nil || b.fencingToken != 50 || b.machines["m1"].terminated {
+		if b := h.shards[0]; b == nil || b.lease.fencingToken != 50 || b.machines["m1"].terminated {
 			t.Errorf("%s are obeyed", name)
 		}
 	}
 	h := newTestHolder(t)
-	expires := h.shards[0].expiresAt
+	expires := h.shards[0].lease.expiresAt
 	h.Step(now+2*clock.Second, Tick{})
-	h.Step(now+2*clock.Second, LeaderMessage{&peer.FromLeader{Term: 9, RenewedSeq: h.renewSeq, FencingTokens: map[int]wire.FencingToken{0: 49}}})
-	if h.shards[0].expiresAt != expires {
+	h.Step(now+2*clock.Second, LeaderMessage{&peer.FromLeader{Term: 9, RenewedSeq: h.leader.renewSeq, FencingTokens: map[int]wire.FencingToken{0: 49}}})
+	if h.shards[0].lease.expiresAt != expires {
 		t.Error("the renewal of an older grant prolongs this one")
 	}
 }
--- a/internal/shard/reach_test.go
+++ b/internal/shard/reach_test.go
@@ -18,7 +18,7 @@
 	r.AgentEpoch = 2
 	h.Step(in(35), CommandsAnswered{Request: SendCommands{Shard: 0, Machine: "m2", Body: wire.CommandBatch{FencingToken: 50, AgentEpoch: 2}}, Code: 200, Status: r})
 	m := h.shards[0].machines["m2"]
-	h.shards[0].addAttempt(&taskAttempt{task: task, id: 50<<peer.AttemptBits | 1, machine: m, group: &peer.AttemptGroup{Job: task.Job}, state: attemptConfirmed, agentEpoch: 2})
+	h.shards[0].addAttempt(&taskAttempt{task: task, id: 50<<peer.AttemptBits | 1, machine: m, group: &peer.AttemptGroup{Job: task.Job}, state: attemptConfirmed, launch: attemptLaunch{agentEpoch: 2}})
 	if h.Step(in(54), Tick{}); len(m.attempts) != 1 {
 		t.Error("taken for gone while the new session's lease may hold")
 	}
@@ -71,7 +71,7 @@
 			t.Errorf("a copy of report %d is answered with 200", seq)
 		}
 	}
-	if m.lastStatus != now || m.lastReply != now {
+	if m.agent.lastStatus != now || m.agent.lastReply != now {
 		t.Error("copies count as being heard or answered")
 	}
 	// One that a newer answer to a command has overtaken is no copy: the worker waits.
--- a/internal/shard/record_test.go
+++ b/internal/shard/record_test.go
@@ -114,15 +114,15 @@
 	h.Step(now, heartbeat("m1", 1, 50))
 	offerTask(h, later(1))
 	m := h.shards[0].machines["m1"]
-	h.tickMachine(h.leaseExpiry(h.shards[0], m)+1, h.shards[0], m)
-	if !m.leaseExpired || len(h.shards[0].byTask[peer.Task{Job: "j-000009"}]) != 1 {
-		t.Errorf("lost %v, %d attempts: want the one that is being recorded", m.leaseExpired, len(h.shards[0].byTask[peer.Task{Job: "j-000009"}]))
+	h.tickMachine(h.agentLeaseEnd(h.shards[0], m)+1, h.shards[0], m)
+	if !m.leaseExpired || len(h.shards[0].attempts.byTask[peer.Task{Job: "j-000009"}]) != 1 {
+		t.Errorf("lost %v, %d attempts: want the one that is being recorded", m.leaseExpired, len(h.shards[0].attempts.byTask[peer.Task{Job: "j-000009"}]))
 	}
 	h = newTestHolder(t)
 	h.Step(now, heartbeat("m1", 1, 50))
 	offerTask(h, later(1))
 	h.Step(later(1), LeaderMessage{&peer.FromLeader{Term: 9, Orders: []peer.ShardOrders{{FencingToken: 50, Terminated: []string{"m1"}}}}})
-	if len(h.shards[0].byTask[peer.Task{Job: "j-000009"}]) != 1 {
+	if len(h.shards[0].attempts.byTask[peer.Task{Job: "j-000009"}]) != 1 {
 		t.Error("given back while its start is being recorded")
 	}
 }
@@ -148,7 +148,7 @@
 	h.Step(now, heartbeat("m1", 1, 50))
 	b := h.shards[0]
 	m := b.machines["m1"]
-	r := &taskAttempt{task: peer.Task{Job: "j-000009"}, id: 50<<peer.AttemptBits | 1, machine: m, group: &peer.AttemptGroup{Job: "j-000009"}, state: attemptLaunched, agentEpoch: 1, stopMode: stopImmediately}
+	r := &taskAttempt{task: peer.Task{Job: "j-000009"}, id: 50<<peer.AttemptBits | 1, machine: m, group: &peer.AttemptGroup{Job: "j-000009"}, state: attemptLaunched, launch: attemptLaunch{agentEpoch: 1}, stop: stopImmediately}
 	b.addAttempt(r)
 	answer := CommandsAnswered{Request: SendCommands{Shard: 0, Machine: "m1", Body: wire.CommandBatch{FencingToken: 50, AgentEpoch: 1}}, Code: 200}
 	answer.Status = heartbeat("m1", 2, 50).Heartbeat
--- /dev/null
+++ b/internal/shard/store_txns.go
@@ -0,0 +1,98 @@
+package shard
+
+import (
+	"fmt"
+
+	"github.com/goccy/go-json"
+
+	"swiftledge/internal/peer"
+	"swiftledge/internal/store"
+	"swiftledge/wire"
+)
+
+// Txn returns the transaction that writes the pages. Its conditions are the shard's key and the version of each
+// page: a copy that is applied late must not put an older page over a newer one.
+func (w WriteAttempts) Txn() (wire.Txn, error) {
+	txn := wire.Txn{Conditions: []wire.Condition{{Key: Key(w.Shard), Version: w.KeyVersion}}}
+	for _, page := range w.Pages {
+		value, err := json.Marshal(page.Page)
+		if err != nil {
+			return wire.Txn{}, fmt.Errorf("encode attempt page %s: %w", page.Key, err)
+		}
+		txn.Conditions = append(txn.Conditions, wire.Condition{Key: page.Key, Version: page.Version})
+		txn.Writes = append(txn.Writes, wire.Write{Put: page.Key, Value: value})
+	}
+	return txn, nil
+}
+
+// Result returns what the outcome of the transaction means. Only the holder of this lease writes its pages, one
+// write at a time: when a page's condition fails, an earlier try of the same write got no answer, but was committed.
+func (w WriteAttempts) Result(result store.TxnResult) AttemptsWritten {
+	fenced := result.FailedOn(Key(w.Shard))
+	earlierTryCommitted := !fenced && result.Ambiguous && len(result.FailedKeys) > 0
+	written := AttemptsWritten{
+		Shard:         w.Shard,
+		FencingToken:  w.FencingToken,
+		Seq:           w.Seq,
+		Committed:     result.Committed || earlierTryCommitted,
+		Fenced:        fenced,
+		NeverExecuted: !result.Committed && !result.Ambiguous && len(result.FailedKeys) == 0,
+		TooLarge:      result.Rejected,
+	}
+	if result.Committed {
+		written.Revision = result.Revision
+	}
+	return written
+}
+
+// Txn returns the transaction that puts the new page and deletes the others. Its conditions are the shard's key, and
+// that the new page is not there: a copy that is applied late must not bring it back over a newer one.
+func (c CompactPages) Txn() (wire.Txn, error) {
+	txn, err := WriteAttempts{Shard: c.Shard, KeyVersion: c.KeyVersion, Pages: []PageWrite{c.Put}}.Txn()
+	txn.Writes = append(txn.Writes, deletions(c.Delete)...)
+	return txn, err
+}
+
+// Result returns what the outcome of the transaction means; see WriteAttempts.Result.
+func (c CompactPages) Result(result store.TxnResult) PagesCompacted {
+	written := WriteAttempts{Shard: c.Shard, FencingToken: c.FencingToken}.Result(result)
+	return PagesCompacted{
+		Shard:        c.Shard,
+		FencingToken: c.FencingToken,
+		Committed:    written.Committed,
+		Fenced:       written.Fenced,
+		Revision:     written.Revision,
+	}
+}
+
+// Txn returns the transaction that deletes the pages. Its condition is the shard's key.
+func (d DeletePages) Txn() wire.Txn {
+	return wire.Txn{
+		Conditions: []wire.Condition{{Key: Key(d.Shard), Version: d.KeyVersion}},
+		Writes:     deletions(d.Keys),
+	}
+}
+
+func deletions(keys []string) (writes []wire.Write) {
+	for _, key := range keys {
+		writes = append(writes, wire.Write{Delete: key})
+	}
+	return writes
+}
+
+// DecodeAttemptPages reads the attempt pages among items of the store, by key; it reads all of them or fails.
+func DecodeAttemptPages(items []wire.Item) (map[string]peer.AttemptPage, error) {
+	pages := make(map[string]peer.AttemptPage, len(items))
+	for _, item := range items {
+		var page peer.AttemptPage
+		err := json.Unmarshal(item.Value, &page)
+		if err == nil {
+			err = page.Validate()
+		}
+		if err != nil {
+			return nil, fmt.Errorf("%s: %w", item.Key, err)
+		}
+		pages[item.Key] = page
+	}
+	return pages, nil
+}
--- a/internal/shard/tokens_test.go
+++ b/internal/shard/tokens_test.go
@@ -25,7 +25,7 @@
 	}
 	after := heartbeat("m1", 2, 50, running(1)).Heartbeat
 	h.Step(now, CommandsAnswered{Request: SendCommands{Shard: 0, Machine: "m1", Body: wire.CommandBatch{FencingToken: 50, AgentEpoch: 1}}, Code: 200, Status: after})
-	if !h.shards[0].machines["m1"].tokenConfirmed {
+	if !h.shards[0].machines["m1"].fence.confirmed {
 		t.Error("m1 is not taken as fenced after it showed our token")
 	}
 	if h.Step(now, InspectionAnswered{Request: InspectAgent{Shard: 0, FencingToken: 50, Machine: "m2"}, Status: heartbeat("m2", 1, 51).Heartbeat}); h.shards[0] != nil {
@@ -41,13 +41,13 @@
 	b := h.shards[0]
 	attempt := peer.NewAttemptID(50, 1)
 	other := peer.Task{Job: "j-000002"}
-	b.addAttempt(&taskAttempt{task: other, id: attempt, machine: b.machines["m1"], group: &peer.AttemptGroup{Job: other.Job}, state: attemptLaunched, agentEpoch: 1, launchedDirectly: true, stopMode: 2})
+	b.addAttempt(&taskAttempt{task: other, id: attempt, machine: b.machines["m1"], group: &peer.AttemptGroup{Job: other.Job}, state: attemptLaunched, launch: attemptLaunch{agentEpoch: 1, sent: true}, stop: stopImmediately})
 	exit := wire.TaskStatus{Task: TaskName(other), Attempt: attempt, State: wire.TaskExited, Cause: wire.ExitStopped}
 	if a := replyOf(t, h.Step(now, heartbeat("m1", 2, 50, exit))); len(a.Body.Commands) != 0 {
 		t.Errorf("commands %v while a copy of its order would be obeyed", a.Body.Commands)
 	}
 	h.Step(now, LeaderMessage{&peer.FromLeader{Term: 9, Grants: []peer.ShardGrant{{Shard: 0, FencingToken: 60, KeyVersion: 8, Machines: []peer.InventoryMachine{{Name: "m1", Address: "a1"}}}}}})
-	h.Step(now, LeaderMessage{&peer.FromLeader{Term: 9, RenewedSeq: h.renewSeq, FencingTokens: map[int]wire.FencingToken{0: 60}}})
+	h.Step(now, LeaderMessage{&peer.FromLeader{Term: 9, RenewedSeq: h.leader.renewSeq, FencingTokens: map[int]wire.FencingToken{0: 60}}})
 	if a := replyOf(t, h.Step(now, heartbeat("m1", 3, 60, exit))); len(a.Body.Commands) != 1 || a.Body.Commands[0].Verb != wire.VerbForget {
 		t.Errorf("commands %v under the higher token, want forget", a.Body.Commands)
 	}
@@ -59,7 +59,7 @@
 	b := h.shards[0]
 	for i := range minRetainedLimit + 1 {
 		b.addAttempt(&taskAttempt{task: peer.Task{Job: "j-000002", Index: i}, id: peer.NewAttemptID(50, uint64(i+1)), machine: b.machines["m1"],
-			group: &peer.AttemptGroup{Job: "j-000002"}, state: attemptExited, launchedDirectly: true, endReported: true, endPersisted: true})
+			group: &peer.AttemptGroup{Job: "j-000002"}, state: attemptExited, launch: attemptLaunch{sent: true}, endReported: true, endPersisted: true})
 	}
 	asked := 0
 	for i := range 2 {
@@ -129,7 +129,7 @@
 	b := h.shards[0]
 	launchTask(t, h, later(1))
 	one := peer.Task{Job: "j-000009"}
-	m := b.byTask[one][0].machine
+	m := b.attempts.byTask[one][0].machine
 	rest := []wire.TaskStatus{}
 	if m.name == "m2" {
 		rest = append(rest, running(2))
@@ -140,9 +140,9 @@
 		t.Error("asked for a token while the answer may come")
 	}
 	at := now + h.params.AgentLease + 2*clock.Second
-	h.Step(at-clock.Second, LeaderMessage{&peer.FromLeader{Term: 9, RenewedSeq: h.renewSeq, FencingTokens: map[int]wire.FencingToken{0: 50}}})
+	h.Step(at-clock.Second, LeaderMessage{&peer.FromLeader{Term: 9, RenewedSeq: h.leader.renewSeq, FencingTokens: map[int]wire.FencingToken{0: 50}}})
 	h.Step(at, heartbeat(m.name, 3, 50, rest...))
-	if len(b.byTask[one]) != 1 {
+	if len(b.attempts.byTask[one]) != 1 {
 		t.Fatal("taken for gone while its order may be carried out")
 	}
 	if !requestsRegrant(h, at+clock.Second) {
