--- a/internal/shard/compaction.go
+++ b/internal/shard/compaction.go
@@ -68,7 +68,9 @@
 
 // mergePages adds pages of the first one's lease to a pager, as many as it and a transaction take. It returns these
 // pages and all keys that hold their records.
-func mergePages(pages []*attemptPage, pager *peer.AttemptPager, limits storeLimits) (merged []*attemptPage, keys []string) {
+func mergePages(
+	pages []*attemptPage, pager *peer.AttemptPager, limits storeLimits,
+) (merged []*attemptPage, keys []string) {
 	for _, p := range pages {
 		if p.fencingToken != pages[0].fencingToken || len(keys)+1+len(p.replacedKeys) >= limits.txnOps {
 			continue
--- a/internal/shard/holder.go
+++ b/internal/shard/holder.go
@@ -91,8 +91,10 @@
 	if spread := cfg.Tuning.Spread; spread.Enabled {
 		params.LoadBound = &rebalancer.Bound{Relative: spread.Bound, ImbalanceS: spread.ImbalanceS}
 	}
-	auction := cfg.Tuning.Placement
-	return New(params, placement.Params{K: auction.AffinityDecay, Eta: auction.MinAffinity, Epsilon: auction.MinPriceRise, Small: auction.UnstartedOffset}, storeOK)
+	tuning := cfg.Tuning.Placement
+	auction := placement.Params{K: tuning.AffinityDecay, Eta: tuning.MinAffinity, Epsilon: tuning.MinPriceRise,
+		Small: tuning.UnstartedOffset}
+	return New(params, auction, storeOK)
 }
 
 // Step handles one message and returns the effects that follow from it.
