--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -142,7 +142,7 @@
 	if t.File == "" {
 		return nil
 	}
-	s := trace.Settings{File: t.File, MostBytes: int64(t.MaxFileMB * (1 << 20)), Share: t.JobShare, Queue: int(t.Queue)}
+	s := trace.Settings{File: t.File, MaxBytes: int64(t.MaxFileMB * (1 << 20)), JobShare: t.JobShare, Queue: int(t.Queue)}
 	if n.tracer, err = trace.New(s, n.cfg.Name, n.clock, n.log); err != nil {
 		return err
 	}
--- a/internal/trace/export.go
+++ b/internal/trace/export.go
@@ -6,76 +6,89 @@
 	"fmt"
 	"log/slog"
 	"math/rand/v2"
-	"os"
 	"time"
 
-	sdk "go.opentelemetry.io/otel/sdk/trace"
-	api "go.opentelemetry.io/otel/trace"
+	sdktrace "go.opentelemetry.io/otel/sdk/trace"
+	oteltrace "go.opentelemetry.io/otel/trace"
 )
 
-// jobIDs makes span ids; the trace's is always the parent's.
-type jobIDs struct{}
+// spanIDGenerator makes span ids. A span's trace id is always its parent's.
+type spanIDGenerator struct{}
 
-// NewIDs is asked only for spans without a parent, of which there are none.
-func (jobIDs) NewIDs(ctx context.Context) (api.TraceID, api.SpanID) {
-	return api.TraceID{}, jobIDs{}.NewSpanID(ctx, api.TraceID{})
+// NewIDs makes ids for a span without a parent, of which there are none.
+func (g spanIDGenerator) NewIDs(ctx context.Context) (oteltrace.TraceID, oteltrace.SpanID) {
+	return oteltrace.TraceID{}, g.NewSpanID(ctx, oteltrace.TraceID{})
 }
 
 // NewSpanID makes an id that is unlikely to be another's.
-func (jobIDs) NewSpanID(context.Context, api.TraceID) (id api.SpanID) {
+func (spanIDGenerator) NewSpanID(context.Context, oteltrace.TraceID) (id oteltrace.SpanID) {
 	for i := range id {
 		id[i] = byte(rand.Uint32())
 	}
 	return id
 }
 
-// line is how a span is written.
+// instanceKey is the attribute that names the controller.
+const instanceKey = "service.instance.id"
+
+// line is a span as it is written.
 type line struct {
 	Trace      string            `json:"trace"`
 	Span       string            `json:"span"`
 	Parent     string            `json:"parent"`
-	Node       string            `json:"node"`
+	Controller string            `json:"node"`
 	Name       string            `json:"name"`
 	Begin      time.Time         `json:"begin"`
 	TookS      float64           `json:"took_s"`
 	Attributes map[string]string `json:"attributes"`
 }
 
-// lineExporter writes spans as lines of JSON. What cannot be written is left out; it tells of the first
-// span that is.
+func newLine(span sdktrace.ReadOnlySpan) line {
+	l := line{
+		Trace:      span.SpanContext().TraceID().String(),
+		Span:       span.SpanContext().SpanID().String(),
+		Parent:     span.Parent().SpanID().String(),
+		Name:       span.Name(),
+		Begin:      span.StartTime().UTC(),
+		TookS:      span.EndTime().Sub(span.StartTime()).Seconds(),
+		Attributes: map[string]string{},
+	}
+	for _, attribute := range span.Attributes() {
+		l.Attributes[string(attribute.Key)] = attribute.Value.AsString()
+	}
+	for _, attribute := range span.Resource().Attributes() {
+		if attribute.Key == instanceKey {
+			l.Controller = attribute.Value.AsString()
+		}
+	}
+	return l
+}
+
+// lineExporter writes spans as lines of JSON. What cannot be written is left out; of a row of failures it logs
+// the first.
 type lineExporter struct {
-	out     *rotating
-	log     *slog.Logger
-	failing bool
+	out       *rotatingFile
+	log       *slog.Logger
+	isFailing bool
 }
 
-// ExportSpans writes spans.
-func (e *lineExporter) ExportSpans(_ context.Context, spans []sdk.ReadOnlySpan) error {
+// ExportSpans writes spans. It returns no error: the spans that it could not write are not to be sent again.
+func (e *lineExporter) ExportSpans(_ context.Context, spans []sdktrace.ReadOnlySpan) error {
 	err := e.writeLines(spans)
-	if err != nil && !e.failing {
+	if err != nil && !e.isFailing {
 		e.log.Warn("spans are not written", "error", err)
 	}
-	e.failing = err != nil
+	e.isFailing = err != nil
 	return nil
 }
 
-func (e *lineExporter) writeLines(spans []sdk.ReadOnlySpan) error {
-	for _, s := range spans {
-		l := line{Trace: s.SpanContext().TraceID().String(), Span: s.SpanContext().SpanID().String(), Parent: s.Parent().SpanID().String(),
-			Name: s.Name(), Begin: s.StartTime().UTC(), TookS: s.EndTime().Sub(s.StartTime()).Seconds(), Attributes: map[string]string{}}
-		for _, a := range s.Attributes() {
-			l.Attributes[string(a.Key)] = a.Value.AsString()
-		}
-		for _, a := range s.Resource().Attributes() {
-			if a.Key == "service.instance.id" {
-				l.Node = a.Value.AsString()
-			}
-		}
-		raw, err := json.Marshal(l)
+func (e *lineExporter) writeLines(spans []sdktrace.ReadOnlySpan) error {
+	for _, span := range spans {
+		record, err := json.Marshal(newLine(span))
 		if err != nil {
 			return fmt.Errorf("span: %w", err)
 		}
-		if err := e.out.write(append(raw, '\n')); err != nil {
+		if err := e.out.write(append(record, '\n')); err != nil {
 			return fmt.Errorf("span: %w", err)
 		}
 	}
@@ -83,50 +96,4 @@
 }
 
 // Shutdown closes the file.
-func (e *lineExporter) Shutdown(context.Context) error { return e.out.file.Close() }
-
-// rotating is a file of bounded size. When it is full it takes the place of the one before, and a new one
-// begins.
-type rotating struct {
-	name string
-	most int64
-	file *os.File
-	size int64
-}
-
-func openRotating(name string, most int64) (*rotating, error) {
-	r := &rotating{name: name, most: most}
-	return r, r.open(os.O_APPEND)
-}
-
-func (r *rotating) open(how int) error {
-	f, err := os.OpenFile(r.name, os.O_CREATE|os.O_WRONLY|how, 0o600)
-	if err != nil {
-		return err
-	}
-	info, err := f.Stat()
-	if err != nil {
-		f.Close()
-		return err
-	}
-	r.file, r.size = f, info.Size()
-	return nil
-}
-
-// former is the name of the file before.
-func (r *rotating) former() string { return r.name + ".1" }
-
-func (r *rotating) write(raw []byte) error {
-	if r.size > 0 && r.size+int64(len(raw)) > r.most {
-		r.file.Close()
-		if err := os.Rename(r.name, r.former()); err != nil {
-			return err
-		}
-		if err := r.open(os.O_TRUNC); err != nil {
-			return err
-		}
-	}
-	n, err := r.file.Write(raw)
-	r.size += int64(n)
-	return err
-}
+func (e *lineExporter) Shutdown(context.Context) error { return e.out.close() }
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -1,6 +1,10 @@
-// Package trace writes what happens to jobs as OpenTelemetry spans to a file, a line each. A job's trace is
-// named after its reference, so that the spans of all controllers make one trace without a word between
-// them: messages stay as they are, and a version that traces nothing leaves a gap only.
+// Package trace writes what happens to jobs as OpenTelemetry spans to a file, a line each. The id of a job's
+// trace is a hash of its reference, so that the spans of all controllers make one trace although their messages
+// carry no trace context; a version that traces nothing only leaves a gap.
+//
+// A Tracer is an actor: it owns the queue of spans and the file. Spans are posted without waiting, and are
+// dropped and counted when the queue is full. Nothing is ever read back, and no failure here reaches those who
+// post.
 package trace
 
 import (
@@ -14,12 +18,15 @@
 
 	"go.opentelemetry.io/otel/attribute"
 	"go.opentelemetry.io/otel/sdk/resource"
-	sdk "go.opentelemetry.io/otel/sdk/trace"
-	api "go.opentelemetry.io/otel/trace"
+	sdktrace "go.opentelemetry.io/otel/sdk/trace"
+	oteltrace "go.opentelemetry.io/otel/trace"
 
 	"swiftledge/internal/clock"
 )
 
+// instrumentationName is what the program calls itself in spans.
+const instrumentationName = "swiftledge"
+
 // Attribute is one fact about a span.
 type Attribute struct{ Key, Value string }
 
@@ -34,68 +41,81 @@
 
 // Settings say what is traced, and where to.
 type Settings struct {
-	File      string
-	MostBytes int64   // of the file; what was written before is kept in a second one
-	Share     float64 // of the jobs
-	Queue     int     // spans that may wait to be written
+	File     string
+	MaxBytes int64   // of the file; what was written before is kept in a second one
+	JobShare float64 // the part of the jobs that is traced
+	Queue    int     // spans that may wait to be written
 }
 
 // Tracer is the actor that writes spans. A nil one writes nothing.
 type Tracer struct {
-	share   float64
-	spans   chan Span
-	dropped atomic.Int64
-	wall    clock.Micros // the time of day less the steady time
-	log     *slog.Logger
-	tracer  api.Tracer
+	jobShare  float64
+	spans     chan Span
+	dropped   atomic.Int64
+	wallClock clock.Micros // the time of day when steady time began
+	log       *slog.Logger
+	provider  *sdktrace.TracerProvider
+	tracer    oteltrace.Tracer
 }
 
-// New opens the file; Run writes. steady is the process's clock.
-func New(s Settings, node string, steady clock.Steady, log *slog.Logger) (*Tracer, error) {
-	out, err := openRotating(s.File, s.MostBytes)
+// New opens the file of a controller; Run writes to it. steady is the process's clock.
+func New(settings Settings, controller string, steady clock.Steady, log *slog.Logger) (*Tracer, error) {
+	out, err := openRotatingFile(settings.File, settings.MaxBytes)
 	if err != nil {
 		return nil, fmt.Errorf("trace: %w", err)
 	}
-	provider := sdk.NewTracerProvider(
-		sdk.WithSyncer(&lineExporter{out: out, log: log}), // on the tracer's own goroutine
-		sdk.WithIDGenerator(jobIDs{}),
-		sdk.WithResource(resource.NewSchemaless(attribute.String("service.name", "swiftledge"), attribute.String("service.instance.id", node))),
+	process := resource.NewSchemaless(
+		attribute.String("service.name", instrumentationName),
+		attribute.String(instanceKey, controller),
+	)
+	provider := sdktrace.NewTracerProvider(
+		sdktrace.WithSyncer(&lineExporter{out: out, log: log}), // on the tracer's own goroutine
+		sdktrace.WithIDGenerator(spanIDGenerator{}),
+		sdktrace.WithResource(process),
 	)
-	return &Tracer{share: s.Share, spans: make(chan Span, s.Queue), wall: clock.Wall() - steady.Now(), log: log, tracer: provider.Tracer("swiftledge")}, nil
+	return &Tracer{
+		jobShare:  settings.JobShare,
+		spans:     make(chan Span, settings.Queue),
+		wallClock: clock.Wall() - steady.Now(),
+		log:       log,
+		provider:  provider,
+		tracer:    provider.Tracer(instrumentationName),
+	}, nil
 }
 
 // Post hands a span over. It never waits: with a full queue the span is dropped, and counted.
-func (t *Tracer) Post(s Span) {
-	if t == nil || !t.traces(s.Job) {
+func (t *Tracer) Post(span Span) {
+	if t == nil || !t.isTraced(span.Job) {
 		return
 	}
 	select {
-	case t.spans <- s:
+	case t.spans <- span:
 	default:
 		t.dropped.Add(1)
 	}
 }
 
-// traces says whether the job is among the share that is traced; all controllers agree on that.
-func (t *Tracer) traces(job string) bool {
+// isTraced reports whether a job is among the share that is traced; all controllers agree on that.
+func (t *Tracer) isTraced(job string) bool {
 	id := traceID(job)
-	const all = 1 << 32
-	return float64(binary.BigEndian.Uint32(id[:])) < t.share*all
+	const maxPrefix = 1 << 32
+	return float64(binary.BigEndian.Uint32(id[:])) < t.jobShare*maxPrefix
 }
 
-// reportEvery is how often dropped spans are told of.
-const reportEvery = time.Minute
+// dropReportInterval is how often dropped spans are logged.
+const dropReportInterval = time.Minute
 
-// Run writes spans until ctx ends.
+// Run writes spans until ctx ends, and closes the file. Spans that wait then are lost.
 func (t *Tracer) Run(ctx context.Context) {
-	report := time.NewTicker(reportEvery)
+	defer t.close()
+	report := time.NewTicker(dropReportInterval)
 	defer report.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case s := <-t.spans:
-			t.write(s)
+		case span := <-t.spans:
+			t.write(span)
 		case <-report.C:
 			if n := t.dropped.Swap(0); n > 0 {
 				t.log.Warn("spans were dropped", "count", n)
@@ -104,32 +124,44 @@
 	}
 }
 
-func (t *Tracer) write(s Span) {
-	parent := api.NewSpanContext(api.SpanContextConfig{TraceID: traceID(s.Job), SpanID: spanID(s.Job), TraceFlags: api.FlagsSampled, Remote: true})
-	attributes := []attribute.KeyValue{attribute.String("job", s.Job)}
-	if s.Task != "" {
-		attributes = append(attributes, attribute.String("task", s.Task))
+func (t *Tracer) close() {
+	if err := t.provider.Shutdown(context.Background()); err != nil {
+		t.log.Warn("trace file is not closed", "error", err)
+	}
+}
+
+func (t *Tracer) write(span Span) {
+	parent := oteltrace.NewSpanContext(oteltrace.SpanContextConfig{
+		TraceID:    traceID(span.Job),
+		SpanID:     rootSpanID(span.Job),
+		TraceFlags: oteltrace.FlagsSampled,
+		Remote:     true,
+	})
+	attributes := []attribute.KeyValue{attribute.String("job", span.Job)}
+	if span.Task != "" {
+		attributes = append(attributes, attribute.String("task", span.Task))
 	}
-	for _, a := range s.Attributes {
+	for _, a := range span.Attributes {
 		attributes = append(attributes, attribute.String(a.Key, a.Value))
 	}
-	_, span := t.tracer.Start(api.ContextWithRemoteSpanContext(context.Background(), parent), s.Name,
-		api.WithTimestamp(t.timeOfDay(s.Begin)), api.WithAttributes(attributes...))
-	span.End(api.WithTimestamp(t.timeOfDay(s.End)))
+	ctx := oteltrace.ContextWithRemoteSpanContext(context.Background(), parent)
+	begin := oteltrace.WithTimestamp(t.timeOfDay(span.Begin))
+	_, started := t.tracer.Start(ctx, span.Name, begin, oteltrace.WithAttributes(attributes...))
+	started.End(oteltrace.WithTimestamp(t.timeOfDay(span.End)))
 }
 
-func (t *Tracer) timeOfDay(at clock.Micros) time.Time { return time.UnixMicro(int64(at + t.wall)) }
+func (t *Tracer) timeOfDay(at clock.Micros) time.Time { return time.UnixMicro(int64(at + t.wallClock)) }
 
 // traceID names the trace of a job, the same at every controller.
-func traceID(job string) (id api.TraceID) {
+func traceID(job string) (id oteltrace.TraceID) {
 	sum := sha256.Sum256([]byte(job))
 	copy(id[:], sum[:])
 	return id
 }
 
-// spanID names the span that all others of a job lie below. None is written for it: its begin and end are
-// at different controllers.
-func spanID(job string) (id api.SpanID) {
+// rootSpanID names the span that is the parent of all others of a job. That span itself is never written: its
+// begin and end are at different controllers.
+func rootSpanID(job string) (id oteltrace.SpanID) {
 	sum := sha256.Sum256([]byte(job))
 	copy(id[:], sum[len(sum)-len(id):])
 	return id
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"bytes"
 	"encoding/json"
 	"io"
 	"log/slog"
@@ -16,9 +17,9 @@
 
 var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
 
-func newTracer(t *testing.T, s Settings, node string) *Tracer {
+func newTracer(t *testing.T, s Settings, controller string) *Tracer {
 	t.Helper()
-	tracer, err := New(s, node, clock.NewSteady(), quiet)
+	tracer, err := New(s, controller, clock.NewSteady(), quiet)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -34,12 +35,11 @@
 
 func lines(t *testing.T, file string) (out []line) {
 	t.Helper()
-	f, err := os.Open(file)
+	raw, err := os.ReadFile(file)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer f.Close()
-	for s := bufio.NewScanner(f); s.Scan(); {
+	for s := bufio.NewScanner(bytes.NewReader(raw)); s.Scan(); {
 		var l line
 		if err := json.Unmarshal(s.Bytes(), &l); err != nil {
 			t.Fatalf("%q: %v", s.Text(), err)
@@ -52,10 +52,11 @@
 // The spans of a job make one trace, whichever controllers wrote them, without a word between these.
 func TestSpansOfAJobAreOneTrace(t *testing.T) {
 	var all []line
-	for _, node := range []string{"c0", "c1"} {
+	for _, controller := range []string{"c0", "c1"} {
 		file := filepath.Join(t.TempDir(), "trace")
-		tracer := newTracer(t, Settings{File: file, MostBytes: 1 << 20, Share: 1, Queue: 16}, node)
-		tracer.Post(Span{Job: "j-000001", Task: "j-000001/3", Name: "run", Begin: clock.Second, End: 3 * clock.Second, Attributes: []Attribute{{"machine", "host-1"}}})
+		tracer := newTracer(t, Settings{File: file, MaxBytes: 1 << 20, JobShare: 1, Queue: 16}, controller)
+		tracer.Post(Span{Job: "j-000001", Task: "j-000001/3", Name: "run", Begin: clock.Second, End: 3 * clock.Second,
+			Attributes: []Attribute{{"machine", "host-1"}}})
 		tracer.Post(Span{Job: "j-000002", Name: "job", Begin: clock.Second, End: 2 * clock.Second})
 		tracer.writeAll()
 		all = append(all, lines(t, file)...)
@@ -64,7 +65,7 @@
 		t.Fatalf("%d lines", len(all))
 	}
 	first := all[0]
-	if first.Trace != all[2].Trace || first.Parent != all[2].Parent || first.Span == all[2].Span || first.Node != "c0" || all[2].Node != "c1" {
+	if first.Trace != all[2].Trace || first.Parent != all[2].Parent || first.Span == all[2].Span || first.Controller != "c0" || all[2].Controller != "c1" {
 		t.Errorf("%+v and %+v are not of one trace", first, all[2])
 	}
 	if first.Trace == all[1].Trace {
@@ -80,7 +81,7 @@
 
 // With a full queue spans are dropped and counted, and nobody waits; without a tracer nothing happens.
 func TestPostNeverWaits(t *testing.T) {
-	tracer := newTracer(t, Settings{File: filepath.Join(t.TempDir(), "trace"), MostBytes: 1 << 20, Share: 1, Queue: 16}, "c0")
+	tracer := newTracer(t, Settings{File: filepath.Join(t.TempDir(), "trace"), MaxBytes: 1 << 20, JobShare: 1, Queue: 16}, "c0")
 	for range 20 {
 		tracer.Post(Span{Job: "j-000001", Name: "run"})
 	}
@@ -94,9 +95,9 @@
 // The file keeps its size; the one before stays beside it.
 func TestFileIsBounded(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "trace")
-	const most = 4000
+	const maxBytes = 4000
 	for range 2 { // also when a process begins again
-		tracer := newTracer(t, Settings{File: file, MostBytes: most, Share: 1, Queue: 1000}, "c0")
+		tracer := newTracer(t, Settings{File: file, MaxBytes: maxBytes, JobShare: 1, Queue: 1000}, "c0")
 		for range 100 {
 			tracer.Post(Span{Job: "j-000001", Name: "run"})
 		}
@@ -104,7 +105,7 @@
 	}
 	for _, name := range []string{file, file + ".1"} {
 		info, err := os.Stat(name)
-		if err != nil || info.Size() > most || info.Size() == 0 {
+		if err != nil || info.Size() > maxBytes || info.Size() == 0 {
 			t.Errorf("%s: %v, %v", name, info, err)
 		}
 		lines(t, name)
@@ -114,15 +115,15 @@
 // A share of the jobs is traced, the same ones everywhere.
 func TestShareOfTheJobs(t *testing.T) {
 	dir := t.TempDir()
-	a := newTracer(t, Settings{File: filepath.Join(dir, "a"), MostBytes: 1 << 20, Share: 0.25, Queue: 16}, "c0")
-	b := newTracer(t, Settings{File: filepath.Join(dir, "b"), MostBytes: 1 << 20, Share: 0.25, Queue: 16}, "c1")
+	a := newTracer(t, Settings{File: filepath.Join(dir, "a"), MaxBytes: 1 << 20, JobShare: 0.25, Queue: 16}, "c0")
+	b := newTracer(t, Settings{File: filepath.Join(dir, "b"), MaxBytes: 1 << 20, JobShare: 0.25, Queue: 16}, "c1")
 	traced := 0
 	for i := range 4000 {
 		job := "j-" + strings.Repeat("0", 3) + string(rune('a'+i%26)) + string(rune(0x4e00+i))
-		if a.traces(job) != b.traces(job) {
+		if a.isTraced(job) != b.isTraced(job) {
 			t.Fatalf("%s is traced at one controller only", job)
 		}
-		if a.traces(job) {
+		if a.isTraced(job) {
 			traced++
 		}
 	}
@@ -136,8 +137,8 @@
 	if _, err := New(Settings{File: filepath.Join(t.TempDir(), "nowhere", "trace"), Queue: 16}, "c0", clock.NewSteady(), quiet); err == nil {
 		t.Error("a file in a directory that is not there is no error")
 	}
-	tracer := newTracer(t, Settings{File: filepath.Join(t.TempDir(), "trace"), MostBytes: 1 << 20, Share: 1, Queue: 16}, "c0")
-	e := &lineExporter{out: &rotating{name: "gone", most: 1 << 20}, log: quiet}
+	tracer := newTracer(t, Settings{File: filepath.Join(t.TempDir(), "trace"), MaxBytes: 1 << 20, JobShare: 1, Queue: 16}, "c0")
+	e := &lineExporter{out: &rotatingFile{name: "gone", maxBytes: 1 << 20}, log: quiet}
 	e.out.file, _ = os.Open(os.DevNull) // cannot be written
 	if err := e.ExportSpans(t.Context(), nil); err != nil {
 		t.Error(err)
