--- a/cmd/loopback/main.go
+++ b/cmd/loopback/main.go
@@ -102,7 +102,7 @@
 			sample := c.Sample()
 			fmt.Fprintf(out, "%d machines, mean load %.2f, greatest %.2f (%.2f times the mean)\n", sample.Machines, sample.Mean, sample.Greatest, sample.OverMean())
 		case "status":
-			if err := status.WriteTable(out, c.Status(), false); err != nil {
+			if err := status.WriteTable(out, c.Status(), status.WithoutMachines); err != nil {
 				return err
 			}
 		case "kill":
--- a/cmd/swiftledge/status.go
+++ b/cmd/swiftledge/status.go
@@ -1,36 +1,52 @@
 package main
 
 import (
+	"io"
+
 	"github.com/spf13/cobra"
 
 	"swiftledge/internal/status"
 )
 
+// statusOptions are the flags of `swiftledge status`.
+type statusOptions struct {
+	asJSON   bool
+	machines bool
+}
+
 // statusCommand asks every controller of the site how it is.
-func statusCommand(settings *string, tuning *[]string) *cobra.Command {
-	var asJSON, machines bool
+func statusCommand(files *settingsFiles) *cobra.Command {
+	var options statusOptions
 	cmd := &cobra.Command{
 		Use:   "status",
 		Short: "Show loads, waiting work and moves, as the controllers tell them",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			cfg, err := load(*settings, *tuning)
+			cfg, err := files.load()
 			if err != nil {
 				return err
 			}
-			all := status.Ask(cfg)
-			if asJSON {
-				err = status.WriteJSON(cmd.OutOrStdout(), all)
-			} else {
-				err = status.WriteTable(cmd.OutOrStdout(), all, machines)
+			controllers := status.Fetch(cfg)
+			if err := options.write(cmd.OutOrStdout(), controllers); err != nil {
+				return err
 			}
-			if err == nil && !status.Answered(all) {
-				err = status.ErrNoAnswer
+			if !status.AnyAnswered(controllers) {
+				return status.ErrNoAnswer
 			}
-			return err
+			return nil
 		},
 	}
-	cmd.Flags().BoolVar(&asJSON, "json", false, "print JSON, with every machine")
-	cmd.Flags().BoolVar(&machines, "machines", false, "print a row for each machine, too")
+	cmd.Flags().BoolVar(&options.asJSON, "json", false, "print JSON, with every machine")
+	cmd.Flags().BoolVar(&options.machines, "machines", false, "print a row for each machine, too")
 	return cmd
 }
+
+func (o statusOptions) write(w io.Writer, controllers []status.Controller) error {
+	switch {
+	case o.asJSON:
+		return status.WriteJSON(w, controllers)
+	case o.machines:
+		return status.WriteTable(w, controllers, status.WithMachines)
+	}
+	return status.WriteTable(w, controllers, status.WithoutMachines)
+}
--- a/internal/loopback/client.go
+++ b/internal/loopback/client.go
@@ -28,7 +28,8 @@
 	for _, k := range c.Controllers {
 		all = append(all, status.Controller{Name: k.Name, Address: k.PeerAddress})
 	}
-	return status.AskEach(all)
+	status.FetchEach(all)
+	return all
 }
 
 // Leader is the controller that leads, with its status; nil while none does.
--- a/internal/status/status_test.go
+++ b/internal/status/status_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"encoding/json"
+	"io"
 	"net"
 	"strings"
 	"testing"
@@ -55,7 +56,12 @@
 			_ = msgpack.NewEncoder(c).Encode(peer.Hello{Controller: "c1"})
 		}
 	})
-	noise := listen(t, func(c net.Conn) { c.Write([]byte("HTTP/1.1 400 Bad Request\r\n\r\n")); c.Close() })
+	noise := listen(t, func(c net.Conn) {
+		defer c.Close()
+		if _, err := io.WriteString(c, "HTTP/1.1 400 Bad Request\r\n\r\n"); err != nil {
+			t.Error(err)
+		}
+	})
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -64,36 +70,37 @@
 	l.Close()
 	cfg.Peers = []config.Peer{{Name: "c1", Address: old}, {Name: "c2", Address: noise}, {Name: "c3", Address: gone}}
 
-	all := Ask(cfg)
-	if !Answered(all) || all[0].Status == nil || all[0].Status.Term != 7 {
-		t.Fatalf("the leader's answer is %+v", all[0])
+	controllers := Fetch(cfg)
+	if !AnyAnswered(controllers) || controllers[0].Status == nil || controllers[0].Status.Term != 7 {
+		t.Fatalf("the leader's answer is %+v", controllers[0])
 	}
-	if all[1].Problem != "its version does not know the question" {
-		t.Errorf("the old version: %q", all[1].Problem)
+	if controllers[1].Problem != "its version does not know the question" {
+		t.Errorf("the old version: %q", controllers[1].Problem)
 	}
-	for _, c := range all[2:] {
+	for _, c := range controllers[2:] {
 		if c.Status != nil || c.Problem == "" || strings.Contains(c.Problem, "\n") {
 			t.Errorf("%s: %+v", c.Name, c)
 		}
 	}
 	var out bytes.Buffer
-	if err := WriteTable(&out, all, true); err != nil {
+	if err := WriteTable(&out, controllers, WithMachines); err != nil {
 		t.Fatal(err)
 	}
-	for _, want := range []string{"c0", "leads", "does not know the question", "c3", "host-1", "no: not needed", "j-000001/3", "stopping", "cannot save", "work waits for room"} {
+	for _, want := range []string{"c0", "leads", "does not know the question", "c3", "host-1", "no: not needed",
+		"j-000001/3", "stopping", "cannot save", "work waits for room"} {
 		if !strings.Contains(out.String(), want) {
 			t.Errorf("the table lacks %q:\n%s", want, out.String())
 		}
 	}
 	out.Reset()
-	if err := WriteJSON(&out, all); err != nil {
+	if err := WriteJSON(&out, controllers); err != nil {
 		t.Fatal(err)
 	}
 	var back []Controller
 	if err := json.Unmarshal(out.Bytes(), &back); err != nil || len(back) != 4 || back[0].Status.Migrations[0].Task != "j-000001/3" {
 		t.Errorf("JSON: %v, %+v", err, back)
 	}
-	if Answered(all[1:]) {
+	if AnyAnswered(controllers[1:]) {
 		t.Error("answered though nobody did")
 	}
 }
@@ -102,15 +109,16 @@
 func TestBadNightsShow(t *testing.T) {
 	var quiet, bad bytes.Buffer
 	plain := peer.Status{Controller: "c0", Leading: true, Teams: []peer.TeamStatus{{Team: "guest", CPUs: 2}}}
-	if err := WriteTable(&quiet, []Controller{{Name: "c0", Status: &plain}}, false); err != nil {
+	if err := WriteTable(&quiet, []Controller{{Name: "c0", Status: &plain}}, WithoutMachines); err != nil {
 		t.Fatal(err)
 	}
 	if s := quiet.String(); strings.Contains(s, "STOOD STILL") || strings.Contains(s, "SUSPECT") || !strings.Contains(s, "none") {
 		t.Errorf("a quiet site shows\n%s", s)
 	}
 	plain.Suspects = []peer.SuspectStatus{{Job: "j-000007", Team: "guest", Machines: 3, Probes: 2, NextS: 7.5}}
-	froze := peer.Status{Controller: "c1", Pauses: 4, LastPause: &peer.PauseStatus{AgoS: 61, LengthS: 12.5, Expired: []string{"grant of block 1", "view of the jobs"}}}
-	if err := WriteTable(&bad, []Controller{{Name: "c0", Status: &plain}, {Name: "c1", Status: &froze}}, false); err != nil {
+	froze := peer.Status{Controller: "c1", Pauses: 4, LastPause: &peer.PauseStatus{
+		AgoS: 61, LengthS: 12.5, Expired: []string{"grant of block 1", "view of the jobs"}}}
+	if err := WriteTable(&bad, []Controller{{Name: "c0", Status: &plain}, {Name: "c1", Status: &froze}}, WithoutMachines); err != nil {
 		t.Fatal(err)
 	}
 	for _, want := range []string{"STOOD STILL", "61.00", "12.50", "grant of block 1, view of the jobs", "j-000007", "3 machines", "7.50"} {
--- /dev/null
+++ b/internal/status/table.go
@@ -0,0 +1,200 @@
+package status
+
+import (
+	"fmt"
+	"io"
+	"strings"
+	"text/tabwriter"
+
+	"swiftledge/internal/pausedetect"
+	"swiftledge/internal/peer"
+)
+
+// Detail is how much a table shows.
+type Detail int
+
+// Details of tables.
+const (
+	// WithoutMachines leaves the machines out.
+	WithoutMachines Detail = iota
+	// WithMachines shows a row for each machine.
+	WithMachines
+)
+
+// WriteTable writes a row for each controller, then what the leader tells: shards, teams, migrations and why
+// others were not made, and the machines if they are asked for.
+func WriteTable(w io.Writer, controllers []Controller, detail Detail) error {
+	t := &table{writer: tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)}
+	t.writeControllers(controllers)
+	t.writePauses(controllers)
+	for _, c := range controllers {
+		if c.Status != nil && c.Status.Leading {
+			t.writeLeader(c.Status, detail)
+		}
+	}
+	t.flush()
+	if t.err != nil {
+		return fmt.Errorf("status: %w", t.err)
+	}
+	return nil
+}
+
+// table writes rows of aligned columns. It keeps the first error, after which it writes nothing more.
+type table struct {
+	writer *tabwriter.Writer
+	err    error
+}
+
+// row writes a row. Cells are of any type, as fmt.Sprint takes them; floats are rounded to two digits.
+func (t *table) row(cells ...any) {
+	texts := make([]string, len(cells))
+	for i, cell := range cells {
+		if number, ok := cell.(float64); ok {
+			texts[i] = fmt.Sprintf("%.2f", number)
+		} else {
+			texts[i] = fmt.Sprint(cell)
+		}
+	}
+	t.write(strings.Join(texts, "\t") + "\n")
+}
+
+// heading begins a new group of rows.
+func (t *table) heading(titles ...string) {
+	t.write("\n" + strings.Join(titles, "\t") + "\n")
+}
+
+func (t *table) write(text string) {
+	if t.err == nil {
+		_, t.err = io.WriteString(t.writer, text)
+	}
+}
+
+func (t *table) flush() {
+	if t.err == nil {
+		t.err = t.writer.Flush()
+	}
+}
+
+func (t *table) writeControllers(controllers []Controller) {
+	t.row("CONTROLLER", "ADDRESS", "LEADER", "EPOCH", "STATE")
+	for _, c := range controllers {
+		if c.Status == nil {
+			t.row(c.Name, c.Address, "", "", c.Problem)
+			continue
+		}
+		t.row(c.Name, c.Address, c.Status.Leader, c.Status.Term, role(c.Status))
+	}
+}
+
+func role(s *peer.Status) string {
+	switch {
+	case s.Leading:
+		return "leads"
+	case s.Leader == "":
+		return "follows nobody"
+	}
+	return "follows"
+}
+
+// writePauses shows which controllers' processes were paused, if any were.
+func (t *table) writePauses(controllers []Controller) {
+	hasHeading := false
+	for _, c := range controllers {
+		if c.Status == nil || c.Status.LastPause == nil {
+			continue
+		}
+		if !hasHeading {
+			t.heading("STOOD STILL", "TIMES", "LAST ENDED S AGO", "FOR S", "EXPIRED MEANWHILE")
+			hasHeading = true
+		}
+		last := c.Status.LastPause
+		t.row(c.Name, c.Status.Pauses, last.AgoS, last.LengthS, pausedetect.ExpiredText(last.Expired))
+	}
+}
+
+// writeLeader shows what the leader alone knows.
+func (t *table) writeLeader(s *peer.Status, detail Detail) {
+	t.writeShards(s.Shards)
+	if detail == WithMachines {
+		t.writeMachines(s.Machines)
+	}
+	t.writeTeams(s.Teams)
+	t.writeSuspects(s.Suspects)
+	t.writeMigrations(s)
+}
+
+func (t *table) writeShards(shards []peer.ShardStatus) {
+	t.heading("BLOCK", "HOLDER", "MACHINES", "TAKE WORK", "MEAN LOAD", "MOST LOAD", "TASKS", "UNSTARTED")
+	for _, s := range shards {
+		holder := s.Holder
+		if !s.Granted {
+			holder += " (not granted)"
+		}
+		t.row(s.Shard, holder, s.Machines, s.TakeWork, s.MeanLoad, s.MostLoad, s.Tasks, s.Unstarted)
+	}
+}
+
+func (t *table) writeMachines(machines []peer.MachineStatus) {
+	t.heading("MACHINE", "BLOCK", "TYPE", "ZONE", "LOAD", "OVER MEAN", "TASKS", "TAKES WORK")
+	for _, m := range machines {
+		takesWork := "yes"
+		if !m.TakesWork {
+			takesWork = "no: " + m.WhyNot
+		}
+		t.row(m.Name, m.Shard, m.Type, m.Zone, m.Load, m.OverMean, m.Tasks, takesWork)
+	}
+}
+
+func (t *table) writeTeams(teams []peer.TeamStatus) {
+	t.heading("TEAM", "CPUS HELD", "LIMIT", "WAITING", "AT LIMIT")
+	for _, team := range teams {
+		limit := "none"
+		if team.Limit != 0 {
+			limit = fmt.Sprintf("%.2f", team.Limit)
+		}
+		t.row(team.Team, team.CPUs, limit, team.Waiting, team.AtLimit)
+	}
+}
+
+// writeSuspects shows the jobs whose tasks fail wherever they run, if there are any.
+func (t *table) writeSuspects(suspects []peer.SuspectStatus) {
+	if len(suspects) == 0 {
+		return
+	}
+	t.heading("SUSPECT JOB", "TEAM", "FAILED ON", "PROBES", "NEXT IN S")
+	for _, s := range suspects {
+		t.row(s.Job, s.Team, fmt.Sprintf("%d machines", s.Machines), s.Probes, s.NextS)
+	}
+}
+
+// writeMigrations shows the tasks that rebalancing moves, and why it moves no others.
+func (t *table) writeMigrations(s *peer.Status) {
+	if !s.Rebalancing {
+		t.heading("MOVES", "off")
+		return
+	}
+	t.heading("MOVES", "BEGUN", "ARRIVED", "ELSEWHERE", "CANCELLED", "GIVEN UP")
+	outcomes := s.MigrationOutcomes
+	t.row("this epoch",
+		outcomes.Begun, outcomes.Arrived, outcomes.Elsewhere, outcomes.Cancelled, outcomes.GivenUp)
+	if len(s.Migrations) > 0 {
+		t.heading("MOVING", "TEAM", "FROM", "TO", "STAGE", "SINCE S", "GAIN S", "COST S")
+		for _, m := range s.Migrations {
+			t.row(m.Task, m.Team, m.From, m.To, m.Stage, m.AgeS, m.GainS, m.CostS)
+		}
+	}
+	if len(s.Refusals) > 0 {
+		t.heading("NOT MOVED", "WHY", "TASKS", "SUCH AS")
+		for _, r := range s.Refusals {
+			t.row(machineOrAll(r.Machine), r.Reason, r.Tasks, r.Task)
+		}
+	}
+}
+
+// machineOrAll is what a refusal is about: without a machine, all of them.
+func machineOrAll(machine string) string {
+	if machine == "" {
+		return "all"
+	}
+	return machine
+}
