--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -8,7 +8,6 @@
 import (
 	"context"
 	"fmt"
-	"net"
 	"net/url"
 	"time"
 
@@ -16,7 +15,7 @@
 	"github.com/valyala/fasthttp"
 	"golang.org/x/time/rate"
 
-	"swiftledge/internal/netio"
+	"swiftledge/internal/jsonhttp"
 	"swiftledge/wire"
 )
 
@@ -40,12 +39,8 @@
 // New makes a client of the API at address that keeps to a limit of calls.
 func New(address string, callsPerSecond float64) *Client {
 	return &Client{
-		connections: &fasthttp.HostClient{
-			Addr: address, MaxConns: maxConnections, MaxIdemponentCallAttempts: 1,
-			RetryIfErr: func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
-			Dial:       func(address string) (net.Conn, error) { return netio.Dial(address, dialTimeout) },
-		},
-		limiter: rate.NewLimiter(rate.Limit(usedLimit*callsPerSecond), max(1, int(burstSeconds*callsPerSecond))),
+		connections: jsonhttp.NewHostClient(address, maxConnections, dialTimeout),
+		limiter:     rate.NewLimiter(rate.Limit(usedLimit*callsPerSecond), max(1, int(burstSeconds*callsPerSecond))),
 	}
 }
 
@@ -101,15 +96,8 @@
 	httpRequest, httpResponse := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(httpRequest)
 	defer fasthttp.ReleaseResponse(httpResponse)
-	httpRequest.Header.SetMethod(call.method)
-	httpRequest.SetRequestURI("http://" + c.connections.Addr + call.uri)
-	if call.body != nil {
-		body, err := json.Marshal(call.body)
-		if err != nil {
-			return call.failed(ErrNotExecuted, fmt.Errorf("encode: %w", err))
-		}
-		httpRequest.Header.SetContentType("application/json")
-		httpRequest.SetBodyRaw(body)
+	if err := jsonhttp.Encode(httpRequest, call.method, c.connections.Addr, call.uri, call.body); err != nil {
+		return call.failed(ErrNotExecuted, fmt.Errorf("encode: %w", err))
 	}
 	if err := c.connections.DoTimeout(httpRequest, httpResponse, callTimeout); err != nil {
 		return call.failed(ErrOutcomeUnknown, err)
--- a/internal/peer/store_transport.go
+++ b/internal/peer/store_transport.go
@@ -63,11 +63,11 @@
 // NewStoreTransport makes the transport of a controller; Run serves it. valueBytes is the most that a value in the
 // store may hold, backlogBytes how many bytes of a connection may wait for their frames: one shard grant at least.
 func NewStoreTransport(
-	controller string, store FrameStore, valueBytes, backlogBytes int, interval time.Duration,
+	controller string, frames FrameStore, valueBytes, backlogBytes int, interval time.Duration,
 ) *StoreTransport {
 	return &StoreTransport{
 		controller:   controller,
-		store:        store,
+		store:        frames,
 		frameBytes:   (valueBytes - frameOverhead) * 3 / 4, // base64 makes four bytes of three
 		backlogBytes: backlogBytes,
 		interval:     interval,
--- a/internal/peer/store_transport_test.go
+++ b/internal/peer/store_transport_test.go
@@ -23,7 +23,7 @@
 	revision   uint64
 	items      map[string]wire.Item
 	changed    chan struct{} // closed and replaced with each change
-	valueBytes int           // of the largest value so far
+	valueBytes int           // see largestValue
 }
 
 func newMemoryStore() *memoryStore {
@@ -100,6 +100,13 @@
 	return response, s.changed
 }
 
+// largestValue returns the bytes of the largest value that was written so far.
+func (s *memoryStore) largestValue() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.valueBytes
+}
+
 // maxValueBytes is the most that a value of memoryStore may hold.
 const maxValueBytes = 2048
 
@@ -137,8 +144,8 @@
 			t.Errorf("%d bytes after the other side has closed", n)
 		}
 	}
-	if memory.valueBytes > maxValueBytes {
-		t.Errorf("a value of %d bytes", memory.valueBytes)
+	if n := memory.largestValue(); n > maxValueBytes {
+		t.Errorf("a value of %d bytes", n)
 	}
 }
 
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -10,13 +10,12 @@
 import (
 	"context"
 	"fmt"
-	"net"
 	"time"
 
 	"github.com/goccy/go-json"
 	"github.com/valyala/fasthttp"
 
-	"swiftledge/internal/netio"
+	"swiftledge/internal/jsonhttp"
 )
 
 const (
@@ -36,17 +35,17 @@
 	// watchConnections are apart, as a watch holds its connection for long.
 	watchConnections *fasthttp.HostClient
 	limiter          *rateLimiter
-	reportHealth     func(serving bool)
+	reportServing    func(serving bool)
 }
 
-// New makes a client of the state service at address; no request is sent before Run. reportHealth is told of every
+// New makes a client of the state service at address; no request is sent before Run. reportServing is told of every
 // answer and of every failure to get one.
-func New(address string, budget Budget, reportHealth func(serving bool)) *Client {
+func New(address string, budget Budget, reportServing func(serving bool)) *Client {
 	return &Client{
 		connections:      newHostClient(address, maxConnections),
 		watchConnections: newHostClient(address, maxWatchConnections),
 		limiter:          newRateLimiter(budget),
-		reportHealth:     reportHealth,
+		reportServing:    reportServing,
 	}
 }
 
@@ -60,16 +59,13 @@
 // SetBudget changes the controller's share of the limits, as a leader needs more than the others.
 func (c *Client) SetBudget(budget Budget) { c.limiter.setBudget(budget) }
 
-// newHostClient makes an HTTP client that never retries by itself: whether a transaction may be repeated is
-// decided in this package.
-func newHostClient(address string, connections int) *fasthttp.HostClient {
-	return &fasthttp.HostClient{
-		Addr: address, MaxConns: connections, MaxIdemponentCallAttempts: 1,
-		RetryIfErr:          func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
-		MaxIdleConnDuration: idleTimeout, MaxConnWaitTimeout: connectionWait,
-		NoDefaultUserAgentHeader: true,
-		Dial:                     func(address string) (net.Conn, error) { return netio.Dial(address, dialTimeout) },
-	}
+// newHostClient makes the HTTP client for a kind of requests.
+func newHostClient(address string, maxConnections int) *fasthttp.HostClient {
+	client := jsonhttp.NewHostClient(address, maxConnections, dialTimeout)
+	client.MaxIdleConnDuration = idleTimeout
+	client.MaxConnWaitTimeout = connectionWait
+	client.NoDefaultUserAgentHeader = true
+	return client
 }
 
 // request is one HTTP request to the state service.
@@ -79,8 +75,8 @@
 	priority    Priority
 	writes      int // how many count against the write limit
 	connections *fasthttp.HostClient
-	method, uri string
-	body        any // of any type that JSON encodes; nil: no body
+	method, uri string // without the host
+	body        any    // of any type that JSON encodes; nil: no body
 	timeout     time.Duration
 }
 
@@ -93,11 +89,11 @@
 	httpRequest, httpResponse := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(httpRequest)
 	defer fasthttp.ReleaseResponse(httpResponse)
-	if err := r.encode(httpRequest); err != nil {
+	if err := jsonhttp.Encode(httpRequest, r.method, r.connections.Addr, r.uri, r.body); err != nil {
 		return 0, r.failed(ErrMalformed, fmt.Errorf("encode: %w", err))
 	}
 	if err := r.connections.DoTimeout(httpRequest, httpResponse, r.timeout); err != nil {
-		c.reportHealth(false)
+		c.reportServing(false)
 		return 0, r.failed(ErrOutcomeUnknown, err)
 	}
 	status := httpResponse.StatusCode()
@@ -105,7 +101,7 @@
 	if limited {
 		c.limiter.reportLimited()
 	}
-	c.reportHealth(!unavailable)
+	c.reportServing(!unavailable)
 	if response == nil || len(httpResponse.Body()) == 0 || limited || unavailable {
 		return status, nil
 	}
@@ -114,19 +110,3 @@
 	}
 	return status, nil
 }
-
-// encode writes the request in HTTP's form.
-func (r request) encode(to *fasthttp.Request) error {
-	to.Header.SetMethod(r.method)
-	to.SetRequestURI("http://" + r.connections.Addr + r.uri)
-	if r.body == nil {
-		return nil
-	}
-	body, err := json.Marshal(r.body)
-	if err != nil {
-		return err
-	}
-	to.Header.SetContentType("application/json")
-	to.SetBodyRaw(body)
-	return nil
-}
