--- a/internal/leader/demand.go
+++ b/internal/leader/demand.go
@@ -205,14 +205,14 @@
 		boot = min(boot, t.BootS)
 	}
 	n := 0
-	for class, within := range l.awaited {
+	for class, within := range l.startSLO {
 		if !l.jobs.HasSeenClass(class) && within < boot*1.5+10 {
 			n += warmCPUs
 		}
 	}
 	held := 0.0
-	for _, u := range l.quota.byTeam {
-		held += u.cpus
+	for _, u := range l.usage.All() {
+		held += u.CPUs
 	}
 	n = min(n, int(held*warmPart))
 	if n == 0 {
--- /dev/null
+++ b/internal/leader/fairshare/queue_test.go
@@ -0,0 +1,181 @@
+package fairshare
+
+import (
+	"testing"
+
+	"swiftledge/internal/clock"
+	"swiftledge/internal/config"
+	"swiftledge/internal/leader/jobs"
+	"swiftledge/wire"
+)
+
+// newJob returns a job all of whose tasks wait; change may alter it before.
+func newJob(ref string, change func(*wire.Job)) *jobs.Job {
+	spec := wire.Job{Ref: ref, Team: "red", Class: "batch", Priority: wire.PriorityStandard, Tasks: 2, CPUs: 1, EstimateS: 10}
+	if change != nil {
+		change(&spec)
+	}
+	j := jobs.New(spec, 0, 1)
+	j.AwaitAll()
+	return j
+}
+
+// newTable returns a table of jobs.
+func newTable(all ...*jobs.Job) *jobs.Table {
+	table := jobs.NewTable()
+	for _, j := range all {
+		table.Add(j)
+	}
+	return table
+}
+
+// usageOf returns the usage of one team.
+func usageOf(team string, cpus float64) *Usage {
+	u := NewUsage()
+	u.Charge(team, ResourceUsage{CPUs: cpus})
+	return u
+}
+
+// What would always come last has its turn: a job that has not begun in time goes first, and each class, and what has
+// waited long, has a least share.
+func TestQueueStarvesNobody(t *testing.T) {
+	newEntry := func(class string, waitedLong, begun bool) *entry {
+		j := newJob("j-000001", func(s *wire.Job) { s.Class = class })
+		if begun {
+			j.DispatchFirst()
+		}
+		return &entry{job: j, waitedLong: waitedLong}
+	}
+	first, second := newEntry("a", false, true), newEntry("b", false, true)
+	old, never := newEntry("a", true, true), newEntry("a", true, false)
+	q := &TeamQueue{team: config.Team{Name: "red"}, usage: usageOf("red", 100), leastShare: 0.1,
+		entries: []*entry{first, second, old, never}, cpusByClass: map[string]float64{"a": 60, "b": 30, longWaiting: 30}}
+	for _, c := range []struct {
+		what string
+		set  func()
+		want *entry
+	}{
+		{"not begun in time", func() {}, never},
+		{"nothing starves", func() { never.exhausted = true }, first},
+		{"a class below its least share", func() { q.cpusByClass["b"] = 5 }, second},
+		{"long waits below their least share", func() { q.cpusByClass["b"], q.cpusByClass[longWaiting] = 30, 5 }, old},
+		{"nothing of it can be handed out", func() { old.exhausted = true }, first},
+	} {
+		c.set()
+		if got, _ := q.next(); got != c.want {
+			t.Errorf("%s: job of class %s, waiting for long: %t, is next", c.what, got.job.Spec.Class, got.waitedLong)
+		}
+	}
+}
+
+// refs returns the jobs that get turns, each of which dispatches as many tasks as it may.
+func refs(queues []*TeamQueue, usage *Usage) (out []string) {
+	for {
+		turn, ok := Next(queues)
+		if !ok {
+			return out
+		}
+		out = append(out, turn.Job.Spec.Ref)
+		dispatched := 0
+		for turn.Queue.Fits(&turn.Job.Spec) && turn.Job.DispatchFirst() >= 0 {
+			usage.Charge(turn.Job.Spec.Team, ResourceUsage{CPUs: turn.Job.Spec.CPUs})
+			dispatched++
+		}
+		turn.Done(dispatched)
+	}
+}
+
+func TestTurns(t *testing.T) {
+	deadline := 100.0
+	teams := map[string]config.Team{"red": {Name: "red", CPUs: 4, CPUsMax: 8}, "blue": {Name: "blue", CPUs: 4, CPUsMax: 8}}
+	for _, c := range []struct {
+		name string
+		jobs []*jobs.Job
+		want []string
+	}{
+		{"the more important first", []*jobs.Job{
+			newJob("j-1", nil), newJob("j-2", func(s *wire.Job) { s.Priority = wire.PriorityHigh }),
+		}, []string{"j-2", "j-1"}},
+		{"the shorter first", []*jobs.Job{
+			newJob("j-1", func(s *wire.Job) { s.EstimateS = 60 }), newJob("j-2", nil),
+		}, []string{"j-2", "j-1"}},
+		{"what cannot be in time last", []*jobs.Job{
+			newJob("j-1", func(s *wire.Job) { s.DeadlineS, s.EstimateS = &deadline, 200 }),
+			newJob("j-2", func(s *wire.Job) { s.EstimateS = 300 }),
+		}, []string{"j-2", "j-1"}},
+		{"teams in turn, within their guarantees first", []*jobs.Job{
+			newJob("j-1", func(s *wire.Job) { s.Tasks = 4 }), newJob("j-2", func(s *wire.Job) { s.EstimateS = 60 }),
+			newJob("j-3", func(s *wire.Job) { s.Team = "blue" }),
+		}, []string{"j-3", "j-1", "j-2"}},
+		{"what the limit holds back is not passed by what is less important", []*jobs.Job{
+			newJob("j-1", func(s *wire.Job) { s.CPUs, s.Priority = 9, wire.PriorityHigh }), newJob("j-2", nil),
+		}, nil},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			usage := NewUsage()
+			queues := Policy{Teams: teams, StartWithinS: 600, LeastShare: 0}.Queues(Clock{}, newTable(c.jobs...), usage)
+			got := refs(queues, usage)
+			if len(got) != len(c.want) {
+				t.Fatalf("turns of %v, want %v", got, c.want)
+			}
+			for i := range got {
+				if got[i] != c.want[i] {
+					t.Fatalf("turns of %v, want %v", got, c.want)
+				}
+			}
+		})
+	}
+}
+
+// Services, which never end, leave a least share of the limit to the team's other jobs.
+func TestServicesLeaveALeastShare(t *testing.T) {
+	service := newJob("j-1", func(s *wire.Job) { s.Shape, s.Tasks = wire.ShapeService, 20 })
+	batch := newJob("j-2", nil)
+	policy := Policy{Teams: map[string]config.Team{"red": {Name: "red", CPUsMax: 10}}, StartWithinS: 600, LeastShare: 0.2}
+	usage := NewUsage()
+	q := policy.Queues(Clock{}, newTable(service, batch), usage)[0]
+	if !q.ServiceFits(&service.Spec, 7) || q.ServiceFits(&service.Spec, 8) || !q.ServiceFits(&batch.Spec, 8) {
+		t.Error("services may take another part than 8 of 10 processors")
+	}
+	alone := policy.Queues(Clock{}, newTable(service), usage)[0]
+	if !alone.ServiceFits(&service.Spec, 9) {
+		t.Error("a share is kept for jobs that there are not")
+	}
+}
+
+// A job waits for free capacity from when its tasks wait and its team's limit does not hold them back.
+func TestUnservedSince(t *testing.T) {
+	j := newJob("j-1", nil)
+	policy := Policy{Teams: map[string]config.Team{"red": {Name: "red", CPUsMax: 4}}}
+	full, free := usageOf("red", 4), NewUsage()
+	for _, c := range []struct {
+		now   clock.Micros
+		usage *Usage
+		want  clock.Micros
+	}{{5, full, 5}, {7, full, 7}, {9, free, 7}, {11, free, 7}} {
+		policy.Queues(Clock{Now: c.now}, newTable(j), c.usage)
+		if got := j.UnservedSince(); got != c.want {
+			t.Errorf("at %d: unserved since %d, want %d", c.now, got, c.want)
+		}
+	}
+	j.DispatchFirst()
+	j.DispatchFirst()
+	if policy.Queues(Clock{Now: 13}, newTable(j), free); j.UnservedSince() != 0 {
+		t.Error("unserved though no task waits")
+	}
+}
+
+func TestPreemptors(t *testing.T) {
+	high := newJob("j-1", func(s *wire.Job) { s.Priority = wire.PriorityHigh })
+	standard := newJob("j-2", nil)
+	for _, c := range []struct {
+		guarantee float64
+		want      int
+	}{{0, 1}, {4, 2}} {
+		policy := Policy{Teams: map[string]config.Team{"red": {Name: "red", CPUs: c.guarantee}}}
+		q := policy.Queues(Clock{}, newTable(high, standard), NewUsage())[0]
+		if got := q.Preemptors(); len(got) != c.want || got[0] != high {
+			t.Errorf("with a guarantee of %g: %d jobs may stop others, want %d", c.guarantee, len(got), c.want)
+		}
+	}
+}
--- a/internal/leader/fleet_test.go
+++ b/internal/leader/fleet_test.go
@@ -7,6 +7,7 @@
 	"swiftledge/internal/autoscaler"
 	"swiftledge/internal/clock"
 	"swiftledge/internal/config"
+	"swiftledge/internal/leader/fairshare"
 	"swiftledge/internal/peer"
 	"swiftledge/internal/store"
 	"swiftledge/wire"
@@ -61,11 +62,11 @@
 	}
 	cfg := *l.cfg
 	cfg.Facts.Objectives = []config.Objective{{Kind: "wait", Class: "web", WithinS: 20}, {Kind: "wait", Class: "batch", WithinS: 4}, {Kind: "deadline", Class: "batch"}}
-	l.awaited = New(&cfg, l.storeOK).awaited
+	l.startSLO = New(&cfg, l.storeOK).startSLO
 	if l.warm() != nil {
 		t.Error("room is kept on a site where nothing runs")
 	}
-	l.quota.of("red").cpus = 1000
+	l.usage.Charge("red", fairshare.ResourceUsage{CPUs: 1000})
 	if w := l.warm(); w == nil || w.Tasks != warmCPUs {
 		t.Errorf("room kept for an awaited class: %+v", w)
 	}
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -11,6 +11,7 @@
 	"swiftledge/internal/clock"
 	"swiftledge/internal/config"
 	"swiftledge/internal/leader/assignment"
+	"swiftledge/internal/leader/fairshare"
 	"swiftledge/internal/leader/jobs"
 	"swiftledge/internal/pausedetect"
 	"swiftledge/internal/peer"
@@ -29,12 +30,12 @@
 
 // settings are what stays the same for as long as the process runs.
 type settings struct {
-	cfg     *config.Config
-	self    string
-	storeOK func() bool
-	teams   map[string]config.Team
-	within  map[string]float64 // by class: in how many seconds its jobs are expected done
-	awaited map[string]float64 // by class: in how many seconds its tasks are expected to start, and never to be done
+	cfg           *config.Config
+	self          string
+	storeOK       func() bool
+	teams         map[string]config.Team
+	completionSLO map[string]float64 // by class: in how many seconds its jobs are expected to be completed
+	startSLO      map[string]float64 // by class: in how many seconds its tasks are expected to start, and never to complete
 }
 
 // termState is made anew for each term: the leadership itself, and the parts that own the rest of the state.
@@ -42,7 +43,7 @@
 	leadership
 	jobs        *jobs.Table
 	progress    *jobs.ProgressPages
-	quota       quotaUsage
+	usage       *fairshare.Usage
 	shards      shardTable
 	inventory   inventory
 	autoscaler  autoscalerState
@@ -56,19 +57,19 @@
 
 // New makes a leader that does not lead yet.
 func New(cfg *config.Config, storeOK func() bool) *Leader {
-	l := &Leader{settings: settings{cfg: cfg, self: cfg.Name, storeOK: storeOK, within: map[string]float64{}, awaited: map[string]float64{}, teams: map[string]config.Team{}}}
+	l := &Leader{settings: settings{cfg: cfg, self: cfg.Name, storeOK: storeOK, completionSLO: map[string]float64{}, startSLO: map[string]float64{}, teams: map[string]config.Team{}}}
 	for _, o := range cfg.Facts.Objectives {
 		if o.Kind == config.ObjectiveFinished {
-			l.within[o.Class] = o.WithinS
+			l.completionSLO[o.Class] = o.WithinS
 		}
 		if o.Kind == config.ObjectiveWait {
-			l.awaited[o.Class] = o.WithinS
+			l.startSLO[o.Class] = o.WithinS
 		}
 	}
 	// What is expected to be done as well is no service.
 	for _, o := range cfg.Facts.Objectives {
 		if o.Kind == config.ObjectiveFinished || o.Kind == config.ObjectiveDeadline {
-			delete(l.awaited, o.Class)
+			delete(l.startSLO, o.Class)
 		}
 	}
 	for _, t := range cfg.Facts.Teams {
@@ -83,7 +84,7 @@
 		leadership: leadership{valueBytes: l.cfg.TargetValueBytes(), txnOps: l.cfg.MaxTxnWrites()},
 		jobs:       jobs.NewTable(),
 		progress:   jobs.NewProgressPages(0),
-		quota:      quotaUsage{byTeam: map[string]*resourceUsage{}},
+		usage:      fairshare.NewUsage(),
 		shards:     shardTable{controllers: map[string]*controller{}},
 		inventory:  newInventory(),
 		autoscaler: newAutoscalerState(),
--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -144,37 +144,6 @@
 	}
 }
 
-// What would always come last has its turn: a job that has not begun in time goes
-// first, and each class, and what has waited long, has a least share.
-func TestQueueStarvesNobody(t *testing.T) {
-	mk := func(class string, waitedLong, begun bool) *queued {
-		j := jobs.New(wire.Job{Class: class, Tasks: 2, CPUs: 1}, 0, 1)
-		j.AwaitAll()
-		if begun {
-			j.DispatchFirst()
-		}
-		return &queued{j: j, waitedLong: waitedLong}
-	}
-	first, second, old, never := mk("a", false, true), mk("b", false, true), mk("a", true, true), mk("a", true, false)
-	tq := &teamQueue{u: &resourceUsage{cpus: 100}, q: []*queued{first, second, old, never}, use: map[string]float64{"a": 60, "b": 30, longWaiting: 30}}
-	for _, c := range []struct {
-		what string
-		set  func()
-		want *queued
-	}{
-		{"not begun in time", func() {}, never},
-		{"nothing starves", func() { never.exhausted = true }, first},
-		{"a class below its least share", func() { tq.use["b"] = 5 }, second},
-		{"long waits below their least share", func() { tq.use["b"], tq.use[longWaiting] = 30, 5 }, old},
-		{"nothing of it can be handed out", func() { old.exhausted = true }, first},
-	} {
-		c.set()
-		if got, _ := tq.next(0.1); got != c.want {
-			t.Errorf("%s: job of class %s, waiting for long: %t, is next", c.what, got.j.Spec.Class, got.waitedLong)
-		}
-	}
-}
-
 // granting makes a leader whose blocks are granted, all machines up and empty.
 func granting(t *testing.T, pages map[string]peer.AttemptPage) *Leader {
 	t.Helper()
@@ -226,8 +195,8 @@
 	if !found {
 		t.Error("the grant does not say what is to be stopped")
 	}
-	if l.quota.of("red").cpus != 3 {
-		t.Errorf("%g processors count, want the 3 of what may still run", l.quota.of("red").cpus)
+	if l.usage.Of("red").CPUs != 3 {
+		t.Errorf("%g processors count, want the 3 of what may still run", l.usage.Of("red").CPUs)
 	}
 }
 
--- a/internal/leader/preempt.go
+++ b/internal/leader/preempt.go
@@ -7,6 +7,7 @@
 	"slices"
 
 	"swiftledge/internal/clock"
+	"swiftledge/internal/leader/fairshare"
 	"swiftledge/internal/leader/jobs"
 	"swiftledge/internal/peer"
 	"swiftledge/wire"
@@ -60,20 +61,20 @@
 	urgent  bool               // production work waits
 	long    map[string]float64 // by job that runs for long: the boot time of its machines
 	spaces  []*space
-	leaving uses
+	leaving *fairshare.Usage // what teams' tasks will give back, less what is to come
 	stopped int
 }
 
 // preempt makes room for work that waits and finds none, by stopping less important tasks, and tasks that
 // other teams run beyond their guarantees for a team that is within its own.
-func (l *Leader) preempt(now clock.Micros, teams []*teamQueue) {
+func (l *Leader) preempt(now clock.Micros, teams []*fairshare.TeamQueue) {
 	if now-l.preemption.ranAt < preemptEvery {
 		return
 	}
 	p := &preemption{l: l, now: now}
 	waiting := false
 	for _, t := range teams {
-		for _, j := range t.entitled {
+		for _, j := range t.Preemptors() {
 			if j.Waiting() > 0 {
 				waiting = true
 				p.urgent = p.urgent || j.Spec.Priority.Rank() == wire.PriorityProduction.Rank()
@@ -89,7 +90,7 @@
 	}
 	p.survey()
 	for _, t := range teams {
-		for _, j := range t.entitled {
+		for _, j := range t.Preemptors() {
 			if p.makeRoom(t, j); p.stopped > mostPreempted {
 				return
 			}
@@ -111,26 +112,11 @@
 	}
 }
 
-// entitled says whether tasks of the job may ever stop others.
-func (l *Leader) entitled(t *teamQueue, j *jobs.Job) bool {
-	if j.Failures.Suspect() {
-		return false
-	}
-	return j.Spec.Priority.Rank() <= wire.PriorityHigh.Rank() || t.team.CPUs > 0
-}
-
-// uses is what teams' tasks will give back, less what is to come.
-type uses map[string]resourceUsage
-
-func (u uses) add(team string, cpus, gpus float64) {
-	u[team] = resourceUsage{u[team].cpus + cpus, u[team].gpus + gpus}
-}
-
 // survey finds the machines that could take waiting work, by name, and what each team's tasks give back that
 // were told to stop.
 func (p *preemption) survey() {
 	l, on := p.l, map[string]*space{}
-	p.leaving = uses{}
+	p.leaving = fairshare.NewUsage()
 	for _, m := range l.inventory.machines {
 		if m.serves() {
 			on[m.name] = &space{machine: m, cpus: m.state.CPUs, memory: m.state.MemoryGB}
@@ -140,7 +126,7 @@
 		for t, h := range b.tasks {
 			leaves := h.stopped != "" && p.now-h.stoppedAt < leavingFor
 			if leaves {
-				p.leaving.add(h.team, h.cpus, h.gpus)
+				p.leaving.Charge(h.team, h.resources())
 			}
 			boot, long := p.long[t.Job]
 			if !long && !p.urgent && !leaves {
@@ -190,12 +176,12 @@
 }
 
 // makeRoom makes room for the waiting tasks of one job, as far as it may run.
-func (p *preemption) makeRoom(t *teamQueue, j *jobs.Job) {
+func (p *preemption) makeRoom(t *fairshare.TeamQueue, j *jobs.Job) {
 	s := &j.Spec
 	zones := p.l.zones(j)
-	standing := t.standing
+	serviceCPUs := t.ServiceCPUs()
 	for n := min(j.Waiting(), mostPreempted); n > 0; n-- {
-		if !t.mayStand(s, standing, p.l.cfg.Tuning.Queues.MinShare) {
+		if !t.ServiceFits(s, serviceCPUs) {
 			return
 		}
 		c, ok := p.claim(t, s)
@@ -210,17 +196,15 @@
 		best.cpus -= s.CPUs
 		best.memory -= s.MemoryGB
 		zones.add(best.machine.option.Zone)
-		p.leaving.add(s.Team, -s.CPUs, -s.GPUs)
-		standing += s.CPUs
+		p.leaving.Release(s.Team, fairshare.ResourceUsage{CPUs: s.CPUs, GPUs: s.GPUs})
+		serviceCPUs += s.CPUs
 	}
 }
 
 // claim says why one more task of the team may stop others, if it may.
-func (p *preemption) claim(t *teamQueue, s *wire.Job) (claim, bool) {
-	left := p.leaving[s.Team]
-	u := resourceUsage{t.u.cpus - left.cpus, t.u.gpus - left.gpus}
-	c := claim{team: s.Team, rank: s.Priority.Rank(), guarantee: u.takes(s, t.team.CPUs, t.team.GPUs),
-		own: !u.takes(s, t.team.CPULimit(), t.team.GPULimit())}
+func (p *preemption) claim(t *fairshare.TeamQueue, s *wire.Job) (claim, bool) {
+	u := t.Usage().Minus(p.leaving.Of(s.Team))
+	c := claim{team: s.Team, rank: s.Priority.Rank(), guarantee: u.FitsGuarantee(s, t.Team()), own: !u.FitsLimit(s, t.Team())}
 	return c, c.guarantee || c.rank <= wire.PriorityHigh.Rank()
 }
 
@@ -241,8 +225,8 @@
 
 // borrowed says whether a task's team keeps its guarantee without it.
 func (p *preemption) borrowed(h *grantedTask) bool {
-	u, left, team := p.l.quota.of(h.team), p.leaving[h.team], p.l.teams[h.team]
-	return u.cpus-left.cpus-h.cpus >= team.CPUs-1e-9
+	u := p.l.usage.Of(h.team).Minus(p.leaving.Of(h.team))
+	return u.CPUs-h.cpus >= p.l.teams[h.team].CPUs-1e-9
 }
 
 // cheapest finds the machine on which room for one more task of the job costs least, and which of its
@@ -292,7 +276,7 @@
 		at.victims = slices.Delete(at.victims, i, i+1)
 		at.cpus += v.held.cpus
 		at.memory += v.memory
-		p.leaving.add(v.held.team, v.held.cpus, v.held.gpus)
+		p.leaving.Charge(v.held.team, v.held.resources())
 		v.held.stopped, v.held.stoppedAt = "evicted", p.now
 		at.machine.shard.orders.Stop = append(at.machine.shard.orders.Stop, peer.StopTask{Task: v.task})
 		p.stopped++
--- a/internal/leader/preempt_test.go
+++ b/internal/leader/preempt_test.go
@@ -34,7 +34,7 @@
 		task := peer.Task{Job: long.Ref, Index: i}
 		held := &grantedTask{team: long.Team, cpus: 1, running: true, since: began - clock.Micros(20+i)*clock.Second, machine: m.name}
 		m.shard.tasks[task] = held
-		l.quota.charge(held, 1)
+		l.usage.Charge(held.team, held.resources())
 		j.MarkDispatched(i)
 	}
 	return l, m
--- a/internal/leader/schedule.go
+++ b/internal/leader/schedule.go
@@ -4,7 +4,7 @@
 	"slices"
 
 	"swiftledge/internal/clock"
-	"swiftledge/internal/leader/jobs"
+	"swiftledge/internal/leader/fairshare"
 	"swiftledge/internal/peer"
 	"swiftledge/internal/shard"
 )
@@ -46,36 +46,18 @@
 }
 
 // offer hands out tasks until nobody who is served next finds room.
-func (l *Leader) offer(now clock.Micros, queues []*teamQueue, room *freeRoom) {
+func (l *Leader) offer(now clock.Micros, queues []*fairshare.TeamQueue, room *freeRoom) {
 	offers := map[offerKey]int{}
-	floor := l.cfg.Tuning.Queues.MinShare
 	for {
-		var best *teamQueue
-		for _, t := range queues {
-			if t.settle(floor); t.pick != nil && (best == nil || t.order.compare(best.order) < 0) {
-				best = t
-			}
-		}
-		if best == nil {
+		turn, ok := fairshare.Next(queues)
+		if !ok {
 			break
 		}
-		job, n := best.pick, batch
-		if best.first {
+		n := batch
+		if turn.Single {
 			n = 1
 		}
-		best.known = false
-		given := l.give(now, best, job.j, room, offers, n)
-		if job.exhausted = given == 0 || job.j.Failures.Suspect(); given == 0 {
-			continue
-		}
-		cpus := float64(given) * job.j.Spec.CPUs
-		if job.j.Spec.IsService() {
-			best.standing += cpus
-		}
-		best.use[job.j.Spec.Class] += cpus
-		if job.waitedLong {
-			best.use[longWaiting] += cpus
-		}
+		turn.Done(l.give(now, turn, room, offers, n))
 	}
 	for _, b := range l.shards.all {
 		if len(b.orders.Offers) > 0 {
@@ -88,7 +70,8 @@
 }
 
 // give hands up to n tasks of a job to one machine's block and says how many.
-func (l *Leader) give(now clock.Micros, t *teamQueue, j *jobs.Job, room *freeRoom, offers map[offerKey]int, n int) int {
+func (l *Leader) give(now clock.Micros, turn fairshare.Turn, room *freeRoom, offers map[offerKey]int, n int) int {
+	j := turn.Job
 	s := &j.Spec
 	m, zone := l.preferred(j, room), ""
 	if m != nil {
@@ -115,7 +98,7 @@
 		b.orders.Include = append(b.orders.Include, m.name)
 	}
 	given := 0
-	for given < n && m.holds(s) && t.takes(s, l.cfg.Tuning.Queues.MinShare) && (given == 0 || m.reserve() > 0 || room.even.within(m, s)) {
+	for given < n && m.holds(s) && turn.Queue.Fits(s) && (given == 0 || m.reserve() > 0 || room.even.within(m, s)) {
 		i := j.DispatchFirst()
 		if i < 0 {
 			break
@@ -123,7 +106,7 @@
 		room.even.take(m, s)
 		h := &grantedTask{team: s.Team, cpus: s.CPUs, gpus: s.GPUs, zone: zone}
 		b.tasks[peer.Task{Job: s.Ref, Index: i}] = h
-		l.quota.charge(h, 1)
+		l.usage.Charge(h.team, h.resources())
 		k := offerKey{b.ID, s.Ref, zone}
 		at, ok := offers[k]
 		if !ok {
@@ -138,6 +121,13 @@
 	return given
 }
 
+// queues returns the teams' waiting jobs in the order of their turns.
+func (l *Leader) queues(now clock.Micros) []*fairshare.TeamQueue {
+	policy := fairshare.Policy{Teams: l.teams, CompletionSLO: l.completionSLO,
+		StartWithinS: l.cfg.Tuning.Queues.StartTargetS, LeastShare: l.cfg.Tuning.Queues.MinShare}
+	return policy.Queues(fairshare.Clock{Now: now, TimeOfDay: now + l.wallOffset}, l.jobs, l.usage)
+}
+
 func (l *Leader) shardOfMachine(machine string) *shardLease {
 	return l.shards.all[shard.ForMachine(machine, len(l.shards.all))]
 }
--- a/internal/leader/shard_grants.go
+++ b/internal/leader/shard_grants.go
@@ -110,7 +110,7 @@
 	lease.offerPending = false
 	lease.orders = peer.ShardOrders{Shard: lease.ID, FencingToken: lease.token}
 	for _, h := range old {
-		l.quota.charge(h, -1)
+		l.usage.Release(h.team, h.resources())
 	}
 	for _, key := range slices.Sorted(maps.Keys(pages)) {
 		page := pages[key]
@@ -146,7 +146,7 @@
 		h.zone = m.option.Zone
 	}
 	lease.tasks[t] = h
-	l.quota.charge(h, 1)
+	l.usage.Charge(h.team, h.resources())
 	j := l.jobs.OfTask(t)
 	if old[t] == nil && j != nil {
 		j.MarkDispatched(t.Index)
@@ -193,7 +193,7 @@
 	h := lease.tasks[t]
 	if h != nil {
 		delete(lease.tasks, t)
-		l.quota.charge(h, -1)
+		l.usage.Release(h.team, h.resources())
 	}
 	return h
 }
--- a/internal/leader/shard_table.go
+++ b/internal/leader/shard_table.go
@@ -4,6 +4,7 @@
 	"swiftledge/internal/clock"
 	"swiftledge/internal/cluster"
 	"swiftledge/internal/leader/assignment"
+	"swiftledge/internal/leader/fairshare"
 	"swiftledge/internal/peer"
 	"swiftledge/wire"
 )
@@ -129,6 +130,11 @@
 	stoppedAt  clock.Micros
 }
 
+// resources returns what the task takes.
+func (t *grantedTask) resources() fairshare.ResourceUsage {
+	return fairshare.ResourceUsage{CPUs: t.cpus, GPUs: t.gpus}
+}
+
 // shardLease is the lease of one shard.
 type shardLease struct {
 	assignment.Shard
--- a/internal/leader/spread.go
+++ b/internal/leader/spread.go
@@ -240,7 +240,7 @@
 		team := l.teams[s.Team]
 		switch {
 		case j.Waiting() <= moving[j.Spec.Ref] || j.IsCancelled() || j.Failures.Waits(now):
-		case l.quota.of(s.Team).takes(s, team.CPULimit(), team.GPULimit()):
+		case l.usage.Of(s.Team).FitsLimit(s, team):
 			v.Waiting = true
 		default:
 			atLimit[s.Team] = true
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -101,7 +101,7 @@
 func (l *Leader) teamStatus() []peer.TeamStatus {
 	byTeam := map[string]*peer.TeamStatus{}
 	for name, t := range l.teams {
-		byTeam[name] = &peer.TeamStatus{Team: name, CPUs: l.quota.of(name).cpus, Limit: t.CPUsMax}
+		byTeam[name] = &peer.TeamStatus{Team: name, CPUs: l.usage.Of(name).CPUs, Limit: t.CPUsMax}
 	}
 	for j := range l.jobs.All() {
 		s := &j.Spec
@@ -110,7 +110,7 @@
 			continue
 		}
 		t.Waiting += j.Waiting()
-		if team := l.teams[s.Team]; !l.quota.of(s.Team).takes(s, team.CPULimit(), team.GPULimit()) {
+		if team := l.teams[s.Team]; !l.usage.Of(s.Team).FitsLimit(s, team) {
 			t.AtLimit += j.Waiting()
 		}
 	}
@@ -151,7 +151,7 @@
 			standing += j.Running()
 		}
 		team := l.teams[j.Spec.Team]
-		if u := l.quota.byTeam[team.Name]; u != nil && !u.takes(&j.Spec, team.CPULimit(), team.GPULimit()) {
+		if !l.usage.Of(team.Name).FitsLimit(&j.Spec, team) {
 			blocked += j.Waiting()
 		}
 	}
@@ -168,9 +168,9 @@
 		}
 	}
 	used := 0.0
-	for name, u := range l.quota.byTeam {
-		used += u.cpus
-		if u.cpus > l.teams[name].CPULimit()-1 {
+	for name, u := range l.usage.All() {
+		used += u.CPUs
+		if u.CPUs > l.teams[name].CPULimit()-1 {
 			full++
 		}
 	}
