--- /dev/null
+++ b/internal/leader/catalog.go
@@ -0,0 +1,38 @@
+package leader
+
+import (
+	"slices"
+
+	"swiftledge/internal/peer"
+	"swiftledge/internal/store"
+	"swiftledge/wire"
+)
+
+// catalogLoaded takes in the cloud's catalog. It is kept in the store, so that submissions can be judged while the cloud
+// is away, and told to the other controllers.
+func (l *Leader) catalogLoaded(types []wire.MachineType) {
+	if len(types) == 0 {
+		return
+	}
+	sameMachines := func(a, b wire.MachineType) bool { return a.Name == b.Name && a.CPUs == b.CPUs }
+	unchanged := slices.EqualFunc(types, l.autoscaler.catalog, sameMachines)
+	l.setTypes(types)
+	if unchanged {
+		return
+	}
+	l.commit(store.PriorityReads, nil, nil, []wire.Write{put(CatalogKey, wire.Catalog{Types: types})})
+	for _, c := range l.controllersByName() {
+		l.emit(SendToHolder{c.link, peer.FromLeader{Term: l.term, Types: types}})
+	}
+}
+
+// setTypes replaces the machine types, also those of the machines that are known.
+func (l *Leader) setTypes(types []wire.MachineType) {
+	l.autoscaler.catalog = types
+	for _, machineType := range types {
+		l.autoscaler.types[machineType.Name] = machineType
+	}
+	for _, m := range l.inventory.machines {
+		m.option.Type = l.autoscaler.types[m.option.Type.Name]
+	}
+}
--- a/internal/leader/keys_test.go
+++ b/internal/leader/keys_test.go
@@ -24,7 +24,7 @@
 		{"found machines", "fleet/found-5-1", func(l *Leader) string {
 			l.inventory.discovered["host-000009"] = wire.Machine{Name: "host-000009", Type: "small", Zone: "a"}
 			l.effects = nil
-			l.adoptDiscovered(began)
+			l.adoptDiscovered()
 			return putKeys(l.effects)[0]
 		}},
 	}
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -148,7 +148,7 @@
 	case HolderMessage:
 		l.holderMessage(now, m)
 	case CatalogLoaded:
-		l.catalog(now, m.Types)
+		l.catalogLoaded(m.Types)
 	case MachinesListed:
 		l.inventory.listing = false
 		l.machinesListed(now, m.Machines)
@@ -177,7 +177,7 @@
 	case MachinesProvisioned:
 		l.machinesProvisioned(now, m)
 	case MachinesDeleted:
-		l.machinesDeleted(now, m)
+		l.machinesDeleted(m)
 	}
 }
 
@@ -276,7 +276,7 @@
 	}
 	switch tag := m.Tag.(type) {
 	case shardsTag:
-		l.shardKeysWritten(now, tag, m.Result)
+		l.shardKeysWritten(tag, m.Result)
 	case finalStateTag:
 		l.finalStateWritten(now, tag, m.Result)
 	case progressTag:
--- a/internal/leader/load.go
+++ b/internal/leader/load.go
@@ -12,11 +12,11 @@
 	"swiftledge/wire"
 )
 
-// load takes in what the store holds at the start of an term.
+// load takes in what the store holds at the start of a term.
 func (l *Leader) load(now clock.Micros, m StateLoaded) {
 	l.wallOffset = m.TimeOfDay - now
 	l.jobsViewedAt = m.RequestedAt
-	l.loadBlocks(m.Items)
+	l.loadShards(m.Items)
 	for _, item := range m.Items {
 		switch {
 		case strings.HasPrefix(item.Key, JobPrefix):
@@ -39,20 +39,21 @@
 	l.inventory.listedAt = now
 	l.emit(LoadCatalog{})
 	l.autoscaler.catalogRequestedAt = now
-	l.info("leading", "epoch", l.term, "jobs", l.jobs.Len(), "machines", len(l.inventory.machines), "blocks", len(l.shards.all))
+	l.info("leading", "term", l.term, "jobs", l.jobs.Len(), "machines", len(l.inventory.machines),
+		"shards", len(l.shards.all))
 }
 
-// loadBlocks makes the shards, to which the machines belong, and learns the machine types. The first
-// leader of a store stores how many shards there are.
-func (l *Leader) loadBlocks(items []wire.Item) {
-	n, haveLayout := int(l.cfg.Tuning.Grants.Blocks), false
-	stamps := map[string]uint64{}
-	holders := map[string]ShardRecord{}
+// loadShards makes the shards, to which the machines belong, and learns the machine types. The first leader of a store
+// stores how many shards there are.
+func (l *Leader) loadShards(items []wire.Item) {
+	shards, haveLayout := int(l.cfg.Tuning.Grants.Blocks), false
+	versions := map[string]uint64{}
+	records := map[string]ShardRecord{}
 	for _, item := range items {
 		switch {
 		case item.Key == LayoutKey:
 			if r, ok := decode[LayoutRecord](l, item); ok && r.Shards > 0 {
-				n, haveLayout = r.Shards, true
+				shards, haveLayout = r.Shards, true
 			}
 		case item.Key == CatalogKey:
 			if c, ok := decode[wire.Catalog](l, item); ok {
@@ -60,17 +61,21 @@
 			}
 		case strings.HasPrefix(item.Key, shard.KeyPrefix):
 			if r, ok := decode[ShardRecord](l, item); ok {
-				stamps[item.Key], holders[item.Key] = item.Version, r
+				versions[item.Key], records[item.Key] = item.Version, r
 			}
 		}
 	}
-	for i := range n {
-		key := shard.Key(i)
+	for id := range shards {
+		key := shard.Key(id)
 		l.shards.all = append(l.shards.all, &shardLease{
-			Shard: assignment.Shard{ID: i, Holder: holders[key].Holder}, keyVersion: stamps[key], tasks: map[peer.Task]*grantedTask{}})
+			Shard:      assignment.Shard{ID: id, Holder: records[key].Holder},
+			keyVersion: versions[key],
+			tasks:      map[peer.Task]*grantedTask{},
+		})
 	}
 	if !haveLayout {
-		l.commit(store.PriorityUrgent, nil, []wire.Condition{{Key: LayoutKey}}, []wire.Write{put(LayoutKey, LayoutRecord{n})})
+		absent := []wire.Condition{{Key: LayoutKey}}
+		l.commit(store.PriorityUrgent, nil, absent, []wire.Write{put(LayoutKey, LayoutRecord{shards})})
 	}
 }
 
@@ -90,31 +95,3 @@
 		j.FinishLoading()
 	}
 }
-
-func (l *Leader) setTypes(ts []wire.MachineType) {
-	l.autoscaler.catalog = ts
-	for _, t := range ts {
-		l.autoscaler.types[t.Name] = t
-	}
-	for _, m := range l.inventory.machines {
-		m.option.Type = l.autoscaler.types[m.option.Type.Name]
-	}
-}
-
-func (l *Leader) catalog(now clock.Micros, ts []wire.MachineType) {
-	if len(ts) == 0 {
-		return
-	}
-	same := len(ts) == len(l.autoscaler.catalog)
-	for i := range ts {
-		same = same && l.autoscaler.catalog[i].Name == ts[i].Name && l.autoscaler.catalog[i].CPUs == ts[i].CPUs
-	}
-	l.setTypes(ts)
-	if !same {
-		// Kept in the store so that submissions can be judged while the cloud is away.
-		l.commit(store.PriorityReads, nil, nil, []wire.Write{put(CatalogKey, wire.Catalog{Types: ts})})
-		for _, n := range l.controllersByName() {
-			l.emit(SendToHolder{n.link, peer.FromLeader{Term: l.term, Types: ts}})
-		}
-	}
-}
--- a/internal/leader/machines.go
+++ b/internal/leader/machines.go
@@ -164,7 +164,7 @@
 }
 
 // machinesDeleted takes in the end of a deletion.
-func (l *Leader) machinesDeleted(now clock.Micros, deletion MachinesDeleted) {
+func (l *Leader) machinesDeleted(deletion MachinesDeleted) {
 	l.inventory.deletionsInFlight = max(0, l.inventory.deletionsInFlight-1)
 	for _, name := range deletion.Machines {
 		m := l.inventory.machines[name]
--- a/internal/leader/messages.go
+++ b/internal/leader/messages.go
@@ -1,59 +1,19 @@
-// Package leader is the leading controller's part: jobs, team queues, limits,
-// shard grants and the fleet. It holds no I/O: a message and the time give effects.
+// Package leader is what the leading controller does besides holding shards: it takes jobs over from the store, queues
+// them by team, hands their tasks to the holders of shards, keeps quotas, assigns shard leases, scales the fleet of
+// machines, preempts, migrates tasks and quarantines machines. It owns the state of one term, which begins with what
+// the store holds. Messages and the time come in, effects go out (store transactions, messages to holders, calls of
+// the cloud, log lines); it does no I/O and starts no goroutine. Every write is conditional on the leader key, so that
+// one of an older term fails however late it is applied.
 package leader
 
 import (
 	"swiftledge/internal/clock"
 	"swiftledge/internal/cluster"
-	"swiftledge/internal/election"
-	"swiftledge/internal/pausedetect"
 	"swiftledge/internal/peer"
 	"swiftledge/internal/store"
-	"swiftledge/internal/trace"
 	"swiftledge/wire"
 )
 
-// Store keys of the leader.
-const (
-	Key                 = election.Key
-	LayoutKey           = "layout"
-	CatalogKey          = "catalog"
-	JobPrefix           = "job/"
-	FinalStatePrefix    = "over/"
-	InstanceGroupPrefix = "fleet/"
-)
-
-// JobRecord is the value of job/<ref>.
-type JobRecord struct {
-	Spec       wire.Job     `json:"spec"`
-	AcceptedAt clock.Micros `json:"at"` // time of day of the acceptance
-}
-
-// FinalStateRecord is the value of over/<ref>: a final state, kept for ever.
-type FinalStateRecord struct {
-	State wire.JobState `json:"state"`
-	Tasks int           `json:"tasks"`
-}
-
-// ShardRecord is the value of block/<n>.
-type ShardRecord struct {
-	FencingToken wire.FencingToken   `json:"token"`
-	Holder       string              `json:"holder"`
-	Incarnation  cluster.Incarnation `json:"run"`
-}
-
-// LayoutRecord fixes how machines are split into shards.
-type LayoutRecord struct {
-	Shards int `json:"blocks"`
-}
-
-// InstanceGroupRecord is a provision request, or machines that were found: the durable inventory.
-type InstanceGroupRecord struct {
-	Request  wire.ProvisionRequest `json:"rental"`
-	Machines []string              `json:"machines"`
-	Answered bool                  `json:"asked"` // the answer is known
-}
-
 // Link is a connection to a controller, maybe to this one. Links are compared: the holder of a shard is told of it
 // over the link that it was granted over.
 type Link interface {
@@ -220,87 +180,3 @@
 func (m KeyRead) answeredTerm() cluster.Term             { return m.Term }
 func (m MachinesProvisioned) answeredTerm() cluster.Term { return m.Term }
 func (m MachinesDeleted) answeredTerm() cluster.Term     { return m.Term }
-
-// Effect is what a Leader wants done.
-//
-//sumtype:decl
-type Effect interface{ leaderEffect() }
-
-// Effects of a Leader.
-type (
-	// SendToHolder goes to a holder.
-	SendToHolder struct {
-		Link    Link
-		Message peer.FromLeader
-	}
-	// LoadState asks for all that the store holds of ours, and a watch of the jobs from there on.
-	LoadState struct{ Term cluster.Term }
-	// LoadAttempts asks for a shard's attempt records.
-	LoadAttempts struct {
-		Term         cluster.Term
-		Shard        int
-		FencingToken wire.FencingToken
-	}
-	// CommitTxn is a transaction; Guards on the term are part of it.
-	CommitTxn struct {
-		Term     cluster.Term
-		Priority store.Priority
-		Txn      wire.Txn
-		Tag      TxnTag
-	}
-	// ReadKey asks for one key.
-	ReadKey struct {
-		Term cluster.Term
-		Key  string
-		Tag  TxnTag
-	}
-	// ProvisionMachines asks the cloud for machines.
-	ProvisionMachines struct {
-		Term    cluster.Term
-		Request wire.ProvisionRequest
-	}
-	// DeleteMachines returns machines.
-	DeleteMachines struct {
-		Term     cluster.Term
-		Machines []string
-	}
-	// ListMachines asks for the machine list.
-	ListMachines struct{}
-	// LoadCatalog asks for the catalog.
-	LoadCatalog struct{}
-	// PauseDetected tells that the controller stood still.
-	PauseDetected struct{ Pause pausedetect.Pause }
-	// ReplyStatus answers an operator's question.
-	ReplyStatus struct {
-		ReplyTo chan<- peer.Status
-		Status  peer.Status
-	}
-	// Resign gives up the term.
-	Resign struct{ Reason string }
-	// RecordSpan is a span to be written.
-	RecordSpan struct{ Span trace.Span }
-	// Log is a line for the log.
-	Log struct {
-		Debug      bool
-		Message    string
-		Attributes []any
-	}
-)
-
-func (SendToHolder) leaderEffect()      {}
-func (LoadState) leaderEffect()         {}
-func (LoadAttempts) leaderEffect()      {}
-func (CommitTxn) leaderEffect()         {}
-func (ReadKey) leaderEffect()           {}
-func (ProvisionMachines) leaderEffect() {}
-func (DeleteMachines) leaderEffect()    {}
-func (ListMachines) leaderEffect()      {}
-func (LoadCatalog) leaderEffect()       {}
-func (PauseDetected) leaderEffect()     {}
-func (ReplyStatus) leaderEffect()       {}
-func (Resign) leaderEffect()            {}
-func (RecordSpan) leaderEffect()        {}
-func (Log) leaderEffect()               {}
-
-func (shardsTag) txnTag()        {}
-func (instanceGroupTag) txnTag() {}
--- a/internal/leader/reconcile.go
+++ b/internal/leader/reconcile.go
@@ -33,7 +33,7 @@
 	}
 	// While a request is unanswered, machines that nobody knows may be those that it brought.
 	if unanswered == 0 {
-		l.adoptDiscovered(now)
+		l.adoptDiscovered()
 	}
 	l.reconcileInstanceGroups(now)
 	// While many machines are lost, or the cloud answers nothing, those that live are
@@ -147,7 +147,7 @@
 }
 
 // adoptDiscovered takes machines into the inventory that nobody here knows to have provisioned.
-func (l *Leader) adoptDiscovered(now clock.Micros) {
+func (l *Leader) adoptDiscovered() {
 	if len(l.inventory.discovered) == 0 {
 		return
 	}
--- a/internal/leader/fleet_test.go
+++ b/internal/leader/reconcile_test.go
@@ -57,23 +57,23 @@
 func TestRoomIsRentedAheadForServices(t *testing.T) {
 	l := leading(t)
 	l.setTypes([]wire.MachineType{{Name: "small", CPUs: 4, MemoryGB: 8, BootS: 30, ZoneNames: []string{"a"}}})
-	if l.warm() != nil {
+	if l.unseenClassReserve() != nil {
 		t.Error("room is kept though nothing is awaited")
 	}
 	cfg := *l.cfg
 	cfg.Facts.Objectives = []config.Objective{{Kind: "wait", Class: "web", WithinS: 20}, {Kind: "wait", Class: "batch", WithinS: 4}, {Kind: "deadline", Class: "batch"}}
 	l.startSLO = New(&cfg, l.storeOK).startSLO
-	if l.warm() != nil {
+	if l.unseenClassReserve() != nil {
 		t.Error("room is kept on a site where nothing runs")
 	}
 	l.usage.Charge("red", fairshare.ResourceUsage{CPUs: 1000})
-	if w := l.warm(); w == nil || w.Tasks != warmCPUs {
+	if w := l.unseenClassReserve(); w == nil || w.Tasks != unseenClassCPUs {
 		t.Errorf("room kept for an awaited class: %+v", w)
 	}
 	s := spec
 	s.Ref, s.Class, s.Shape, s.Tasks = "j-300000", "web", wire.ShapeService, 6
 	j := l.addJob(JobRecord{Spec: s, AcceptedAt: began}, 3)
-	if l.warm() != nil {
+	if l.unseenClassReserve() != nil {
 		t.Error("room is kept for a class that has come")
 	}
 	n := &demandSet{byKey: map[demandKey]*autoscaler.Demand{}}
@@ -114,7 +114,7 @@
 		l.inventory.discovered[name] = wire.Machine{Name: name, Type: "small", Zone: "a"}
 	}
 	l.effects = nil
-	l.adoptDiscovered(began)
+	l.adoptDiscovered()
 	n := 0
 	for _, e := range l.effects {
 		if c, ok := e.(CommitTxn); ok {
--- /dev/null
+++ b/internal/leader/records.go
@@ -0,0 +1,49 @@
+package leader
+
+import (
+	"swiftledge/internal/clock"
+	"swiftledge/internal/cluster"
+	"swiftledge/internal/election"
+	"swiftledge/wire"
+)
+
+// Store keys of the leader.
+const (
+	Key                 = election.Key
+	LayoutKey           = "layout"
+	CatalogKey          = "catalog"
+	JobPrefix           = "job/"
+	FinalStatePrefix    = "over/"
+	InstanceGroupPrefix = "fleet/"
+)
+
+// JobRecord is the value of job/<ref>.
+type JobRecord struct {
+	Spec       wire.Job     `json:"spec"`
+	AcceptedAt clock.Micros `json:"at"` // time of day of the acceptance
+}
+
+// FinalStateRecord is the value of over/<ref>: a final state, kept for ever.
+type FinalStateRecord struct {
+	State wire.JobState `json:"state"`
+	Tasks int           `json:"tasks"`
+}
+
+// ShardRecord is the value of block/<n>.
+type ShardRecord struct {
+	FencingToken wire.FencingToken   `json:"token"`
+	Holder       string              `json:"holder"`
+	Incarnation  cluster.Incarnation `json:"run"`
+}
+
+// LayoutRecord fixes how machines are split into shards.
+type LayoutRecord struct {
+	Shards int `json:"blocks"`
+}
+
+// InstanceGroupRecord is a provision request, or machines that were found: the durable inventory.
+type InstanceGroupRecord struct {
+	Request  wire.ProvisionRequest `json:"rental"`
+	Machines []string              `json:"machines"`
+	Answered bool                  `json:"asked"` // the answer is known
+}
--- a/internal/leader/scaling.go
+++ b/internal/leader/scaling.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"iter"
 	"maps"
 	"slices"
 
@@ -19,9 +20,15 @@
 	supply := l.machineSupply(now)
 	pending, cloudSilent := l.pendingSupply(now)
 	tuning := l.cfg.Tuning.Fleet
-	params := autoscaler.Params{SpotClearS: tuning.SpotBacklogS, OrdinaryClearS: tuning.OnDemandBacklogS, Reserve: tuning.Reserve}
+	params := autoscaler.Params{
+		SpotClearS: tuning.SpotBacklogS, OrdinaryClearS: tuning.OnDemandBacklogS, Reserve: tuning.Reserve,
+	}
+	var options []autoscaler.Option
+	for option := range l.options() {
+		options = append(options, l.withExpectedDelay(option))
+	}
 	available := func(o autoscaler.Option) bool { return now >= l.autoscaler.refusals[o.Key()].until }
-	decision := autoscaler.Plan(demand, append(supply, pending...), l.options(), params, available)
+	decision := autoscaler.Plan(demand, append(supply, pending...), options, params, available)
 	l.applyExclusions(decision, cloudSilent)
 	l.scheduling.requested = true // what is no longer cordoned has free capacity again
 	if mayScaleOut {
@@ -76,25 +83,28 @@
 	return supply, cloudSilent
 }
 
-// options are all kinds of machines that the cloud offers.
-func (l *Leader) options() []autoscaler.Option {
-	var options []autoscaler.Option
-	for _, machineType := range l.autoscaler.catalog {
-		for _, zone := range machineType.ZoneNames {
-			for _, spot := range []bool{false, true} {
-				o := autoscaler.Option{Type: machineType, Zone: zone, Spot: spot}
-				options = append(options, l.withExpectedDelay(o))
+// options goes through all kinds of machines that the cloud offers.
+func (l *Leader) options() iter.Seq[autoscaler.Option] {
+	return func(yield func(autoscaler.Option) bool) {
+		for _, machineType := range l.autoscaler.catalog {
+			for _, zone := range machineType.ZoneNames {
+				onDemand := autoscaler.Option{Type: machineType, Zone: zone}
+				spot := autoscaler.Option{Type: machineType, Zone: zone, Spot: true}
+				if !yield(onDemand) || !yield(spot) {
+					return
+				}
 			}
 		}
 	}
-	return options
 }
 
 // requestMachines has a request for machines recorded, which is sent to the cloud once it is stored.
 func (l *Leader) requestMachines(now clock.Micros, launch autoscaler.Launch) {
 	l.inventory.requestSeq++
 	id := fmt.Sprintf("r-%d-%d", l.term, l.inventory.requestSeq)
-	request := wire.ProvisionRequest{RequestID: id, Type: launch.Type.Name, Zone: launch.Zone, Spot: launch.Spot, Count: launch.Count}
+	request := wire.ProvisionRequest{
+		RequestID: id, Type: launch.Type.Name, Zone: launch.Zone, Spot: launch.Spot, Count: launch.Count,
+	}
 	group := &instanceGroup{key: InstanceGroupPrefix + id, wantedSince: now, record: InstanceGroupRecord{Request: request}}
 	l.inventory.groups[group.key] = group
 	l.writeInstanceGroup(group)
--- a/internal/leader/shard_grants.go
+++ b/internal/leader/shard_grants.go
@@ -4,7 +4,6 @@
 	"maps"
 	"slices"
 
-	"swiftledge/internal/clock"
 	"swiftledge/internal/cluster"
 	"swiftledge/internal/peer"
 	"swiftledge/internal/shard"
@@ -67,7 +66,7 @@
 }
 
 // shardKeysWritten goes on after that: what may run in the shards is read.
-func (l *Leader) shardKeysWritten(now clock.Micros, tag shardsTag, o store.TxnResult) {
+func (l *Leader) shardKeysWritten(tag shardsTag, o store.TxnResult) {
 	for _, id := range slices.Sorted(maps.Keys(tag.tokens)) {
 		lease, token := l.shards.all[id], tag.tokens[id]
 		if lease.state != writing || lease.token != token {
@@ -99,7 +98,8 @@
 	}
 	lease.state, lease.UnassignedSince = granted, 0
 	l.sendGrant(lease, m.Pages)
-	l.debug("shard granted", "shard", lease.ID, "controller", lease.Holder, "fencing_token", lease.token, "tasks", len(lease.tasks))
+	l.debug("shard granted", "shard", lease.ID, "controller", lease.Holder, "fencing_token", lease.token,
+		"tasks", len(lease.tasks))
 }
 
 // rebuildFromAttempts replaces what counts as running in a shard by what its attempt records name.
--- a/internal/leader/unconfirmed_machines.go
+++ b/internal/leader/unconfirmed_machines.go
@@ -37,7 +37,9 @@
 }
 
 // grantUnconfirmed adds such machines to a shard's grant.
-func (l *Leader) grantUnconfirmed(lease *shardLease, pages map[string]peer.AttemptPage) (machines []peer.InventoryMachine) {
+func (l *Leader) grantUnconfirmed(
+	lease *shardLease, pages map[string]peer.AttemptPage,
+) (machines []peer.InventoryMachine) {
 	for _, name := range l.machinesOfAttemptsOnly(pages) {
 		l.inventory.unconfirmed[name] = true
 		lease.orders.Drain = append(lease.orders.Drain, name)
