--- a/internal/naming/naming_test.go
+++ b/internal/naming/naming_test.go
@@ -37,7 +37,6 @@
 	"internal/autoscaler": 1,
 	"internal/leader":     37,
 	"internal/controller": 7,
-	"internal/scenario":   16,
 }
 
 // TestDeclaredNames counts the refused names by directory and compares them with the ceilings.
--- /dev/null
+++ b/internal/scenario/command_args_test.go
@@ -0,0 +1,169 @@
+package scenario
+
+import (
+	"encoding/json"
+	"testing"
+	"time"
+
+	"github.com/cockroachdb/datadriven"
+
+	"swiftledge/internal/clock"
+	"swiftledge/internal/config"
+	"swiftledge/wire"
+)
+
+// arg is the value of an argument, or the default.
+func arg[T any](t *testing.T, d *datadriven.TestData, key string, value T) T {
+	t.Helper()
+	d.MaybeScanArgs(t, key, &value)
+	return value
+}
+
+// duration is an argument that is a duration; without it, zero.
+func duration(t *testing.T, d *datadriven.TestData, key string) clock.Micros {
+	t.Helper()
+	value, err := time.ParseDuration(arg(t, d, key, "0s"))
+	if err != nil {
+		d.Fatalf(t, "%s: %v", key, err)
+	}
+	return clock.Micros(value / time.Microsecond)
+}
+
+// controllerArg is the controller that a command names.
+func (w *world) controllerArg(t *testing.T, d *datadriven.TestData) *simController {
+	t.Helper()
+	return w.controllers[arg(t, d, "node", 0)]
+}
+
+// controllersArg are the controllers that a command names: one by its name, "leader", "others" or "all".
+func (w *world) controllersArg(t *testing.T, d *datadriven.TestData) []*simController {
+	t.Helper()
+	who := arg(t, d, "who", "all")
+	var named []*simController
+	for _, c := range w.controllers {
+		isOther := c.running && !c.leads()
+		if who == "all" || who == c.name || who == "leader" && c.leads() || who == "others" && isOther {
+			named = append(named, c)
+		}
+	}
+	if len(named) == 0 {
+		d.Fatalf(t, "no controller is %s", who)
+	}
+	return named
+}
+
+// clusterWorld makes the cluster that a command describes.
+func clusterWorld(t *testing.T, d *datadriven.TestData) *world {
+	t.Helper()
+	cfg := clusterConfig(t, d)
+	w := newWorld(t.Name(), cfg, clusterTypes(t, d), uint64(arg(t, d, "seed", 1)))
+	w.cloud.Capacity = arg(t, d, "capacity", 0)
+	if d.HasArg("old") {
+		for _, c := range w.controllers {
+			c.runsOldVersion = true
+			c.start()
+		}
+	}
+	for i := range arg(t, d, "machines", 0) {
+		w.addMachine("small", cfg.Facts.Zones[i%2], d.HasArg("spot"))
+	}
+	for range arg(t, d, "big", 0) {
+		w.addMachine("big", "a", d.HasArg("spot"))
+	}
+	return w
+}
+
+// clusterConfig are the settings of a cluster.
+func clusterConfig(t *testing.T, d *datadriven.TestData) config.Config {
+	t.Helper()
+	cfg := config.Config{Tuning: config.DefaultTuning()}
+	f := &cfg.Facts
+	f.InitialSize = arg(t, d, "nodes", 3)
+	f.Zones = []string{"a", "b"}
+	limit := float64(arg(t, d, "limit", 16))
+	for _, name := range []string{"red", "blue"} {
+		f.Teams = append(f.Teams, config.Team{Name: name, CPUs: 8, CPUsMax: limit})
+	}
+	if d.HasArg("guest") {
+		f.Teams = append(f.Teams, config.Team{Name: "guest"}) // no guarantee, no limit
+	}
+	f.Workers.ReportS, f.Workers.LeaseS, f.Workers.CancelS = 3, 20, 45
+	f.State.RPS, f.State.WriteRPS = 100, 20
+	f.State.ValueKB, f.State.TxnOps = float64(arg(t, d, "value_kb", 4)), 8
+	if d.HasArg("next") {
+		f.State.Next = &config.Next{WriteRPS: 15, ValueKB: 2, TxnOps: 4}
+	}
+	f.Cloud.RPS, f.Cloud.ListLagS = 4, 4
+	f.Quota.CPU, f.Quota.MemMB, f.Quota.MaxSockets = 0.1, 125, 1500
+
+	tuning := &cfg.Tuning
+	tuning.Election.TTLS = float64(arg(t, d, "ttl", 3))
+	tuning.Fleet.Reserve = arg(t, d, "reserve", tuning.Fleet.Reserve)
+	if d.HasArg("spread") {
+		tuning.Spread.Enabled = true
+		tuning.Spread.LeaderCooldownS = float64(arg(t, d, "calm", 5))
+		tuning.Spread.MinRunS = float64(arg(t, d, "least_run", 5))
+		tuning.Spread.TaskCooldownS = float64(arg(t, d, "pause", 60))
+	}
+	return cfg
+}
+
+// clusterTypes are the machine types of a cluster.
+func clusterTypes(t *testing.T, d *datadriven.TestData) []wire.MachineType {
+	t.Helper()
+	small := wire.MachineType{
+		Name:      "small",
+		CPUs:      4,
+		MemoryGB:  8,
+		CacheGB:   40,
+		FetchGBPS: 1,
+		Price:     0.3,
+		SpotPrice: 0.1,
+		BootS:     float64(arg(t, d, "boot", 10)),
+		ZoneNames: []string{"a", "b"},
+	}
+	big := small
+	big.Name, big.CPUs, big.MemoryGB = "big", 16, 64
+	big.Price, big.SpotPrice = 1.3, 0.5
+	big.ZoneNames = []string{"a"}
+	return []wire.MachineType{small, big}
+}
+
+// submissionBody is the submission that a command describes; it tells the workers what the job's tasks really do.
+func (w *world) submissionBody(t *testing.T, d *datadriven.TestData, ref string) []byte {
+	t.Helper()
+	runSeconds := arg(t, d, "run", 10)
+	job := wire.Job{
+		Ref:         ref,
+		Class:       arg(t, d, "class", "l"),
+		Team:        arg(t, d, "team", "red"),
+		Shape:       wire.Shape(arg(t, d, "shape", string(wire.ShapeBatch))),
+		Priority:    wire.Priority(arg(t, d, "rank", string(wire.PriorityStandard))),
+		Tasks:       arg(t, d, "tasks", 1),
+		CPUs:        arg(t, d, "cpus", 1.0),
+		MemoryGB:    arg(t, d, "mem", 1.0),
+		Image:       "img",
+		ImageGB:     1,
+		OneZone:     d.HasArg("together"),
+		Spread:      d.HasArg("scatter"),
+		Spot:        !d.HasArg("nospot"),
+		EstimateS:   float64(arg(t, d, "reckon", runSeconds)),
+		CheckpointS: float64(arg(t, d, "waypoint", 0)),
+		SaveS:       2,
+	}
+	if machineType := arg(t, d, "type", ""); machineType != "" {
+		job.Types = []string{machineType}
+	}
+	if deadline := float64(arg(t, d, "due", 0)); deadline > 0 {
+		job.DeadlineS = &deadline
+	}
+	body, err := json.Marshal(job)
+	must(err)
+	w.users.submissions[ref] = body
+	w.users.failsEach[ref] = arg(t, d, "mistaken", 0)
+	w.users.runSeconds[ref] = float64(runSeconds)
+	if job.IsService() {
+		w.users.runSeconds[ref] = float64(arg(t, d, "ends", 0))
+	}
+	return body
+}
--- /dev/null
+++ b/internal/scenario/commands_controllers_test.go
@@ -0,0 +1,106 @@
+package scenario
+
+// Commands about the controllers.
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+
+	"github.com/cockroachdb/datadriven"
+
+	"swiftledge/internal/leader"
+)
+
+// runCommand lets time pass.
+func runCommand(t *testing.T, w *world, d *datadriven.TestData) string {
+	w.run(duration(t, d, "for"))
+	return ""
+}
+
+// crashCommand ends controllers.
+func crashCommand(t *testing.T, w *world, d *datadriven.TestData) string {
+	for _, c := range w.controllersArg(t, d) {
+		c.crash()
+	}
+	return ""
+}
+
+// startCommand starts those that have ended.
+func startCommand(t *testing.T, w *world, d *datadriven.TestData) string {
+	for _, c := range w.controllers {
+		if !c.running {
+			c.runsOldVersion = d.HasArg("old")
+			c.start()
+		}
+	}
+	return ""
+}
+
+// controllerCommand sets what is wrong with controllers.
+func controllerCommand(t *testing.T, w *world, d *datadriven.TestData) string {
+	for _, c := range w.controllersArg(t, d) {
+		c.faults = controllerFaults{
+			storeUnreachable:   d.HasArg("refused"),
+			peersUnreachable:   d.HasArg("cut"),
+			agentsUnreachable:  d.HasArg("blind"),
+			watchHangs:         d.HasArg("stale"),
+			storeAnswersToLose: arg(t, d, "lose", 0),
+			lostAnswerShare:    arg(t, d, "lost", 0.0),
+			lateTxnShare:       arg(t, d, "late", 0.0),
+			requestsHeldUntil:  w.now + duration(t, d, "hold"),
+			pausedUntil:        w.now + duration(t, d, "frozen"),
+		}
+	}
+	return ""
+}
+
+// readyCommand tells what the load balancer is told.
+func readyCommand(t *testing.T, w *world, d *datadriven.TestData) string {
+	if !w.controllerArg(t, d).isReady() {
+		return "503"
+	}
+	return "200"
+}
+
+// leaderCommand tells whether one leads.
+func leaderCommand(t *testing.T, w *world, d *datadriven.TestData) string {
+	for _, c := range w.controllers {
+		if c.running && c.elector.Term() > 0 {
+			return "one"
+		}
+	}
+	return "none"
+}
+
+// knownCommand tells whether every accepted job answers at every controller that is up.
+func knownCommand(t *testing.T, w *world, d *datadriven.TestData) string {
+	for _, c := range w.controllers {
+		for _, r := range sortedKeys(w.users.jobs) {
+			if c.running && c.lookUpJob(r).Code != 200 {
+				return r + " is not known to " + c.name
+			}
+		}
+	}
+	return "all"
+}
+
+// pausedCommand says what a controller noticed of the last time in which it stood still.
+func pausedCommand(t *testing.T, w *world, d *datadriven.TestData) string {
+	c := w.controllerArg(t, d)
+	p := c.pauses.Close()
+	if p.Length() == 0 {
+		return "not noticed"
+	}
+	return fmt.Sprintf("%.0f s: %s", p.Length().Seconds(), strings.Join(p.Expired, ", "))
+}
+
+// catalogCommand tells whether all controllers know the machine types.
+func catalogCommand(t *testing.T, w *world, d *datadriven.TestData) string {
+	for _, c := range w.controllers {
+		if _, ok := w.store.Get(leader.CatalogKey); !ok {
+			return "unknown at " + c.name
+		}
+	}
+	return "known"
+}
--- /dev/null
+++ b/internal/scenario/commands_jobs_test.go
@@ -0,0 +1,149 @@
+package scenario
+
+// Commands about jobs and their users.
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+
+	"github.com/cockroachdb/datadriven"
+
+	"swiftledge/internal/clock"
+	"swiftledge/wire"
+)
+
+// submitCommand submits one job.
+func submitCommand(t *testing.T, w *world, d *datadriven.TestData) string {
+	ref := arg(t, d, "ref", "")
+	return w.submit(w.controllerArg(t, d), w.submissionBody(t, d, ref))
+}
+
+// floodCommand submits one job after the other, until a time; some of them are cancelled a while later, at
+// one controller after the other.
+func floodCommand(t *testing.T, w *world, d *datadriven.TestData) string {
+	every, end := duration(t, d, "every"), w.now+duration(t, d, "for")
+	first := arg(t, d, "first", 0)
+	for i := 0; w.now+clock.Micros(i)*every < end; i++ {
+		ref := fmt.Sprintf("j-%06d", first+i)
+		body := w.submissionBody(t, d, ref)
+		w.after(clock.Micros(i)*every, func() { w.submit(w.controllerArg(t, d), body) })
+		if off := arg(t, d, "off", 0); off > 0 && i%off == 0 {
+			w.after(clock.Micros(i)*every+duration(t, d, "after"), func() { w.cancel(w.controllers[i%len(w.controllers)], ref) })
+		}
+	}
+	return ""
+}
+
+// rawCommand submits its input as it is.
+func rawCommand(t *testing.T, w *world, d *datadriven.TestData) string {
+	return w.submit(w.controllerArg(t, d), []byte(d.Input))
+}
+
+// statusCommand asks for a job.
+func statusCommand(t *testing.T, w *world, d *datadriven.TestData) string {
+	ref := arg(t, d, "ref", "")
+	r := w.checkReply(ref, w.controllerArg(t, d).lookUpJob(ref))
+	if r.Code != 200 {
+		return fmt.Sprint(r.Code)
+	}
+	return string(r.Status.State)
+}
+
+// cancelCommand cancels a job.
+func cancelCommand(t *testing.T, w *world, d *datadriven.TestData) string {
+	ref := arg(t, d, "ref", "")
+	return w.cancel(w.controllerArg(t, d), ref)
+}
+
+// cancelRepeatedlyCommand cancels as a user does that repeats the request, at one controller after the other, until
+// it is answered.
+func cancelRepeatedlyCommand(t *testing.T, w *world, d *datadriven.TestData) string {
+	ref := arg(t, d, "ref", "")
+	for i, end := 0, w.now+duration(t, d, "within"); w.now < end; i++ {
+		if c := w.controllers[i%len(w.controllers)]; c.running {
+			if state := w.cancel(c, ref); state == string(wire.JobCancelled) || state == string(wire.JobDone) {
+				return state
+			}
+		}
+		w.run(clock.Second)
+	}
+	return "no answer"
+}
+
+// awaitCommand waits for a job to come to a state.
+func awaitCommand(t *testing.T, w *world, d *datadriven.TestData) string {
+	ref := arg(t, d, "ref", "")
+	return w.awaitState(w.controllerArg(t, d), ref, arg(t, d, "state", string(wire.JobDone)), duration(t, d, "within"))
+}
+
+// queryOftenCommand has users ask everywhere as soon as something was answered.
+func queryOftenCommand(t *testing.T, w *world, d *datadriven.TestData) string {
+	w.users.queryOften = !d.HasArg("over")
+	return ""
+}
+
+// begunCommand tells whether a job began in time.
+func begunCommand(t *testing.T, w *world, d *datadriven.TestData) string {
+	ref := arg(t, d, "ref", "")
+	at, ok := w.rules.firstStartAt[ref]
+	if !ok {
+		return "not begun"
+	}
+	if late := at - w.users.acceptedAt[ref]; late > duration(t, d, "within") {
+		return fmt.Sprintf("after %.0f s", late.Seconds())
+	}
+	return "in time"
+}
+
+// servedCommand tells whether enough of what was accepted of a class or team has completed.
+func servedCommand(t *testing.T, w *world, d *datadriven.TestData) string {
+	done, all := 0, 0
+	for _, r := range sortedKeys(w.users.jobs) {
+		if j := w.users.jobs[r]; j.Class == arg(t, d, "class", j.Class) && j.Team == arg(t, d, "team", j.Team) {
+			all++
+			if s := w.controllerArg(t, d).lookUpJob(r); s.Code == 200 && s.Status.State == wire.JobDone {
+				done++
+			}
+		}
+	}
+	if least := arg(t, d, "least", 0.5); all == 0 || float64(done) < least*float64(all) {
+		return fmt.Sprintf("%d of %d", done, all)
+	}
+	return "enough"
+}
+
+// ranCommand tells how often a job's tasks have run.
+func ranCommand(t *testing.T, w *world, d *datadriven.TestData) string {
+	ref := arg(t, d, "ref", "")
+	once, more := 0, 0
+	for i := range w.users.jobs[ref].Tasks {
+		switch k := w.rules.completions[fmt.Sprintf("%s/%d", ref, i)]; {
+		case k == 1:
+			once++
+		case k > 1:
+			more++
+		}
+	}
+	return fmt.Sprintf("once %d, repeated %d", once, more)
+}
+
+// suspectsCommand lists the suspect jobs, as an operator is told of them.
+func suspectsCommand(_ *testing.T, w *world, _ *datadriven.TestData) string {
+	var refs []string
+	for _, s := range w.leaderStatus().Suspects {
+		refs = append(refs, s.Job)
+	}
+	if len(refs) == 0 {
+		return "none"
+	}
+	return strings.Join(refs, " ")
+}
+
+// rulesCommand tells which rules were violated.
+func rulesCommand(t *testing.T, w *world, d *datadriven.TestData) string {
+	if len(w.rules.violations) == 0 {
+		return "kept"
+	}
+	return strings.Join(w.rules.violations, "\n")
+}
--- /dev/null
+++ b/internal/scenario/commands_rebalancing_test.go
@@ -0,0 +1,46 @@
+package scenario
+
+// Commands about load and migrations.
+
+import (
+	"fmt"
+	"testing"
+
+	"github.com/cockroachdb/datadriven"
+
+	"swiftledge/internal/clock"
+)
+
+// loadCommand tells the greatest load and the mean.
+func loadCommand(t *testing.T, w *world, d *datadriven.TestData) string {
+	return w.machineLoads().String()
+}
+
+// evenCommand tells whether no machine has more than some times the mean load, for a while.
+func evenCommand(t *testing.T, w *world, d *datadriven.TestData) string {
+	for end := w.now + duration(t, d, "for"); ; w.run(clock.Second) {
+		if l := w.machineLoads(); l.overMean() > arg(t, d, "most", 2.0) {
+			return l.String()
+		}
+		if w.now >= end {
+			return "even"
+		}
+	}
+}
+
+// movingCommand lets time pass until a move is in flight that has come so far.
+func movingCommand(t *testing.T, w *world, d *datadriven.TestData) string {
+	stage := arg(t, d, "stage", "stopping")
+	for end := w.now + duration(t, d, "within"); w.now < end; w.run(step) {
+		if m := w.leaderStatus().Migrations; len(m) > 0 && m[0].Stage == stage {
+			return "yes"
+		}
+	}
+	return fmt.Sprint("none: ", w.leaderStatus().Refusals)
+}
+
+// movesCommand tells how moves have ended.
+func movesCommand(t *testing.T, w *world, d *datadriven.TestData) string {
+	e := w.leaderStatus().MigrationOutcomes
+	return fmt.Sprintf("begun %d, arrived %d, elsewhere %d, cancelled %d, given up %d", e.Begun, e.Arrived, e.Elsewhere, e.Cancelled, e.GivenUp)
+}
--- /dev/null
+++ b/internal/scenario/commands_store_test.go
@@ -0,0 +1,60 @@
+package scenario
+
+// Commands about the state service.
+
+import (
+	"fmt"
+	"testing"
+
+	"github.com/cockroachdb/datadriven"
+)
+
+// storeCommand has the state service fail or serve.
+func storeCommand(t *testing.T, w *world, d *datadriven.TestData) string {
+	if d.HasArg("down") {
+		w.store.Down = true
+	} else {
+		w.store.EndOutage(w.now)
+	}
+	return ""
+}
+
+// limitsCommand lowers the limits of the state service.
+func limitsCommand(t *testing.T, w *world, d *datadriven.TestData) string {
+	w.store.SetLimits(2, 4)
+	w.faults.limitsUnannounced = w.nextLimits == nil || d.HasArg("early")
+	return ""
+}
+
+// forgetCommand has the state service forget its changes.
+func forgetCommand(t *testing.T, w *world, d *datadriven.TestData) string {
+	w.store.CompactChanges()
+	return ""
+}
+
+// refusedCommand tells whether few transactions were malformed.
+func refusedCommand(t *testing.T, w *world, d *datadriven.TestData) string {
+	if most := arg(t, d, "most", 0); w.rules.malformedTxns > most {
+		return fmt.Sprint(w.rules.malformedTxns)
+	}
+	return "few"
+}
+
+// keysCommand counts keys.
+func keysCommand(t *testing.T, w *world, d *datadriven.TestData) string {
+	items, _ := w.store.List(arg(t, d, "prefix", ""))
+	return fmt.Sprint(len(items))
+}
+
+// largestCommand tells whether all values are within a size.
+func largestCommand(t *testing.T, w *world, d *datadriven.TestData) string {
+	items, _ := w.store.List(arg(t, d, "prefix", ""))
+	n := 0
+	for _, it := range items {
+		n = max(n, len(it.Value))
+	}
+	if n > arg(t, d, "most", 2048) {
+		return "over"
+	}
+	return "within"
+}
--- /dev/null
+++ b/internal/scenario/controller_elector_test.go
@@ -0,0 +1,93 @@
+package scenario
+
+import (
+	"swiftledge/internal/api"
+	"swiftledge/internal/cluster"
+	"swiftledge/internal/election"
+	"swiftledge/internal/leader"
+	"swiftledge/internal/store"
+	"swiftledge/wire"
+)
+
+func (c *simController) electorStep(msg election.Message) {
+	for _, effect := range c.elector.Step(c.world.now, msg) {
+		c.electorEffect(effect)
+	}
+}
+
+// electorEffect carries out what the elector decided.
+func (c *simController) electorEffect(effect election.Effect) {
+	switch x := effect.(type) {
+	case election.RequestLease:
+		c.requestLease(x)
+	case election.Campaign:
+		txn, err := x.Txn()
+		must(err)
+		c.tryTxn(txn, func(result store.TxnResult, err error) {
+			c.electorStep(election.CampaignResult{Lease: x.Lease, Result: result, Err: err})
+		})
+	case election.RenewLease:
+		c.renewLease(x)
+	case election.RevokeLease:
+		c.recordLeaseRevocation(x.Lease)
+		c.callStore(func() { c.world.store.RevokeLease(x.Lease) }, func(error) {})
+	case election.ReadLeaderKey:
+		c.readLeaderKey()
+	case election.AcquireLeadership:
+		c.world.releaseHeartbeats()
+		c.leaderStep(leader.LeadershipAcquired{Term: x.Term, Incarnation: cluster.Incarnation(c.incarnation)})
+		c.leaderStep(leader.LeadershipExtended{Until: x.Until})
+	case election.ExtendLeadership:
+		c.leaderStep(leader.LeadershipExtended{Until: x.Until})
+	case election.LoseLeadership:
+		c.loadedTerm = 0
+		c.leaderStep(leader.LeadershipLost{})
+	case election.FollowLeader:
+		c.jobCache.Post(api.LeaderChanged{Term: x.Term, Controller: x.Controller})
+		c.term = x.Term
+		if x.Term > 0 {
+			c.connectToLeader(x.Term, x.Controller)
+		}
+	}
+}
+
+func (c *simController) requestLease(request election.RequestLease) {
+	sent := c.world.now
+	var id uint64
+	c.recordLeaseGrant(request.TTL)
+	c.callStore(func() { id = c.world.store.GrantLease(c.world.now, request.TTL) }, func(err error) {
+		c.electorStep(election.LeaseGranted{Lease: id, Sent: sent, Err: err})
+	})
+}
+
+func (c *simController) renewLease(request election.RenewLease) {
+	sent := c.world.now
+	found := false
+	c.recordLeaseRenewal(request.Lease)
+	c.callStore(func() { found = c.world.store.RenewLease(c.world.now, request.Lease) }, func(err error) {
+		if err == nil && !found {
+			err = store.ErrNotFound
+		}
+		c.electorStep(election.LeaseRenewed{Lease: request.Lease, Sent: sent, Err: err})
+	})
+}
+
+// readLeaderKey reads the leader's key until there is an answer.
+func (c *simController) readLeaderKey() {
+	var item wire.Item
+	var revision uint64
+	c.recordRead(leader.Key)
+	c.callStore(func() {
+		item, _ = c.world.store.Get(leader.Key)
+		_, revision = c.world.store.List("none")
+	}, func(err error) {
+		if err != nil {
+			c.world.after(leaderKeyRetry, c.ifSameProcess(c.readLeaderKey))
+			return
+		}
+		seen, err := election.ObserveKey(item, revision)
+		must(err)
+		c.leaderKeyRevision = max(c.leaderKeyRevision, revision)
+		c.electorStep(seen)
+	})
+}
--- /dev/null
+++ b/internal/scenario/controller_leader_test.go
@@ -0,0 +1,211 @@
+package scenario
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+	"strings"
+
+	"swiftledge/internal/api"
+	"swiftledge/internal/clock"
+	"swiftledge/internal/election"
+	"swiftledge/internal/leader"
+	"swiftledge/internal/shard"
+	"swiftledge/internal/store"
+	"swiftledge/wire"
+)
+
+const (
+	// cloudLatency is how soon the cloud answers.
+	cloudLatency = 100 * clock.Millisecond
+	// cloudTimeout is how long a leader waits for an answer of the cloud.
+	cloudTimeout = 5 * clock.Second
+)
+
+var (
+	errCloudDown  = errors.New("the cloud is down")
+	errNoCapacity = errors.New("no capacity")
+)
+
+func (c *simController) leaderStep(msg leader.Message) {
+	for _, effect := range c.leader.Step(c.world.now, msg) {
+		c.leaderEffect(effect)
+	}
+}
+
+// leaderEffect carries out what the leader decided.
+func (c *simController) leaderEffect(effect leader.Effect) {
+	switch x := effect.(type) {
+	case leader.SendToHolder:
+		c.sendToHolder(x)
+	case leader.LoadState:
+		c.loadState(x)
+	case leader.LoadAttempts:
+		c.loadAttempts(x)
+	case leader.CommitTxn:
+		c.commitLeaderTxn(x)
+	case leader.ReadKey:
+		c.readKey(x)
+	case leader.ProvisionMachines:
+		c.provisionMachines(x)
+	case leader.DeleteMachines:
+		c.deleteMachines(x)
+	case leader.ListMachines:
+		c.recordSent(toCloud, "GET /hosts")
+		c.callCloud(func() leader.Message {
+			return leader.MachinesListed{Machines: c.world.cloud.List(c.world.now)}
+		}, nil)
+	case leader.LoadCatalog:
+		c.recordSent(toCloud, "GET /catalog")
+		c.callCloud(func() leader.Message { return leader.CatalogLoaded{Types: c.world.cloud.Types} }, nil)
+	case leader.Resign:
+		c.world.after(1, c.ifSameProcess(func() { c.electorStep(election.Resign{Term: c.elector.Term()}) }))
+	case leader.PauseDetected:
+		c.pauses.Add(x.Pause)
+	case leader.Log, leader.RecordSpan:
+	case leader.ReplyStatus:
+		x.ReplyTo <- x.Status
+	default:
+		panic(fmt.Sprintf("unknown effect %T", effect))
+	}
+}
+
+// sendToHolder sends a message over the link to a holder, and over its own to the leader's.
+func (c *simController) sendToHolder(x leader.SendToHolder) {
+	for _, grant := range x.Message.Grants {
+		c.world.rules.history.checkGrant(grant)
+	}
+	link := x.Link.(*simLink)
+	c.recordFrame(link.follower, &x.Message)
+	link.send(link.follower, func() {
+		link.follower.jobCache.Post(api.PeerContacted{})
+		link.leader.jobCache.Post(api.PeerContacted{})
+		link.follower.jobCache.Post(api.LeaderMessage{Message: &x.Message})
+		link.follower.holderStep(shard.LeaderMessage{Message: &x.Message})
+	})
+}
+
+// commitLeaderTxn commits a leader's transaction for as long as its term lasts.
+func (c *simController) commitLeaderTxn(x leader.CommitTxn) {
+	if !slices.Contains(x.Txn.Conditions, wire.Condition{Key: leader.Key, Version: uint64(x.Term)}) {
+		c.world.violates("unguarded: a leader's write is not bound to its term")
+	}
+	c.commit(commitCall{
+		txn:    x.Txn,
+		wanted: func() bool { return c.elector.Term() == x.Term },
+		answer: func(result store.TxnResult, err error) {
+			c.leaderStep(leader.TxnCompleted{Term: x.Term, Tag: x.Tag, Result: result, Err: err})
+		},
+	})
+}
+
+func (c *simController) provisionMachines(x leader.ProvisionMachines) {
+	c.recordJSON(toCloud, "POST /hosts", x.Request)
+	answer := leader.MachinesProvisioned{Term: x.Term, RequestID: x.Request.RequestID}
+	failed := answer
+	failed.Err = errCloudDown
+	c.callCloud(func() leader.Message {
+		names, ok := c.world.cloud.Provision(c.world.now, x.Request)
+		answer.Machines, answer.NoCapacity = names, !ok
+		if !ok {
+			answer.Err = errNoCapacity
+		}
+		return answer
+	}, failed)
+}
+
+func (c *simController) deleteMachines(x leader.DeleteMachines) {
+	c.recordJSON(toCloud, "POST /hosts/delete", wire.MachineNames{Names: x.Machines})
+	c.callCloud(func() leader.Message {
+		c.world.cloud.Delete(x.Machines)
+		return leader.MachinesDeleted{Term: x.Term, Machines: x.Machines}
+	}, leader.MachinesDeleted{Term: x.Term, Machines: x.Machines, Err: errCloudDown})
+}
+
+// callCloud carries a request to the cloud and its answer back, also to a leader that is none any more; or the
+// request is carried out late, when nobody waits for it any more. Nothing is answered to a failure of nil.
+func (c *simController) callCloud(execute func() leader.Message, failure leader.Message) {
+	w := c.world
+	fail := func() {
+		if failure != nil {
+			c.leaderStep(failure)
+		}
+	}
+	w.after(cloudLatency, func() {
+		switch {
+		case w.isPartitioned(c.cfg.Zone, ""):
+		case w.faults.cloudDown:
+			c.ifSameProcess(fail)()
+		case w.faults.lateCloudShare > 0 && w.rng.Float64() < w.faults.lateCloudShare:
+			w.after(w.lateness(lateRange), func() { execute() })
+			w.after(cloudTimeout, c.ifSameProcess(fail))
+		default:
+			c.ifSameProcess(func() { c.leaderStep(execute()) })()
+		}
+	})
+}
+
+// loadState reads all that a new leader begins with.
+func (c *simController) loadState(x leader.LoadState) {
+	var items []wire.Item
+	var revision uint64
+	requestedAt := c.world.now
+	c.recordList("")
+	c.callInTerm(termCall{
+		term:    x.Term,
+		execute: func() { items, revision = c.world.leaderState() },
+		retry:   func() { c.loadState(x) },
+		answer: func() {
+			c.loadedTerm, c.loadedRevision = x.Term, revision
+			c.leaderStep(leader.StateLoaded{
+				Term:        x.Term,
+				Items:       items,
+				Revision:    revision,
+				TimeOfDay:   c.world.now,
+				RequestedAt: requestedAt,
+			})
+		},
+	})
+}
+
+// leaderState is what is stored, except attempts and final states.
+func (w *world) leaderState() ([]wire.Item, uint64) {
+	items, revision := w.store.List("")
+	items = slices.DeleteFunc(items, func(i wire.Item) bool {
+		return strings.HasPrefix(i.Key, attemptPrefix) || strings.HasPrefix(i.Key, leader.FinalStatePrefix)
+	})
+	return items, revision
+}
+
+// loadAttempts reads the attempts of a shard.
+func (c *simController) loadAttempts(x leader.LoadAttempts) {
+	var items []wire.Item
+	prefix := shard.AttemptPrefix(x.Shard)
+	c.recordList(prefix)
+	c.callInTerm(termCall{
+		term:    x.Term,
+		execute: func() { items, _ = c.world.store.List(prefix) },
+		retry:   func() { c.loadAttempts(x) },
+		answer: func() {
+			pages, err := shard.DecodeAttemptPages(items)
+			must(err)
+			c.leaderStep(leader.AttemptsLoaded{Term: x.Term, Shard: x.Shard, FencingToken: x.FencingToken, Pages: pages})
+		},
+	})
+}
+
+// readKey reads one key.
+func (c *simController) readKey(x leader.ReadKey) {
+	var item wire.Item
+	var found bool
+	c.recordRead(x.Key)
+	c.callInTerm(termCall{
+		term:    x.Term,
+		execute: func() { item, found = c.world.store.Get(x.Key) },
+		retry:   func() { c.readKey(x) },
+		answer: func() {
+			item.Key = x.Key
+			c.leaderStep(leader.KeyRead{Term: x.Term, Tag: x.Tag, Item: item, Found: found})
+		},
+	})
+}
--- /dev/null
+++ b/internal/scenario/deployments_test.go
@@ -0,0 +1,222 @@
+package scenario
+
+import (
+	"encoding/json"
+	"fmt"
+	"testing"
+
+	"swiftledge/internal/config"
+	"swiftledge/wire"
+)
+
+// deployment is a cluster at half as many machines again as its operators name, and the jobs that it gets.
+type deployment struct {
+	name     string
+	machines int
+	teams    int
+	team     config.Team     // each of the teams, but for its name
+	settings config.Settings // the facts alone
+	types    []wire.MachineType
+	load     deploymentLoad
+}
+
+// deploymentLoad is a number of equal jobs.
+type deploymentLoad struct {
+	jobs, tasks int
+	cpus        float64 // of each task
+	memory      float64
+	runSeconds  float64
+}
+
+// zonesOfDeployments are the zones that deployments use the first of.
+func zonesOfDeployments() []string { return []string{"a", "b", "c", "d"} }
+
+// deployments are the clusters that operators run.
+func deployments() []deployment {
+	return []deployment{oneType(), twoTypes(), smallControllersOneType(), smallControllersTwoTypes()}
+}
+
+// smallType is a type of four processors.
+func smallType(zones []string) wire.MachineType {
+	return wire.MachineType{
+		Name:      "small",
+		CPUs:      4,
+		MemoryGB:  8,
+		CacheGB:   40,
+		FetchGBPS: 0.6,
+		Price:     0.26,
+		SpotPrice: 0.09,
+		BootS:     25,
+		ZoneNames: zones,
+	}
+}
+
+// smallAndMiddleTypes are two types of four and eight processors, that boot slowly.
+func smallAndMiddleTypes(zones []string) []wire.MachineType {
+	small := wire.MachineType{
+		Name:      "small",
+		CPUs:      4,
+		MemoryGB:  8,
+		CacheGB:   80,
+		FetchGBPS: 0.2,
+		Price:     0.26,
+		SpotPrice: 0.1,
+		BootS:     50,
+		ZoneNames: zones,
+	}
+	middle := wire.MachineType{
+		Name:      "middle",
+		CPUs:      8,
+		MemoryGB:  32,
+		CacheGB:   60,
+		FetchGBPS: 0.5,
+		Price:     0.55,
+		SpotPrice: 0.19,
+		BootS:     50,
+		ZoneNames: zones,
+	}
+	return []wire.MachineType{small, middle}
+}
+
+func oneType() deployment {
+	zones := zonesOfDeployments()[:1]
+	d := deployment{
+		name:     "one type",
+		machines: 2240,
+		teams:    16,
+		team:     config.Team{CPUs: 375, CPUsMax: 3000},
+		types:    []wire.MachineType{smallType(zones)},
+		load:     deploymentLoad{jobs: 40, tasks: 300, cpus: 2, memory: 3.2, runSeconds: 15},
+	}
+	f := &d.settings.Facts
+	f.Zones = zones
+	f.Workers.ReportS, f.Workers.LeaseS, f.Workers.CancelS = 6, 31, 61
+	f.State.RPS, f.State.WriteRPS, f.State.ValueKB, f.State.TxnOps = 300, 40, 4, 8
+	f.Cloud.RPS, f.Cloud.ListLagS = 9, 8
+	f.Quota.CPU, f.Quota.MemMB, f.Quota.MaxSockets = 0.252, 322, 3925
+	return d
+}
+
+func twoTypes() deployment {
+	zones := zonesOfDeployments()
+	d := deployment{
+		name:     "two types, four zones",
+		machines: 1750,
+		teams:    10,
+		team:     config.Team{CPUs: 1050, CPUsMax: 4500},
+		types:    smallAndMiddleTypes(zones),
+		load:     deploymentLoad{jobs: 40, tasks: 600, cpus: 1, memory: 1.1, runSeconds: 40},
+	}
+	f := &d.settings.Facts
+	f.Zones = zones
+	f.Workers.ReportS, f.Workers.LeaseS, f.Workers.CancelS = 5, 26.5, 46.5
+	f.State.RPS, f.State.WriteRPS, f.State.ValueKB, f.State.TxnOps = 250, 60, 16, 12
+	f.Cloud.RPS, f.Cloud.ListLagS = 3, 4
+	f.Quota.CPU, f.Quota.MemMB, f.Quota.MaxSockets = 0.192, 271, 2999
+	return d
+}
+
+// The controllers with least processor time and memory that operators run.
+const (
+	smallControllerCPU     = 0.029
+	smallControllerMB      = 81
+	smallControllerSockets = 1500
+)
+
+func smallControllersOneType() deployment {
+	d := oneType()
+	d.name, d.machines = "small controllers, one type", 750
+	d.team = config.Team{CPUs: 120, CPUsMax: 1000}
+	d.load.jobs, d.load.tasks = 30, 150
+	f := &d.settings.Facts
+	f.Workers.ReportS, f.Workers.LeaseS, f.Workers.CancelS = 3, 22, 52
+	f.State.RPS, f.State.WriteRPS = 100, 15
+	f.Cloud.RPS = 5
+	f.Quota.CPU, f.Quota.MemMB, f.Quota.MaxSockets = smallControllerCPU, smallControllerMB, smallControllerSockets
+	return d
+}
+
+func smallControllersTwoTypes() deployment {
+	d := twoTypes()
+	d.name, d.machines = "small controllers, two types, four zones", 900
+	d.team = config.Team{CPUs: 500, CPUsMax: 2200}
+	d.load.tasks = 300
+	f := &d.settings.Facts
+	f.Workers.ReportS, f.Workers.LeaseS, f.Workers.CancelS = 3, 17, 37
+	f.State.RPS, f.State.WriteRPS = 120, 30
+	f.Cloud.RPS = 2
+	f.Quota.CPU, f.Quota.MemMB, f.Quota.MaxSockets = smallControllerCPU, smallControllerMB, smallControllerSockets
+	return d
+}
+
+// largestDeployment is half as large again as the largest that is operated.
+func largestDeployment() deployment {
+	d := oneType()
+	d.machines = 6000
+	d.team = config.Team{CPUs: 1500, CPUsMax: 9000}
+	d.load.tasks, d.load.runSeconds = 600, 90
+	f := &d.settings.Facts
+	f.Zones = zonesOfDeployments()[:3]
+	d.types[0].ZoneNames = f.Zones
+	f.Workers.ReportS, f.Workers.LeaseS, f.Workers.CancelS = 10, 45, 90
+	f.State.RPS, f.State.WriteRPS, f.State.ValueKB, f.State.TxnOps = 600, 100, 16, 12
+	f.Cloud.RPS = 20
+	f.Quota.CPU, f.Quota.MemMB, f.Quota.MaxSockets = 0.6, 900, 12000
+	return d
+}
+
+// teamName is the name of a team, by its number.
+func (d *deployment) teamName(i int) string { return fmt.Sprint("t", i%d.teams) }
+
+// world makes the cluster.
+func (d *deployment) world(name string) *world {
+	cfg := config.Config{Settings: d.settings, Tuning: config.DefaultTuning()}
+	cfg.Facts.InitialSize = 3
+	for i := range d.teams {
+		team := d.team
+		team.Name = d.teamName(i)
+		cfg.Facts.Teams = append(cfg.Facts.Teams, team)
+	}
+	w := newWorld(name, cfg, d.types, 1)
+	w.cloud.Capacity = d.machines
+	return w
+}
+
+// mustSubmitBatch submits a job of the deployment's load.
+func (w *world) mustSubmitBatch(t *testing.T, d *deployment, number, tasks int) {
+	t.Helper()
+	ref := fmt.Sprintf("j-%06d", number)
+	w.users.runSeconds[ref] = d.load.runSeconds
+	w.mustSubmit(t, number, wire.Job{
+		Ref:       ref,
+		Class:     "l",
+		Team:      d.teamName(number),
+		Shape:     wire.ShapeBatch,
+		Priority:  wire.PriorityStandard,
+		Tasks:     tasks,
+		CPUs:      d.load.cpus,
+		MemoryGB:  d.load.memory,
+		Image:     fmt.Sprint("img", number%6),
+		ImageGB:   1.5,
+		Spot:      true,
+		EstimateS: d.load.runSeconds,
+	})
+}
+
+// mustSubmitLoad submits all jobs of the deployment's load, with numbers from first on.
+func (w *world) mustSubmitLoad(t *testing.T, d *deployment, first int) {
+	t.Helper()
+	for i := range d.load.jobs {
+		w.mustSubmitBatch(t, d, first+i, d.load.tasks)
+	}
+}
+
+// mustSubmit submits a job at one controller after the other, by its number.
+func (w *world) mustSubmit(t *testing.T, number int, j wire.Job) {
+	t.Helper()
+	body, err := json.Marshal(j)
+	must(err)
+	if got := w.submit(w.controllers[number%len(w.controllers)], body); got != "201 queued" {
+		t.Fatalf("submission %d: %s", number, got)
+	}
+}
--- /dev/null
+++ b/internal/scenario/faults_test.go
@@ -0,0 +1,245 @@
+package scenario
+
+import (
+	"fmt"
+	"slices"
+
+	"swiftledge/internal/clock"
+)
+
+// fault is one fault of a random world.
+type fault struct {
+	at, duration clock.Micros
+	kind         string  // a name in faultKinds
+	target       int     // a controller, or the first of the machines
+	count        int     // of the machines or tasks
+	share        float64 // of what is lost or late
+}
+
+// String describes a fault in a failed test.
+func (f fault) String() string {
+	return fmt.Sprintf("%.1f s: %s for %.1f s, target %d, count %d, share %.1f",
+		f.at.Seconds(), f.kind, f.duration.Seconds(), f.target, f.count, f.share)
+}
+
+// controller is the controller that a fault is about.
+func (f fault) controller(w *world) *simController { return w.controllers[f.target%len(w.controllers)] }
+
+// faultKind is a kind of fault; begin begins one and gives what ends it, nil if it ends by itself.
+type faultKind struct {
+	name  string
+	begin func(w *world, f fault) (end func())
+}
+
+// faultKinds are the faults that the operators name (docs/meetings.md). A seed draws them by their place in the
+// list, so new kinds go to its end.
+func faultKinds() []faultKind {
+	return []faultKind{
+		{"burst of jobs", submitBurst},
+		{"guest's long job", submitGuestJob},
+		{"mistaken job", submitMistakenJob},
+		{"all controllers crash", crashAll},
+		{"all controllers pause", pauseAll},
+		{"store answers are lost", loseStoreAnswers},
+		{"cloud is late", delayCloud},
+		{"cloud is down", stopCloud},
+		{"commands are late", delayCommands},
+		{"controller crashes", crashOne},
+		{"controller loses peers", cutPeersOfOne},
+		{"controller loses workers", cutAgentsOfOne},
+		{"controller pauses", pauseOne},
+		{"machines' messages are duplicated", eachMachine(duplicateMessages)},
+		{"jobs are cancelled", cancelJobs},
+		{"leader crashes", crashLeaders},
+		{"leader loses store and peers", isolateLeaders},
+		{"leader pauses", pauseLeaders},
+		{"machines are unreachable", eachMachine(cutMachine)},
+		{"machines' heartbeats are lost", eachMachine(cutHeartbeats)},
+		{"machines are preempted", eachMachine(preemptMachine)},
+		{"machines reboot", eachMachine(rebootMachine)},
+		{"machines boot late or at once", changeBootTime},
+		{"machines fail", eachMachine(failMachine)},
+		{"machines fail their tasks", eachMachine(failTasks)},
+		{"machines hang", eachMachine(hangMachine)},
+		{"machines' inbound messages are lost", eachMachine(cutInbound)},
+		{"new machines never report", silenceNewMachines},
+		{"machines' messages are held", eachMachine(holdMessages)},
+		{"heartbeats are kept for the next leader", eachMachine(keepHeartbeats)},
+		{"store requests are held", holdStoreRequests},
+		{"store is down", stopStore},
+		{"store refuses the leader", cutStoreOfLeaders},
+		{"store refuses one", cutStoreOfOne},
+		{"watch hangs", hangWatchOfLeaders},
+		{"writes are late", delayTxns},
+		{"zone is cut", cutZone},
+	}
+}
+
+// beginFault begins a fault, and schedules its end.
+func (w *world) beginFault(f fault) {
+	kinds := faultKinds()
+	kind := slices.IndexFunc(kinds, func(k faultKind) bool { return k.name == f.kind })
+	end := kinds[kind].begin(w, f)
+	if end == nil {
+		end = func() {}
+	}
+	w.after(f.duration, end)
+}
+
+// Faults of controllers.
+
+func crashOne(w *world, f fault) func()       { return crash(f.controller(w)) }
+func crashLeaders(w *world, _ fault) func()   { return crash(w.leaders()...) }
+func crashAll(w *world, _ fault) func()       { return crash(w.controllers...) }
+func pauseOne(w *world, f fault) func()       { return pause(f, f.controller(w)) }
+func pauseLeaders(w *world, f fault) func()   { return pause(f, w.leaders()...) }
+func pauseAll(w *world, f fault) func()       { return pause(f, w.controllers...) }
+func cutStoreOfOne(w *world, f fault) func()  { return set(&f.controller(w).faults.storeUnreachable) }
+func cutPeersOfOne(w *world, f fault) func()  { return set(&f.controller(w).faults.peersUnreachable) }
+func cutAgentsOfOne(w *world, f fault) func() { return set(&f.controller(w).faults.agentsUnreachable) }
+
+func cutStoreOfLeaders(w *world, _ fault) func() {
+	return setOnLeaders(w, func(c *controllerFaults) *bool { return &c.storeUnreachable })
+}
+
+func isolateLeaders(w *world, f fault) func() {
+	restoreStore := cutStoreOfLeaders(w, f)
+	restorePeers := setOnLeaders(w, func(c *controllerFaults) *bool { return &c.peersUnreachable })
+	return func() {
+		restoreStore()
+		restorePeers()
+	}
+}
+
+func hangWatchOfLeaders(w *world, _ fault) func() {
+	return setOnLeaders(w, func(c *controllerFaults) *bool { return &c.watchHangs })
+}
+
+func holdStoreRequests(w *world, f fault) func() {
+	f.controller(w).faults.requestsHeldUntil = w.now + f.duration
+	return nil
+}
+
+func delayTxns(w *world, f fault) func() {
+	return setShareOnAll(w, f.share, func(c *controllerFaults) *float64 { return &c.lateTxnShare })
+}
+
+func loseStoreAnswers(w *world, f fault) func() {
+	return setShareOnAll(w, f.share, func(c *controllerFaults) *float64 { return &c.lostAnswerShare })
+}
+
+// crash ends controllers, until they are started again.
+func crash(controllers ...*simController) func() {
+	for _, c := range controllers {
+		if c.running {
+			c.crash()
+		}
+	}
+	return func() {
+		for _, c := range controllers {
+			if !c.running {
+				c.start()
+			}
+		}
+	}
+}
+
+// pause pauses controllers.
+func pause(f fault, controllers ...*simController) func() {
+	for _, c := range controllers {
+		c.faults.pausedUntil = c.world.now + f.duration
+	}
+	return nil
+}
+
+// set sets a flag, until it is cleared.
+func set(flag *bool) func() {
+	*flag = true
+	return func() { *flag = false }
+}
+
+// setOnLeaders sets a flag of all leaders.
+func setOnLeaders(w *world, flag func(*controllerFaults) *bool) func() {
+	var ends []func()
+	for _, c := range w.leaders() {
+		ends = append(ends, set(flag(&c.faults)))
+	}
+	return inOrder(ends)
+}
+
+// setShareOnAll sets a share of all controllers.
+func setShareOnAll(w *world, value float64, share func(*controllerFaults) *float64) func() {
+	for _, c := range w.controllers {
+		*share(&c.faults) = value
+	}
+	return func() {
+		for _, c := range w.controllers {
+			*share(&c.faults) = 0
+		}
+	}
+}
+
+// inOrder calls functions one after the other.
+func inOrder(functions []func()) func() {
+	return func() {
+		for _, f := range functions {
+			if f != nil {
+				f()
+			}
+		}
+	}
+}
+
+// Faults of the store, the cloud and the network.
+
+func stopStore(w *world, _ fault) func() {
+	w.store.Down = true
+	return func() { w.store.EndOutage(w.now) }
+}
+
+func stopCloud(w *world, _ fault) func() { return set(&w.faults.cloudDown) }
+
+func delayCloud(w *world, f fault) func() {
+	w.faults.lateCloudShare = f.share
+	return func() { w.faults.lateCloudShare = 0 }
+}
+
+func delayCommands(w *world, f fault) func() {
+	w.faults.lateCommandShare = f.share
+	return func() { w.faults.lateCommandShare = 0 }
+}
+
+func cutZone(w *world, f fault) func() {
+	w.faults.partitionedZone, w.faults.partitionedUntil = "b", w.now+f.duration
+	return nil
+}
+
+// What users do.
+
+func submitBurst(w *world, f fault) func() {
+	const jobs = 3
+	for i := range jobs {
+		w.submitRandom(f.target+i, 40+f.count, 6+f.target)
+	}
+	return nil
+}
+
+func submitMistakenJob(w *world, f fault) func() {
+	ref := w.submitMistaken(f.target, 20+f.count)
+	return func() { w.cancelUntilAnswered(ref, f.target) }
+}
+
+func submitGuestJob(w *world, f fault) func() {
+	w.submitGuest(f.target, 20+4*f.count)
+	return nil
+}
+
+func cancelJobs(w *world, f fault) func() {
+	refs := sortedKeys(w.users.jobs)
+	for i := range min(f.count, len(refs)) {
+		if c := w.controllers[(f.target+i)%len(w.controllers)]; c.isResponsive() {
+			w.cancel(c, refs[(f.target*7+i*3)%len(refs)])
+		}
+	}
+	return nil
+}
--- a/internal/scenario/history_checks_test.go
+++ b/internal/scenario/history_checks_test.go
@@ -22,85 +22,90 @@
 	}
 }
 
-// Each check of the history fires on what breaks it, and on nothing else.
+// Each check of the history notices what violates it, and nothing else.
 func TestHistoryNotices(t *testing.T) {
 	const token, machine = 7, "host-000001"
 	attempt := func(n uint64) *fake.Task {
 		return &fake.Task{TaskStatus: wire.TaskStatus{Task: "j-000001/3", Attempt: peer.NewAttemptID(token, n)}, Job: wire.Job{Ref: "j-000001", Tasks: 8}, Index: 3}
 	}
-	page := peer.AttemptPage{FencingToken: token, Prefix: "host-", Machines: []string{"000001"}, Groups: []peer.AttemptGroup{{Job: "j-000001", Attempts: []int{3, 1, 0}}}}
-	roster := leader.InstanceGroupRecord{Machines: []string{machine}, Answered: true}
+	page := peer.AttemptPage{
+		FencingToken: token,
+		Prefix:       "host-",
+		Machines:     []string{"000001"},
+		Groups:       []peer.AttemptGroup{{Job: "j-000001", Attempts: []int{3, 1, 0}}},
+	}
+	inventory := leader.InstanceGroupRecord{Machines: []string{machine}, Answered: true}
 	done := jobs.ProgressRecord{Chunks: []jobs.ProgressChunk{{Job: "j-000001", Completed: []byte{1 << 3}}}}
 	for _, c := range []struct {
-		name, breaks string
-		play         func(w *world, h *history)
+		name, violated string
+		play           func(w *world, h *history)
 	}{
-		{"a recorded start on a machine of the roster", "", func(w *world, h *history) {
+		{"a recorded start on a machine of the inventory", "", func(w *world, h *history) {
 			w.put(t, "run/000/7-1", page)
-			w.put(t, leader.InstanceGroupPrefix+"r", roster)
-			h.start(machine, attempt(1))
+			w.put(t, leader.InstanceGroupPrefix+"r", inventory)
+			h.checkStart(machine, attempt(1))
 		}},
 		{"a start without a record", "unrecorded", func(w *world, h *history) {
 			w.put(t, "run/000/7-1", page)
-			w.put(t, leader.InstanceGroupPrefix+"r", roster)
-			h.start(machine, attempt(2))
+			w.put(t, leader.InstanceGroupPrefix+"r", inventory)
+			h.checkStart(machine, attempt(2))
 		}},
 		{"a start whose record was written over", "unrecorded", func(w *world, h *history) {
-			w.put(t, leader.InstanceGroupPrefix+"r", roster)
+			w.put(t, leader.InstanceGroupPrefix+"r", inventory)
 			w.put(t, "run/000/7-1", page)
 			h.sync()
 			w.put(t, "run/000/7-1", peer.AttemptPage{FencingToken: token})
-			h.start(machine, attempt(1))
+			h.checkStart(machine, attempt(1))
 		}},
-		{"a start on a machine that is in no roster record", "unlisted", func(w *world, h *history) {
+		{"a start on a machine that is in no inventory record", "unlisted", func(w *world, h *history) {
 			w.put(t, "run/000/7-1", page)
-			h.start(machine, attempt(1))
+			h.checkStart(machine, attempt(1))
 		}},
 		{"changes that are not kept any more", "", func(w *world, h *history) {
 			w.put(t, "run/000/7-1", page)
-			w.put(t, leader.InstanceGroupPrefix+"r", roster)
+			w.put(t, leader.InstanceGroupPrefix+"r", inventory)
 			w.store.CompactChanges()
-			h.start(machine, attempt(1))
+			h.checkStart(machine, attempt(1))
 		}},
 		{"one attempt on two machines", "attempt_repeated", func(_ *world, h *history) {
-			h.order(machine, attempt(1))
-			h.order("host-000002", attempt(1))
+			h.checkOrder(machine, attempt(1))
+			h.checkOrder("host-000002", attempt(1))
 		}},
 		{"an order that comes twice", "", func(_ *world, h *history) {
-			h.order(machine, attempt(1))
-			h.order(machine, attempt(1))
+			h.checkOrder(machine, attempt(1))
+			h.checkOrder(machine, attempt(1))
 		}},
 		{"one token for two grants", "token_repeated", func(_ *world, h *history) {
-			h.grant(peer.ShardGrant{Shard: 1, FencingToken: token})
-			h.grant(peer.ShardGrant{Shard: 2, FencingToken: token})
+			h.checkGrant(peer.ShardGrant{Shard: 1, FencingToken: token})
+			h.checkGrant(peer.ShardGrant{Shard: 2, FencingToken: token})
 		}},
 		{"a new attempt after the completion was stored", "ran_again", func(w *world, h *history) {
-			h.complete(attempt(1))
+			h.noteCompletion(attempt(1))
 			w.put(t, jobs.ProgressPrefix+"1-1", done)
-			h.restart(attempt(2))
+			h.checkRestart(attempt(2))
 		}},
 		{"a new attempt after the job was stored as done", "ran_again", func(w *world, h *history) {
-			h.complete(attempt(1))
+			h.noteCompletion(attempt(1))
 			w.put(t, leader.FinalStatePrefix+"j-000001", leader.FinalStateRecord{State: wire.JobDone, Tasks: 8})
-			h.restart(attempt(2))
+			h.checkRestart(attempt(2))
 		}},
 		{"a new attempt before the completion is stored", "", func(w *world, h *history) {
-			h.complete(attempt(1))
+			h.noteCompletion(attempt(1))
 			w.put(t, jobs.ProgressPrefix+"1-1", jobs.ProgressRecord{Chunks: []jobs.ProgressChunk{{Job: "j-000001", Completed: []byte{0xf7}}}})
-			h.restart(attempt(2))
+			h.checkRestart(attempt(2))
 		}},
 		{"a late copy of the order of the attempt that completed", "", func(w *world, h *history) {
-			h.complete(attempt(1))
+			h.noteCompletion(attempt(1))
 			w.put(t, jobs.ProgressPrefix+"1-1", done)
-			h.restart(attempt(1))
+			h.checkRestart(attempt(1))
 		}},
 	} {
-		w := fleetSizes()[0].world(t.Name())
-		c.play(w, w.history)
+		w := deployments()[0].world(t.Name())
+		c.play(w, w.rules.history)
 		w.stop()
-		got := strings.Join(w.broken, "; ")
-		if c.breaks == "" && got != "" || !strings.HasPrefix(got, c.breaks) {
-			t.Errorf("%s: broken %q, want %q", c.name, got, c.breaks)
+		got := strings.Join(w.rules.violations, "; ")
+		if c.violated == "" && got != "" || !strings.HasPrefix(got, c.violated) {
+			t.Errorf("%s: violated %q, want %q", c.name, got, c.violated)
 		}
 	}
 }
--- a/internal/scenario/load_test.go
+++ b/internal/scenario/load_test.go
@@ -7,38 +7,38 @@
 	"swiftledge/internal/peer"
 )
 
-// machineLoads sums up the loads of the machines that are up, by what is on them.
-type machineLoads struct {
+// loadSummary sums up the loads of the machines that are up, by what is on them.
+type loadSummary struct {
 	greatest, mean float64
 	machines       int
 }
 
-func (l machineLoads) overMean() float64 {
+func (l loadSummary) overMean() float64 {
 	if l.mean == 0 {
 		return 0
 	}
 	return l.greatest / l.mean
 }
 
-func (l machineLoads) String() string {
+func (l loadSummary) String() string {
 	return fmt.Sprintf("%d machines, mean %.2f, greatest %.2f", l.machines, l.mean, l.greatest)
 }
 
-// status is what the leader tells operators; nothing while nobody leads.
-func (w *world) status() (s peer.Status) {
-	for _, n := range w.leaders() {
+// leaderStatus is what the leader tells operators; nothing while nobody leads.
+func (w *world) leaderStatus() (s peer.Status) {
+	for _, c := range w.leaders() {
 		answer := make(chan peer.Status, 1)
-		n.leaderStep(leader.StatusRequested{ReplyTo: answer})
+		c.leaderStep(leader.StatusRequested{ReplyTo: answer})
 		s = <-answer
 	}
 	return s
 }
 
-// loads judges by the machines themselves; the leader is only asked which of them take work.
-func (w *world) loads() (l machineLoads) {
-	for _, m := range w.status().Machines {
-		s := w.worker(m.Name)
-		if !m.TakesWork || s.dead {
+// machineLoads judges by the machines themselves; the leader is only asked which of them take work.
+func (w *world) machineLoads() (l loadSummary) {
+	for _, m := range w.leaderStatus().Machines {
+		s := w.workerByName(m.Name)
+		if !m.TakesWork || s.ended {
 			continue
 		}
 		l.machines++
@@ -51,9 +51,9 @@
 	return l
 }
 
-// moveEnd names the machine that the first move in flight goes from or to; "" if there is none.
-func (w *world) moveEnd(which string) string {
-	moves := w.status().Migrations
+// migrationEnd names the machine that the first move in flight goes from or to; "" if there is none.
+func (w *world) migrationEnd(which string) string {
+	moves := w.leaderStatus().Migrations
 	switch {
 	case len(moves) == 0:
 		return ""
--- /dev/null
+++ b/internal/scenario/random_jobs_test.go
@@ -0,0 +1,99 @@
+package scenario
+
+import (
+	"encoding/json"
+	"fmt"
+	"strings"
+
+	"swiftledge/internal/clock"
+	"swiftledge/wire"
+)
+
+// userRetry is how long a user waits before a request is repeated.
+const userRetry = clock.Second
+
+// nextJob is a batch that a user of a random world submits next, of tasks that take a processor each.
+func (w *world) nextJob(class, team string, tasks int) wire.Job {
+	w.users.submitted++
+	return wire.Job{
+		Ref:      fmt.Sprintf("j-%06d", w.users.submitted),
+		Class:    class,
+		Team:     team,
+		Shape:    wire.ShapeBatch,
+		Priority: wire.PriorityStandard,
+		Tasks:    tasks,
+		CPUs:     1,
+		MemoryGB: 1,
+		ImageGB:  1,
+		Spot:     true,
+	}
+}
+
+// teamOf is the team of a random job, by its number.
+func teamOf(i int) string { return []string{"red", "blue"}[i%2] }
+
+// submitRandom has a user submit a job to whichever controller takes it; some are services, some save.
+func (w *world) submitRandom(i, tasks, runSeconds int) {
+	j := w.nextJob("l", teamOf(i), tasks)
+	j.Priority = []wire.Priority{wire.PriorityStandard, wire.PriorityHigh}[i/2%2]
+	j.Image = fmt.Sprint("img", i%4)
+	j.EstimateS = float64(runSeconds)
+	if i%5 == 4 {
+		j.Shape, j.Priority, j.Tasks, j.EstimateS, j.Spot = wire.ShapeService, wire.PriorityProduction, 2+tasks%6, 0, false
+	}
+	if i%7 == 3 {
+		j.CheckpointS, j.SaveS = 4, 2
+	}
+	if w.cfg.Tuning.Spread.Enabled && !j.IsService() {
+		j.CheckpointS, j.SaveS = 2, 1
+	}
+	w.users.runSeconds[j.Ref] = float64(runSeconds)
+	w.submitUntilAccepted(j, i)
+}
+
+// submitMistaken has a user submit a job that fails on every machine, and returns its reference.
+func (w *world) submitMistaken(i, tasks int) string {
+	const runSeconds = 10
+	j := w.nextJob("l", teamOf(i), tasks)
+	j.Image = "img9"
+	j.EstimateS = runSeconds
+	w.users.runSeconds[j.Ref], w.users.failsEach[j.Ref] = runSeconds, 1
+	w.submitUntilAccepted(j, i)
+	return j.Ref
+}
+
+// guestRunS is how long a guest's task runs: longer than the boot times that preemption goes by, and short enough for
+// all to end in the calm after the faults.
+const guestRunS = 16
+
+// submitGuest has a team without a guarantee and without a limit submit long tasks of low priority.
+func (w *world) submitGuest(i, tasks int) {
+	j := w.nextJob("g", "guest", tasks)
+	j.Priority = wire.PriorityBestEffort
+	j.Image = "img8"
+	j.EstimateS, j.CheckpointS, j.SaveS = guestRunS, 5, 1
+	w.users.runSeconds[j.Ref] = guestRunS
+	w.submitUntilAccepted(j, i)
+}
+
+// submitUntilAccepted repeats a submission, at one controller after the other, until it is accepted.
+func (w *world) submitUntilAccepted(j wire.Job, i int) {
+	body, err := json.Marshal(j)
+	must(err)
+	w.users.submissions[j.Ref] = body
+	c := w.controllers[i%len(w.controllers)]
+	if c.isResponsive() && strings.HasPrefix(w.submit(c, body), "20") {
+		return
+	}
+	w.after(userRetry, func() { w.submitUntilAccepted(j, i+1) })
+}
+
+// cancelUntilAnswered repeats a cancellation, at one controller after the other, until it is answered.
+func (w *world) cancelUntilAnswered(ref string, i int) {
+	c := w.controllers[i%len(w.controllers)]
+	_, accepted := w.users.jobs[ref]
+	if accepted && c.isResponsive() && w.cancel(c, ref) == string(wire.JobCancelled) {
+		return
+	}
+	w.after(userRetry, func() { w.cancelUntilAnswered(ref, i+1) })
+}
--- a/internal/scenario/transcript_test.go
+++ b/internal/scenario/transcript_test.go
@@ -133,27 +133,27 @@
 	must(t.out.WriteByte('\n'))
 }
 
-// sends records a message without a body.
-func (n *simNode) sends(to, message string) {
-	if t := n.w.transcript; t != nil {
-		t.record(n.w.now, n.name, to, message, nil)
+// recordSent records a message without a body.
+func (c *simController) recordSent(to, message string) {
+	if t := c.world.transcript; t != nil {
+		t.record(c.world.now, c.name, to, message, nil)
 	}
 }
 
-// sendsJSON records a message with a body in JSON.
-func (n *simNode) sendsJSON(to, message string, body any) {
-	t := n.w.transcript
+// recordJSON records a message with a body in JSON.
+func (c *simController) recordJSON(to, message string, body any) {
+	t := c.world.transcript
 	if t == nil {
 		return
 	}
 	raw, err := json.Marshal(body)
 	must(err)
-	t.record(n.w.now, n.name, to, message, raw)
+	t.record(c.world.now, c.name, to, message, raw)
 }
 
-// sendsFrame records a message to another controller.
-func (n *simNode) sendsFrame(to *simNode, frame any) {
-	t := n.w.transcript
+// recordFrame records a message to another controller.
+func (c *simController) recordFrame(to *simController, frame any) {
+	t := c.world.transcript
 	if t == nil {
 		return
 	}
@@ -161,78 +161,79 @@
 	must(err)
 	sorted, err := sortFrame(raw)
 	must(err)
-	t.record(n.w.now, n.name, to.name, "frame", hex.AppendEncode(nil, sorted))
+	t.record(c.world.now, c.name, to.name, "frame", hex.AppendEncode(nil, sorted))
 }
 
-// sendsTxn records a transaction, in the form that the state service's client gives it.
-func (n *simNode) sendsTxn(t wire.Txn) {
+// recordTxn records a transaction, in the form that the state service's client gives it.
+func (c *simController) recordTxn(t wire.Txn) {
 	if t.Conditions == nil {
 		t.Conditions = []wire.Condition{}
 	}
-	n.sendsJSON(toStore, "POST /multi", t)
+	c.recordJSON(toStore, "POST /multi", t)
 }
 
-// sendsRead records the read of one key.
-func (n *simNode) sendsRead(key string) {
-	if n.w.transcript != nil {
-		n.sends(toStore, "GET /store/"+key)
+// recordRead records the read of one key.
+func (c *simController) recordRead(key string) {
+	if c.world.transcript != nil {
+		c.recordSent(toStore, "GET /store/"+key)
 	}
 }
 
-// sendsList records the read of all keys with a prefix.
-func (n *simNode) sendsList(prefix string) {
-	if n.w.transcript != nil {
-		n.sends(toStore, "GET /store?prefix="+url.QueryEscape(prefix))
+// recordList records the read of all keys with a prefix.
+func (c *simController) recordList(prefix string) {
+	if c.world.transcript != nil {
+		c.recordSent(toStore, "GET /store?prefix="+url.QueryEscape(prefix))
 	}
 }
 
-// sendsWatch records a question for the changes of keys with a prefix.
-func (n *simNode) sendsWatch(prefix string, since uint64) {
-	if n.w.transcript != nil {
-		n.sends(toStore, fmt.Sprintf("GET /watch?prefix=%s&since=%d", url.QueryEscape(prefix), since))
+// recordWatch records a question for the changes of keys with a prefix.
+func (c *simController) recordWatch(prefix string, since uint64) {
+	if c.world.transcript != nil {
+		c.recordSent(toStore, fmt.Sprintf("GET /watch?prefix=%s&since=%d", url.QueryEscape(prefix), since))
 	}
 }
 
-// sendsGrant records the request for a lease of the state service.
-func (n *simNode) sendsGrant(ttl clock.Micros) {
-	n.sendsJSON(toStore, "POST /grants", wire.LeaseRequest{TTLMs: int64(ttl / clock.Millisecond)})
+// recordLeaseGrant records the request for a lease of the state service.
+func (c *simController) recordLeaseGrant(ttl clock.Micros) {
+	c.recordJSON(toStore, "POST /grants", wire.LeaseRequest{TTLMs: int64(ttl / clock.Millisecond)})
 }
 
-// sendsTouch records the renewal of a lease.
-func (n *simNode) sendsTouch(lease uint64) {
-	n.sends(toStore, "POST /grants/"+strconv.FormatUint(lease, 10)+"/touch")
+// recordLeaseRenewal records the renewal of a lease.
+func (c *simController) recordLeaseRenewal(lease uint64) {
+	c.recordSent(toStore, "POST /grants/"+strconv.FormatUint(lease, 10)+"/touch")
 }
 
-// sendsDrop records the end of a lease.
-func (n *simNode) sendsDrop(lease uint64) {
-	n.sends(toStore, "DELETE /grants/"+strconv.FormatUint(lease, 10))
+// recordLeaseRevocation records the end of a lease.
+func (c *simController) recordLeaseRevocation(lease uint64) {
+	c.recordSent(toStore, "DELETE /grants/"+strconv.FormatUint(lease, 10))
 }
 
-// replyFunc takes the answer to a heartbeat.
-type replyFunc func(shard.HeartbeatReply)
+// responderFunc takes the reply to a heartbeat.
+type responderFunc func(shard.HeartbeatReply)
 
-func (f replyFunc) Respond(reply shard.HeartbeatReply) { f(reply) }
+// Respond implements shard.Responder.
+func (f responderFunc) Respond(reply shard.HeartbeatReply) { f(reply) }
 
-// answersReport records the answer to a worker's report.
-func (n *simNode) answersReport(machine string, a shard.HeartbeatReply) {
+// recordHeartbeatReply records the answer to a worker's heartbeat.
+func (c *simController) recordHeartbeatReply(machine string, a shard.HeartbeatReply) {
 	message := "answer " + strconv.Itoa(a.Status)
 	switch a.Status {
 	case 200:
-		n.sendsJSON(toWorker(machine), message, a.Body)
+		c.recordJSON(toWorker(machine), message, a.Body)
 	case 421:
-		n.sendsJSON(toWorker(machine), message, a.Redirect)
+		c.recordJSON(toWorker(machine), message, a.Redirect)
 	default:
-		n.sends(toWorker(machine), message)
+		c.recordSent(toWorker(machine), message)
 	}
 }
 
-// answersUser records the answer to a user, as the service encodes it, and gives it back.
-func (n *simNode) answersUser(request string, r api.Result) api.Result {
+// recordUserReply records the answer to a user, as the service encodes it, and gives it back.
+func (c *simController) recordUserReply(request string, r api.Result) api.Result {
 	var body any = r.Status
 	if r.Code >= 400 {
 		body = wire.ErrorResponse{Error: r.Reason}
 	}
-	n.sendsJSON(toUser, request+": "+strconv.Itoa(r.Code), body)
+	c.recordJSON(toUser, request+": "+strconv.Itoa(r.Code), body)
 	return r
 }
 
--- a/internal/scenario/worker_test.go
+++ b/internal/scenario/worker_test.go
@@ -9,203 +9,235 @@
 	"swiftledge/wire"
 )
 
+const (
+	// heartbeatTimeout is how long a worker waits for the answer.
+	heartbeatTimeout = 4 * clock.Second
+	// heartbeatRetry is how long it waits before it turns to another controller.
+	heartbeatRetry = clock.Second
+	// redirectDelay is how long it waits before it follows a redirect.
+	redirectDelay = 100 * clock.Millisecond
+	// minHeartbeatGap is the least time between two heartbeats.
+	minHeartbeatGap = clock.Second / 2
+)
+
+// simWorker is a machine with its worker and its part of the network.
 type simWorker struct {
 	*fake.Worker
-	rented *fake.Instance
-	target int
-	nextAt clock.Micros
-	lastAt clock.Micros
-	busy   bool
-	cut    bool
-	// hold delivers what is sent to or from the machine late.
-	holdUntil clock.Micros
-	dead      bool
-	deaf      bool         // what it says arrives, what it is told does not
-	mute      bool         // its reports reach nobody, while commands reach it
-	hungUntil clock.Micros // it does nothing until then, and goes on
-	keeps     bool         // copies of its reports are kept for the next leader
-	kept      []*wire.Heartbeat
-	copies    clock.Micros // reports and commands come once more, up to this much later
-}
-
-func (w *world) worker(name string) *simWorker { return w.byName[name] }
-
-func (w *world) boot(m *fake.Instance) {
-	var t wire.MachineType
-	for _, x := range w.cloud.Types {
-		if x.Name == m.Type {
-			t = x
-		}
-	}
-	s := &simWorker{rented: m, Worker: &fake.Worker{
-		Identity:  fake.Identity{Name: m.Name, Address: m.Address, Type: m.Type, Zone: m.Zone, Spot: m.Spot},
-		Resources: fake.Resources{CPUs: t.CPUs, Memory: t.MemoryGB, FetchSeconds: 1},
-		LeaseTime: w.cfg.AgentLeaseTime(),
-		Workload:  workload{w},
-		Observer:  observer{w},
-		Outputs:   w.outputs,
-	}}
-	s.Boot(w.now)
-	s.nextAt = w.now
-	s.target = w.rng.IntN(len(w.nodes))
-	w.workers = append(w.workers, s)
-	w.byName[s.Name] = s
-}
-
-// workload tells the fake workers what the users know of their jobs.
-type workload struct{ w *world }
-
-// Job implements fake.Workload.
-func (l workload) Job(ref string) (wire.Job, bool) {
-	job, ok := l.w.jobs[ref]
-	return job, ok
+	instance *fake.Instance
+	ended    bool
+	network  machineNetwork
+
+	hungUntil       clock.Micros // it does nothing until then, and goes on
+	keepsHeartbeats bool         // copies of its heartbeats are kept for the next leader
+	keptHeartbeats  []*wire.Heartbeat
+
+	controller       int // that it sends heartbeats to, by its number
+	nextHeartbeat    clock.Micros
+	lastHeartbeat    clock.Micros
+	heartbeatPending bool // one is under way
 }
 
-// RunSeconds implements fake.Workload.
-func (l workload) RunSeconds(job *wire.Job, _ int) float64 { return l.w.runS[job.Ref] }
-
-// Fails implements fake.Workload.
-func (l workload) Fails(job *wire.Job, index int) bool {
-	each := l.w.mistaken[job.Ref]
-	return each > 0 && index%each == 0
+// machineNetwork is what goes wrong with messages to and from a machine.
+type machineNetwork struct {
+	unreachable    bool // nothing is delivered
+	inboundCut     bool // what it sends arrives, what it is sent does not
+	heartbeatsCut  bool // its heartbeats reach nobody, while commands reach it
+	heldUntil      clock.Micros
+	duplicateDelay clock.Micros // heartbeats and commands come once more, up to this much later
 }
 
-// observer tells the rules what becomes of tasks.
-type observer struct{ w *world }
-
-// TaskOrdered implements fake.Observer.
-func (o observer) TaskOrdered(on *fake.Worker, t *fake.Task) { o.w.history.order(on.Name, t) }
-
-// TaskStarted implements fake.Observer.
-func (o observer) TaskStarted(on *fake.Worker, t *fake.Task) { o.w.started(o.w.worker(on.Name), t) }
-
-// TaskRestarted implements fake.Observer.
-func (o observer) TaskRestarted(_ *fake.Worker, t *fake.Task) { o.w.history.restart(t) }
-
-// TaskEnded implements fake.Observer.
-func (o observer) TaskEnded(_ *fake.Worker, t *fake.Task) {
-	if t.Cause == wire.ExitDone {
-		o.w.ran[t.Task]++
-		o.w.history.complete(t)
-	}
+// hasFaults says whether anything is wrong with the machine.
+func (s *simWorker) hasFaults(now clock.Micros) bool {
+	n := &s.network
+	return s.ended || s.FailsTasks || s.keepsHeartbeats || s.hungUntil > now ||
+		n.unreachable || n.inboundCut || n.heartbeatsCut || n.duplicateDelay > 0 || n.heldUntil > now
 }
 
-// leaseRanOut says whether a machine hangs for longer than its lease: it may go on within its lease
+// leaseExpired says whether a machine hangs for longer than its lease: it may go on within its lease
 // only, so what it held is gone.
-func (s *simWorker) leaseRanOut(now clock.Micros) bool {
+func (s *simWorker) leaseExpired(now clock.Micros) bool {
 	return s.hungUntil > now && now > s.LeaseRenewedAt()+s.LeaseTime
 }
 
-// allowed says whether a job's tasks may run on the machine, whatever room it has.
-func (s *simWorker) allowed(j *wire.Job) bool {
+// allows says whether a job's tasks may run on the machine, whatever is free on it.
+func (s *simWorker) allows(j *wire.Job) bool {
 	return (j.Spot || !s.Spot) && (len(j.Types) == 0 || slices.Contains(j.Types, s.Type)) && (j.Zone == "" || j.Zone == s.Zone)
 }
 
-// Workers.
-
-func (s *simWorker) tick(w *world) {
-	if s.rented.Deleted {
-		s.dead = true
+// activeTasks counts a job's tasks on the machine.
+func (s *simWorker) activeTasks(ref string) (count int) {
+	if s.ended {
+		return 0
 	}
-	if s.dead {
-		return
+	for _, t := range s.Tasks {
+		if t.Job.Ref == ref && t.IsActive() {
+			count++
+		}
 	}
-	if s.hungUntil > w.now {
+	return count
+}
+
+// tick is one step of the worker.
+func (s *simWorker) tick(w *world) {
+	s.ended = s.ended || s.instance.Deleted
+	if s.ended || s.hungUntil > w.now {
 		return
 	}
 	if s.Advance(w.now) {
-		s.changed(w)
+		s.heartbeatSoon(w)
+	}
+	if !s.heartbeatPending && w.now >= s.nextHeartbeat {
+		s.sendHeartbeat(w)
 	}
-	if s.busy || w.now < s.nextAt {
+}
+
+// sentHeartbeat is a heartbeat that waits for its answer.
+type sentHeartbeat struct {
+	world      *world
+	worker     *simWorker
+	heartbeat  *wire.Heartbeat
+	epoch      wire.AgentEpoch
+	sentAt     clock.Micros
+	controller *simController
+	settled    bool // it was answered, or given up
+}
+
+// sendHeartbeat sends a heartbeat to the controller whose turn it is.
+func (s *simWorker) sendHeartbeat(w *world) {
+	s.heartbeatPending = true
+	s.lastHeartbeat = w.now
+	interval := clock.FromSeconds(w.cfg.Facts.Workers.ReportS)
+	s.nextHeartbeat = w.now + interval*3/4 + clock.Micros(w.rng.Int64N(int64(interval/2)))
+	sent := &sentHeartbeat{
+		world:      w,
+		worker:     s,
+		heartbeat:  s.Heartbeat(),
+		epoch:      s.AgentEpoch,
+		sentAt:     w.now,
+		controller: w.controllers[s.controller],
+	}
+	w.after(heartbeatTimeout, sent.giveUp)
+	if s.keepsHeartbeats {
+		s.keptHeartbeats = append(s.keptHeartbeats, sent.heartbeat)
+	}
+	if s.network.heartbeatsCut {
 		return
 	}
-	s.busy = true
-	s.lastAt = w.now
-	every := clock.FromSeconds(w.cfg.Facts.Workers.ReportS)
-	s.nextAt = w.now + every*3/4 + clock.Micros(w.rng.Int64N(int64(every/2)))
-	r := s.Heartbeat()
-	sent, session, n := w.now, s.AgentEpoch, w.nodes[s.target]
-	settled := false
-	next := func(to int, wait clock.Micros) {
-		if settled {
-			return
-		}
-		settled = true
-		w.after(wait, func() { s.busy, s.target, s.nextAt = false, to, w.now })
+	s.deliverDuplicate(w, sent.arriveAnywhere)
+	s.deliver(w, sent.controller, sent.arrive)
+}
+
+// arriveAnywhere brings a copy to any controller. Nobody waits for the answer.
+func (h *sentHeartbeat) arriveAnywhere() {
+	w := h.world
+	c := w.controllers[w.rng.IntN(len(w.controllers))]
+	if c.running && !c.faults.agentsUnreachable && !w.isPartitioned(h.worker.Zone, c.cfg.Zone) {
+		c.receiveCopy(h.heartbeat)
 	}
-	w.after(4*clock.Second, func() { next((s.target+1)%len(w.nodes), clock.Second) })
-	if s.keeps {
-		s.kept = append(s.kept, r)
+}
+
+// arrive brings the heartbeat to its controller.
+func (h *sentHeartbeat) arrive() {
+	c := h.controller
+	if !c.running {
+		h.giveUp()
+		return
 	}
-	if s.mute {
+	if c.faults.agentsUnreachable {
 		return
 	}
-	s.again(w, func() {
-		// Whichever controller it reaches, nobody waits for the answer.
-		if o := w.nodes[w.rng.IntN(len(w.nodes))]; o.alive && !o.blind && !w.apart(s.Zone, o.cfg.Zone) {
-			o.still(func() { o.report(r, func(shard.HeartbeatReply) {}) })()
-		}
-	})
-	s.deliver(w, n, func() {
-		if !n.alive {
-			next((s.target+1)%len(w.nodes), clock.Second)
-			return
+	c.ifSameProcess(func() {
+		c.receiveHeartbeat(h.heartbeat, func(reply shard.HeartbeatReply) {
+			h.worker.deliver(h.world, c, func() { h.handleReply(reply) })
+		})
+	})()
+}
+
+// handleReply takes the controller's answer.
+func (h *sentHeartbeat) handleReply(reply shard.HeartbeatReply) {
+	s, w := h.worker, h.world
+	if h.settled || s.ended || s.network.inboundCut {
+		return
+	}
+	switch reply.Status {
+	case 200:
+		h.settled, s.heartbeatPending = true, false
+		if s.HandleResponse(w.now, h.sentAt, h.epoch, reply.Body) {
+			s.heartbeatSoon(w)
 		}
-		if n.blind {
+	case 421:
+		named := slices.IndexFunc(w.controllers, func(c *simController) bool { return c.name == reply.Redirect.Controller })
+		if named >= 0 && named != s.controller {
+			h.turnTo(named, redirectDelay)
 			return
 		}
-		n.still(func() {
-			n.report(r, func(a shard.HeartbeatReply) {
-				s.deliver(w, n, func() {
-					if settled || s.dead || s.deaf {
-						return
-					}
-					switch {
-					case a.Status == 200:
-						settled, s.busy = true, false
-						if s.HandleResponse(w.now, sent, session, a.Body) {
-							s.changed(w)
-						}
-					case a.Status == 421 && a.Redirect.Controller != "":
-						for i, o := range w.nodes {
-							if o.name == a.Redirect.Controller && i != s.target {
-								next(i, 100*clock.Millisecond)
-								return
-							}
-						}
-						next((s.target+1)%len(w.nodes), clock.Second)
-					default:
-						next((s.target+1)%len(w.nodes), clock.Second)
-					}
-				})
-			})
-		})()
+		h.giveUp()
+	default:
+		h.giveUp()
+	}
+}
+
+// giveUp turns to the next controller.
+func (h *sentHeartbeat) giveUp() {
+	h.turnTo((h.worker.controller+1)%len(h.world.controllers), heartbeatRetry)
+}
+
+// turnTo has the next heartbeat sent to another controller after a while, unless this one is settled.
+func (h *sentHeartbeat) turnTo(controller int, wait clock.Micros) {
+	if h.settled {
+		return
+	}
+	h.settled = true
+	h.world.after(wait, func() {
+		s := h.worker
+		s.heartbeatPending, s.controller, s.nextHeartbeat = false, controller, h.world.now
 	})
 }
 
-// deliver carries a message to or from the machine: never while it is cut, late while it is held.
-func (s *simWorker) deliver(w *world, n *simNode, f func()) {
-	d := w.lat()
+// deliver carries a message to or from the machine: never while it is unreachable, late while it is held.
+func (s *simWorker) deliver(w *world, c *simController, arrive func()) {
+	delay := w.latency()
 	switch {
-	case w.apart(s.Zone, n.cfg.Zone):
-		d += w.cutUntil - w.now
-	case s.holdUntil > w.now:
-		d += s.holdUntil - w.now
+	case w.isPartitioned(s.Zone, c.cfg.Zone):
+		delay += w.faults.partitionedUntil - w.now
+	case s.network.heldUntil > w.now:
+		delay += s.network.heldUntil - w.now
 	case s.hungUntil > w.now:
-		d += s.hungUntil - w.now
-	case s.cut:
+		delay += s.hungUntil - w.now
+	case s.network.unreachable:
 		return
 	}
-	w.after(d, f)
+	w.after(delay, arrive)
 }
 
-// again lets a copy come late.
-func (s *simWorker) again(w *world, f func()) {
-	if s.copies > 0 {
-		w.after(clock.Second+clock.Micros(w.rng.Int64N(int64(s.copies))), f)
+// deliverDuplicate lets a copy come late.
+func (s *simWorker) deliverDuplicate(w *world, arrive func()) {
+	if s.network.duplicateDelay > 0 {
+		w.after(clock.Second+clock.Micros(w.rng.Int64N(int64(s.network.duplicateDelay))), arrive)
 	}
 }
 
-func (s *simWorker) changed(w *world) {
-	s.nextAt = min(s.nextAt, max(w.now, s.lastAt+clock.Second/2))
+// heartbeatSoon has the next heartbeat sent as soon as the least gap allows.
+func (s *simWorker) heartbeatSoon(w *world) {
+	s.nextHeartbeat = min(s.nextHeartbeat, max(w.now, s.lastHeartbeat+minHeartbeatGap))
+}
+
+// releaseHeartbeats lets the heartbeats that were kept for the next leader arrive at every controller, as
+// it begins and again when it has acted.
+func (w *world) releaseHeartbeats() {
+	delays := []clock.Micros{clock.Millisecond, 300 * clock.Millisecond, 2 * clock.Second, 6 * clock.Second}
+	for _, s := range w.machines.workers {
+		for i, heartbeat := range s.keptHeartbeats {
+			for _, c := range w.controllers {
+				for _, delay := range delays {
+					w.after(delay+clock.Micros(i), func() {
+						if c.running && !c.faults.agentsUnreachable {
+							c.receiveCopy(heartbeat)
+						}
+					})
+				}
+			}
+		}
+		s.keptHeartbeats = nil
+	}
 }
--- a/internal/scenario/world_test.go
+++ b/internal/scenario/world_test.go
@@ -1,11 +1,11 @@
 package scenario
 
 import (
-	"container/heap"
 	"context"
-	"fmt"
 	"math/rand/v2"
 	"slices"
+	"strconv"
+	"sync"
 
 	"swiftledge/internal/clock"
 	"swiftledge/internal/config"
@@ -13,140 +13,135 @@
 	"swiftledge/wire"
 )
 
+// step is how often controllers and workers act.
+const step = 50 * clock.Millisecond
+
 // world is a cluster with all that it talks to.
 type world struct {
+	eventQueue
 	transcript  *transcript // nil: nothing is recorded
-	now         clock.Micros
-	seq         int
-	events      events
 	rng         *rand.Rand
 	cfg         config.Config
+	nextLimits  *config.Next // limits that the settings name for later
 	store       *fake.Store
 	cloud       *fake.Cloud
-	nodes       []*simNode
-	workers     []*simWorker
-	byName      map[string]*simWorker
-	coming      []*fake.Instance  // rented and not up yet
-	rented      int               // how many of the cloud's machines were taken in
-	holds       map[string][]held // by team: what was on machines when last looked at
-	jobs        map[string]wire.Job
-	runS        map[string]float64
-	aborted     map[string]clock.Micros // when the user was told
-	broken      []string
-	malformed   int            // transactions that the state service refused for their form
-	unannounced bool           // its limits fell below what the settings say
-	ran         map[string]int // completed runs by task
-	outputs     *fake.Outputs
-	history     *history
-	next        *config.Next            // limits that the settings name for later
-	sent        map[string]clock.Micros // when a job was accepted
-	begun       map[string]clock.Micros // when its first task ran
-	stop        context.CancelFunc
-	ctx         context.Context
+	controllers []*simController
+	machines    machines
+	users       users
+	rules       rules
+	faults      worldFaults
+	traffic     traffic
+
+	ctx        context.Context // of the controllers' goroutines
+	endContext context.CancelFunc
+	running    sync.WaitGroup // those goroutines
+}
+
+// worldFaults is what a scenario lets go wrong outside of controllers and machines.
+type worldFaults struct {
 	// A zone that is cut off from everything; what is sent meanwhile comes at the end.
-	cutZone  string
-	cutUntil clock.Micros
-	// The cloud answers 503 to everything.
-	cloudDown    bool
-	cloudLate    float64                  // share of its requests that get no answer and are carried out seconds later
-	commandsLate float64                  // the same of the direct commands
-	submitted    int                      // jobs that random worlds have submitted
-	told         map[string]wire.JobState // by job: the latest state that any node told
-	fits         map[string]clock.Micros  // by job: since when it waits beside room for it
-	bodies       map[string][]byte        // submissions
-	mistaken     map[string]int           // by job: each how many-eth task fails wherever it runs
-	tried        map[string]clock.Micros  // by job: when a task of it last began to run
-	asked        int                      // requests of controllers to the state service
-	said         int                      // messages between different controllers
-	looks        bool                     // users ask everywhere, and submit again, as soon as something was told
+	partitionedZone   string
+	partitionedUntil  clock.Micros
+	cloudDown         bool    // the cloud answers 503 to everything
+	lateCloudShare    float64 // of its requests that get no answer and are carried out seconds later
+	lateCommandShare  float64 // the same of the direct commands
+	limitsUnannounced bool    // the limits of the state service fell below what the settings say
 }
 
-const step = 50 * clock.Millisecond
+// traffic counts messages.
+type traffic struct {
+	storeRequests int // of controllers to the state service
+	peerMessages  int // between different controllers
+}
 
 // newWorld makes a cluster; its transcript has the name.
 func newWorld(name string, cfg config.Config, types []wire.MachineType, seed uint64) *world {
-	ctx, stop := context.WithCancel(context.Background())
-	w := &world{transcript: transcripts.open(name), rng: rand.New(rand.NewPCG(seed, 1)), cfg: cfg, ctx: ctx, stop: stop,
-		store:  fake.NewStore(cfg.Facts.State.ValueKB, cfg.Facts.State.TxnOps),
-		cloud:  fake.NewCloud(types, clock.FromSeconds(cfg.Facts.Cloud.ListLagS)),
-		byName: map[string]*simWorker{}, holds: map[string][]held{},
-		jobs: map[string]wire.Job{}, runS: map[string]float64{}, aborted: map[string]clock.Micros{}, ran: map[string]int{}, next: cfg.Facts.State.Next, sent: map[string]clock.Micros{}, begun: map[string]clock.Micros{},
-		told: map[string]wire.JobState{}, fits: map[string]clock.Micros{}, bodies: map[string][]byte{}, mistaken: map[string]int{}, tried: map[string]clock.Micros{}}
-	w.outputs, w.history = fake.NewOutputs(), newHistory(w)
+	ctx, endContext := context.WithCancel(context.Background())
+	w := &world{
+		transcript: transcripts.open(name),
+		rng:        rand.New(rand.NewPCG(seed, 1)),
+		cfg:        cfg,
+		nextLimits: cfg.Facts.State.Next,
+		store:      fake.NewStore(cfg.Facts.State.ValueKB, cfg.Facts.State.TxnOps),
+		cloud:      fake.NewCloud(types, clock.FromSeconds(cfg.Facts.Cloud.ListLagS)),
+		machines:   machines{byName: map[string]*simWorker{}, outputs: fake.NewOutputs()},
+		users:      newUsers(),
+		ctx:        ctx,
+		endContext: endContext,
+	}
+	w.rules = newRules(w)
 	for i := range cfg.Facts.InitialSize {
-		n := &simNode{w: w, i: i, name: fmt.Sprintf("n%d", i), cfg: cfg}
-		n.cfg.Name = n.name
-		n.cfg.Zone = cfg.Facts.Zones[i%len(cfg.Facts.Zones)]
-		for k := range cfg.Facts.InitialSize {
-			if k != i {
-				n.cfg.Peers = append(n.cfg.Peers, config.Peer{Name: fmt.Sprintf("n%d", k)})
-			}
-		}
-		w.nodes = append(w.nodes, n)
-		n.start()
+		c := newController(w, i)
+		w.controllers = append(w.controllers, c)
+		c.start()
 	}
 	w.after(step, w.tick)
 	return w
 }
 
-func (w *world) run(d clock.Micros) {
-	end := w.now + d
-	for len(w.events) > 0 && w.events[0].at <= end {
-		e := heap.Pop(&w.events).(event)
-		w.now = e.at
-		e.f()
-	}
-	w.now = end
+// stop ends the goroutines of the world and waits for them.
+func (w *world) stop() {
+	w.endContext()
+	w.running.Wait()
 }
 
+// tick is one step of everything that acts by itself.
 func (w *world) tick() {
 	w.store.ExpireLeases(w.now)
-	for _, n := range w.nodes {
-		n.tick()
+	for _, c := range w.controllers {
+		c.tick()
 	}
-	w.coming = append(w.coming, w.cloud.Created[w.rented:]...)
-	w.rented = len(w.cloud.Created)
-	w.coming = slices.DeleteFunc(w.coming, func(m *fake.Instance) bool {
-		up := !m.Deleted && !m.Failed && !m.NeverBoots && !m.NeverReports && w.now >= m.BootedAt
-		if up {
-			w.boot(m)
-		}
-		return up || m.Deleted
-	})
-	for _, s := range w.workers {
+	w.bootMachines()
+	for _, s := range w.machines.workers {
 		s.tick(w)
 	}
-	for _, ref := range sortedKeys(w.aborted) {
-		if w.now-w.aborted[ref] > clock.FromSeconds(w.cfg.Facts.Workers.CancelS) {
-			for _, s := range w.workers {
-				for _, t := range s.Tasks {
-					if t.Job.Ref == ref && t.IsActive() && !s.dead {
-						w.breaks("ran_cancelled: %s on %s", t.Task, s.Name)
-					}
-				}
-			}
-		}
+	w.checkCancelledJobs()
+	w.checkWaitingJobs()
+	if w.users.queryOften {
+		w.queryUnfinishedJobs()
 	}
-	w.watchWaiting()
-	if w.looks {
-		for i, ref := range sortedKeys(w.jobs) {
-			if n := w.nodes[(int(w.now/step)+i)%len(w.nodes)]; n.alive && n.frozenUntil <= w.now && w.told[ref] != wire.JobDone && w.told[ref] != wire.JobCancelled {
-				w.hear(ref, n.lookUp(ref))
-			}
+	w.after(step, w.tick)
+}
+
+// latency is the delay of one message.
+func (w *world) latency() clock.Micros { return clock.Millisecond + clock.Micros(w.rng.IntN(2000)) }
+
+// isPartitioned says whether the cut zone lies between two places; "" is the region.
+func (w *world) isPartitioned(a, b string) bool {
+	return w.now < w.faults.partitionedUntil && (a == w.faults.partitionedZone) != (b == w.faults.partitionedZone)
+}
+
+// hasFaults says whether anything is wrong that a scenario has brought about.
+func (w *world) hasFaults() bool {
+	return w.store.Down || w.faults.cloudDown || w.faults.lateCloudShare > 0 || w.faults.lateCommandShare > 0 ||
+		w.now < w.faults.partitionedUntil ||
+		slices.ContainsFunc(w.controllers, func(c *simController) bool { return !c.running || c.faults.any(w.now) }) ||
+		slices.ContainsFunc(w.machines.workers, func(s *simWorker) bool { return !s.instance.Deleted && s.hasFaults(w.now) })
+}
+
+// leaders are the controllers that lead.
+func (w *world) leaders() (leaders []*simController) {
+	for _, c := range w.controllers {
+		if c.leads() {
+			leaders = append(leaders, c)
 		}
 	}
-	w.after(step, w.tick)
+	return leaders
 }
 
+// controllerName is the name of a controller, by its number.
+func controllerName(i int) string { return "n" + strconv.Itoa(i) }
+
 func sortedKeys[V any](m map[string]V) []string {
-	out := make([]string, 0, len(m))
-	for k := range m {
-		out = append(out, k)
+	keys := make([]string, 0, len(m))
+	for key := range m {
+		keys = append(keys, key)
 	}
-	slices.Sort(out)
-	return out
+	slices.Sort(keys)
+	return keys
 }
 
+// must is for errors that only a mistake in the tests themselves can cause.
 func must(err error) {
 	if err != nil {
 		panic(err)
