--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -255,9 +255,9 @@
 		l.countsReportedAt = now
 		l.reportTaskCounts()
 	}
-	if now-l.stateLoggedAt >= 10*clock.Second {
+	if now-l.stateLoggedAt >= stateLogInterval {
 		l.stateLoggedAt = now
-		l.logState(now)
+		l.logState()
 	}
 	l.reconcileInventory(now)
 }
--- a/internal/leader/spread.go
+++ b/internal/leader/spread.go
@@ -165,7 +165,7 @@
 	s.looked = now
 	for _, m := range s.Expire(now) {
 		l.emit(Log{Debug: true, Message: "move given up", Attributes: []any{"task", m.Task.String(), "stage", m.Stage.String()}})
-		l.traceMove(now, m, "given up")
+		l.traceMigration(now, m, "given up")
 	}
 	for _, t := range l.autoscaler.catalog {
 		s.fetches.Published(t.Name, t.FetchGBPS)
@@ -324,7 +324,7 @@
 	if m, ok := l.rebalancing.Runs(taskID(t), h.machine); ok {
 		l.emit(Log{Debug: true, Message: "task moved", Attributes: []any{"task", shard.TaskName(t), "from", m.From, "to", h.machine, "meant", m.To,
 			"took_s", (now - m.Since).Seconds()}})
-		l.traceMove(now, m, "done")
+		l.traceMigration(now, m, "done")
 	}
 }
 
@@ -336,7 +336,7 @@
 	switch {
 	case e.Kind == peer.EventCompleted:
 		if m, ok := l.rebalancing.Ended(taskID(e.Task)); ok {
-			l.traceMove(now, m, "its task completed")
+			l.traceMigration(now, m, "its task completed")
 		}
 	case h != nil && h.stopped == moved:
 		l.rebalancing.Gone(now, taskID(e.Task))
@@ -351,6 +351,6 @@
 		return
 	}
 	for _, m := range l.rebalancing.Forget(j.Spec.Ref) {
-		l.traceMove(now, m, "its job is "+string(state))
+		l.traceMigration(now, m, "its job is "+string(state))
 	}
 }
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -9,55 +9,52 @@
 	"swiftledge/internal/rebalancer"
 )
 
-// status tells an operator what the leader knows of loads, waiting work and moves.
+// status tells an operator what the leader knows of loads, waiting work and migrations.
 func (l *Leader) status(now clock.Micros) peer.Status {
-	s := peer.Status{Controller: l.self, Term: l.term, Leading: l.leading && l.loaded, Rebalancing: l.rebalancing != nil}
-	if !s.Leading {
-		return s
+	status := peer.Status{
+		Controller: l.self, Term: l.term, Leading: l.leading && l.loaded, Rebalancing: l.rebalancing != nil,
 	}
-	mean, blocks := l.blockLoads()
-	s.MeanLoad, s.Shards = mean, blocks
+	if !status.Leading {
+		return status
+	}
+	status.MeanLoad, status.Shards = l.shardLoads()
 	for _, name := range slices.Sorted(maps.Keys(l.inventory.machines)) {
 		if m := l.inventory.machines[name]; m.up {
-			s.Machines = append(s.Machines, l.machineStatus(m, mean))
+			status.Machines = append(status.Machines, l.machineStatus(m, status.MeanLoad))
 		}
 	}
-	s.Teams = l.teamStatus()
-	s.Suspects = l.suspectStatus(now)
+	status.Teams = l.teamStatus()
+	status.Suspects = l.suspectStatus(now)
 	if l.rebalancing != nil {
-		s.Migrations, s.Refusals = moveStatus(now, l.rebalancing.InFlight()), refusalStatus(l.rebalancing.Refusals())
-		o := l.rebalancing.Outcomes()
-		s.MigrationOutcomes = peer.MigrationOutcomes{Begun: o.Begun, Arrived: o.Arrived, Elsewhere: o.Elsewhere, Cancelled: o.Cancelled, GivenUp: o.GivenUp}
+		status.Migrations = migrationStatus(now, l.rebalancing.InFlight())
+		status.Refusals = refusalStatus(l.rebalancing.Refusals())
+		status.MigrationOutcomes = migrationOutcomes(l.rebalancing.Outcomes())
 	}
-	return s
+	return status
 }
 
+// load is the dominant share of the machine that its tasks take.
 func (m *machine) load() float64 { return m.used().DominantShare(m.capacity()) }
 
-// blockLoads sums up loads by block; the means are of the machines that take work.
-func (l *Leader) blockLoads() (float64, []peer.ShardStatus) {
+// shardLoads sums up loads by shard. The means are of the machines that take work, the first that of all of them.
+func (l *Leader) shardLoads() (float64, []peer.ShardStatus) {
 	var all rebalancer.Mean
 	means := make([]rebalancer.Mean, len(l.shards.all))
 	out := make([]peer.ShardStatus, len(l.shards.all))
-	for i, b := range l.shards.all {
-		out[i] = peer.ShardStatus{Shard: i, Holder: b.Holder, Granted: b.state == granted, Tasks: len(b.tasks)}
-		for _, h := range b.tasks {
-			if !h.running {
-				out[i].Unstarted++
-			}
-		}
+	for i, lease := range l.shards.all {
+		out[i] = lease.status()
 	}
 	for _, m := range l.inventory.machines {
 		if !m.up {
 			continue
 		}
-		b := &out[m.shard.ID]
-		b.Machines++
+		status := &out[m.shard.ID]
+		status.Machines++
 		if !m.takesWork() {
 			continue
 		}
-		b.TakeWork++
-		b.MostLoad = max(b.MostLoad, m.load())
+		status.TakeWork++
+		status.MostLoad = max(status.MostLoad, m.load())
 		all.Add(m.load())
 		means[m.shard.ID].Add(m.load())
 	}
@@ -67,17 +64,33 @@
 	return all.Value(), out
 }
 
+// status tells who holds the shard, and how many of its tasks have not started.
+func (lease *shardLease) status() peer.ShardStatus {
+	status := peer.ShardStatus{
+		Shard: lease.ID, Holder: lease.Holder, Granted: lease.state == granted, Tasks: len(lease.tasks),
+	}
+	for _, task := range lease.tasks {
+		if !task.running {
+			status.Unstarted++
+		}
+	}
+	return status
+}
+
+// machineStatus tells how loaded a machine is against the mean, and why it takes no work if it does not.
 func (l *Leader) machineStatus(m *machine, mean float64) peer.MachineStatus {
-	s := peer.MachineStatus{Name: m.name, Shard: m.shard.ID, Type: m.option.Type.Name, Zone: m.option.Zone, Load: m.load(), Tasks: m.state.Tasks,
-		TakesWork: m.takesWork(), WhyNot: m.whyNoWork()}
+	status := peer.MachineStatus{
+		Name: m.name, Shard: m.shard.ID, Type: m.option.Type.Name, Zone: m.option.Zone, Load: m.load(),
+		Tasks: m.state.Tasks, TakesWork: m.takesWork(), WhyNot: m.exclusionReason(),
+	}
 	if mean > 0 {
-		s.OverMean = s.Load / mean
+		status.OverMean = status.Load / mean
 	}
-	return s
+	return status
 }
 
-// whyNoWork says why a machine takes no work; "" if it does.
-func (m *machine) whyNoWork() string {
+// exclusionReason tells an operator why a machine takes no work; "" if it does.
+func (m *machine) exclusionReason() string {
 	switch {
 	case m.shard.state != granted:
 		return "its block has no holder"
@@ -121,14 +134,25 @@
 	return out
 }
 
-func moveStatus(now clock.Micros, moves []rebalancer.Migration) (out []peer.MigrationStatus) {
-	for _, m := range moves {
-		out = append(out, peer.MigrationStatus{Task: m.Task.String(), Team: m.Team, From: m.From, To: m.To, Stage: m.Stage.String(),
-			AgeS: (now - m.Since).Seconds(), GainS: m.GainS, CostS: m.CostS})
+// migrationStatus tells of the migrations in flight.
+func migrationStatus(now clock.Micros, migrations []rebalancer.Migration) (out []peer.MigrationStatus) {
+	for _, m := range migrations {
+		out = append(out, peer.MigrationStatus{
+			Task: m.Task.String(), Team: m.Team, From: m.From, To: m.To, Stage: m.Stage.String(),
+			AgeS: (now - m.Since).Seconds(), GainS: m.GainS, CostS: m.CostS,
+		})
 	}
 	return out
 }
 
+// migrationOutcomes tells how the migrations of the term have ended.
+func migrationOutcomes(o rebalancer.Outcomes) peer.MigrationOutcomes {
+	return peer.MigrationOutcomes{
+		Begun: o.Begun, Arrived: o.Arrived, Elsewhere: o.Elsewhere, Cancelled: o.Cancelled, GivenUp: o.GivenUp,
+	}
+}
+
+// refusalStatus tells why tasks were not migrated.
 func refusalStatus(refusals []rebalancer.Refusal) (out []peer.RefusalStatus) {
 	for _, r := range refusals {
 		s := peer.RefusalStatus{Machine: r.Machine, Reason: string(r.Reason), Tasks: r.Tasks}
@@ -139,43 +163,3 @@
 	}
 	return out
 }
-
-// logState sums up queues and room for whoever reads a debug log.
-func (l *Leader) logState(now clock.Micros) {
-	waiting, room, fit, full := 0, 0.0, 0, 0
-	standing, ordinary, idle := 0, 0, 0
-	blocked := 0
-	for j := range l.jobs.All() {
-		waiting += j.Waiting()
-		if j.Spec.IsService() {
-			standing += j.Running()
-		}
-		team := l.teams[j.Spec.Team]
-		if !l.usage.Of(team.Name).FitsLimit(&j.Spec, team) {
-			blocked += j.Waiting()
-		}
-	}
-	for _, m := range l.inventory.machines {
-		if !m.option.Spot {
-			ordinary++
-		}
-		if m.up && m.state.Tasks == 0 {
-			idle++
-		}
-		if m.state.Schedulable && !m.draining && !m.cordoned {
-			fit++
-			room += m.state.CPUs
-		}
-	}
-	used := 0.0
-	for name, u := range l.usage.All() {
-		used += u.CPUs
-		if u.CPUs > l.teams[name].CPULimit()-1 {
-			full++
-		}
-	}
-	l.emit(Log{Debug: true, Message: "state", Attributes: []any{"jobs", l.jobs.Len(), "waiting", waiting, "waiting_at_limit", blocked,
-		"teams_at_limit", full, "cpus_held", used, "cpus_free", room, "machines", len(l.inventory.machines), "fit", fit,
-		"ordinary", ordinary, "idle", idle, "replicas", standing,
-		"failed", l.outcomes.failed, "failed_suspect", l.outcomes.failedSuspect, "preempted", l.outcomes.preempted}})
-}
--- a/internal/naming/naming_test.go
+++ b/internal/naming/naming_test.go
@@ -35,7 +35,7 @@
 	"internal/shard":      17,
 	"internal/compat":     1,
 	"internal/autoscaler": 1,
-	"internal/leader":     37,
+	"internal/leader":     35,
 	"internal/controller": 7,
 }
 
