--- /dev/null
+++ b/internal/api/job_cache_test.go
@@ -0,0 +1,96 @@
+package api
+
+import (
+	"testing"
+
+	"swiftledge/internal/clock"
+	"swiftledge/internal/config"
+	"swiftledge/internal/leader"
+	"swiftledge/internal/peer"
+	"swiftledge/wire"
+)
+
+func newTestCacheState() *cacheState {
+	cfg := &config.Config{}
+	cfg.Peers = []config.Peer{{Name: "c1"}}
+	return newCacheState(cfg)
+}
+
+// A leader is reachable for a while after a message of its term that says that the store serves it.
+func TestLeaderIsReachableAfterItsMessages(t *testing.T) {
+	served := peer.FromLeader{Term: 7, RenewedSeq: 1, StoreOK: true}
+	for _, c := range []struct {
+		name    string
+		message peer.FromLeader
+		after   clock.Micros
+		want    bool
+	}{
+		{"at once", served, 0, true},
+		{"just in time", served, leaderContactTimeout - 1, true},
+		{"too long ago", served, leaderContactTimeout, false},
+		{"of another term", peer.FromLeader{Term: 6, RenewedSeq: 1, StoreOK: true}, 0, false},
+		{"without the store", peer.FromLeader{Term: 7, RenewedSeq: 1}, 0, false},
+		{"without a renewal", peer.FromLeader{Term: 7, StoreOK: true}, 0, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			s := newTestCacheState()
+			s.handle(LeaderChanged{Term: 7, Controller: "c1"}, clock.Second)
+			s.handle(LeaderMessage{&c.message}, 2*clock.Second)
+			if got := s.view("", 2*clock.Second+c.after).LeaderReachable; got != c.want {
+				t.Errorf("reachable: %v, want %v", got, c.want)
+			}
+			s.handle(LeaderChanged{Term: 8, Controller: "c2"}, 2*clock.Second)
+			if view := s.view("", 2*clock.Second); view.LeaderReachable || view.Term != 8 || view.Leader != "c2" {
+				t.Errorf("after a change of leader: %+v", view)
+			}
+		})
+	}
+}
+
+// A controller is isolated while it reaches none of the others; one without others never is.
+func TestIsolation(t *testing.T) {
+	s := newTestCacheState()
+	s.handle(PeerContacted{}, clock.Second)
+	if s.view("", clock.Second+isolatedAfter).Isolated {
+		t.Error("isolated too early")
+	}
+	if !s.view("", clock.Second+isolatedAfter+1).Isolated {
+		t.Error("not isolated though no other was reached")
+	}
+	if newCacheState(&config.Config{}).view("", isolatedAfter+1).Isolated {
+		t.Error("isolated without others")
+	}
+}
+
+// A job's final state replaces its counts; a poll that is answered forgets those that failed.
+func TestViewOfAJob(t *testing.T) {
+	s := newTestCacheState()
+	count := peer.TaskCount{Job: testRef, Done: 2, Running: 3}
+	s.handle(LeaderMessage{&peer.FromLeader{TaskCounts: []peer.TaskCount{count}}}, clock.Second)
+	s.handle(pollFailed{testRef}, clock.Second)
+	s.handle(pollFailed{testRef}, 2*clock.Second)
+	view := s.view(testRef, 4*clock.Second)
+	if view.Count != count || view.FinalState != nil || view.UnansweredFor != 3*clock.Second {
+		t.Errorf("while it runs: %+v", view)
+	}
+	s.handle(pollAnswered{testRef}, 4*clock.Second)
+	s.handle(jobEnded{testRef, leader.FinalStateRecord{State: wire.JobDone, Tasks: 5}}, 4*clock.Second)
+	view = s.view(testRef, 5*clock.Second)
+	if view.Count.Done != 0 || view.FinalState == nil || view.FinalState.Tasks != 5 || view.UnansweredFor != 0 {
+		t.Errorf("after its end: %+v", view)
+	}
+}
+
+// Machine types stay known when the leader does not repeat them.
+func TestMachineTypesAreKept(t *testing.T) {
+	s := newTestCacheState()
+	s.handle(catalogRead{[]wire.MachineType{{Name: "small"}}}, 0)
+	s.handle(LeaderMessage{&peer.FromLeader{}}, 0)
+	if types := s.view("", 0).Types; len(types) != 1 || types[0].Name != "small" {
+		t.Errorf("types are %+v", types)
+	}
+	s.handle(LeaderMessage{&peer.FromLeader{Types: []wire.MachineType{{Name: "large"}, {Name: "g8"}}}}, 0)
+	if types := s.view("", 0).Types; len(types) != 2 {
+		t.Errorf("types are %+v", types)
+	}
+}
--- a/internal/api/service.go
+++ b/internal/api/service.go
@@ -27,8 +27,8 @@
 
 // Store is what the users' requests need of the store.
 type Store interface {
-	Get(ctx context.Context, prio store.Priority, key string) (wire.Item, error)
-	TryCommit(ctx context.Context, prio store.Priority, t wire.Txn) (store.TxnResult, error)
+	Get(ctx context.Context, priority store.Priority, key string) (wire.Item, error)
+	TryCommit(ctx context.Context, priority store.Priority, txn wire.Txn) (store.TxnResult, error)
 }
 
 // Options are what a Service works with.
--- a/internal/status/status_test.go
+++ b/internal/status/status_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"encoding/json"
+	"errors"
 	"io"
 	"net"
 	"strings"
@@ -127,3 +128,22 @@
 		}
 	}
 }
+
+// fullDisk is a writer that takes nothing.
+type fullDisk struct{}
+
+var errFullDisk = errors.New("no space left")
+
+// Write fails.
+func (fullDisk) Write([]byte) (int, error) { return 0, errFullDisk }
+
+// What cannot be written is an error, in both forms.
+func TestWriteErrorsAreReturned(t *testing.T) {
+	controllers := []Controller{{Name: "c0", Status: &peer.Status{Leading: true}}}
+	if err := WriteTable(fullDisk{}, controllers, WithMachines); !errors.Is(err, errFullDisk) {
+		t.Errorf("table: error %v", err)
+	}
+	if err := WriteJSON(fullDisk{}, controllers); !errors.Is(err, errFullDisk) {
+		t.Errorf("JSON: error %v", err)
+	}
+}
