--- a/internal/controller/pauses.go
+++ b/internal/controller/pauses.go
@@ -30,7 +30,7 @@
 			switch m := msg.(type) {
 			case pausedetect.Pause:
 				if recorder.Add(m) {
-					gathered = time.After(time.Duration(pausedetect.GatherTime) * time.Microsecond)
+					gathered = time.After(time.Duration(pausedetect.CollectionTime) * time.Microsecond)
 				}
 			case askPauses:
 				last, count := recorder.Last()
