--- a/internal/naming/naming_test.go
+++ b/internal/naming/naming_test.go
@@ -32,7 +32,6 @@
 // replaced, and never raised; a directory that is not listed declares none.
 var ceilings = map[string]int{
 	"internal/rebalancer": 1,
-	"internal/shard":      17,
 	"internal/compat":     1,
 	"internal/autoscaler": 1,
 	"internal/leader":     35,
--- /dev/null
+++ b/internal/shard/attempt_log_test.go
@@ -0,0 +1,286 @@
+package shard
+
+import (
+	"strconv"
+	"testing"
+
+	"swiftledge/internal/clock"
+	"swiftledge/internal/peer"
+	"swiftledge/internal/store"
+	"swiftledge/wire"
+)
+
+// The key of an attempt page names the lease that wrote it, and its count there; leaders of any version find the
+// pages of a shard by the beginning of their keys.
+func TestKeyOfAnAttemptPage(t *testing.T) {
+	l := attemptLog{shard: 2, fencingToken: 7<<12 | 3}
+	cases := []struct {
+		name, want string
+		token      wire.FencingToken
+	}{
+		{"of its own records", "run/002/28675-1", 7<<12 | 3},
+		{"of an earlier lease's", "run/002/28675-2", 6<<12 | 1},
+	}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			if got := l.newPage(c.token).key; got != c.want {
+				t.Errorf("the key is %s, want %s", got, c.want)
+			}
+		})
+	}
+}
+
+// countRecords counts the records on a page.
+func countRecords(t *testing.T, page peer.AttemptPage) (count int) {
+	t.Helper()
+	for i := range page.Groups {
+		records, err := page.Records(&page.Groups[i])
+		if err != nil {
+			t.Fatal(err)
+		}
+		count += len(records)
+	}
+	return count
+}
+
+// A cycle costs one put whatever the number of its tasks, and what is written over a page keeps all records that are
+// not proven gone.
+func TestCycleWritesOnePage(t *testing.T) {
+	h := newTestHolder(t)
+	h.Step(now, heartbeat("m1", 1, testToken))
+	h.Step(now, heartbeat("m2", 1, testToken, running(2)))
+	place := func(seq uint64, job string, tasks int) WriteAttempts {
+		t.Helper()
+		offered := offer(seq, wire.Job{Ref: job, Team: "red", CPUs: 0.01, Image: "img"}, tasks)
+		return onlyEffect[WriteAttempts](t, h.Step(now, offered))
+	}
+	first := place(1, "j-000007", 60)
+	if len(first.Pages) != 1 || first.Pages[0].Version != 0 {
+		t.Fatalf("%d pages for one cycle, want one that is new", len(first.Pages))
+	}
+	h.Step(now, first.Result(store.TxnResult{Committed: true, Revision: 33}))
+	second := place(2, "j-000008", 20)
+	if len(second.Pages) != 1 || second.Pages[0].Key != first.Pages[0].Key || second.Pages[0].Version != 33 {
+		t.Fatalf("second cycle writes %+v, want the first one's page again, on its version", second.Pages)
+	}
+	if n := countRecords(t, second.Pages[0].Page); n != 80 {
+		t.Errorf("the page holds %d records, want 80", n)
+	}
+	txn, err := second.Txn()
+	if err != nil || len(txn.Writes) != 1 || len(txn.Writes[0].Value) > h.params.MaxValueBytes {
+		t.Errorf("transaction of %d puts, %v", len(txn.Writes), err)
+	}
+	// No answer: a copy may be carried out yet, so the page is not written again.
+	h.Step(now, second.Result(store.TxnResult{Ambiguous: true}))
+	if third := place(3, "j-000009", 5); third.Pages[0].Key == second.Pages[0].Key {
+		t.Error("writes over a page whose last write is uncertain")
+	}
+}
+
+// Pages that are full must not take the place of new ones in a transaction: with as many of them as it holds, nothing
+// could be launched until some task ended.
+func TestFullPagesDoNotHoldBackLaunches(t *testing.T) {
+	h := newTestHolder(t)
+	h.Step(now, fromLeader(peer.FromLeader{Term: testTerm,
+		Types: []wire.MachineType{{Name: "small", CPUs: 4000, MemoryGB: 8000}}}))
+	h.Step(now, heartbeat("m1", 1, testToken))
+	for seq := uint64(1); seq <= 15; seq++ {
+		job := wire.Job{Ref: "j-" + strconv.Itoa(100000+int(seq)), Team: "red", CPUs: 1, Spot: true, Tasks: 250}
+		launched := 0
+		for _, write := range effectsOf[WriteAttempts](h.Step(now, offer(seq, job, 250))) {
+			txn, err := write.Txn()
+			if err != nil || len(txn.Writes) > h.params.MaxTxnOps {
+				t.Fatalf("cycle %d: %d puts in a transaction, %v", seq, len(txn.Writes), err)
+			}
+			launched = len(h.shards[0].log.write.attempts)
+			h.Step(now, write.Result(store.TxnResult{Committed: true, Revision: 30 + seq}))
+		}
+		if launched != 250 {
+			t.Fatalf("cycle %d launches %d of 250 tasks, with %d pages in use", seq, launched, len(h.shards[0].log.pages))
+		}
+	}
+}
+
+// holderOfStalePages returns a holder under token 60 whose two pages name 30 attempts each on m1, of which the first
+// one runs, and the status of those two.
+func holderOfStalePages(t *testing.T) (*Holder, []wire.TaskStatus) {
+	t.Helper()
+	h := newTestHolder(t)
+	h.Step(now, LeaderConnected{Term: 10})
+	pages := map[string]peer.AttemptPage{}
+	var tasks []wire.TaskStatus
+	for p := range 2 {
+		g := peer.AttemptGroup{Job: task.Job, Team: "red", CPUs: 0.01}
+		for i := range 30 {
+			g.Attempts = append(g.Attempts, 100*p+i, 100*p+i+1, 0)
+		}
+		pages["run/000/1-"+strconv.Itoa(p)] = peer.AttemptPage{FencingToken: 40, Machines: []string{"m1"},
+			Groups: []peer.AttemptGroup{g}}
+		tasks = append(tasks, wire.TaskStatus{Task: TaskName(peer.Task{Job: task.Job, Index: 100 * p}),
+			Attempt: peer.NewAttemptID(40, uint64(100*p+1)), State: wire.TaskRunning})
+	}
+	h.Step(now, fromLeader(peer.FromLeader{Term: 10, Grants: []peer.ShardGrant{
+		{Shard: 0, FencingToken: 60, KeyVersion: 8, Machines: testInventory[:1], Pages: pages}}}))
+	h.Step(now, renewal(h, 60))
+	h.Step(later(10), heartbeat("m1", 1, 60, tasks...))
+	return h, tasks
+}
+
+// A replica that runs for long must not keep a page full of records of what is over: they would count in full at each
+// failover and be sent with each grant.
+func TestPagesOfRunningTasksAreCompacted(t *testing.T) {
+	for _, c := range []struct {
+		name    string
+		outcome store.TxnResult
+		deleted int
+	}{
+		{"answered", store.TxnResult{Committed: true, Revision: 40}, 1},
+		{"no answer", store.TxnResult{Ambiguous: true}, 3},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			h, tasks := holderOfStalePages(t)
+			compaction := onlyEffect[CompactPages](t, h.Step(later(11), Tick{}))
+			txn, err := compaction.Txn()
+			if err != nil || len(txn.Writes) != 3 || txn.Conditions[0] != (wire.Condition{Key: Key(0), Version: 8}) ||
+				txn.Conditions[1] != (wire.Condition{Key: compaction.Put.Key}) {
+				t.Fatalf("transaction %+v, %v", txn, err)
+			}
+			page := &compaction.Put.Page
+			records, err := page.Records(&page.Groups[0])
+			if err != nil || len(records) != 2 ||
+				records[0].Attempt != tasks[0].Attempt || records[1].Attempt != tasks[1].Attempt {
+				t.Fatalf("the new page names %+v, want what runs", records)
+			}
+			h.Step(later(12), compaction.Result(c.outcome))
+			// Both end: whatever may hold their records is deleted.
+			for i := range tasks {
+				tasks[i].State, tasks[i].Cause = wire.TaskExited, wire.ExitStopped
+			}
+			h.Step(later(13), heartbeat("m1", 2, 60, tasks...))
+			keys := map[string]bool{}
+			for i := range 60 {
+				for _, deletion := range effectsOf[DeletePages](h.Step(later(20+10*i), Tick{})) {
+					for _, key := range deletion.Keys {
+						keys[key] = true
+					}
+				}
+				h.Step(later(20+10*i), renewal(h, 60))
+			}
+			if !keys[compaction.Put.Key] || len(keys) != c.deleted {
+				t.Errorf("deleted %v, want %d keys", keys, c.deleted)
+			}
+		})
+	}
+}
+
+// A page that is being written keeps its place: a compaction would delete what the write is to hold.
+func TestPageBeingWrittenIsNotCompacted(t *testing.T) {
+	for _, writing := range []bool{false, true} {
+		h := newTestHolder(t)
+		l := &h.shards[0].log
+		page := l.pages[0]
+		page.stored = 100
+		if writing {
+			l.write = &attemptWrite{pages: []*attemptPage{page}}
+		}
+		h.maintainLog(later(1), h.shards[0])
+		if (l.compaction == nil) != writing {
+			t.Errorf("being written %v: compacting %v", writing, l.compaction != nil)
+		}
+	}
+}
+
+// What the store refuses for its size is tried in smaller pieces, not for ever.
+func TestTooLargeWritesGetSmaller(t *testing.T) {
+	h := newTestHolder(t)
+	h.Step(now, heartbeat("m1", 1, testToken))
+	effects := h.Step(now, offer(1, wire.Job{Ref: "j-000009", Team: "red", CPUs: 1, Spot: true, Tasks: 1}, 1))
+	before := h.params
+	for _, write := range effectsOf[WriteAttempts](effects) {
+		h.Step(now, write.Result(store.TxnResult{Rejected: true}))
+	}
+	if h.params.MaxValueBytes != before.MaxValueBytes/2 || h.params.MaxTxnOps != before.MaxTxnOps/2 {
+		t.Errorf("values of %d bytes and %d operations after a refusal, were %d and %d",
+			h.params.MaxValueBytes, h.params.MaxTxnOps, before.MaxValueBytes, before.MaxTxnOps)
+	}
+}
+
+// That a page's condition fails proves an earlier try only while the shard is ours.
+func TestFailedConditions(t *testing.T) {
+	write := WriteAttempts{Shard: 0, FencingToken: testToken}
+	const page = "run/000/50-1"
+	for _, c := range []struct {
+		name      string
+		result    store.TxnResult
+		committed bool
+		fenced    bool
+	}{
+		{"the page's, after a try without an answer",
+			store.TxnResult{Ambiguous: true, FailedKeys: []string{page}}, true, false},
+		{"the page's, at once", store.TxnResult{FailedKeys: []string{page}}, false, false},
+		{"both, after a try without an answer",
+			store.TxnResult{Ambiguous: true, FailedKeys: []string{Key(0), page}}, false, true},
+		{"the shard's", store.TxnResult{FailedKeys: []string{Key(0)}}, false, true},
+	} {
+		got := write.Result(c.result)
+		if got.Committed != c.committed || got.Fenced != c.fenced || got.NeverExecuted || got.Revision != 0 {
+			t.Errorf("%s: %+v", c.name, got)
+		}
+	}
+}
+
+// The attempts of a lease are as many as their bits; one more would be an attempt of the next token. A lease that runs
+// out of them places nothing more and asks for a new one.
+func TestLeaseOutOfAttemptsAsksForANewOne(t *testing.T) {
+	for _, c := range []struct {
+		count        uint64
+		places, asks bool
+	}{
+		{0, true, false},
+		{1<<peer.AttemptBits - attemptReserve - 1, true, true},
+		{1<<peer.AttemptBits - attemptReserve, false, true},
+	} {
+		h := newTestHolder(t)
+		h.Step(now, heartbeat("m1", 1, testToken))
+		h.Step(now, heartbeat("m1", 2, testToken))
+		attempts := &h.shards[0].attempts
+		attempts.count = c.count
+		placed := 0
+		offered := offer(1, wire.Job{Ref: "j-000009", Team: "red", CPUs: 0.001, Spot: true}, 3)
+		for _, write := range effectsOf[WriteAttempts](h.Step(now, offered)) {
+			for _, p := range write.Pages {
+				placed += countRecords(t, p.Page)
+			}
+		}
+		asked := requestsRegrant(h.Step(now, Tick{}))
+		if (placed > 0) != c.places || asked != c.asks {
+			t.Errorf("%d attempts given out: %d tasks placed, a new grant asked for: %v", c.count, placed, asked)
+		}
+		if attempts.count >= 1<<peer.AttemptBits {
+			t.Errorf("attempt %d does not fit its bits", attempts.count)
+		}
+	}
+}
+
+// A log deletes its empty pages after a while, so that the next cycle may write them over.
+func TestEmptyPageIsKeptForTheNextCycle(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		sealed bool
+		after  clock.Micros
+		want   int
+	}{
+		{"of this lease, at once", false, 0, 0},
+		{"of this lease, later", false, emptyPageRetention + 1, 1},
+		{"of an earlier lease", true, 0, 1},
+	} {
+		l := attemptLog{fencingToken: testToken}
+		l.pages = []*attemptPage{{key: "run/000/50-1", sealed: c.sealed}}
+		l.dropEmptyPages(now)
+		l.dropEmptyPages(now + c.after)
+		deletion, _ := l.nextDeletion(now+c.after, storeLimits{valueBytes: 4000, txnOps: 8})
+		if len(deletion.Keys) != c.want {
+			t.Errorf("%s: deletes %v, want %d keys", c.name, deletion.Keys, c.want)
+		}
+	}
+}
--- /dev/null
+++ b/internal/shard/commands_test.go
@@ -0,0 +1,63 @@
+package shard
+
+import (
+	"encoding/json"
+	"testing"
+
+	"swiftledge/internal/peer"
+	"swiftledge/wire"
+)
+
+// maxMessageBytes is what the protocol gives a body and a line of a reply.
+const maxMessageBytes = 64 << 10
+
+func checkSize(t *testing.T, message any) {
+	t.Helper()
+	raw, err := json.Marshal(message)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if len(raw) > maxMessageBytes {
+		t.Errorf("a message of %d bytes", len(raw))
+	}
+}
+
+// A machine may hold more tasks than one message to its agent has space for: what ends tasks goes first, and all goes
+// in time.
+func TestCommandsFitIntoAMessage(t *testing.T) {
+	const tasks = 3 * maxCommandsPerMessage
+	h := newTestHolder(t)
+	h.Step(now, heartbeat("m1", 1, testToken))
+	s := h.shards[0]
+	m := s.machines["m1"]
+	var listed []wire.TaskStatus
+	var stop []peer.StopTask
+	for i := range tasks {
+		a := newAttempt(m, peer.Task{Job: "j-000002", Index: i}, uint64(i+1), attemptConfirmed)
+		s.addAttempt(a)
+		listed = append(listed, wire.TaskStatus{Task: TaskName(a.task), Attempt: a.id, State: wire.TaskRunning})
+		if i >= 2*maxCommandsPerMessage {
+			stop = append(stop, peer.StopTask{Task: a.task})
+		}
+	}
+	killed := 0
+	stopAll := orders(peer.ShardOrders{Stop: append(stop, peer.StopTask{Task: task})})
+	for _, sent := range effectsOf[SendCommands](h.Step(now, stopAll)) {
+		checkSize(t, sent.Body)
+		killed += len(sent.Body.Commands)
+	}
+	if killed < len(stop) {
+		t.Errorf("%d of %d tasks are killed", killed, len(stop))
+	}
+	// Launches that were not seen come again with the reply, behind the kills.
+	for i := range 2 * maxCommandsPerMessage {
+		m.attempts[i+1].state = attemptLaunched
+	}
+	reply := replyOf(t, h.Step(now, heartbeat("m1", 5, testToken, listed[2*maxCommandsPerMessage:]...)))
+	checkSize(t, reply.Body)
+	for i, c := range reply.Body.Commands {
+		if kill := i < len(stop); (c.Verb == wire.VerbKill) != kill {
+			t.Fatalf("command %d of %d is %s", i, len(reply.Body.Commands), c.Verb)
+		}
+	}
+}
--- /dev/null
+++ b/internal/shard/lease_test.go
@@ -0,0 +1,73 @@
+package shard
+
+import (
+	"testing"
+
+	"swiftledge/internal/peer"
+	"swiftledge/wire"
+)
+
+// A new leader's inventory may still list a machine that its predecessor has deleted, with attempt records on it. The
+// holder knows better: they are over, and the leader is told.
+func TestDeletedMachineIsNotWaitedFor(t *testing.T) {
+	h := newTestHolder(t)
+	h.Step(now, orders(peer.ShardOrders{Terminated: []string{"m1"}}))
+	h.Step(now, LeaderConnected{Term: 10})
+	page := peer.AttemptPage{Machines: []string{"m1"},
+		Groups: []peer.AttemptGroup{{Job: task.Job, Team: "red", CPUs: 1, Attempts: []int{3, 1, 0}}}}
+	effects := h.Step(later(2), fromLeader(peer.FromLeader{Term: 10, Grants: []peer.ShardGrant{
+		{Shard: 0, FencingToken: 60, KeyVersion: 8, Machines: testInventory,
+			Pages: map[string]peer.AttemptPage{"run/000/1-1": page}}}}))
+	if kinds := eventsOf(effects); len(kinds) != 1 || kinds[0] != peer.EventReleased {
+		t.Errorf("events %v, want the task back", kinds)
+	}
+	told := false
+	for _, update := range updatesOf(effects) {
+		for _, m := range update.Machines {
+			told = told || m.Name == "m1" && m.Terminated
+		}
+	}
+	if !told {
+		t.Error("the leader is not told that m1 is terminated")
+	}
+}
+
+// A grant that comes again begins nothing anew: numbers of attempts would repeat.
+func TestGrantThatComesAgainIsTheSame(t *testing.T) {
+	h := newTestHolder(t)
+	s := h.shards[0]
+	for _, token := range []wire.FencingToken{testToken, testToken - 1} {
+		grant := peer.ShardGrant{Shard: 0, FencingToken: token, KeyVersion: 7}
+		h.Step(now, fromLeader(peer.FromLeader{Term: testTerm, Grants: []peer.ShardGrant{grant}}))
+		if h.shards[0] != s {
+			t.Errorf("token %d begins a lease after %d", token, testToken)
+		}
+	}
+}
+
+// What an older leader says, or what was said of an older lease, changes nothing.
+func TestOlderMessagesChangeNothing(t *testing.T) {
+	terminated := func(token wire.FencingToken) []peer.ShardOrders {
+		return []peer.ShardOrders{{Shard: 0, FencingToken: token, Terminated: []string{"m1"}}}
+	}
+	grants := []peer.ShardGrant{{Shard: 0, FencingToken: 60, KeyVersion: 9}}
+	for name, message := range map[string]peer.FromLeader{
+		"an older leader's orders":  {Term: testTerm - 1, Orders: terminated(testToken)},
+		"orders of an older lease":  {Term: testTerm, Orders: terminated(testToken - 1)},
+		"an older leader's grant":   {Term: testTerm - 1, Grants: grants},
+		"an older leader's holders": {Term: testTerm - 1, Holders: []string{"n1"}},
+	} {
+		h := newTestHolder(t)
+		h.Step(now, fromLeader(message))
+		if s := h.shards[0]; s == nil || s.lease.fencingToken != testToken || s.machines["m1"].terminated {
+			t.Errorf("%s are obeyed", name)
+		}
+	}
+	h := newTestHolder(t)
+	expiresAt := h.shards[0].lease.expiresAt
+	h.Step(seconds(2), Tick{})
+	h.Step(seconds(2), renewal(h, testToken-1))
+	if h.shards[0].lease.expiresAt != expiresAt {
+		t.Error("the renewal of an older lease prolongs this one")
+	}
+}
--- /dev/null
+++ b/internal/shard/spans_test.go
@@ -0,0 +1,24 @@
+package shard
+
+import (
+	"testing"
+
+	"swiftledge/wire"
+)
+
+// An attempt that was launched under an earlier lease leaves a span, too: who took its shard over tells how it ended.
+func TestInheritedAttemptIsTraced(t *testing.T) {
+	h := newTestHolder(t)
+	h.params.TracingEnabled = true
+	h.Step(now, heartbeat("m1", 1, testToken, running(1)))
+	for _, e := range effectsOf[RecordSpan](h.Step(later(4), heartbeat("m1", 2, testToken, exitedAs(1, wire.ExitDone)))) {
+		if e.Span.Name != "run" {
+			continue
+		}
+		if e.Span.Begin != now || e.Span.End != later(4) || e.Span.Job != task.Job {
+			t.Errorf("%+v", e.Span)
+		}
+		return
+	}
+	t.Error("no span")
+}
