--- /dev/null
+++ b/internal/leader/attempts.go
@@ -0,0 +1,66 @@
+package leader
+
+import (
+	"slices"
+
+	"swiftledge/internal/clock"
+	"swiftledge/internal/leader/jobs"
+	"swiftledge/internal/peer"
+	"swiftledge/internal/shard"
+	"swiftledge/wire"
+)
+
+// attemptAssigned takes in that a task was given to a machine, and that it runs there.
+func (l *Leader) attemptAssigned(now clock.Micros, t peer.Task, h *grantedTask) {
+	h.givenAt = now
+	if l.rebalancing == nil {
+		return
+	}
+	if m, j := l.inventory.machines[h.machine], l.jobs.Get(t.Job); m != nil && j != nil {
+		h.cached = slices.Contains(m.state.Images, j.Spec.Image)
+	}
+	l.rebalancing.Given(taskID(t), h.machine)
+}
+
+// attemptRunning takes in that a task runs.
+func (l *Leader) attemptRunning(now clock.Micros, t peer.Task, h *grantedTask) {
+	l.traceStarted(now, t, h)
+	if l.rebalancing == nil {
+		return
+	}
+	if m, j := l.inventory.machines[h.machine], l.jobs.Get(t.Job); m != nil && j != nil && h.givenAt > 0 && !h.cached {
+		l.rebalancing.fetches.Saw(m.option.Type.Name, j.Spec.ImageGB, now-h.givenAt)
+	}
+	if m, ok := l.rebalancing.Runs(taskID(t), h.machine); ok {
+		l.emit(Log{Debug: true, Message: "task moved", Attributes: []any{"task", shard.TaskName(t), "from", m.From, "to", h.machine, "meant", m.To,
+			"took_s", (now - m.Since).Seconds()}})
+		l.traceMigration(now, m, "done")
+	}
+}
+
+// attemptEnded takes in that an attempt has ended: one that was moved may start elsewhere now.
+func (l *Leader) attemptEnded(now clock.Micros, e peer.TaskEvent, h *grantedTask) {
+	if l.rebalancing == nil {
+		return
+	}
+	switch {
+	case e.Kind == peer.EventCompleted:
+		if m, ok := l.rebalancing.Ended(taskID(e.Task)); ok {
+			l.traceMigration(now, m, "its task completed")
+		}
+	case h != nil && h.stopped == moved:
+		l.rebalancing.Gone(now, taskID(e.Task))
+		l.scheduling.urgent = true
+	}
+}
+
+// jobEnded takes in that a job is done or cancelled.
+func (l *Leader) jobEnded(now clock.Micros, j *jobs.Job, state wire.JobState) {
+	l.traceJob(now, j, state)
+	if l.rebalancing == nil {
+		return
+	}
+	for _, m := range l.rebalancing.Forget(j.Spec.Ref) {
+		l.traceMigration(now, m, "its job is "+string(state))
+	}
+}
--- a/internal/leader/failures.go
+++ b/internal/leader/failure_attribution.go
@@ -8,14 +8,14 @@
 	"swiftledge/internal/shard"
 )
 
-// errored takes in that a task failed: its job may be at fault for it, its machine, or the task alone. A failure of
+// taskFailed takes in that a task failed: its job may be at fault for it, its machine, or the task alone. A failure of
 // a task that is in no grant is no evidence.
-func (l *Leader) errored(now clock.Micros, j *jobs.Job, e peer.TaskEvent, h *grantedTask) {
+func (l *Leader) taskFailed(now clock.Micros, j *jobs.Job, e peer.TaskEvent, h *grantedTask) {
 	if h == nil {
 		return
 	}
-	standing := j.Spec.IsService()
-	if standing && l.runsWell(now, j) {
+	isService := j.Spec.IsService()
+	if isService && l.runsWell(now, j) {
 		j.Failures.MarkSound()
 	}
 	f := failures.Failure{Index: e.Index, Machine: e.Machine}
@@ -23,30 +23,30 @@
 		f.Ran = now - h.since
 	}
 	if j.Failures.Failed(now, l.machineFailures(e.Machine), f) {
-		l.suspect(j)
+		l.jobBecameSuspect(j)
 	}
 	if j.Failures.Suspect() {
 		l.outcomes.failedSuspect++
 	} else {
 		l.outcomes.failed++
 	}
-	l.judgeMachine(now, e.Machine)
+	l.drainIfFaulty(now, e.Machine)
 	// A service's replicas have pauses of their own: see fell.
-	if pause := j.Failures.TaskPause(e.Index); pause > 0 && !standing {
+	if pause := j.Failures.TaskPause(e.Index); pause > 0 && !isService {
 		j.Delay(e.Index, now+pause)
 	}
 }
 
-// completed takes in that a task completed: its job is sound, and what failed of it before counts against the
+// creditCompletion takes in that a task completed: its job is sound, and what failed of it before counts against the
 // machines where it did.
-func (l *Leader) completed(now clock.Micros, j *jobs.Job, e peer.TaskEvent) {
+func (l *Leader) creditCompletion(now clock.Micros, j *jobs.Job, e peer.TaskEvent) {
 	was := j.Failures.Sound()
 	j.Failures.Completed(e.Index, e.Machine, l.machineFailures(e.Machine))
 	if was {
 		return
 	}
 	for _, name := range j.Failures.Machines() {
-		l.judgeMachine(now, name)
+		l.drainIfFaulty(now, name)
 	}
 }
 
@@ -58,15 +58,15 @@
 	return nil
 }
 
-// judgeMachine drains a machine that is at fault for what failed on it.
-func (l *Leader) judgeMachine(now clock.Micros, name string) {
+// drainIfFaulty drains a machine that is at fault for what failed on it.
+func (l *Leader) drainIfFaulty(now clock.Micros, name string) {
 	if m := l.inventory.machines[name]; m != nil && !m.draining && m.failures.Faulty() {
 		l.drainMachine(now, m, "fails its tasks")
 	}
 }
 
-// suspect stops the tasks of a suspect job that have not begun to run: they would only fetch its image and fail.
-func (l *Leader) suspect(j *jobs.Job) {
+// jobBecameSuspect stops the tasks of a suspect job that have not begun to run: they would only fetch its image and fail.
+func (l *Leader) jobBecameSuspect(j *jobs.Job) {
 	ref := j.Spec.Ref
 	l.info("job is suspect", "job", ref, "team", j.Spec.Team, "failed_on", j.Failures.Machines(), "tasks_out", j.Dispatched())
 	unstarted := func(h *grantedTask) bool {
@@ -81,12 +81,12 @@
 	}
 }
 
-// reconsider ends the suspicion of a job one of whose tasks has run for long.
-func (l *Leader) reconsider(now clock.Micros, j *jobs.Job) {
+// clearSuspicion ends the suspicion of a job one of whose tasks has run for long.
+func (l *Leader) clearSuspicion(now clock.Micros, j *jobs.Job) {
 	if !j.Failures.Suspect() {
 		return
 	}
-	l.eachHeld(j, func(t peer.Task, h *grantedTask) {
+	l.eachDispatched(j, func(t peer.Task, h *grantedTask) {
 		if h.running && j.Failures.Survived(now-h.since) {
 			l.info("job is suspect no more", "job", t.Job, "task", shard.TaskName(t), "ran_s", (now - h.since).Seconds())
 			l.scheduling.requested = true
@@ -108,6 +108,6 @@
 // runsWell reports whether a replica of a service has run for a while, so that one that fails elsewhere is its
 // machine's fault.
 func (l *Leader) runsWell(now clock.Micros, j *jobs.Job) (well bool) {
-	l.eachHeld(j, func(_ peer.Task, h *grantedTask) { well = well || h.running && now-h.since > jobs.StableAfter })
+	l.eachDispatched(j, func(_ peer.Task, h *grantedTask) { well = well || h.running && now-h.since > jobs.StableAfter })
 	return well
 }
--- a/internal/leader/failures_test.go
+++ b/internal/leader/failure_attribution_test.go
@@ -25,7 +25,7 @@
 		j.MarkDispatched(i)
 	}
 	for i, name := range names[:2] {
-		l.errored(began, j, peer.TaskEvent{Task: peer.Task{Job: s.Ref, Index: 4 + i}, Machine: name}, &grantedTask{})
+		l.taskFailed(began, j, peer.TaskEvent{Task: peer.Task{Job: s.Ref, Index: 4 + i}, Machine: name}, &grantedTask{})
 	}
 	if want := (taskOutcomes{failed: 1, failedSuspect: 1}); l.outcomes != want {
 		t.Errorf("counted %+v, want %+v", l.outcomes, want)
@@ -37,10 +37,10 @@
 	if !slices.Equal(stopped, []int{0, 1, 2}) {
 		t.Errorf("stopped %v, want the three that do not run", stopped)
 	}
-	if l.reconsider(began+jobs.StableAfter-1, j); !j.Failures.Suspect() {
+	if l.clearSuspicion(began+jobs.StableAfter-1, j); !j.Failures.Suspect() {
 		t.Error("cleared by a short run")
 	}
-	if l.reconsider(began+jobs.StableAfter, j); j.Failures.Suspect() {
+	if l.clearSuspicion(began+jobs.StableAfter, j); j.Failures.Suspect() {
 		t.Error("not cleared by a long run")
 	}
 }
@@ -50,7 +50,7 @@
 	l := granting(t, nil)
 	j := l.jobs.Get(spec.Ref)
 	fail := func() {
-		l.errored(began, j, peer.TaskEvent{Task: peer.Task{Job: spec.Ref, Index: 0}, Machine: names[1]}, &grantedTask{})
+		l.taskFailed(began, j, peer.TaskEvent{Task: peer.Task{Job: spec.Ref, Index: 0}, Machine: names[1]}, &grantedTask{})
 	}
 	if fail(); l.inventory.machines[names[1]].draining {
 		t.Error("drained for a job of which nothing is known")
@@ -58,7 +58,7 @@
 	if fail(); l.inventory.machines[names[1]].draining {
 		t.Error("drained for a job of which nothing is known")
 	}
-	if l.completed(began, j, peer.TaskEvent{Task: peer.Task{Job: spec.Ref, Index: 1}, Machine: names[2]}); !l.inventory.machines[names[1]].draining {
+	if l.creditCompletion(began, j, peer.TaskEvent{Task: peer.Task{Job: spec.Ref, Index: 1}, Machine: names[2]}); !l.inventory.machines[names[1]].draining {
 		t.Error("not drained when its job has completed elsewhere")
 	}
 }
@@ -70,7 +70,7 @@
 		s := spec
 		s.Ref = []string{"j-000401", "j-000402", "j-000403"}[i]
 		j := l.addJob(JobRecord{Spec: s}, 5)
-		l.errored(began, j, peer.TaskEvent{Task: peer.Task{Job: s.Ref}, Machine: names[1]}, &grantedTask{})
+		l.taskFailed(began, j, peer.TaskEvent{Task: peer.Task{Job: s.Ref}, Machine: names[1]}, &grantedTask{})
 		if i == 0 {
 			l.cancelJob(began, j)
 		}
--- a/internal/leader/holder_messages.go
+++ b/internal/leader/holder_messages.go
@@ -1,7 +1,12 @@
 package leader
 
 import (
+	"maps"
+	"slices"
+	"strings"
+
 	"swiftledge/internal/clock"
+	"swiftledge/internal/leader/assignment"
 	"swiftledge/internal/peer"
 	"swiftledge/wire"
 )
@@ -13,7 +18,7 @@
 		return
 	}
 	c.heartbeat(now, m.Message)
-	if m.Message.RenewSeq > 0 && l.loaded && l.authorised(now) && l.current(now) {
+	if m.Message.RenewSeq > 0 && l.loaded && l.authorised(now) && l.viewIsFresh(now) {
 		l.renewLeases(m.Link, m.Message.RenewSeq)
 	}
 	for _, update := range m.Message.Updates {
@@ -86,3 +91,23 @@
 		l.emit(SendToHolder{c.link, peer.FromLeader{Term: l.term, TaskCounts: counts}})
 	}
 }
+
+// peerConnected takes in a new link. What the controller was told over an older one may be lost: its blocks
+// are granted anew.
+func (l *Leader) peerConnected(now clock.Micros, m PeerConnected) {
+	l.shards.controllers[m.Controller] = &controller{
+		Controller:  assignment.Controller{Name: m.Controller, ViaStore: m.ViaStore, ConnectedAt: now},
+		incarnation: m.Incarnation, link: m.Link, lastHeartbeat: now,
+	}
+	for _, b := range l.shards.all {
+		if b.Holder == m.Controller && b.link != m.Link && b.state != writing {
+			b.state = unassigned
+		}
+	}
+	l.emit(SendToHolder{m.Link, peer.FromLeader{Term: l.term, Types: l.autoscaler.catalog, Holders: l.shardHolders()}})
+}
+
+// controllersByName are the controllers in touch in a fixed order: the same state gives the same effects.
+func (l *Leader) controllersByName() []*controller {
+	return slices.SortedFunc(maps.Values(l.shards.controllers), func(a, b *controller) int { return strings.Compare(a.Name, b.Name) })
+}
--- a/internal/leader/job_lifecycle.go
+++ b/internal/leader/job_lifecycle.go
@@ -65,7 +65,7 @@
 func (l *Leader) cancelJob(now clock.Micros, j *jobs.Job) {
 	ref := j.Spec.Ref
 	j.Cancel()
-	l.jobOver(now, j, wire.JobCancelled)
+	l.jobEnded(now, j, wire.JobCancelled)
 	l.jobs.Remove(ref)
 	for _, b := range l.shards.all {
 		b.stopJob(ref)
@@ -83,7 +83,7 @@
 // finishJob takes in that a job's final state is stored: all its tasks have completed.
 func (l *Leader) finishJob(now clock.Micros, j *jobs.Job) {
 	ref := j.Spec.Ref
-	l.jobOver(now, j, wire.JobDone)
+	l.jobEnded(now, j, wire.JobDone)
 	l.jobs.Remove(ref)
 	for _, b := range l.shards.all {
 		b.acknowledge(func(t peer.Task) bool { return t.Job == ref })
--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -24,8 +24,8 @@
 }
 
 // toldOf gathers the orders that the effects send to holders.
-func toldOf(fx []Effect) (orders []peer.ShardOrders) {
-	for _, e := range fx {
+func toldOf(effects []Effect) (orders []peer.ShardOrders) {
+	for _, e := range effects {
 		if x, ok := e.(SendToHolder); ok {
 			orders = append(orders, x.Message.Orders...)
 		}
@@ -33,8 +33,8 @@
 	return orders
 }
 
-func offers(fx []Effect) (n int) {
-	for _, o := range toldOf(fx) {
+func offers(effects []Effect) (n int) {
+	for _, o := range toldOf(effects) {
 		for _, of := range o.Offers {
 			n += len(of.TaskIndexes)
 		}
@@ -75,8 +75,8 @@
 		item(t, JobPrefix+spec.Ref, 2, JobRecord{Spec: spec}),
 		item(t, InstanceGroupPrefix+"r1", 3, InstanceGroupRecord{Request: wire.ProvisionRequest{Type: "small", Zone: "a"}, Machines: names, Answered: true}),
 	}})
-	fx := l.Step(now, Tick{})
-	for _, e := range fx {
+	effects := l.Step(now, Tick{})
+	for _, e := range effects {
 		if c, ok := e.(CommitTxn); ok {
 			if tag, ok := c.Tag.(shardsTag); ok {
 				l.Step(now, TxnCompleted{Term: 5, Tag: tag, Result: store.TxnResult{Committed: true, Revision: 9}})
@@ -105,9 +105,9 @@
 	if n := offers(up(0)); n != 0 {
 		t.Fatalf("%d tasks offered while block 1 is not read", n)
 	}
-	fx := l.Step(now, AttemptsLoaded{Term: 5, Shard: 1, FencingToken: l.shards.all[1].token, Pages: map[string]peer.AttemptPage{"run/001/1-1": {Machines: names[:1],
+	effects := l.Step(now, AttemptsLoaded{Term: 5, Shard: 1, FencingToken: l.shards.all[1].token, Pages: map[string]peer.AttemptPage{"run/001/1-1": {Machines: names[:1],
 		Groups: []peer.AttemptGroup{{Job: spec.Ref, Team: "red", CPUs: 1, Attempts: []int{0, 1, 0}}}}}})
-	if n := offers(fx); n != 1 {
+	if n := offers(effects); n != 1 {
 		t.Errorf("%d tasks offered, want the one that no record names", n)
 	}
 }
@@ -119,10 +119,10 @@
 	b := shard.ForMachine(names[0], 2)
 	l.Step(began, AttemptsLoaded{Term: 5, Shard: b, FencingToken: l.shards.all[b].token, Pages: map[string]peer.AttemptPage{"p": page}})
 	l.Step(began, AttemptsLoaded{Term: 5, Shard: 1 - b, FencingToken: l.shards.all[1-b].token})
-	fx := l.Step(began, HolderMessage{Controller: "n0", Link: testLink("link"), Message: &peer.ToLeader{Term: 5, Updates: []peer.ShardUpdate{{Shard: b, FencingToken: l.shards.all[b].token,
+	effects := l.Step(began, HolderMessage{Controller: "n0", Link: testLink("link"), Message: &peer.ToLeader{Term: 5, Updates: []peer.ShardUpdate{{Shard: b, FencingToken: l.shards.all[b].token,
 		Events: []peer.TaskEvent{{Task: peer.Task{Job: spec.Ref, Index: 0}, Kind: peer.EventCompleted, Machine: names[0]}}}}}})
 	writes := 0
-	for _, e := range append(fx, l.Step(began+jobs.ProgressInterval, Tick{})...) {
+	for _, e := range append(effects, l.Step(began+jobs.ProgressInterval, Tick{})...) {
 		if c, ok := e.(CommitTxn); ok && strings.HasPrefix(c.Txn.Writes[0].Put, jobs.ProgressPrefix) {
 			writes++
 		}
@@ -182,10 +182,10 @@
 func TestStopsComeWithTheGrant(t *testing.T) {
 	l := leading(t)
 	over := peer.Task{Job: "j-000009", Index: 4}
-	fx := l.Step(began, AttemptsLoaded{Term: 5, Shard: 0, FencingToken: l.shards.all[0].token, Pages: map[string]peer.AttemptPage{"run/000/1-1": {Machines: names[:1],
+	effects := l.Step(began, AttemptsLoaded{Term: 5, Shard: 0, FencingToken: l.shards.all[0].token, Pages: map[string]peer.AttemptPage{"run/000/1-1": {Machines: names[:1],
 		Groups: []peer.AttemptGroup{{Job: over.Job, Team: "red", CPUs: 3, Attempts: []int{over.Index, 1, 0}}}}}})
 	found := false
-	for _, e := range fx {
+	for _, e := range effects {
 		if x, ok := e.(SendToHolder); ok && len(x.Message.Grants) > 0 {
 			for _, o := range x.Message.Orders {
 				found = found || o.Shard == 0 && o.FencingToken == l.shards.all[0].token && len(o.Stop) == 1 && o.Stop[0].Task == over
--- a/internal/leader/load.go
+++ b/internal/leader/load.go
@@ -12,8 +12,8 @@
 	"swiftledge/wire"
 )
 
-// load takes in what the store holds at the start of a term.
-func (l *Leader) load(now clock.Micros, m StateLoaded) {
+// loadState takes in what the store holds at the start of a term.
+func (l *Leader) loadState(now clock.Micros, m StateLoaded) {
 	l.wallOffset = m.TimeOfDay - now
 	l.jobsViewedAt = m.RequestedAt
 	l.loadShards(m.Items)
--- a/internal/leader/machines.go
+++ b/internal/leader/machines.go
@@ -95,7 +95,7 @@
 // checkpointTasks stops the tasks that can save their progress before their machine goes.
 func (l *Leader) checkpointTasks(now clock.Micros, m *machine) {
 	lease := m.shard
-	var capacity *freeRoom
+	var capacity *freeCapacity
 	var on []peer.Task
 	for t, h := range lease.tasks {
 		if h.machine == m.name && l.jobs.Get(t.Job) != nil {
@@ -109,9 +109,9 @@
 		moves := false
 		if j.Spec.IsService() && m.state.PreemptionNotice {
 			if capacity == nil {
-				capacity = l.freeRoom(now)
+				capacity = l.freeCapacity(now)
 			}
-			to, _ := l.roomFor(j, capacity)
+			to, _ := l.machineFor(j, capacity)
 			moves = to != nil && to != m
 		}
 		if moves {
--- a/internal/leader/messages.go
+++ b/internal/leader/messages.go
@@ -1,9 +1,3 @@
-// Package leader is what the leading controller does besides holding shards: it takes jobs over from the store, queues
-// them by team, hands their tasks to the holders of shards, keeps quotas, assigns shard leases, scales the fleet of
-// machines, preempts, migrates tasks and quarantines machines. It owns the state of one term, which begins with what
-// the store holds. Messages and the time come in, effects go out (store transactions, messages to holders, calls of
-// the cloud, log lines); it does no I/O and starts no goroutine. Every write is conditional on the leader key, so that
-// one of an older term fails however late it is applied.
 package leader
 
 import (
--- a/internal/leader/preempt.go
+++ b/internal/leader/preempt.go
@@ -118,7 +118,7 @@
 	l, on := p.l, map[string]*space{}
 	p.leaving = fairshare.NewUsage()
 	for _, m := range l.inventory.machines {
-		if m.serves() {
+		if m.schedulable() {
 			on[m.name] = &space{machine: m, cpus: m.state.CPUs, memory: m.state.MemoryGB}
 		}
 	}
--- a/internal/leader/preempt_test.go
+++ b/internal/leader/preempt_test.go
@@ -105,7 +105,7 @@
 	high := wire.Job{Ref: "j-000200", Team: "blue", Priority: wire.PriorityHigh, Tasks: 9, CPUs: 1, MemoryGB: 1, EstimateS: 10, Spot: true}
 	j := l.addJob(JobRecord{Spec: high}, 4)
 	for i := range 2 {
-		l.errored(began, j, peer.TaskEvent{Task: peer.Task{Job: high.Ref, Index: i}, Machine: names[1+i]}, &grantedTask{})
+		l.taskFailed(began, j, peer.TaskEvent{Task: peer.Task{Job: high.Ref, Index: i}, Machine: names[1+i]}, &grantedTask{})
 	}
 	if !j.Failures.Suspect() {
 		t.Fatal("not suspect")
--- a/internal/leader/process_pause.go
+++ b/internal/leader/process_pause.go
@@ -7,13 +7,13 @@
 	"swiftledge/internal/pausedetect"
 )
 
-// paused tells that this controller stood still, and what of its leadership ran out meanwhile.
-func (l *Leader) paused(began, now clock.Micros) {
+// pauseDetected tells that this controller stood still, and what of its leadership ran out meanwhile.
+func (l *Leader) pauseDetected(began, now clock.Micros) {
 	p := pausedetect.Pause{Began: began, Ended: now}
 	if l.leading && l.authorityEnds > began && !l.authorised(now) {
 		p.Expired = append(p.Expired, fmt.Sprintf("authority of epoch %d", l.term))
 	}
-	if l.leading && l.loaded && !l.current(now) {
+	if l.leading && l.loaded && !l.viewIsFresh(now) {
 		p.Expired = append(p.Expired, "view of the jobs")
 	}
 	l.emit(PauseDetected{p})
--- a/internal/leader/spread_test.go
+++ b/internal/leader/rebalancing_test.go
@@ -70,16 +70,16 @@
 }
 
 // stops lets time pass until tasks may be moved, and gives those that are told to stop.
-func stops(l *Leader) (out []peer.StopTask, fx []Effect) {
+func stops(l *Leader) (out []peer.StopTask, effects []Effect) {
 	for now := began + 90*clock.Second; now < began+94*clock.Second; now += clock.Second / 2 {
 		l.authorityEnds, l.jobsViewedAt, l.shards.controllers["n0"].lastHeartbeat = now+clock.Minute, now, now
 		step := l.Step(now, Tick{})
-		fx = append(fx, step...)
+		effects = append(effects, step...)
 		for _, o := range toldOf(step) {
 			out = append(out, o.Stop...)
 		}
 	}
-	return out, fx
+	return out, effects
 }
 
 func TestTaskIsToldToSaveAndStop(t *testing.T) {
@@ -224,8 +224,8 @@
 	if told := offersOf(l, now, wire.Job{CPUs: 1, MemoryGB: 1}); len(told) != 0 {
 		t.Fatalf("told %+v while another block has room within the bound in a moment", told)
 	}
-	if told := schedules(l, now+soonPatience+clock.Millisecond); len(told) != 1 || told[0].Shard != full.ID {
-		t.Errorf("told %+v, want the task offered beyond the bound after %v", told, soonPatience)
+	if told := schedules(l, now+pendingPatience+clock.Millisecond); len(told) != 1 || told[0].Shard != full.ID {
+		t.Errorf("told %+v, want the task offered beyond the bound after %v", told, pendingPatience)
 	}
 }
 
--- a/internal/leader/scaling.go
+++ b/internal/leader/scaling.go
@@ -42,7 +42,7 @@
 // machineSupply describes the machines that serve, or will when they are up.
 func (l *Leader) machineSupply(now clock.Micros) []autoscaler.Capacity {
 	var supply []autoscaler.Capacity
-	targets := l.moveTargets()
+	targets := l.migrationTargets()
 	for _, name := range slices.Sorted(maps.Keys(l.inventory.machines)) {
 		m := l.inventory.machines[name]
 		if m.deleting || m.draining || m.state.PreemptionNotice || m.state.Silent {
--- a/internal/leader/schedule.go
+++ b/internal/leader/schedule.go
@@ -13,8 +13,8 @@
 // that one start record serves several tasks. New jobs do not wait for it.
 const batchDelay = 120 * clock.Millisecond
 
-// batch is how many tasks of a job go at once before another's turn is looked at.
-const batch = 8
+// tasksPerTurn is how many tasks of a job go at once before another's turn is looked at.
+const tasksPerTurn = 8
 
 type offerKey struct {
 	block int
@@ -25,7 +25,7 @@
 // schedule hands waiting tasks to blocks with room: teams in turn by their
 // shares, guarantees first.
 func (l *Leader) schedule(now clock.Micros) {
-	if !l.scheduling.requested || !l.scheduling.urgent && now-l.scheduling.ranAt < batchDelay || !l.current(now) {
+	if !l.scheduling.requested || !l.scheduling.urgent && now-l.scheduling.ranAt < batchDelay || !l.viewIsFresh(now) {
 		return
 	}
 	// Until every block's start records are read, a task that waits here may run
@@ -39,29 +39,29 @@
 	if len(queues) == 0 {
 		return
 	}
-	if room := l.freeRoom(now); len(room.ms) > 0 {
-		l.offer(now, queues, room)
+	if capacity := l.freeCapacity(now); len(capacity.machines) > 0 {
+		l.offerInTurns(now, queues, capacity)
 	}
 	l.preempt(now, queues)
 }
 
-// offer hands out tasks until nobody who is served next finds room.
-func (l *Leader) offer(now clock.Micros, queues []*fairshare.TeamQueue, room *freeRoom) {
+// offerInTurns hands out tasks until nobody who is served next finds room.
+func (l *Leader) offerInTurns(now clock.Micros, queues []*fairshare.TeamQueue, capacity *freeCapacity) {
 	offers := map[offerKey]int{}
 	for {
 		turn, ok := fairshare.Next(queues)
 		if !ok {
 			break
 		}
-		n := batch
+		n := tasksPerTurn
 		if turn.Single {
 			n = 1
 		}
-		turn.Done(l.give(now, turn, room, offers, n))
+		turn.Done(l.offerTasks(now, turn, capacity, offers, n))
 	}
 	for _, b := range l.shards.all {
 		if len(b.orders.Offers) > 0 {
-			room.even.tell(b.orders.Offers)
+			capacity.bound.annotate(b.orders.Offers)
 			b.offerSeq++
 			b.orders.OfferSeq = b.offerSeq
 			b.offerPending = true
@@ -69,25 +69,25 @@
 	}
 }
 
-// give hands up to n tasks of a job to one machine's block and says how many.
-func (l *Leader) give(now clock.Micros, turn fairshare.Turn, room *freeRoom, offers map[offerKey]int, n int) int {
+// offerTasks hands up to n tasks of a job to one machine's block and says how many.
+func (l *Leader) offerTasks(now clock.Micros, turn fairshare.Turn, capacity *freeCapacity, offers map[offerKey]int, n int) int {
 	j := turn.Job
 	s := &j.Spec
-	m, zone := l.preferred(j, room), ""
+	m, zone := l.preferred(j, capacity), ""
 	if m != nil {
 		n = 1
-	} else if m, zone = l.roomFor(j, room); m == nil {
+	} else if m, zone = l.machineFor(j, capacity); m == nil {
 		return 0
 	}
 	if s.IsService() {
-		room.taken(l, j)[m.name] = sibling
+		capacity.avoidedMachines(l, j)[m.name] = replicaThere
 	}
 	if s.OneZone || s.Spread || s.IsService() {
 		n = 1 // each task changes where the next may be
 	}
 	if j.Failures.Suspect() {
 		n = 1
-		j.Failures.Probed(room.now)
+		j.Failures.Probed(capacity.now)
 	}
 	if !j.WasDispatched() {
 		l.traceQueued(now, j)
@@ -98,12 +98,12 @@
 		b.orders.Include = append(b.orders.Include, m.name)
 	}
 	given := 0
-	for given < n && m.holds(s) && turn.Queue.Fits(s) && (given == 0 || m.reserve() > 0 || room.even.within(m, s)) {
+	for given < n && m.fits(s) && turn.Queue.Fits(s) && (given == 0 || m.reserveRank() > 0 || capacity.bound.allows(m, s)) {
 		i := j.DispatchFirst()
 		if i < 0 {
 			break
 		}
-		room.even.take(m, s)
+		capacity.bound.take(m, s)
 		h := &grantedTask{team: s.Team, cpus: s.CPUs, gpus: s.GPUs, zone: zone}
 		b.tasks[peer.Task{Job: s.Ref, Index: i}] = h
 		l.usage.Charge(h.team, h.resources())
--- a/internal/leader/service_test.go
+++ b/internal/leader/service_test.go
@@ -26,12 +26,12 @@
 		}
 		return l.Step(began+clock.Second, HolderMessage{Controller: "n0", Link: testLink("link"), Message: &peer.ToLeader{Term: 5, Updates: []peer.ShardUpdate{u}}})
 	}
-	fx := say(peer.EventAttemptRemains, peer.EventCompleted)
+	effects := say(peer.EventAttemptRemains, peer.EventCompleted)
 	stops := 0
-	for _, o := range toldOf(fx) {
+	for _, o := range toldOf(effects) {
 		stops += len(o.Stop)
 	}
-	if n := offers(fx); n != 0 || stops != 0 || b.tasks[one] == nil {
+	if n := offers(effects); n != 0 || stops != 0 || b.tasks[one] == nil {
 		t.Errorf("%d tasks offered, %d stopped, counted %v while another attempt may run", n, stops, b.tasks[one] != nil)
 	}
 	if n := offers(say(peer.EventReleased)); n != 1 {
@@ -48,17 +48,17 @@
 	j.Spec.Shape = wire.ShapeService
 	b := l.shards.all[shard.ForMachine(names[0], 2)]
 	one := peer.Task{Job: spec.Ref, Index: 0}
-	fx := l.Step(began+clock.Second, HolderMessage{Controller: "n0", Link: testLink("link"), Message: &peer.ToLeader{Term: 5, Updates: []peer.ShardUpdate{{Shard: b.ID, FencingToken: b.token,
+	effects := l.Step(began+clock.Second, HolderMessage{Controller: "n0", Link: testLink("link"), Message: &peer.ToLeader{Term: 5, Updates: []peer.ShardUpdate{{Shard: b.ID, FencingToken: b.token,
 		Events: []peer.TaskEvent{{Task: one, Kind: peer.EventCompleted, Machine: names[0]}}}}}})
 	stopped, stored := false, false
-	for _, o := range toldOf(fx) {
+	for _, o := range toldOf(effects) {
 		stopped = stopped || len(o.Stop) == 1 && o.Stop[0].Task == one
 		stored = stored || len(o.Persisted) == 1 && o.Persisted[0] == one
 	}
 	if !stopped || !stored || j.Completed() != 0 {
 		t.Errorf("told to keep it listed %v, that it is settled %v, %d tasks done", stopped, stored, j.Completed())
 	}
-	if n := offers(fx); n != 1 {
+	if n := offers(effects); n != 1 {
 		t.Errorf("%d tasks offered, want the replica again", n)
 	}
 }
@@ -72,11 +72,11 @@
 	b := l.shards.all[shard.ForMachine(names[0], 2)]
 	l.Step(began, HolderMessage{Controller: "n0", Link: testLink("link"), Message: &peer.ToLeader{Term: 5, Updates: []peer.ShardUpdate{{Shard: b.ID, FencingToken: b.token,
 		Events: []peer.TaskEvent{{Task: peer.Task{Job: spec.Ref, Index: 0}, Kind: peer.EventRunning, Machine: names[0]}}}}}})
-	l.errored(began+2*jobs.StableAfter, j, peer.TaskEvent{Task: peer.Task{Job: spec.Ref, Index: 1}, Machine: names[1]}, &grantedTask{})
+	l.taskFailed(began+2*jobs.StableAfter, j, peer.TaskEvent{Task: peer.Task{Job: spec.Ref, Index: 1}, Machine: names[1]}, &grantedTask{})
 	if l.inventory.machines[names[1]].draining {
 		t.Error("drained after a single failure")
 	}
-	l.errored(began+2*jobs.StableAfter, j, peer.TaskEvent{Task: peer.Task{Job: spec.Ref, Index: 1}, Machine: names[1]}, &grantedTask{})
+	l.taskFailed(began+2*jobs.StableAfter, j, peer.TaskEvent{Task: peer.Task{Job: spec.Ref, Index: 1}, Machine: names[1]}, &grantedTask{})
 	if !l.inventory.machines[names[1]].draining {
 		t.Error("not drained after two failures while another replica runs")
 	}
--- a/internal/leader/shard_grants.go
+++ b/internal/leader/shard_grants.go
@@ -4,6 +4,8 @@
 	"maps"
 	"slices"
 
+	"github.com/goccy/go-json"
+
 	"swiftledge/internal/cluster"
 	"swiftledge/internal/peer"
 	"swiftledge/internal/shard"
@@ -197,3 +199,21 @@
 	}
 	return h
 }
+
+// shardKeyRead goes on after a shard's key was read, as a write of it conflicted with another.
+func (l *Leader) shardKeyRead(tag shardsTag, m KeyRead) {
+	for _, id := range slices.Sorted(maps.Keys(tag.tokens)) {
+		b, token := l.shards.all[id], tag.tokens[id]
+		if shard.Key(id) != m.Item.Key || b.state != writing || b.token != token {
+			continue
+		}
+		b.keyVersion = m.Item.Version
+		var r ShardRecord
+		if m.Found && json.Unmarshal(m.Item.Value, &r) == nil && r.FencingToken == token {
+			b.state = reading
+			l.emit(LoadAttempts{l.term, id, token})
+		} else {
+			b.state = unassigned
+		}
+	}
+}
--- a/internal/leader/task_events.go
+++ b/internal/leader/task_events.go
@@ -15,12 +15,12 @@
 			if m := l.inventory.machines[e.Machine]; m != nil {
 				h.zone = m.option.Zone
 			}
-			l.noteStarted(now, e.Task, h)
+			l.attemptAssigned(now, e.Task, h)
 		}
 	case peer.EventRunning:
 		if h := lease.tasks[e.Task]; h != nil && !h.running {
 			h.running, h.since, h.machine = true, now, e.Machine
-			l.noteRunning(now, e.Task, h)
+			l.attemptRunning(now, e.Task, h)
 			if j != nil {
 				j.MarkRunning()
 				if j.Spec.IsService() {
@@ -47,7 +47,7 @@
 	if h != nil && h.running && j != nil {
 		j.MarkStopped()
 	}
-	l.noteEnded(now, e, h)
+	l.attemptEnded(now, e, h)
 	switch {
 	case e.Kind == peer.EventCompleted:
 		l.taskCompleted(now, lease, j, e)
@@ -58,7 +58,7 @@
 		j.Requeue(e.Index)
 	}
 	if e.Kind == peer.EventFailed && j != nil {
-		l.errored(now, j, e, h)
+		l.taskFailed(now, j, e, h)
 	}
 }
 
@@ -86,13 +86,13 @@
 		}
 	}
 	if e.Kind == peer.EventFailed {
-		l.errored(now, j, e, h)
+		l.taskFailed(now, j, e, h)
 	}
 }
 
 func (l *Leader) taskCompleted(now clock.Micros, lease *shardLease, j *jobs.Job, e peer.TaskEvent) {
 	if j != nil {
-		l.completed(now, j, e)
+		l.creditCompletion(now, j, e)
 	}
 	if j == nil || j.IsCancelled() || j.IsPersisted(e.Index) {
 		lease.orders.Persisted = append(lease.orders.Persisted, e.Task)
--- /dev/null
+++ b/internal/leader/tick.go
@@ -0,0 +1,37 @@
+package leader
+
+import "swiftledge/internal/clock"
+
+const (
+	// countsReportInterval is the pause between two reports of the jobs' task counts to the controllers.
+	countsReportInterval = clock.Second
+)
+
+// tick does what is due with the passing of time.
+func (l *Leader) tick(now clock.Micros) {
+	if !l.loaded || !l.authorised(now) {
+		return
+	}
+	if now-l.scheduling.ranAt >= clock.FromSeconds(l.cfg.Tuning.Placement.CycleS) {
+		l.scheduling.requested = true
+	}
+	l.assignShards(now)
+	for j := range l.jobs.Sorted() {
+		l.writeFinalState(j)
+		if j.RetryDelayed(now) {
+			l.scheduling.requestUrgently()
+		}
+		l.clearSuspicion(now, j)
+	}
+	l.writeProgress(now)
+	l.rebalance(now)
+	if now-l.countsReportedAt >= countsReportInterval {
+		l.countsReportedAt = now
+		l.reportTaskCounts()
+	}
+	if now-l.stateLoggedAt >= stateLogInterval {
+		l.stateLoggedAt = now
+		l.logState()
+	}
+	l.reconcileInventory(now)
+}
--- a/internal/naming/naming_test.go
+++ b/internal/naming/naming_test.go
@@ -34,7 +34,7 @@
 	"internal/rebalancer": 1,
 	"internal/compat":     1,
 	"internal/autoscaler": 1,
-	"internal/leader":     35,
+	"internal/leader":     19,
 	"internal/controller": 7,
 }
 
