--- a/internal/leader/attempts.go
+++ b/internal/leader/attempts.go
@@ -32,8 +32,8 @@
 		l.rebalancing.fetches.Saw(m.option.Type.Name, j.Spec.ImageGB, now-h.givenAt)
 	}
 	if m, ok := l.rebalancing.Runs(taskID(t), h.machine); ok {
-		l.emit(Log{Debug: true, Message: "task moved", Attributes: []any{"task", shard.TaskName(t), "from", m.From, "to", h.machine, "meant", m.To,
-			"took_s", (now - m.Since).Seconds()}})
+		l.debug("task moved", "task", shard.TaskName(t), "from", m.From, "to", h.machine, "meant", m.To,
+			"took_s", (now - m.Since).Seconds())
 		l.traceMigration(now, m, "done")
 	}
 }
--- a/internal/leader/catalog.go
+++ b/internal/leader/catalog.go
@@ -8,8 +8,8 @@
 	"swiftledge/wire"
 )
 
-// catalogLoaded takes in the cloud's catalog. It is kept in the store, so that submissions can be judged while the cloud
-// is away, and told to the other controllers.
+// catalogLoaded takes in the cloud's catalog. It is kept in the store, so that submissions can be judged while the
+// cloud is away, and told to the other controllers.
 func (l *Leader) catalogLoaded(types []wire.MachineType) {
 	if len(types) == 0 {
 		return
--- a/internal/leader/demand.go
+++ b/internal/leader/demand.go
@@ -134,7 +134,9 @@
 	if !spec.Spread || spec.Zone != "" {
 		return nil
 	}
-	task := autoscaler.Demand{CPUs: spec.CPUs, GPUs: spec.GPUs, MemoryGB: spec.MemoryGB, Types: spec.Types, Spot: spec.Spot}
+	task := autoscaler.Demand{
+		CPUs: spec.CPUs, GPUs: spec.GPUs, MemoryGB: spec.MemoryGB, Types: spec.Types, Spot: spec.Spot,
+	}
 	for option := range l.options() {
 		fits := task.Slots(&option.Type, option.Zone, option.Spot) > 0
 		refused := now < l.autoscaler.refusals[option.Key()].until
--- a/internal/leader/failure_attribution.go
+++ b/internal/leader/failure_attribution.go
@@ -65,10 +65,12 @@
 	}
 }
 
-// jobBecameSuspect stops the tasks of a suspect job that have not begun to run: they would only fetch its image and fail.
+// jobBecameSuspect stops the tasks of a suspect job that have not begun to run: they would only fetch its image and
+// fail.
 func (l *Leader) jobBecameSuspect(j *jobs.Job) {
 	ref := j.Spec.Ref
-	l.info("job is suspect", "job", ref, "team", j.Spec.Team, "failed_on", j.Failures.Machines(), "tasks_out", j.Dispatched())
+	l.info("job is suspect", "job", ref, "team", j.Spec.Team, "failed_on", j.Failures.Machines(),
+		"tasks_out", j.Dispatched())
 	unstarted := func(h *grantedTask) bool {
 		if h.running || h.inherited || h.stopped != "" {
 			return false
--- a/internal/leader/failure_attribution_test.go
+++ b/internal/leader/failure_attribution_test.go
@@ -89,7 +89,8 @@
 		m.up, m.option.Type.BootS = false, 20
 	}
 	list := func(at clock.Micros) {
-		l.machinesListed(at, []wire.Machine{{Name: silent.name, State: wire.MachineRunning}, {Name: booting.name, State: wire.MachineStarting}, {Name: healthy.name, State: wire.MachineRunning}})
+		l.machinesListed(at, []wire.Machine{{Name: silent.name, State: wire.MachineRunning}, {Name: booting.name,
+			State: wire.MachineStarting}, {Name: healthy.name, State: wire.MachineRunning}})
 	}
 	list(began)
 	l.machineReported(began+clock.Second, peer.MachineState{Name: healthy.name, Type: "small", Schedulable: true})
--- a/internal/leader/fairshare/usage.go
+++ b/internal/leader/fairshare/usage.go
@@ -1,7 +1,7 @@
-// Package fairshare decides whose tasks are dispatched next. It owns what the teams' tasks take of the cluster, compares
-// that with the teams' quotas, and orders the jobs that wait: the teams by their guarantees, the jobs of a team by
-// lateness, priority and slack, with a least share for what would always come last. It knows no machines and does no
-// I/O; the leader asks it for the next turn and tells it how many tasks were dispatched.
+// Package fairshare decides whose tasks are dispatched next. It owns what the teams' tasks take of the cluster,
+// compares that with the teams' quotas, and orders the jobs that wait: the teams by their guarantees, the jobs of a
+// team by lateness, priority and slack, with a least share for what would always come last. It knows no machines and
+// does no I/O; the leader asks it for the next turn and tells it how many tasks were dispatched.
 package fairshare
 
 import (
--- a/internal/leader/free_capacity.go
+++ b/internal/leader/free_capacity.go
@@ -66,8 +66,9 @@
 const meanStep = 1.02
 
 func (l *Leader) freeCapacity(now clock.Micros) *freeCapacity {
-	r := &freeCapacity{now: now, byImage: map[string][]*machine{}, passed: map[candidateKey]int{}, avoided: map[string]map[string]int{},
-		bound: l.newLoadBound(), overBound: map[candidateKey]overBoundMark{}}
+	r := &freeCapacity{now: now, byImage: map[string][]*machine{}, passed: map[candidateKey]int{},
+		avoided: map[string]map[string]int{},
+		bound:   l.newLoadBound(), overBound: map[candidateKey]overBoundMark{}}
 	for _, m := range l.inventory.machines {
 		m.freeCPUs, m.freeGPUs, m.freeMemory = m.state.CPUs, m.state.GPUs, m.state.MemoryGB
 		if r.isFree(m) {
@@ -80,7 +81,7 @@
 		if c := cmp.Compare(a.reserveRank(), b.reserveRank()); c != 0 {
 			return c
 		}
-		if c := cmp.Compare(a.option.Price()/max(a.option.Type.CPUs, 1), b.option.Price()/max(b.option.Type.CPUs, 1)); c != 0 {
+		if c := cmp.Compare(pricePerCPU(a), pricePerCPU(b)); c != 0 {
 			return c
 		}
 		if c := cmp.Compare(a.freeCPUs, b.freeCPUs); c != 0 {
@@ -130,7 +131,8 @@
 // What waits for long does not wait for a better one.
 func (m *machine) allowed(now clock.Micros, j *jobs.Job) bool {
 	s := &j.Spec
-	return (!m.cordoned || s.IsService() || j.IsUnserved(now)) && (s.Spot || !m.option.Spot) && (s.Zone == "" || s.Zone == m.option.Zone) &&
+	return (!m.cordoned || s.IsService() || j.IsUnserved(now)) && (s.Spot || !m.option.Spot) &&
+		(s.Zone == "" || s.Zone == m.option.Zone) &&
 		(len(s.Types) == 0 || slices.Contains(s.Types, m.option.Type.Name))
 }
 
@@ -159,7 +161,9 @@
 		return false
 	}
 	s := &j.Spec
-	return slices.ContainsFunc(r.pending, func(m *machine) bool { return m.fits(s) && m.allowed(r.now, j) && r.bound.allows(m, s) })
+	return slices.ContainsFunc(r.pending, func(m *machine) bool {
+		return m.fits(s) && m.allowed(r.now, j) && r.bound.allows(m, s)
+	})
 }
 
 // leastLoaded is, with spreading, the machine that one more task of the job leaves least loaded.
@@ -205,3 +209,6 @@
 	r.overBound[k] = over
 	return nil
 }
+
+// pricePerCPU is what one of a machine's processors costs.
+func pricePerCPU(m *machine) float64 { return m.option.Price() / max(m.option.Type.CPUs, 1) }
--- a/internal/leader/holder_messages.go
+++ b/internal/leader/holder_messages.go
@@ -109,5 +109,6 @@
 
 // controllersByName are the controllers in touch in a fixed order: the same state gives the same effects.
 func (l *Leader) controllersByName() []*controller {
-	return slices.SortedFunc(maps.Values(l.shards.controllers), func(a, b *controller) int { return strings.Compare(a.Name, b.Name) })
+	byName := func(a, b *controller) int { return strings.Compare(a.Name, b.Name) }
+	return slices.SortedFunc(maps.Values(l.shards.controllers), byName)
 }
--- a/internal/leader/keys_test.go
+++ b/internal/leader/keys_test.go
@@ -55,7 +55,8 @@
 	l.Step(began, LeadershipExtended{Until: began + 100*clock.Second})
 	l.Step(began, PeerConnected{Controller: "n0", Link: testLink("link")})
 	types := wire.Catalog{Types: []wire.MachineType{{Name: "small", CPUs: 4, MemoryGB: 8, Price: 1, SpotPrice: 0.5, BootS: 10, ZoneNames: []string{"a"}}}}
-	effects := l.Step(began, StateLoaded{Term: 7, RequestedAt: began, Items: []wire.Item{item(t, CatalogKey, 1, types), item(t, JobPrefix+spec.Ref, 2, JobRecord{Spec: spec})}})
+	effects := l.Step(began, StateLoaded{Term: 7, RequestedAt: began, Items: []wire.Item{item(t, CatalogKey, 1, types),
+		item(t, JobPrefix+spec.Ref, 2, JobRecord{Spec: spec})}})
 	var keys []string
 	revision := uint64(10)
 	for at := began; at < began+5*clock.Second; at += clock.Second / 4 {
--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -105,8 +105,9 @@
 	if n := offers(up(0)); n != 0 {
 		t.Fatalf("%d tasks offered while block 1 is not read", n)
 	}
-	effects := l.Step(now, AttemptsLoaded{Term: 5, Shard: 1, FencingToken: l.shards.all[1].token, Pages: map[string]peer.AttemptPage{"run/001/1-1": {Machines: names[:1],
-		Groups: []peer.AttemptGroup{{Job: spec.Ref, Team: "red", CPUs: 1, Attempts: []int{0, 1, 0}}}}}})
+	effects := l.Step(now, AttemptsLoaded{Term: 5, Shard: 1, FencingToken: l.shards.all[1].token,
+		Pages: map[string]peer.AttemptPage{"run/001/1-1": {Machines: names[:1],
+			Groups: []peer.AttemptGroup{{Job: spec.Ref, Team: "red", CPUs: 1, Attempts: []int{0, 1, 0}}}}}})
 	if n := offers(effects); n != 1 {
 		t.Errorf("%d tasks offered, want the one that no record names", n)
 	}
@@ -119,8 +120,9 @@
 	b := shard.ForMachine(names[0], 2)
 	l.Step(began, AttemptsLoaded{Term: 5, Shard: b, FencingToken: l.shards.all[b].token, Pages: map[string]peer.AttemptPage{"p": page}})
 	l.Step(began, AttemptsLoaded{Term: 5, Shard: 1 - b, FencingToken: l.shards.all[1-b].token})
-	effects := l.Step(began, HolderMessage{Controller: "n0", Link: testLink("link"), Message: &peer.ToLeader{Term: 5, Updates: []peer.ShardUpdate{{Shard: b, FencingToken: l.shards.all[b].token,
-		Events: []peer.TaskEvent{{Task: peer.Task{Job: spec.Ref, Index: 0}, Kind: peer.EventCompleted, Machine: names[0]}}}}}})
+	effects := l.Step(began, HolderMessage{Controller: "n0", Link: testLink("link"), Message: &peer.ToLeader{Term: 5,
+		Updates: []peer.ShardUpdate{{Shard: b, FencingToken: l.shards.all[b].token,
+			Events: []peer.TaskEvent{{Task: peer.Task{Job: spec.Ref, Index: 0}, Kind: peer.EventCompleted, Machine: names[0]}}}}}})
 	writes := 0
 	for _, e := range append(effects, l.Step(began+jobs.ProgressInterval, Tick{})...) {
 		if c, ok := e.(CommitTxn); ok && strings.HasPrefix(c.Txn.Writes[0].Put, jobs.ProgressPrefix) {
@@ -182,8 +184,9 @@
 func TestStopsComeWithTheGrant(t *testing.T) {
 	l := leading(t)
 	over := peer.Task{Job: "j-000009", Index: 4}
-	effects := l.Step(began, AttemptsLoaded{Term: 5, Shard: 0, FencingToken: l.shards.all[0].token, Pages: map[string]peer.AttemptPage{"run/000/1-1": {Machines: names[:1],
-		Groups: []peer.AttemptGroup{{Job: over.Job, Team: "red", CPUs: 3, Attempts: []int{over.Index, 1, 0}}}}}})
+	effects := l.Step(began, AttemptsLoaded{Term: 5, Shard: 0, FencingToken: l.shards.all[0].token,
+		Pages: map[string]peer.AttemptPage{"run/000/1-1": {Machines: names[:1],
+			Groups: []peer.AttemptGroup{{Job: over.Job, Team: "red", CPUs: 3, Attempts: []int{over.Index, 1, 0}}}}}})
 	found := false
 	for _, e := range effects {
 		if x, ok := e.(SendToHolder); ok && len(x.Message.Grants) > 0 {
--- a/internal/leader/limits_test.go
+++ b/internal/leader/limits_test.go
@@ -70,7 +70,8 @@
 		l := leading(t)
 		l.cfg.Facts.Cloud.RPS = 2
 		for i := len(l.inventory.machines); i < machines; i++ {
-			l.addMachine(began, "extra-"+string(rune('a'+i%26))+string(rune(0x4e00+i)), &instanceGroup{record: InstanceGroupRecord{Request: wire.ProvisionRequest{Type: "small", Zone: "a"}}})
+			l.addMachine(began, "extra-"+string(rune('a'+i%26))+string(rune(0x4e00+i)),
+				&instanceGroup{record: InstanceGroupRecord{Request: wire.ProvisionRequest{Type: "small", Zone: "a"}}})
 		}
 		lists, spell := 0, 60*clock.Second
 		for now := began; now < began+spell; now += clock.Second / 4 {
--- a/internal/leader/machine_choice.go
+++ b/internal/leader/machine_choice.go
@@ -60,11 +60,12 @@
 }
 
 // leastAvoided finds a machine for a job whose tasks bind each other's place, among those within the bound.
-func (r *freeCapacity) leastAvoided(j *jobs.Job, zones zones, avoid map[string]int, even *loadBound) (best *machine) {
+func (r *freeCapacity) leastAvoided(j *jobs.Job, zones zones, avoid map[string]int, bound *loadBound) (best *machine) {
 	s := &j.Spec
 	for _, list := range [][]*machine{r.byImage[s.Image], r.machines} {
 		for _, m := range list {
-			if !m.fits(s) || !m.allowed(r.now, j) || !zones.allow(m.option.Zone) || j.AvoidsMachine(r.now, m.name) || !even.allows(m, s) {
+			if !m.fits(s) || !m.allowed(r.now, j) || !zones.allow(m.option.Zone) || j.AvoidsMachine(r.now, m.name) ||
+				!bound.allows(m, s) {
 				continue
 			}
 			if best == nil || avoid[m.name] < avoid[best.name] {
--- a/internal/leader/preempt.go
+++ b/internal/leader/preempt.go
@@ -124,27 +124,7 @@
 	}
 	for _, b := range l.shards.all {
 		for t, h := range b.tasks {
-			leaves := h.stopped != "" && p.now-h.stoppedAt < leavingFor
-			if leaves {
-				p.leaving.Charge(h.team, h.resources())
-			}
-			boot, long := p.long[t.Job]
-			if !long && !p.urgent && !leaves {
-				continue
-			}
-			at, j := on[h.machine], l.jobs.Get(t.Job)
-			if at == nil || j == nil {
-				continue
-			}
-			if leaves {
-				at.cpus += h.cpus
-				at.memory += j.Spec.MemoryGB
-			}
-			v := l.victim(p.now, t, h, j)
-			v.endsSoon = !long || !j.Spec.IsService() && l.jobs.RunSeconds(j)-v.ran < bootsWaited*boot
-			if h.stopped == "" && (p.urgent || !v.endsSoon) && v.rank > wire.PriorityProduction.Rank() {
-				at.victims = append(at.victims, v)
-			}
+			p.surveyTask(on, t, h)
 		}
 	}
 	p.spaces = make([]*space, 0, len(on))
@@ -153,13 +133,42 @@
 		if len(at.victims) == 0 && !p.urgent {
 			continue // what fits there needs nobody stopped
 		}
-		slices.SortFunc(at.victims, func(a, b victim) int {
-			return cmp.Or(cmp.Compare(a.cost, b.cost), cmp.Compare(a.task.Job, b.task.Job), cmp.Compare(a.task.Index, b.task.Index))
-		})
+		slices.SortFunc(at.victims, compareVictims)
 		p.spaces = append(p.spaces, at)
 	}
 }
 
+// surveyTask counts a task as capacity that comes free soon, or as a victim.
+func (p *preemption) surveyTask(on map[string]*space, t peer.Task, h *grantedTask) {
+	leaves := h.stopped != "" && p.now-h.stoppedAt < leavingFor
+	if leaves {
+		p.leaving.Charge(h.team, h.resources())
+	}
+	boot, long := p.long[t.Job]
+	if !long && !p.urgent && !leaves {
+		return
+	}
+	at, j := on[h.machine], p.l.jobs.Get(t.Job)
+	if at == nil || j == nil {
+		return
+	}
+	if leaves {
+		at.cpus += h.cpus
+		at.memory += j.Spec.MemoryGB
+	}
+	v := p.l.victim(p.now, t, h, j)
+	v.endsSoon = !long || !j.Spec.IsService() && p.l.jobs.RunSeconds(j)-v.ran < bootsWaited*boot
+	if h.stopped == "" && (p.urgent || !v.endsSoon) && v.rank > wire.PriorityProduction.Rank() {
+		at.victims = append(at.victims, v)
+	}
+}
+
+// compareVictims orders victims by what stopping them costs.
+func compareVictims(a, b victim) int {
+	return cmp.Or(cmp.Compare(a.cost, b.cost), cmp.Compare(a.task.Job, b.task.Job),
+		cmp.Compare(a.task.Index, b.task.Index))
+}
+
 // victim weighs a task that may be stopped. What it saved by itself at its last interval is not lost.
 func (l *Leader) victim(now clock.Micros, t peer.Task, h *grantedTask, j *jobs.Job) victim {
 	s := &j.Spec
@@ -204,7 +213,8 @@
 // claim says why one more task of the team may stop others, if it may.
 func (p *preemption) claim(t *fairshare.TeamQueue, s *wire.Job) (claim, bool) {
 	u := t.Usage().Minus(p.leaving.Of(s.Team))
-	c := claim{team: s.Team, rank: s.Priority.Rank(), guarantee: u.FitsGuarantee(s, t.Team()), own: !u.FitsLimit(s, t.Team())}
+	c := claim{team: s.Team, rank: s.Priority.Rank(),
+		guarantee: u.FitsGuarantee(s, t.Team()), own: !u.FitsLimit(s, t.Team())}
 	return c, c.guarantee || c.rank <= wire.PriorityHigh.Rank()
 }
 
@@ -236,7 +246,8 @@
 	least := 0.0
 	for _, at := range p.spaces {
 		m := at.machine
-		if !m.allowed(p.now, j) || !zones.allow(m.option.Zone) || j.AvoidsMachine(p.now, m.name) || m.state.GPUs+1e-9 < s.GPUs {
+		if !m.allowed(p.now, j) || !zones.allow(m.option.Zone) || j.AvoidsMachine(p.now, m.name) ||
+			m.state.GPUs+1e-9 < s.GPUs {
 			continue
 		}
 		if who, cost, ok := p.makes(at, s, c); ok && (best == nil || cost < least) {
--- a/internal/leader/preempt_test.go
+++ b/internal/leader/preempt_test.go
@@ -12,7 +12,7 @@
 
 // full makes a leader of one machine that guest's tasks fill: four that run for long, and have run for a while.
 // change may alter the job before it is taken in.
-func full(t *testing.T, change func(*wire.Job)) (*Leader, *machine) {
+func full(t *testing.T, change func(*wire.Job)) *Leader {
 	t.Helper()
 	l := granting(t, nil)
 	l.teams["guest"] = config.Team{Name: "guest"}
@@ -37,7 +37,7 @@
 		l.usage.Charge(held.team, held.resources())
 		j.MarkDispatched(i)
 	}
-	return l, m
+	return l
 }
 
 // stopped gives the indexes of the tasks that waiting work stops.
@@ -71,19 +71,23 @@
 		{"high priority stops long work on borrowed capacity", nil, high, 1},
 		{"as much as it needs", nil, with(func(j *wire.Job) { j.Tasks = 3 }), 3},
 		{"standard work within a guarantee does so, too", nil, with(func(j *wire.Job) { j.Priority = wire.PriorityStandard }), 1},
-		{"work as important within a guarantee stops what saves", func(j *wire.Job) { j.CheckpointS = 30 }, with(func(j *wire.Job) { j.Priority = wire.PriorityBestEffort }), 1},
+		{"work as important within a guarantee stops what saves", func(j *wire.Job) { j.CheckpointS = 30 },
+			with(func(j *wire.Job) { j.Priority = wire.PriorityBestEffort }), 1},
 		{"but not what would be done again", nil, with(func(j *wire.Job) { j.Priority = wire.PriorityBestEffort }), 0},
-		{"nor what is more important", func(j *wire.Job) { j.Priority, j.CheckpointS = wire.PriorityHigh, 30 }, with(func(j *wire.Job) { j.Priority = wire.PriorityStandard }), 0},
+		{"nor what is more important", func(j *wire.Job) { j.Priority, j.CheckpointS = wire.PriorityHigh, 30 },
+			with(func(j *wire.Job) { j.Priority = wire.PriorityStandard }), 0},
 		{"no more than the guarantee", nil, with(func(j *wire.Job) { j.Priority, j.Tasks = wire.PriorityStandard, 4 }), 3},
 		{"high priority does so beyond a guarantee, too", nil, with(func(j *wire.Job) { j.Team = "guest" }), 1},
 		{"standard work beyond a guarantee stops nothing", nil, with(func(j *wire.Job) { j.Team, j.Priority = "guest", wire.PriorityStandard }), 0},
 		{"another guest of the same priority stops nothing", nil, with(func(j *wire.Job) { j.Team, j.Priority = "guest", wire.PriorityBestEffort }), 0},
 		{"a task that ends soon is left to end", func(j *wire.Job) { j.EstimateS = 55 }, high, 0},
 		{"work within its own team's guarantee is left alone", func(j *wire.Job) { j.Team = "red" }, high, 0},
-		{"production stops that all the same", func(j *wire.Job) { j.Team, j.EstimateS = "red", 55 }, with(func(j *wire.Job) { j.Priority = wire.PriorityProduction }), 1},
-		{"equal priority is not stopped without a guarantee", func(j *wire.Job) { j.Priority = wire.PriorityHigh }, with(func(j *wire.Job) { j.CPUs, j.Tasks = 5, 1 }), 0},
+		{"production stops that all the same", func(j *wire.Job) { j.Team, j.EstimateS = "red", 55 },
+			with(func(j *wire.Job) { j.Priority = wire.PriorityProduction }), 1},
+		{"equal priority is not stopped without a guarantee", func(j *wire.Job) { j.Priority = wire.PriorityHigh },
+			with(func(j *wire.Job) { j.CPUs, j.Tasks = 5, 1 }), 0},
 	} {
-		l, _ := full(t, c.long)
+		l := full(t, c.long)
 		if got := stopped(t, l, c.waiting); len(got) != c.want {
 			t.Errorf("%s: %d tasks are stopped (%v), want %d", c.name, len(got), got, c.want)
 		}
@@ -92,7 +96,7 @@
 
 // The task that has just saved loses least.
 func TestPreemptionCostsLittleWork(t *testing.T) {
-	l, _ := full(t, func(j *wire.Job) { j.CheckpointS = 22 })
+	l := full(t, func(j *wire.Job) { j.CheckpointS = 22 })
 	high := wire.Job{Ref: "j-000200", Team: "blue", Priority: wire.PriorityHigh, Tasks: 1, CPUs: 1, MemoryGB: 1, EstimateS: 10, Spot: true}
 	if got := stopped(t, l, high); len(got) != 1 || got[0] != 2 {
 		t.Errorf("stopped %v, want the one that ran for 22 s", got)
@@ -101,7 +105,7 @@
 
 // A suspect job stops nobody.
 func TestSuspectJobStopsNobody(t *testing.T) {
-	l, _ := full(t, nil)
+	l := full(t, nil)
 	high := wire.Job{Ref: "j-000200", Team: "blue", Priority: wire.PriorityHigh, Tasks: 9, CPUs: 1, MemoryGB: 1, EstimateS: 10, Spot: true}
 	j := l.addJob(JobRecord{Spec: high}, 4)
 	for i := range 2 {
--- a/internal/leader/proofs_test.go
+++ b/internal/leader/proofs_test.go
@@ -24,25 +24,27 @@
 
 // saying is what a holder says of a block under a token.
 func saying(b *shardLease, token wire.FencingToken, events ...peer.TaskEvent) HolderMessage {
-	return HolderMessage{Controller: "n0", Link: testLink("link"), Message: &peer.ToLeader{Term: 5, Updates: []peer.ShardUpdate{{Shard: b.ID, FencingToken: token, Events: events}}}}
+	return HolderMessage{Controller: "n0", Link: testLink("link"), Message: &peer.ToLeader{Term: 5,
+		Updates: []peer.ShardUpdate{{Shard: b.ID, FencingToken: token, Events: events}}}}
 }
 
-func eventOf(index int, kind peer.EventKind) peer.TaskEvent {
-	return peer.TaskEvent{Task: peer.Task{Job: spec.Ref, Index: index}, Kind: kind, Machine: names[0]}
+// eventOf is an event of the first task of the job.
+func eventOf(kind peer.EventKind) peer.TaskEvent {
+	return peer.TaskEvent{Task: peer.Task{Job: spec.Ref, Index: 0}, Kind: kind, Machine: names[0]}
 }
 
 // What a holder said of an earlier grant, or over an earlier link, gives nothing back.
 func TestEventsOfAnEarlierGrantChangeNothing(t *testing.T) {
 	l := granting(t, recordsOf(names[0], 0, 1))
 	b := l.shards.all[shard.ForMachine(names[0], 2)]
-	l.Step(began+clock.Second, saying(b, b.token-1, eventOf(0, peer.EventReleased)))
-	other := saying(b, b.token, eventOf(0, peer.EventReleased))
+	l.Step(began+clock.Second, saying(b, b.token-1, eventOf(peer.EventReleased)))
+	other := saying(b, b.token, eventOf(peer.EventReleased))
 	other.Link = testLink("an earlier link")
 	l.Step(began+clock.Second, other)
 	if h := b.tasks[peer.Task{Job: spec.Ref}]; h == nil || !h.inherited {
 		t.Error("given back by the word on an earlier grant")
 	}
-	l.Step(began+clock.Second, saying(b, b.token, eventOf(0, peer.EventReleased)))
+	l.Step(began+clock.Second, saying(b, b.token, eventOf(peer.EventReleased)))
 	if h := b.tasks[peer.Task{Job: spec.Ref}]; h != nil && h.inherited {
 		t.Error("not given back by the word on this grant")
 	}
@@ -57,11 +59,11 @@
 		l.Step(began, AttemptsLoaded{Term: 5, Shard: b.ID, FencingToken: b.token, Pages: recordsOf(machine, 0)})
 	}
 	j := l.jobs.Get(spec.Ref)
-	l.Step(began, saying(l.shards.all[0], l.shards.all[0].token, eventOf(0, peer.EventReleased)))
+	l.Step(began, saying(l.shards.all[0], l.shards.all[0].token, eventOf(peer.EventReleased)))
 	if j.Grants(0) != 1 || j.IsWaiting(0) {
 		t.Errorf("in %d grants, waits %v: want one, and not to wait", j.Grants(0), j.IsWaiting(0))
 	}
-	l.Step(began, saying(l.shards.all[1], l.shards.all[1].token, eventOf(0, peer.EventReleased)))
+	l.Step(began, saying(l.shards.all[1], l.shards.all[1].token, eventOf(peer.EventReleased)))
 	if j.Grants(0) != 0 || !j.IsWaiting(0) {
 		t.Errorf("in %d grants, waits %v: want none, and to wait", j.Grants(0), j.IsWaiting(0))
 	}
@@ -160,7 +162,7 @@
 		}
 		return n
 	}
-	if n := acknowledged(l.Step(began, saying(b, b.token, eventOf(0, peer.EventCompleted)))); n != 0 {
+	if n := acknowledged(l.Step(began, saying(b, b.token, eventOf(peer.EventCompleted)))); n != 0 {
 		t.Error("acknowledged before it is written")
 	}
 	var write CommitTxn
@@ -177,10 +179,12 @@
 			t.Errorf("the write is not guarded on %v", guard)
 		}
 	}
-	if n := acknowledged(l.Step(began+jobs.ProgressInterval, TxnCompleted{Term: 5, Tag: write.Tag, Result: store.TxnResult{Ambiguous: true, FailedKeys: []string{page}}})); n != 0 {
+	if n := acknowledged(l.Step(began+jobs.ProgressInterval, TxnCompleted{Term: 5, Tag: write.Tag,
+		Result: store.TxnResult{Ambiguous: true, FailedKeys: []string{page}}})); n != 0 {
 		t.Error("acknowledged by a failed guard")
 	}
-	if n := acknowledged(l.Step(began+jobs.ProgressInterval, TxnCompleted{Term: 5, Tag: write.Tag, Result: store.TxnResult{Committed: true, Revision: 9}})); n != 1 {
+	if n := acknowledged(l.Step(began+jobs.ProgressInterval, TxnCompleted{Term: 5, Tag: write.Tag,
+		Result: store.TxnResult{Committed: true, Revision: 9}})); n != 1 {
 		t.Errorf("%d completions acknowledged, want one", n)
 	}
 }
--- a/internal/leader/rebalancing.go
+++ b/internal/leader/rebalancing.go
@@ -30,7 +30,8 @@
 	}
 	bound := rebalancer.Bound{Relative: s.Bound, ImbalanceS: s.ImbalanceS}
 	p := rebalancer.Params{
-		Bound: bound, MoveAbove: s.MigrateAbove, LeastLoad: s.MinLoad, MigrationBudget: s.MigrationShare, TeamPart: s.TeamShare,
+		Bound: bound, MoveAbove: s.MigrateAbove, LeastLoad: s.MinLoad, MigrationBudget: s.MigrationShare,
+		TeamPart: s.TeamShare,
 		LeastRun: clock.FromSeconds(s.MinRunS), Pause: clock.FromSeconds(s.TaskCooldownS),
 		Calm: clock.FromSeconds(s.LeaderCooldownS), GiveUp: clock.FromSeconds(s.TimeoutS),
 	}
@@ -71,7 +72,7 @@
 	}
 	s.plannedAt = now
 	for _, m := range s.Expire(now) {
-		l.emit(Log{Debug: true, Message: "move given up", Attributes: []any{"task", m.Task.String(), "stage", m.Stage.String()}})
+		l.debug("move given up", "task", m.Task.String(), "stage", m.Stage.String())
 		l.traceMigration(now, m, "given up")
 	}
 	for _, t := range l.autoscaler.catalog {
@@ -91,7 +92,7 @@
 	h := b.tasks[t]
 	h.stopped, h.stoppedAt = moved, now
 	b.orders.Stop = append(b.orders.Stop, peer.StopTask{Task: t, Checkpoint: true})
-	l.emit(Log{Debug: true, Message: "moving task", Attributes: []any{"task", shard.TaskName(t), "from", m.From, "to", m.To, "gain_s", m.GainS, "cost_s", m.CostS}})
+	l.debug("moving task", "task", shard.TaskName(t), "from", m.From, "to", m.To, "gain_s", m.GainS, "cost_s", m.CostS)
 }
 
 // logImpossibleFigures tells once of each machine whose figures cannot be true.
@@ -100,8 +101,8 @@
 		if r.Reason == rebalancer.ImpossibleFigures && !l.rebalancing.loggedImpossible[r.Machine] {
 			l.rebalancing.loggedImpossible[r.Machine] = true
 			m := l.inventory.machines[r.Machine]
-			l.info("machine gets no moves", "machine", r.Machine, "why", r.Reason, "type", m.state.Type, "rented", m.option.Type.Name,
-				"cpus_free", m.state.CPUs, "ram_gb_free", m.state.MemoryGB)
+			l.info("machine gets no moves", "machine", r.Machine, "why", r.Reason, "type", m.state.Type,
+				"rented", m.option.Type.Name, "cpus_free", m.state.CPUs, "ram_gb_free", m.state.MemoryGB)
 		}
 	}
 }
--- a/internal/leader/rebalancing_test.go
+++ b/internal/leader/rebalancing_test.go
@@ -34,7 +34,8 @@
 	for i := range savable.Tasks {
 		starts = append(starts, i, i+1, 0)
 	}
-	page := peer.AttemptPage{FencingToken: 1, Machines: names[:1], Groups: []peer.AttemptGroup{{Job: savable.Ref, Team: "red", CPUs: 1, MemoryGB: 1, CheckpointS: 5, Attempts: starts}}}
+	page := peer.AttemptPage{FencingToken: 1, Machines: names[:1], Groups: []peer.AttemptGroup{{Job: savable.Ref,
+		Team: "red", CPUs: 1, MemoryGB: 1, CheckpointS: 5, Attempts: starts}}}
 	l.Step(began, AttemptsLoaded{Term: 5, Shard: first, FencingToken: l.shards.all[first].token, Pages: map[string]peer.AttemptPage{"p": page}})
 	l.Step(began, AttemptsLoaded{Term: 5, Shard: 1 - first, FencingToken: l.shards.all[1-first].token})
 	var events []peer.TaskEvent
@@ -110,7 +111,8 @@
 
 // A move never puts a task aside for other work: while any waits that could take its room, nothing moves.
 func TestNothingIsMovedWhileWorkWaits(t *testing.T) {
-	waiting := wire.Job{Ref: "j-000003", Team: "red", Priority: wire.PriorityBestEffort, Tasks: 1, CPUs: 1, MemoryGB: 1, Types: []string{"not to be had"}, Spot: true, EstimateS: 10}
+	waiting := wire.Job{Ref: "j-000003", Team: "red", Priority: wire.PriorityBestEffort, Tasks: 1, CPUs: 1, MemoryGB: 1,
+		Types: []string{"not to be had"}, Spot: true, EstimateS: 10}
 	l := unevenFleet(t, true)
 	l.addJob(JobRecord{Spec: waiting}, 31).AwaitAll()
 	if got, _ := stops(l); len(got) != 0 || l.rebalancing.Refusals()[0].Reason != rebalancer.WorkWaits {
--- a/internal/leader/rebalancing_view.go
+++ b/internal/leader/rebalancing_view.go
@@ -96,8 +96,9 @@
 func (l *Leader) movable(now clock.Micros, t peer.Task, h *grantedTask, j *jobs.Job, atLimit bool) rebalancer.Task {
 	s := &j.Spec
 	out := rebalancer.Task{
-		ID: taskID(t), Team: s.Team, Takes: resourcesOf(s), Image: s.Image, ImageGB: s.ImageGB, SaveS: s.SaveS, Saves: s.CheckpointS > 0,
-		Gang: s.OneZone || s.Spread, Standing: s.IsService(), Stopping: h.stopped != "" || j.IsCancelled(), AtLimit: atLimit,
+		ID: taskID(t), Team: s.Team, Takes: resourcesOf(s), Image: s.Image, ImageGB: s.ImageGB, SaveS: s.SaveS,
+		Saves: s.CheckpointS > 0,
+		Gang:  s.OneZone || s.Spread, Standing: s.IsService(), Stopping: h.stopped != "" || j.IsCancelled(), AtLimit: atLimit,
 		Allows: func(m *rebalancer.Machine) bool {
 			to := l.inventory.machines[m.Name]
 			_, failedThere := j.Failures.FailedOn(m.Name)
--- a/internal/leader/reconcile_test.go
+++ b/internal/leader/reconcile_test.go
@@ -61,7 +61,8 @@
 		t.Error("room is kept though nothing is awaited")
 	}
 	cfg := *l.cfg
-	cfg.Facts.Objectives = []config.Objective{{Kind: "wait", Class: "web", WithinS: 20}, {Kind: "wait", Class: "batch", WithinS: 4}, {Kind: "deadline", Class: "batch"}}
+	cfg.Facts.Objectives = []config.Objective{{Kind: "wait", Class: "web", WithinS: 20}, {Kind: "wait", Class: "batch",
+		WithinS: 4}, {Kind: "deadline", Class: "batch"}}
 	l.startSLO = New(&cfg, l.storeOK).startSLO
 	if l.unseenClassReserve() != nil {
 		t.Error("room is kept on a site where nothing runs")
@@ -176,7 +177,8 @@
 func TestListsAloneCostNoMachineThatRunsWork(t *testing.T) {
 	l := granting(t, nil)
 	works, idle, silent := l.inventory.machines[names[0]], l.inventory.machines[names[1]], l.inventory.machines[names[2]]
-	all := []wire.Machine{{Name: works.name, State: wire.MachineRunning}, {Name: idle.name, State: wire.MachineRunning}, {Name: silent.name, State: wire.MachineRunning}}
+	all := []wire.Machine{{Name: works.name, State: wire.MachineRunning}, {Name: idle.name, State: wire.MachineRunning},
+		{Name: silent.name, State: wire.MachineRunning}}
 	l.machinesListed(began, all)
 	for _, m := range []*machine{works, idle, silent} {
 		m.up, m.state.Silent = true, m == silent
--- a/internal/leader/schedule.go
+++ b/internal/leader/schedule.go
@@ -5,8 +5,10 @@
 
 	"swiftledge/internal/clock"
 	"swiftledge/internal/leader/fairshare"
+	"swiftledge/internal/leader/jobs"
 	"swiftledge/internal/peer"
 	"swiftledge/internal/shard"
+	"swiftledge/wire"
 )
 
 // batchDelay is how long room that comes free is collected before it is offered, so
@@ -45,19 +47,23 @@
 	l.preempt(now, queues)
 }
 
-// offerInTurns hands out tasks until nobody who is served next finds room.
+// offering is the part of a scheduling pass that hands tasks out.
+type offering struct {
+	*Leader
+	now      clock.Micros
+	capacity *freeCapacity
+	index    map[offerKey]int // where the offers of a kind stand among those to their shard
+}
+
+// offerInTurns hands out tasks until nobody who is served next finds free capacity.
 func (l *Leader) offerInTurns(now clock.Micros, queues []*fairshare.TeamQueue, capacity *freeCapacity) {
-	offers := map[offerKey]int{}
+	o := &offering{Leader: l, now: now, capacity: capacity, index: map[offerKey]int{}}
 	for {
 		turn, ok := fairshare.Next(queues)
 		if !ok {
 			break
 		}
-		n := tasksPerTurn
-		if turn.Single {
-			n = 1
-		}
-		turn.Done(l.offerTasks(now, turn, capacity, offers, n))
+		turn.Done(o.serve(turn))
 	}
 	for _, b := range l.shards.all {
 		if len(b.orders.Offers) > 0 {
@@ -69,56 +75,76 @@
 	}
 }
 
-// offerTasks hands up to n tasks of a job to one machine's block and says how many.
-func (l *Leader) offerTasks(now clock.Micros, turn fairshare.Turn, capacity *freeCapacity, offers map[offerKey]int, n int) int {
+// serve offers tasks of the job whose turn it is for one machine, and returns how many.
+func (o *offering) serve(turn fairshare.Turn) (offered int) {
 	j := turn.Job
 	s := &j.Spec
-	m, zone := l.preferred(j, capacity), ""
-	if m != nil {
-		n = 1
-	} else if m, zone = l.machineFor(j, capacity); m == nil {
-		return 0
+	m, zone := o.preferred(j, o.capacity), ""
+	isMigration := m != nil
+	if !isMigration {
+		if m, zone = o.machineFor(j, o.capacity); m == nil {
+			return 0
+		}
 	}
-	if s.IsService() {
-		capacity.avoidedMachines(l, j)[m.name] = replicaThere
+	limit := tasksPerTurn
+	if isMigration || turn.Single || o.isPlacedOneByOne(j) {
+		limit = 1
 	}
-	if s.OneZone || s.Spread || s.IsService() {
-		n = 1 // each task changes where the next may be
+	if s.IsService() {
+		o.capacity.avoidedMachines(o.Leader, j)[m.name] = replicaThere
 	}
 	if j.Failures.Suspect() {
-		n = 1
-		j.Failures.Probed(capacity.now)
+		j.Failures.Probed(o.capacity.now)
 	}
 	if !j.WasDispatched() {
-		l.traceQueued(now, j)
+		o.traceQueued(o.now, j)
 	}
-	b := m.shard
+	m.include()
+	for offered < limit && m.fits(s) && turn.Queue.Fits(s) && (offered == 0 || o.mayTakeMore(m, s)) {
+		task := j.DispatchFirst()
+		if task < 0 {
+			break
+		}
+		o.offer(j, task, m, zone)
+		offered++
+	}
+	return offered
+}
+
+// include has the holder offer the machine to tasks again, if it was told to leave it out.
+func (m *machine) include() {
 	if m.excluded {
 		m.deprioritized, m.excluded = false, false
-		b.orders.Include = append(b.orders.Include, m.name)
+		m.shard.orders.Include = append(m.shard.orders.Include, m.name)
 	}
-	given := 0
-	for given < n && m.fits(s) && turn.Queue.Fits(s) && (given == 0 || m.reserveRank() > 0 || capacity.bound.allows(m, s)) {
-		i := j.DispatchFirst()
-		if i < 0 {
-			break
-		}
-		capacity.bound.take(m, s)
-		h := &grantedTask{team: s.Team, cpus: s.CPUs, gpus: s.GPUs, zone: zone}
-		b.tasks[peer.Task{Job: s.Ref, Index: i}] = h
-		l.usage.Charge(h.team, h.resources())
-		k := offerKey{b.ID, s.Ref, zone}
-		at, ok := offers[k]
-		if !ok {
-			at = len(b.orders.Offers)
-			offers[k] = at
-			b.orders.Offers = append(b.orders.Offers, peer.TaskOffer{Job: *s, Zone: zone})
-		}
-		b.orders.Offers[at].TaskIndexes = append(b.orders.Offers[at].TaskIndexes, i)
-		given++
-		j.SetUnservedSince(now)
+}
+
+// isPlacedOneByOne reports whether each task of the job changes where the next may be, or is a probe.
+func (o *offering) isPlacedOneByOne(j *jobs.Job) bool {
+	return j.Spec.OneZone || j.Spec.Spread || j.Spec.IsService() || j.Failures.Suspect()
+}
+
+// mayTakeMore reports whether a machine may take more than the first task of a turn.
+func (o *offering) mayTakeMore(m *machine, s *wire.Job) bool {
+	return m.reserveRank() > 0 || o.capacity.bound.allows(m, s)
+}
+
+// offer offers a task to a machine's shard, bound to a zone if one is given.
+func (o *offering) offer(j *jobs.Job, task int, m *machine, zone string) {
+	s, b := &j.Spec, m.shard
+	o.capacity.bound.take(m, s)
+	h := &grantedTask{team: s.Team, cpus: s.CPUs, gpus: s.GPUs, zone: zone}
+	b.tasks[peer.Task{Job: s.Ref, Index: task}] = h
+	o.usage.Charge(h.team, h.resources())
+	key := offerKey{b.ID, s.Ref, zone}
+	at, ok := o.index[key]
+	if !ok {
+		at = len(b.orders.Offers)
+		o.index[key] = at
+		b.orders.Offers = append(b.orders.Offers, peer.TaskOffer{Job: *s, Zone: zone})
 	}
-	return given
+	b.orders.Offers[at].TaskIndexes = append(b.orders.Offers[at].TaskIndexes, task)
+	j.SetUnservedSince(o.now)
 }
 
 // queues returns the teams' waiting jobs in the order of their turns.
--- a/internal/leader/service_test.go
+++ b/internal/leader/service_test.go
@@ -48,8 +48,9 @@
 	j.Spec.Shape = wire.ShapeService
 	b := l.shards.all[shard.ForMachine(names[0], 2)]
 	one := peer.Task{Job: spec.Ref, Index: 0}
-	effects := l.Step(began+clock.Second, HolderMessage{Controller: "n0", Link: testLink("link"), Message: &peer.ToLeader{Term: 5, Updates: []peer.ShardUpdate{{Shard: b.ID, FencingToken: b.token,
-		Events: []peer.TaskEvent{{Task: one, Kind: peer.EventCompleted, Machine: names[0]}}}}}})
+	effects := l.Step(began+clock.Second, HolderMessage{Controller: "n0", Link: testLink("link"),
+		Message: &peer.ToLeader{Term: 5, Updates: []peer.ShardUpdate{{Shard: b.ID, FencingToken: b.token,
+			Events: []peer.TaskEvent{{Task: one, Kind: peer.EventCompleted, Machine: names[0]}}}}}})
 	stopped, stored := false, false
 	for _, o := range toldOf(effects) {
 		stopped = stopped || len(o.Stop) == 1 && o.Stop[0].Task == one
@@ -70,8 +71,9 @@
 	j := l.jobs.Get(spec.Ref)
 	j.Spec.Shape = wire.ShapeService
 	b := l.shards.all[shard.ForMachine(names[0], 2)]
-	l.Step(began, HolderMessage{Controller: "n0", Link: testLink("link"), Message: &peer.ToLeader{Term: 5, Updates: []peer.ShardUpdate{{Shard: b.ID, FencingToken: b.token,
-		Events: []peer.TaskEvent{{Task: peer.Task{Job: spec.Ref, Index: 0}, Kind: peer.EventRunning, Machine: names[0]}}}}}})
+	l.Step(began, HolderMessage{Controller: "n0", Link: testLink("link"), Message: &peer.ToLeader{Term: 5,
+		Updates: []peer.ShardUpdate{{Shard: b.ID, FencingToken: b.token,
+			Events: []peer.TaskEvent{{Task: peer.Task{Job: spec.Ref, Index: 0}, Kind: peer.EventRunning, Machine: names[0]}}}}}})
 	l.taskFailed(began+2*jobs.StableAfter, j, peer.TaskEvent{Task: peer.Task{Job: spec.Ref, Index: 1}, Machine: names[1]}, &grantedTask{})
 	if l.inventory.machines[names[1]].draining {
 		t.Error("drained after a single failure")
--- a/internal/leader/unconfirmed_machines_test.go
+++ b/internal/leader/unconfirmed_machines_test.go
@@ -157,7 +157,8 @@
 
 // Records, events and updates that name what is not there are counted or left alone; the rest goes on.
 func TestTasksThatAreNotThere(t *testing.T) {
-	page := peer.AttemptPage{Machines: names[:1], Groups: []peer.AttemptGroup{{Job: spec.Ref, Team: "red", CPUs: 1, Attempts: []int{900, 1, 0, -1, 2, 0, 1, 3, 0}}}}
+	page := peer.AttemptPage{Machines: names[:1], Groups: []peer.AttemptGroup{{Job: spec.Ref, Team: "red", CPUs: 1,
+		Attempts: []int{900, 1, 0, -1, 2, 0, 1, 3, 0}}}}
 	l := granting(t, map[string]peer.AttemptPage{"p": page})
 	b := l.shards.all[shard.ForMachine(names[0], 2)]
 	if len(b.tasks) != 3 || l.jobs.Get(spec.Ref).Grants(1) != 1 || l.jobs.Get(spec.Ref).Dispatched() != 1 {
@@ -165,7 +166,8 @@
 	}
 	var events []peer.TaskEvent
 	for _, index := range []int{900, -1, 2, 64} {
-		for _, kind := range []peer.EventKind{peer.EventAssigned, peer.EventRunning, peer.EventAttemptRemains, peer.EventCompleted, peer.EventFailed, peer.EventReleased} {
+		for _, kind := range []peer.EventKind{peer.EventAssigned, peer.EventRunning, peer.EventAttemptRemains,
+			peer.EventCompleted, peer.EventFailed, peer.EventReleased} {
 			events = append(events, peer.TaskEvent{Task: peer.Task{Job: spec.Ref, Index: index}, Kind: kind, Machine: names[0]})
 		}
 	}
