--- a/internal/compat/compat_test.go
+++ b/internal/compat/compat_test.go
@@ -1,7 +1,5 @@
 //lint:file-ignore U1000 msgpack finds the fields _msgpack by their name
 
-// Package compat holds tests alone: that this version reads what the version in
-// production writes, and that version what this one writes.
 package compat
 
 import (
@@ -142,7 +140,7 @@
 
 // Machines belong to blocks, tokens and attempts grow and grants last as they did.
 func TestChoicesStay(t *testing.T) {
-	raw, err := json.MarshalIndent(ours(), "", "  ")
+	raw, err := json.MarshalIndent(currentChoices(), "", "  ")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -157,16 +155,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var old struct {
-		Placement struct{ K, Eta, Epsilon, Small, Cycle_s float64 }
-		Queues    struct{ Start_within_s, Least_share float64 }
-		Grants    struct {
-			Blocks int
-			Time_s float64
-		}
-		Election struct{ Ttl_s float64 }
-		Fleet    struct{ Spot_clear_s, Ordinary_clear_s, Idle_s, Late_factor, Reserve float64 }
-	}
+	var old oldTuning
 	dec := yaml.NewDecoder(strings.NewReader(string(raw)))
 	dec.KnownFields(true)
 	if err := dec.Decode(&old); err != nil {
--- a/internal/compat/errors_test.go
+++ b/internal/compat/errors_test.go
@@ -7,6 +7,7 @@
 	"net"
 	"os"
 	"path/filepath"
+	"slices"
 	"strconv"
 	"strings"
 	"testing"
@@ -33,34 +34,149 @@
 	return strings.Replace(string(raw), part, by, 1)
 }
 
+// settingsErrorCase is a mistake in the settings, and what an operator is told of it.
+type settingsErrorCase struct {
+	name     string
+	part, by string // of the platform's file: what is replaced, and by what
+	tuning   string // the operators' file
+	want     string
+}
+
+// platformErrorCases are mistakes in the platform's file.
+func platformErrorCases() []settingsErrorCase {
+	return []settingsErrorCase{
+		{
+			name: "no name",
+			part: `"host_name":"c0"`,
+			by:   `"host_name":""`,
+			want: "settings FILE: host_name is missing or invalid (required)",
+		},
+		{
+			name: "peer without a name",
+			part: `"host_name":"c1"`,
+			by:   `"host_name":""`,
+			want: "settings FILE: others[0].host_name is missing or invalid (required)",
+		},
+		{
+			name: "endpoint",
+			part: "127.0.0.1:5",
+			by:   "nowhere",
+			want: "settings FILE: endpoints.state is missing or invalid (hostname_port)",
+		},
+		{
+			name: "team",
+			part: `"cpus":1,"cpus_max"`,
+			by:   `"cpus":-1,"cpus_max"`,
+			want: "settings FILE: facts.teams[0].cpus is missing or invalid (min=0)",
+		},
+		{
+			name: "worker",
+			part: `"lease_s":22`,
+			by:   `"lease_s":0`,
+			want: "settings FILE: facts.workers.lease_s is missing or invalid (gt=0)",
+		},
+		{
+			name: "later limit",
+			part: `"write_rps":10`,
+			by:   `"write_rps":-1`,
+			want: "settings FILE: facts.state.next.write_rps is missing or invalid (gt=0)",
+		},
+		{
+			name: "form",
+			part: `"host_name":"c0"`,
+			by:   `"host_name":7`,
+			want: "settings FILE: json: cannot unmarshal number into Go struct field Settings.host_name of type string",
+		},
+		{
+			name: "form of a team",
+			part: `"name":"vision"`,
+			by:   `"name":7`,
+			want: "settings FILE: json: cannot unmarshal number into Go struct field Team.facts.teams.name of type string",
+		},
+		{
+			name: "form of an objective",
+			part: `"kind":"wait"`,
+			by:   `"kind":7`,
+			want: "settings FILE: json: cannot unmarshal number into Go struct field Objective.facts.objectives.kind of type string",
+		},
+	}
+}
+
+// tuningErrorCases are mistakes in the operators' file.
+func tuningErrorCases() []settingsErrorCase {
+	return []settingsErrorCase{
+		{
+			name:   "unknown section",
+			tuning: "placing: {k: 1}",
+			want:   "operators' settings FILE: yaml: unmarshal errors: line 1: field placing not found in type config.Tuning",
+		},
+		{
+			name:   "unknown key",
+			tuning: "placement: {q: 1}",
+			want:   "operators' settings FILE: yaml: unmarshal errors: line 1: field q not found in type config.Placement",
+		},
+		{
+			name:   "unknown key of queues",
+			tuning: "queues: {q: 1}",
+			want:   "operators' settings FILE: yaml: unmarshal errors: line 1: field q not found in type config.Queues",
+		},
+		{
+			name:   "unknown key of grants",
+			tuning: "grants: {q: 1}",
+			want:   "operators' settings FILE: yaml: unmarshal errors: line 1: field q not found in type config.Grants",
+		},
+		{
+			name:   "unknown key of election",
+			tuning: "election: {q: 1}",
+			want:   "operators' settings FILE: yaml: unmarshal errors: line 1: field q not found in type config.Election",
+		},
+		{
+			name:   "unknown key of fleet",
+			tuning: "fleet: {q: 1}",
+			want:   "operators' settings FILE: yaml: unmarshal errors: line 1: field q not found in type config.Fleet",
+		},
+		{
+			name:   "unknown key of spread",
+			tuning: "spread: {q: 1}",
+			want:   "operators' settings FILE: yaml: unmarshal errors: line 1: field q not found in type config.Spread",
+		},
+		{
+			name:   "unknown key of trace",
+			tuning: "trace: {q: 1}",
+			want:   "operators' settings FILE: yaml: unmarshal errors: line 1: field q not found in type config.Trace",
+		},
+		{
+			name:   "section",
+			tuning: "placement: 1",
+			want:   "operators' settings FILE: yaml: unmarshal errors: line 1: cannot unmarshal !!int `1` into config.Placement",
+		},
+		{
+			name:   "whole number",
+			tuning: "grants: {blocks: 1.5}",
+			want:   "operators' settings FILE: line 1: 1.5 is no whole number",
+		},
+		{
+			name:   "range",
+			tuning: "grants: {time_s: 0}",
+			want:   "operators' settings FILE: grants.time_s is missing or invalid (gte=2)",
+		},
+		{
+			name:   "order",
+			tuning: "spread: {bound: 2}",
+			want:   "operators' settings FILE: spread.move_above is missing or invalid (gtfield=Bound)",
+		},
+		{
+			name:   "budget",
+			tuning: "election: {ttl_s: 29}",
+			want:   "workers.cancel_s 52 leaves 0.0 s for a grant, after workers.lease_s 22 and election.ttl_s 29; at least 2 s are needed",
+		},
+	}
+}
+
 // What an operator is told of settings that cannot be used. Some of it has Go names: of types and,
 // for a rule that compares two fields, of a field.
 func TestTextsOfSettingsErrors(t *testing.T) {
-	cases := []struct{ name, part, by, tuning, want string }{
-		{"no name", `"host_name":"c0"`, `"host_name":""`, "", "settings FILE: host_name is missing or invalid (required)"},
-		{"peer without a name", `"host_name":"c1"`, `"host_name":""`, "", "settings FILE: others[0].host_name is missing or invalid (required)"},
-		{"endpoint", "127.0.0.1:5", "nowhere", "", "settings FILE: endpoints.state is missing or invalid (hostname_port)"},
-		{"team", `"cpus":1,"cpus_max"`, `"cpus":-1,"cpus_max"`, "", "settings FILE: facts.teams[0].cpus is missing or invalid (min=0)"},
-		{"worker", `"lease_s":22`, `"lease_s":0`, "", "settings FILE: facts.workers.lease_s is missing or invalid (gt=0)"},
-		{"later limit", `"write_rps":10`, `"write_rps":-1`, "", "settings FILE: facts.state.next.write_rps is missing or invalid (gt=0)"},
-		{"form", `"host_name":"c0"`, `"host_name":7`, "", "settings FILE: json: cannot unmarshal number into Go struct field Settings.host_name of type string"},
-		{"form of a team", `"name":"vision"`, `"name":7`, "", "settings FILE: json: cannot unmarshal number into Go struct field Team.facts.teams.name of type string"},
-		{"form of an objective", `"kind":"wait"`, `"kind":7`, "", "settings FILE: json: cannot unmarshal number into Go struct field Objective.facts.objectives.kind of type string"},
-		{"unknown section", "", "", "placing: {k: 1}", "operators' settings FILE: yaml: unmarshal errors: line 1: field placing not found in type config.Tuning"},
-		{"unknown key", "", "", "placement: {q: 1}", "operators' settings FILE: yaml: unmarshal errors: line 1: field q not found in type config.Placement"},
-		{"unknown key of queues", "", "", "queues: {q: 1}", "operators' settings FILE: yaml: unmarshal errors: line 1: field q not found in type config.Queues"},
-		{"unknown key of grants", "", "", "grants: {q: 1}", "operators' settings FILE: yaml: unmarshal errors: line 1: field q not found in type config.Grants"},
-		{"unknown key of election", "", "", "election: {q: 1}", "operators' settings FILE: yaml: unmarshal errors: line 1: field q not found in type config.Election"},
-		{"unknown key of fleet", "", "", "fleet: {q: 1}", "operators' settings FILE: yaml: unmarshal errors: line 1: field q not found in type config.Fleet"},
-		{"unknown key of spread", "", "", "spread: {q: 1}", "operators' settings FILE: yaml: unmarshal errors: line 1: field q not found in type config.Spread"},
-		{"unknown key of trace", "", "", "trace: {q: 1}", "operators' settings FILE: yaml: unmarshal errors: line 1: field q not found in type config.Trace"},
-		{"section", "", "", "placement: 1", "operators' settings FILE: yaml: unmarshal errors: line 1: cannot unmarshal !!int `1` into config.Placement"},
-		{"whole number", "", "", "grants: {blocks: 1.5}", "operators' settings FILE: line 1: 1.5 is no whole number"},
-		{"range", "", "", "grants: {time_s: 0}", "operators' settings FILE: grants.time_s is missing or invalid (gte=2)"},
-		{"order", "", "", "spread: {bound: 2}", "operators' settings FILE: spread.move_above is missing or invalid (gtfield=Bound)"},
-		{"budget", "", "", "election: {ttl_s: 29}", "workers.cancel_s 52 leaves 0.0 s for a grant, after workers.lease_s 22 and election.ttl_s 29; at least 2 s are needed"},
-	}
-	for _, c := range cases {
+	for _, c := range slices.Concat(platformErrorCases(), tuningErrorCases()) {
 		t.Run(c.name, func(t *testing.T) {
 			platform, tuning := filepath.Join(t.TempDir(), "settings"), filepath.Join(t.TempDir(), "tuning")
 			if err := os.WriteFile(platform, []byte(faultySettings(t, c.part, c.by)), 0o600); err != nil {
@@ -84,12 +200,12 @@
 func serveAPI(t *testing.T) string {
 	t.Helper()
 	cfg := &config.Config{Settings: platformSettings()}
-	directory := api.NewJobCache(cfg, func() clock.Micros { return 0 })
-	go directory.Run(t.Context())
+	cache := api.NewJobCache(cfg, func() clock.Micros { return 0 })
+	go cache.Run(t.Context())
 	answer := func(*wire.Heartbeat) shard.HeartbeatReply { return shard.HeartbeatReply{Status: 200} }
 	service := api.New(api.Options{
 		Config:          cfg,
-		Jobs:            directory,
+		Jobs:            cache,
 		StoreHealthy:    func() bool { return true },
 		HandleHeartbeat: answer,
 	})
@@ -129,14 +245,62 @@
 		code             int
 		want             string
 	}{
-		{"job of another form", "/api/jobs", `{"lots":"many"}`, 400, `{"error":"not a job: json: cannot unmarshal string into Go struct field JobForm.lots of type int"}`},
-		{"no object", "/api/jobs", `[]`, 400, `{"error":"not a job: json: cannot unmarshal array into Go value of type wire.JobForm"}`},
-		{"no ref", "/api/jobs", `{}`, 400, `{"error":"ref is missing or invalid (required)"}`},
-		{"bad ref", "/api/jobs", strings.Replace(string(exactJob(t)), "j-000412", "j-1", 1), 400, `{"error":"ref is missing or invalid (jobref)"}`},
-		{"report of another form", "/agent/beat", `{"tally":"x"}`, 400, `{"error":"report: json: cannot unmarshal string into Go struct field Report.tally of type uint64"}`},
-		{"report of a task of another form", "/agent/beat", `{"lots":[{"try":"x"}]}`, 400, `{"error":"report: json: cannot unmarshal string into Go struct field Report.lots.0.try of type uint64"}`},
-		{"report that is no object", "/agent/beat", `[]`, 400, `{"error":"report: json: cannot unmarshal array into Go value of type wire.Report"}`},
-		{"answer without orders", "/agent/beat", `{}`, 200, `{"baton":0,"orders":null}`},
+		{
+			name: "job of another form",
+			path: "/api/jobs",
+			body: `{"lots":"many"}`,
+			code: 400,
+			want: `{"error":"not a job: json: cannot unmarshal string into Go struct field JobForm.lots of type int"}`,
+		},
+		{
+			name: "no object",
+			path: "/api/jobs",
+			body: `[]`,
+			code: 400,
+			want: `{"error":"not a job: json: cannot unmarshal array into Go value of type wire.JobForm"}`,
+		},
+		{
+			name: "no ref",
+			path: "/api/jobs",
+			body: `{}`,
+			code: 400,
+			want: `{"error":"ref is missing or invalid (required)"}`,
+		},
+		{
+			name: "bad ref",
+			path: "/api/jobs",
+			body: strings.Replace(string(exactJob(t)), "j-000412", "j-1", 1),
+			code: 400,
+			want: `{"error":"ref is missing or invalid (jobref)"}`,
+		},
+		{
+			name: "report of another form",
+			path: "/agent/beat",
+			body: `{"tally":"x"}`,
+			code: 400,
+			want: `{"error":"report: json: cannot unmarshal string into Go struct field Report.tally of type uint64"}`,
+		},
+		{
+			name: "report of a task of another form",
+			path: "/agent/beat",
+			body: `{"lots":[{"try":"x"}]}`,
+			code: 400,
+			want: `{"error":"report: json: cannot unmarshal string into Go struct field Report.lots.0.try of type uint64"}`,
+		},
+		{
+			name: "report that is no object",
+			path: "/agent/beat",
+			body: `[]`,
+			code: 400,
+			want: `{"error":"report: json: cannot unmarshal array into Go value of type wire.Report"}`,
+		},
+		{
+			name: "answer without orders",
+			path: "/agent/beat",
+			body: `{}`,
+			code: 200,
+			want: `{"baton":0,"orders":null}`,
+		},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/compat/exact_test.go
+++ b/internal/compat/exact_test.go
@@ -41,36 +41,111 @@
 // protocolForms are the JSON bodies of the four protocols, filled and empty, and the platform's settings.
 func protocolForms() []exactForm {
 	return []exactForm{
-		{"Job", batch}, {"Job/empty", wire.Job{}},
-		{"JobStatus", wire.JobStatus{Ref: "j-000412", State: wire.JobRunning, Done: 3, Running: 13}}, {"JobStatus/empty", wire.JobStatus{}},
+		{"Job", batch},
+		{"Job/empty", wire.Job{}},
+		{"JobStatus", wire.JobStatus{Ref: "j-000412", State: wire.JobRunning, Done: 3, Running: 13}},
+		{"JobStatus/empty", wire.JobStatus{}},
 		{"Problem", wire.ErrorResponse{Error: "no <such> job"}},
-		{"Report", wire.Heartbeat{Machine: "host-000001", Address: "10.1.0.1:9000", Type: "g8", Zone: "a", Spot: true, AgentEpoch: 5, Seq: 6, FencingToken: 7<<12 | 3,
-			PreemptionNoticeS: &notice, Tasks: []wire.TaskStatus{{Task: "j-000412/3", Attempt: 9, State: wire.TaskExited, Cause: wire.ExitDone, Checkpointed: true}}}},
+		{
+			"Report",
+			wire.Heartbeat{
+				Machine:           "host-000001",
+				Address:           "10.1.0.1:9000",
+				Type:              "g8",
+				Zone:              "a",
+				Spot:              true,
+				AgentEpoch:        5,
+				Seq:               6,
+				FencingToken:      7<<12 | 3,
+				PreemptionNoticeS: &notice,
+				Tasks: []wire.TaskStatus{
+					{Task: "j-000412/3", Attempt: 9, State: wire.TaskExited, Cause: wire.ExitDone, Checkpointed: true},
+				},
+			},
+		},
 		{"Report/empty", wire.Heartbeat{Tasks: []wire.TaskStatus{{}}}},
-		{"ReportAnswer", wire.HeartbeatResponse{FencingToken: 7<<12 | 3, Commands: []wire.Command{{Verb: wire.VerbKill, Task: "j-000412/3", Attempt: 9, GraceS: &grace}}}},
+		{
+			"ReportAnswer",
+			wire.HeartbeatResponse{
+				FencingToken: 7<<12 | 3,
+				Commands:     []wire.Command{{Verb: wire.VerbKill, Task: "j-000412/3", Attempt: 9, GraceS: &grace}},
+			},
+		},
 		{"ReportAnswer/empty", wire.HeartbeatResponse{}},
-		{"Redirect", wire.Redirect{Controller: "10.1.0.2:8000"}}, {"Redirect/empty", wire.Redirect{}},
-		{"Orders", wire.CommandBatch{FencingToken: 7<<12 | 3, AgentEpoch: 5, Commands: []wire.Command{{Verb: wire.VerbRun, Task: "j-000412/3", Attempt: 9}}}}, {"Orders/empty", wire.CommandBatch{}},
-		{"Catalog", wire.Catalog{Types: []wire.MachineType{g8}}}, {"Catalog/empty", wire.Catalog{Types: []wire.MachineType{{}}}},
-		{"Rental", wire.ProvisionRequest{RequestID: "r-7-1", Type: "g8", Zone: "a", Spot: true, Count: 2}}, {"Rental/empty", wire.ProvisionRequest{}},
-		{"Machines", wire.MachineNames{Names: []string{"host-000001"}}}, {"Machines/empty", wire.MachineNames{}},
-		{"MachineList", wire.MachineList{More: true, Machines: []wire.Machine{{Name: "host-000001", Address: "10.1.0.1:9000", Type: "g8", Zone: "a", Spot: true, State: wire.MachineStarting, AgeS: 1.5}}}},
+		{"Redirect", wire.Redirect{Controller: "10.1.0.2:8000"}},
+		{"Redirect/empty", wire.Redirect{}},
+		{
+			"Orders",
+			wire.CommandBatch{
+				FencingToken: 7<<12 | 3,
+				AgentEpoch:   5,
+				Commands:     []wire.Command{{Verb: wire.VerbRun, Task: "j-000412/3", Attempt: 9}},
+			},
+		},
+		{"Orders/empty", wire.CommandBatch{}},
+		{"Catalog", wire.Catalog{Types: []wire.MachineType{g8}}},
+		{"Catalog/empty", wire.Catalog{Types: []wire.MachineType{{}}}},
+		{"Rental", wire.ProvisionRequest{RequestID: "r-7-1", Type: "g8", Zone: "a", Spot: true, Count: 2}},
+		{"Rental/empty", wire.ProvisionRequest{}},
+		{"Machines", wire.MachineNames{Names: []string{"host-000001"}}},
+		{"Machines/empty", wire.MachineNames{}},
+		{
+			"MachineList",
+			wire.MachineList{
+				More: true,
+				Machines: []wire.Machine{
+					{
+						Name:    "host-000001",
+						Address: "10.1.0.1:9000",
+						Type:    "g8",
+						Zone:    "a",
+						Spot:    true,
+						State:   wire.MachineStarting,
+						AgeS:    1.5,
+					},
+				},
+			},
+		},
 		{"MachineList/empty", wire.MachineList{Machines: []wire.Machine{{}}}},
-		{"ItemList", wire.ItemList{Items: []wire.Item{{Key: "leader", Value: rawValue, Version: 8, Lease: 9}}, More: true, Revision: 10}},
+		{
+			"ItemList",
+			wire.ItemList{Items: []wire.Item{{Key: "leader", Value: rawValue, Version: 8, Lease: 9}}, More: true, Revision: 10},
+		},
 		{"ItemList/empty", wire.ItemList{Items: []wire.Item{{Value: rawValue}}}},
-		{"Txn", wire.Txn{Conditions: []wire.Condition{{Key: "leader", Version: 8}}, Writes: []wire.Write{{Put: "leader", Value: rawValue, Lease: 9}, {Delete: "layout"}}}},
+		{
+			"Txn",
+			wire.Txn{
+				Conditions: []wire.Condition{{Key: "leader", Version: 8}},
+				Writes:     []wire.Write{{Put: "leader", Value: rawValue, Lease: 9}, {Delete: "layout"}},
+			},
+		},
 		{"Txn/empty", wire.Txn{}},
-		{"TxnAnswer", wire.TxnResponse{Revision: 10, Failed: []string{"leader"}, Error: "guards"}}, {"TxnAnswer/empty", wire.TxnResponse{}},
-		{"LeaseForm", wire.LeaseRequest{TTLMs: 3000}}, {"LeaseAnswer", wire.LeaseResponse{Lease: 9}},
-		{"WatchAnswer", wire.WatchResponse{Revision: 10, Events: []wire.Event{{Put: "leader", Value: rawValue, Version: 8}, {Version: 9, Delete: "layout"}}}},
+		{"TxnAnswer", wire.TxnResponse{Revision: 10, Failed: []string{"leader"}, Error: "guards"}},
+		{"TxnAnswer/empty", wire.TxnResponse{}},
+		{"LeaseForm", wire.LeaseRequest{TTLMs: 3000}},
+		{"LeaseAnswer", wire.LeaseResponse{Lease: 9}},
+		{
+			"WatchAnswer",
+			wire.WatchResponse{
+				Revision: 10,
+				Events:   []wire.Event{{Put: "leader", Value: rawValue, Version: 8}, {Version: 9, Delete: "layout"}},
+			},
+		},
 		{"WatchAnswer/empty", wire.WatchResponse{}},
-		{"Settings", platformSettings()}, {"Settings/empty", config.Settings{}},
+		{"Settings", platformSettings()},
+		{"Settings/empty", config.Settings{}},
 	}
 }
 
 // platformSettings has every key that the platform's file may hold.
 func platformSettings() config.Settings {
-	s := config.Settings{Name: "c0", Zone: "a", ListenAddress: "127.0.0.1:1", PeerAddress: "127.0.0.1:2", Peers: []config.Peer{{Name: "c1", Zone: "b", Address: "127.0.0.1:3"}}}
+	s := config.Settings{
+		Name:          "c0",
+		Zone:          "a",
+		ListenAddress: "127.0.0.1:1",
+		PeerAddress:   "127.0.0.1:2",
+		Peers:         []config.Peer{{Name: "c1", Zone: "b", Address: "127.0.0.1:3"}},
+	}
 	s.Endpoints.Cloud, s.Endpoints.State = "127.0.0.1:4", "127.0.0.1:5"
 	f := &s.Facts
 	f.InitialSize, f.Zones, f.SkewMs = 3, []string{"a", "b"}, 10
@@ -86,16 +161,60 @@
 
 // fullStatus has every field that a status may tell.
 func fullStatus() peer.Status {
-	return peer.Status{Controller: "c0", Leader: "c1", Term: 7, Leading: true, Pauses: 4,
+	return peer.Status{
+		Controller:  "c0",
+		Leader:      "c1",
+		Term:        7,
+		Leading:     true,
+		Pauses:      4,
 		LastPause:   &peer.PauseStatus{EndedAt: 1234567, AgoS: 61, LengthS: 12.5, Expired: []string{"grant of block 1"}},
-		Rebalancing: true, MeanLoad: 0.5,
-		Shards:            []peer.ShardStatus{{Shard: 1, Holder: "c1", Granted: true, Machines: 9, TakeWork: 8, MeanLoad: 0.25, MostLoad: 0.75, Tasks: 31, Unstarted: 2}},
-		Machines:          []peer.MachineStatus{{Name: "host-000001", Shard: 1, Type: "g8", Zone: "a", Load: 0.75, OverMean: 1.5, Tasks: 5, TakesWork: true, WhyNot: "not needed"}},
-		Teams:             []peer.TeamStatus{{Team: "vision", CPUs: 64, Limit: 128, Waiting: 12, AtLimit: 3}},
-		Migrations:        []peer.MigrationStatus{{Task: "j-000412/3", Team: "vision", From: "host-000001", To: "host-000002", Stage: "stopping", AgeS: 1.5, GainS: 20, CostS: 6}},
-		Refusals:          []peer.RefusalStatus{{Machine: "host-000003", Reason: "cannot save", Task: "j-000413/0", Tasks: 4}},
+		Rebalancing: true,
+		MeanLoad:    0.5,
+		Shards: []peer.ShardStatus{
+			{
+				Shard:     1,
+				Holder:    "c1",
+				Granted:   true,
+				Machines:  9,
+				TakeWork:  8,
+				MeanLoad:  0.25,
+				MostLoad:  0.75,
+				Tasks:     31,
+				Unstarted: 2,
+			},
+		},
+		Machines: []peer.MachineStatus{
+			{
+				Name:      "host-000001",
+				Shard:     1,
+				Type:      "g8",
+				Zone:      "a",
+				Load:      0.75,
+				OverMean:  1.5,
+				Tasks:     5,
+				TakesWork: true,
+				WhyNot:    "not needed",
+			},
+		},
+		Teams: []peer.TeamStatus{{Team: "vision", CPUs: 64, Limit: 128, Waiting: 12, AtLimit: 3}},
+		Migrations: []peer.MigrationStatus{
+			{
+				Task:  "j-000412/3",
+				Team:  "vision",
+				From:  "host-000001",
+				To:    "host-000002",
+				Stage: "stopping",
+				AgeS:  1.5,
+				GainS: 20,
+				CostS: 6,
+			},
+		},
+		Refusals: []peer.RefusalStatus{
+			{Machine: "host-000003", Reason: "cannot save", Task: "j-000413/0", Tasks: 4},
+		},
 		MigrationOutcomes: peer.MigrationOutcomes{Begun: 15, Arrived: 5, Elsewhere: 4, Cancelled: 3, GivenUp: 2},
-		Suspects:          []peer.SuspectStatus{{Job: "j-000414", Team: "vision", Machines: 3, Probes: 2, NextS: 7.5}}}
+		Suspects:          []peer.SuspectStatus{{Job: "j-000414", Team: "vision", Machines: 3, Probes: 2, NextS: 7.5}},
+	}
 }
 
 // messagePackForms travel between controllers and have no sample of the version in production.
@@ -103,13 +222,27 @@
 	spread := batch
 	spread.FleetLoad = 0.5
 	return []exactForm{
-		{"Offer/spread", peer.TaskOffer{Job: spread, Zone: "a", TaskIndexes: []int{3, 4}}}, {"Offer/empty", peer.TaskOffer{}},
+		{"Offer/spread", peer.TaskOffer{Job: spread, Zone: "a", TaskIndexes: []int{3, 4}}},
+		{"Offer/empty", peer.TaskOffer{}},
 		{"MachineType/empty", wire.MachineType{}},
-		{"Hello/empty", peer.Hello{}}, {"Up/empty", peer.ToLeader{Updates: []peer.ShardUpdate{{Events: []peer.TaskEvent{{}}, Machines: []peer.MachineState{{}}}}}},
-		{"Down/empty", peer.FromLeader{Grants: []peer.ShardGrant{{Pages: map[string]peer.AttemptPage{"": {Groups: []peer.AttemptGroup{{}}}}, Machines: []peer.InventoryMachine{{}}}},
-			Orders: []peer.ShardOrders{{Stop: []peer.StopTask{{}}, Persisted: []peer.Task{{}}}}, TaskCounts: []peer.TaskCount{{}}}},
+		{"Hello/empty", peer.Hello{}},
+		{
+			"Up/empty",
+			peer.ToLeader{Updates: []peer.ShardUpdate{{Events: []peer.TaskEvent{{}}, Machines: []peer.MachineState{{}}}}},
+		},
+		{
+			"Down/empty",
+			peer.FromLeader{
+				Grants: []peer.ShardGrant{
+					{Pages: map[string]peer.AttemptPage{"": {Groups: []peer.AttemptGroup{{}}}}, Machines: []peer.InventoryMachine{{}}},
+				},
+				Orders:     []peer.ShardOrders{{Stop: []peer.StopTask{{}}, Persisted: []peer.Task{{}}}},
+				TaskCounts: []peer.TaskCount{{}},
+			},
+		},
 		{"Hello/status", peer.Hello{Term: 1<<64 - 1}},
-		{"Status", fullStatus()}, {"Status/empty", peer.Status{}},
+		{"Status", fullStatus()},
+		{"Status/empty", peer.Status{}},
 	}
 }
 
@@ -135,13 +268,21 @@
 	}
 }
 
+// jsonEncoders are the two in use, by name.
+func jsonEncoders() map[string]func(any) ([]byte, error) {
+	return map[string]func(any) ([]byte, error){
+		"encoding/json": json.Marshal,
+		"goccy":         func(v any) ([]byte, error) { return goccy.Marshal(v) },
+	}
+}
+
 // The JSON of the protocols has these bytes and no others, by either of the encoders in use.
 func TestProtocolBytes(t *testing.T) {
 	lines := exactLines(t)
 	for _, f := range protocolForms() {
 		t.Run(f.name, func(t *testing.T) {
 			want := lines["json:"+f.name]
-			for name, marshal := range map[string]func(any) ([]byte, error){"encoding/json": json.Marshal, "goccy": func(v any) ([]byte, error) { return goccy.Marshal(v) }} {
+			for name, marshal := range jsonEncoders() {
 				if raw, err := marshal(f.value); err != nil || string(raw) != want {
 					t.Errorf("%s writes %s, %v, want %s", name, raw, err, want)
 				}
@@ -174,7 +315,11 @@
 // What `swiftledge status --json` prints is read by operators' own tools.
 func TestStatusJSONBytes(t *testing.T) {
 	full := fullStatus()
-	all := []status.Controller{{Name: "c0", Address: "127.0.0.1:2", Status: &full}, {Name: "c1", Address: "127.0.0.1:3", Problem: "no answer"}, {Name: "c2", Address: "127.0.0.1:4", Status: &peer.Status{}}}
+	all := []status.Controller{
+		{Name: "c0", Address: "127.0.0.1:2", Status: &full},
+		{Name: "c1", Address: "127.0.0.1:3", Problem: "no answer"},
+		{Name: "c2", Address: "127.0.0.1:4", Status: &peer.Status{}},
+	}
 	var out bytes.Buffer
 	if err := status.WriteJSON(&out, all); err != nil {
 		t.Fatal(err)
@@ -205,7 +350,18 @@
 // A field that a sample leaves empty would not be missed when it is renamed.
 func TestSamplesFillEveryField(t *testing.T) {
 	// Of two that exclude each other, or that production does not know.
-	left := []string{"Job.FleetLoad", "Write.Lease", "Write.Value", "Write.Put", "Write.Delete", "Event.Put", "Event.Value", "Event.Delete", "ProgressChunk.Chunk", "Command.GraceS"}
+	exempt := []string{
+		"Job.FleetLoad",
+		"Write.Lease",
+		"Write.Value",
+		"Write.Put",
+		"Write.Delete",
+		"Event.Put",
+		"Event.Value",
+		"Event.Delete",
+		"ProgressChunk.Chunk",
+		"Command.GraceS",
+	}
 	var values []exactForm
 	for _, c := range codecs() {
 		for _, f := range c.forms {
@@ -220,7 +376,7 @@
 	for _, f := range values {
 		t.Run(f.name, func(t *testing.T) {
 			for _, name := range emptyFields(reflect.ValueOf(f.value)) {
-				if !slices.Contains(left, name) {
+				if !slices.Contains(exempt, name) {
 					t.Errorf("%s is empty", name)
 				}
 			}
--- a/internal/compat/frozen_test.go
+++ b/internal/compat/frozen_test.go
@@ -3,7 +3,8 @@
 package compat
 
 // The forms as the version in production has them (commit in deploy/service.toml). They are
-// never changed: they stand for a reader that knows nothing of what came later.
+// never changed: they stand for a reader that knows nothing of what came later. That is why the fields have
+// production's names, and not the terms of today.
 
 type oldHello struct {
 	_msgpack struct{} `msgpack:",as_array"`
@@ -137,7 +138,7 @@
 	Epoch    uint64
 	Renew    uint64
 	StoreOK  bool
-	Blind    bool
+	Blind    bool // production's name of NoAgentContact
 	Updates  []oldBlockUpdate
 }
 
@@ -229,3 +230,32 @@
 	Node string `json:"node"`
 	Run  uint64 `json:"run"`
 }
+
+// oldTuning is the operators' file: a key that it does not have is refused.
+type oldTuning struct {
+	Placement struct {
+		K       float64 `yaml:"k"`
+		Eta     float64 `yaml:"eta"`
+		Epsilon float64 `yaml:"epsilon"`
+		Small   float64 `yaml:"small"`
+		CycleS  float64 `yaml:"cycle_s"`
+	} `yaml:"placement"`
+	Queues struct {
+		StartWithinS float64 `yaml:"start_within_s"`
+		LeastShare   float64 `yaml:"least_share"`
+	} `yaml:"queues"`
+	Grants struct {
+		Blocks int     `yaml:"blocks"`
+		TimeS  float64 `yaml:"time_s"`
+	} `yaml:"grants"`
+	Election struct {
+		TTLS float64 `yaml:"ttl_s"`
+	} `yaml:"election"`
+	Fleet struct {
+		SpotClearS     float64 `yaml:"spot_clear_s"`
+		OrdinaryClearS float64 `yaml:"ordinary_clear_s"`
+		IdleS          float64 `yaml:"idle_s"`
+		LateFactor     float64 `yaml:"late_factor"`
+		Reserve        float64 `yaml:"reserve"`
+	} `yaml:"fleet"`
+}
--- a/internal/compat/samples_test.go
+++ b/internal/compat/samples_test.go
@@ -30,13 +30,61 @@
 
 var due = 90.5
 
-var batch = wire.Job{Ref: "j-000412", Class: "train", Team: "vision", Shape: "batch", Priority: "high", Tasks: 16, CPUs: 8, GPUs: 1, MemoryGB: 64,
-	Image: "img-07", ImageGB: 6.2, Types: []string{"g8"}, Zone: "a", OneZone: true, Spread: true, Spot: true, EstimateS: 240, CheckpointS: 30, SaveS: 4, DeadlineS: &due}
+var batch = wire.Job{
+	Ref:         "j-000412",
+	Class:       "train",
+	Team:        "vision",
+	Shape:       "batch",
+	Priority:    "high",
+	Tasks:       16,
+	CPUs:        8,
+	GPUs:        1,
+	MemoryGB:    64,
+	Image:       "img-07",
+	ImageGB:     6.2,
+	Types:       []string{"g8"},
+	Zone:        "a",
+	OneZone:     true,
+	Spread:      true,
+	Spot:        true,
+	EstimateS:   240,
+	CheckpointS: 30,
+	SaveS:       4,
+	DeadlineS:   &due,
+}
 
-var page = peer.AttemptPage{FencingToken: 7<<12 | 3, Prefix: "host-0000", Machines: []string{"01", "02"}, Groups: []peer.AttemptGroup{
-	{Job: "j-000412", Team: "vision", CPUs: 8, GPUs: 1, MemoryGB: 64, SaveS: 4, CheckpointS: 30, Image: "img-07", ImageGB: 6.2, Attempts: []int{3, 1, 0, 4, 2, 1}}}}
+var page = peer.AttemptPage{
+	FencingToken: 7<<12 | 3,
+	Prefix:       "host-0000",
+	Machines:     []string{"01", "02"},
+	Groups: []peer.AttemptGroup{
+		{
+			Job:         "j-000412",
+			Team:        "vision",
+			CPUs:        8,
+			GPUs:        1,
+			MemoryGB:    64,
+			SaveS:       4,
+			CheckpointS: 30,
+			Image:       "img-07",
+			ImageGB:     6.2,
+			Attempts:    []int{3, 1, 0, 4, 2, 1},
+		},
+	},
+}
 
-var g8 = wire.MachineType{Name: "g8", CPUs: 96, GPUs: 8, MemoryGB: 768, CacheGB: 200, FetchGBPS: 1, Price: 12, SpotPrice: 4.5, BootS: 45, ZoneNames: []string{"a", "b"}}
+var g8 = wire.MachineType{
+	Name:      "g8",
+	CPUs:      96,
+	GPUs:      8,
+	MemoryGB:  768,
+	CacheGB:   200,
+	FetchGBPS: 1,
+	Price:     12,
+	SpotPrice: 4.5,
+	BootS:     45,
+	ZoneNames: []string{"a", "b"},
+}
 
 // jsonForms are the values in the state service.
 func jsonForms() []form {
@@ -46,10 +94,25 @@
 		{"catalog", wire.Catalog{Types: []wire.MachineType{g8}}},
 		{"job", leader.JobRecord{Spec: batch, AcceptedAt: 1234567}},
 		{"over", leader.FinalStateRecord{State: wire.JobDone, Tasks: 16}},
-		{"prog", jobs.ProgressRecord{Chunks: []jobs.ProgressChunk{{Job: "j-000412", Chunk: 1, Completed: []byte{5, 255}}, {Job: "j-000413", Completed: []byte{1}}}}},
+		{
+			"prog",
+			jobs.ProgressRecord{
+				Chunks: []jobs.ProgressChunk{
+					{Job: "j-000412", Chunk: 1, Completed: []byte{5, 255}},
+					{Job: "j-000413", Completed: []byte{1}},
+				},
+			},
+		},
 		{"block", leader.ShardRecord{FencingToken: 7<<12 | 3, Holder: "n2", Incarnation: 78}},
 		{"run", page},
-		{"fleet", leader.InstanceGroupRecord{Request: wire.ProvisionRequest{RequestID: "r-7-1", Type: "g8", Zone: "a", Spot: true, Count: 2}, Machines: []string{"host-000001"}, Answered: true}},
+		{
+			"fleet",
+			leader.InstanceGroupRecord{
+				Request:  wire.ProvisionRequest{RequestID: "r-7-1", Type: "g8", Zone: "a", Spot: true, Count: 2},
+				Machines: []string{"host-000001"},
+				Answered: true,
+			},
+		},
 	}
 }
 
@@ -58,14 +121,79 @@
 	task := peer.Task{Job: "j-000412", Index: 3}
 	return []form{
 		{"hello", peer.Hello{Controller: "n1", Incarnation: 77, Term: 7}},
-		{"up", peer.ToLeader{Term: 7, RenewSeq: 9, StoreOK: true, NoAgentContact: true, Updates: []peer.ShardUpdate{{Shard: 2, FencingToken: 7<<12 | 3, SettledOfferSeq: 4, NeedsRegrant: true,
-			Events:   []peer.TaskEvent{{Task: task, Kind: peer.EventCompleted, Machine: "host-000001", RunSeconds: 12.5}},
-			Machines: []peer.MachineState{{Name: "host-000001", Type: "g8", Zone: "a", Address: "10.1.0.1:9000", Spot: true, Schedulable: true, Silent: true, PreemptionNotice: true, Terminated: true, TokenConfirmed: true, CPUs: 1.5, GPUs: 2, MemoryGB: 3, Tasks: 4, Images: []string{"img-07"}}}}}}},
-		{"down", peer.FromLeader{Term: 7, RenewedSeq: 9, FencingTokens: map[int]wire.FencingToken{2: 7<<12 | 3}, Holders: []string{"n1", "n2"},
-			TaskCounts: []peer.TaskCount{{Job: "j-000412", Done: 3, Running: 13}}, Types: []wire.MachineType{g8}, StoreOK: true,
-			Grants: []peer.ShardGrant{{Shard: 2, FencingToken: 7<<12 | 3, KeyVersion: 99, Pages: map[string]peer.AttemptPage{"run/002/28675-1": page}, Machines: []peer.InventoryMachine{{Name: "host-000001", Address: "10.1.0.1:9000"}}}},
-			Orders: []peer.ShardOrders{{Shard: 2, FencingToken: 7<<12 | 3, OfferSeq: 4, Offers: []peer.TaskOffer{{Job: batch, Zone: "a", TaskIndexes: []int{3, 4}}}, Stop: []peer.StopTask{{Task: task, Checkpoint: true}},
-				Persisted: []peer.Task{task}, Added: []string{"host-000002"}, Drain: []string{"host-000003"}, Terminated: []string{"host-000004"}, Exclude: []string{"host-000005"}, Include: []string{"host-000006"}}}}},
+		{
+			"up",
+			peer.ToLeader{
+				Term:           7,
+				RenewSeq:       9,
+				StoreOK:        true,
+				NoAgentContact: true,
+				Updates: []peer.ShardUpdate{
+					{
+						Shard:           2,
+						FencingToken:    7<<12 | 3,
+						SettledOfferSeq: 4,
+						NeedsRegrant:    true,
+						Events:          []peer.TaskEvent{{Task: task, Kind: peer.EventCompleted, Machine: "host-000001", RunSeconds: 12.5}},
+						Machines: []peer.MachineState{
+							{
+								Name:             "host-000001",
+								Type:             "g8",
+								Zone:             "a",
+								Address:          "10.1.0.1:9000",
+								Spot:             true,
+								Schedulable:      true,
+								Silent:           true,
+								PreemptionNotice: true,
+								Terminated:       true,
+								TokenConfirmed:   true,
+								CPUs:             1.5,
+								GPUs:             2,
+								MemoryGB:         3,
+								Tasks:            4,
+								Images:           []string{"img-07"},
+							},
+						},
+					},
+				},
+			},
+		},
+		{
+			"down",
+			peer.FromLeader{
+				Term:          7,
+				RenewedSeq:    9,
+				FencingTokens: map[int]wire.FencingToken{2: 7<<12 | 3},
+				Holders:       []string{"n1", "n2"},
+				TaskCounts:    []peer.TaskCount{{Job: "j-000412", Done: 3, Running: 13}},
+				Types:         []wire.MachineType{g8},
+				StoreOK:       true,
+				Grants: []peer.ShardGrant{
+					{
+						Shard:        2,
+						FencingToken: 7<<12 | 3,
+						KeyVersion:   99,
+						Pages:        map[string]peer.AttemptPage{"run/002/28675-1": page},
+						Machines:     []peer.InventoryMachine{{Name: "host-000001", Address: "10.1.0.1:9000"}},
+					},
+				},
+				Orders: []peer.ShardOrders{
+					{
+						Shard:        2,
+						FencingToken: 7<<12 | 3,
+						OfferSeq:     4,
+						Offers:       []peer.TaskOffer{{Job: batch, Zone: "a", TaskIndexes: []int{3, 4}}},
+						Stop:         []peer.StopTask{{Task: task, Checkpoint: true}},
+						Persisted:    []peer.Task{task},
+						Added:        []string{"host-000002"},
+						Drain:        []string{"host-000003"},
+						Terminated:   []string{"host-000004"},
+						Exclude:      []string{"host-000005"},
+						Include:      []string{"host-000006"},
+					},
+				},
+			},
+		},
 	}
 }
 
@@ -80,9 +208,15 @@
 	TaskName    string
 }
 
-func ours() choices {
-	c := choices{Blocks: map[string]int{}, BlockKey: shard.Key(2), RecordKeys: shard.AttemptPrefix(2), AttemptBits: peer.AttemptBits,
-		ChunkTasks: jobs.TasksPerChunk, TaskName: shard.TaskName(peer.Task{Job: "j-000412", Index: 3})}
+func currentChoices() choices {
+	c := choices{
+		Blocks:      map[string]int{},
+		BlockKey:    shard.Key(2),
+		RecordKeys:  shard.AttemptPrefix(2),
+		AttemptBits: peer.AttemptBits,
+		ChunkTasks:  jobs.TasksPerChunk,
+		TaskName:    shard.TaskName(peer.Task{Job: "j-000412", Index: 3}),
+	}
 	for _, m := range []string{"host-000000", "host-000001", "host-000231", "host-123456"} {
 		c.Blocks[m] = shard.ForMachine(m, 6)
 	}
@@ -114,6 +248,6 @@
 		raw, err := msgpack.Marshal(f.value)
 		write(t, f.name+".msgpack", raw, err)
 	}
-	raw, err := json.MarshalIndent(ours(), "", "  ")
+	raw, err := json.MarshalIndent(currentChoices(), "", "  ")
 	write(t, "choices.json", append(raw, '\n'), err)
 }
--- a/internal/compat/written_test.go
+++ b/internal/compat/written_test.go
@@ -42,11 +42,11 @@
 // Frames through the state service have these keys and these bytes, but for the connection's number.
 func TestFrameBytes(t *testing.T) {
 	written := make(chan wire.Write, 16)
-	relay := peer.NewStoreTransport("c0", frameStore{written}, 4096, 1<<20, time.Millisecond)
+	transport := peer.NewStoreTransport("c0", frameStore{written}, 4096, 1<<20, time.Millisecond)
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	go relay.Run(ctx, nil)
-	c := relay.Open("c1")
+	go transport.Run(ctx, nil)
+	c := transport.Open("c1")
 	if _, err := io.WriteString(c, "abc"); err != nil {
 		t.Fatal(err)
 	}
