--- a/internal/scenario/command_args_test.go
+++ b/internal/scenario/command_args_test.go
@@ -32,7 +32,7 @@
 // controllerArg is the controller that a command names.
 func (w *world) controllerArg(t *testing.T, d *datadriven.TestData) *simController {
 	t.Helper()
-	return w.controllers[arg(t, d, "node", 0)]
+	return w.controllers[arg(t, d, "controller", 0)]
 }
 
 // controllersArg are the controllers that a command names: one by its name, "leader", "others" or "all".
@@ -58,7 +58,7 @@
 	cfg := clusterConfig(t, d)
 	w := newWorld(t.Name(), cfg, clusterTypes(t, d), uint64(arg(t, d, "seed", 1)))
 	w.cloud.Capacity = arg(t, d, "capacity", 0)
-	if d.HasArg("old") {
+	if d.HasArg("old_version") {
 		for _, c := range w.controllers {
 			c.runsOldVersion = true
 			c.start()
@@ -78,7 +78,7 @@
 	t.Helper()
 	cfg := config.Config{Tuning: config.DefaultTuning()}
 	f := &cfg.Facts
-	f.InitialSize = arg(t, d, "nodes", 3)
+	f.InitialSize = arg(t, d, "controllers", 3)
 	f.Zones = []string{"a", "b"}
 	limit := float64(arg(t, d, "limit", 16))
 	for _, name := range []string{"red", "blue"} {
@@ -90,7 +90,7 @@
 	f.Workers.ReportS, f.Workers.LeaseS, f.Workers.CancelS = 3, 20, 45
 	f.State.RPS, f.State.WriteRPS = 100, 20
 	f.State.ValueKB, f.State.TxnOps = float64(arg(t, d, "value_kb", 4)), 8
-	if d.HasArg("next") {
+	if d.HasArg("next_limits") {
 		f.State.Next = &config.Next{WriteRPS: 15, ValueKB: 2, TxnOps: 4}
 	}
 	f.Cloud.RPS, f.Cloud.ListLagS = 4, 4
@@ -99,11 +99,11 @@
 	tuning := &cfg.Tuning
 	tuning.Election.TTLS = float64(arg(t, d, "ttl", 3))
 	tuning.Fleet.Reserve = arg(t, d, "reserve", tuning.Fleet.Reserve)
-	if d.HasArg("spread") {
+	if d.HasArg("rebalance") {
 		tuning.Spread.Enabled = true
-		tuning.Spread.LeaderCooldownS = float64(arg(t, d, "calm", 5))
-		tuning.Spread.MinRunS = float64(arg(t, d, "least_run", 5))
-		tuning.Spread.TaskCooldownS = float64(arg(t, d, "pause", 60))
+		tuning.Spread.LeaderCooldownS = float64(arg(t, d, "leader_cooldown", 5))
+		tuning.Spread.MinRunS = float64(arg(t, d, "min_run", 5))
+		tuning.Spread.TaskCooldownS = float64(arg(t, d, "task_cooldown", 60))
 	}
 	return cfg
 }
@@ -138,29 +138,29 @@
 		Class:       arg(t, d, "class", "l"),
 		Team:        arg(t, d, "team", "red"),
 		Shape:       wire.Shape(arg(t, d, "shape", string(wire.ShapeBatch))),
-		Priority:    wire.Priority(arg(t, d, "rank", string(wire.PriorityStandard))),
+		Priority:    wire.Priority(arg(t, d, "priority", string(wire.PriorityStandard))),
 		Tasks:       arg(t, d, "tasks", 1),
 		CPUs:        arg(t, d, "cpus", 1.0),
-		MemoryGB:    arg(t, d, "mem", 1.0),
+		MemoryGB:    arg(t, d, "memory", 1.0),
 		Image:       "img",
 		ImageGB:     1,
-		OneZone:     d.HasArg("together"),
-		Spread:      d.HasArg("scatter"),
-		Spot:        !d.HasArg("nospot"),
-		EstimateS:   float64(arg(t, d, "reckon", runSeconds)),
-		CheckpointS: float64(arg(t, d, "waypoint", 0)),
+		OneZone:     d.HasArg("one_zone"),
+		Spread:      d.HasArg("spread_zones"),
+		Spot:        !d.HasArg("no_spot"),
+		EstimateS:   float64(arg(t, d, "estimate", runSeconds)),
+		CheckpointS: float64(arg(t, d, "checkpoint", 0)),
 		SaveS:       2,
 	}
 	if machineType := arg(t, d, "type", ""); machineType != "" {
 		job.Types = []string{machineType}
 	}
-	if deadline := float64(arg(t, d, "due", 0)); deadline > 0 {
+	if deadline := float64(arg(t, d, "deadline", 0)); deadline > 0 {
 		job.DeadlineS = &deadline
 	}
 	body, err := json.Marshal(job)
 	must(err)
 	w.users.submissions[ref] = body
-	w.users.failsEach[ref] = arg(t, d, "mistaken", 0)
+	w.users.failsEach[ref] = arg(t, d, "fails_each", 0)
 	w.users.runSeconds[ref] = float64(runSeconds)
 	if job.IsService() {
 		w.users.runSeconds[ref] = float64(arg(t, d, "ends", 0))
--- a/internal/scenario/commands_controllers_test.go
+++ b/internal/scenario/commands_controllers_test.go
@@ -30,7 +30,7 @@
 func startCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	for _, c := range w.controllers {
 		if !c.running {
-			c.runsOldVersion = d.HasArg("old")
+			c.runsOldVersion = d.HasArg("old_version")
 			c.start()
 		}
 	}
@@ -41,15 +41,15 @@
 func controllerCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	for _, c := range w.controllersArg(t, d) {
 		c.faults = controllerFaults{
-			storeUnreachable:   d.HasArg("refused"),
-			peersUnreachable:   d.HasArg("cut"),
-			agentsUnreachable:  d.HasArg("blind"),
-			watchHangs:         d.HasArg("stale"),
-			storeAnswersToLose: arg(t, d, "lose", 0),
-			lostAnswerShare:    arg(t, d, "lost", 0.0),
-			lateTxnShare:       arg(t, d, "late", 0.0),
-			requestsHeldUntil:  w.now + duration(t, d, "hold"),
-			pausedUntil:        w.now + duration(t, d, "frozen"),
+			storeUnreachable:   d.HasArg("store_unreachable"),
+			peersUnreachable:   d.HasArg("peers_unreachable"),
+			agentsUnreachable:  d.HasArg("agents_unreachable"),
+			watchHangs:         d.HasArg("watch_hangs"),
+			storeAnswersToLose: arg(t, d, "lose_answers", 0),
+			lostAnswerShare:    arg(t, d, "lost_answers", 0.0),
+			lateTxnShare:       arg(t, d, "late_txns", 0.0),
+			requestsHeldUntil:  w.now + duration(t, d, "requests_held"),
+			pausedUntil:        w.now + duration(t, d, "paused"),
 		}
 	}
 	return ""
@@ -85,8 +85,8 @@
 	return "all"
 }
 
-// pausedCommand says what a controller noticed of the last time in which it stood still.
-func pausedCommand(t *testing.T, w *world, d *datadriven.TestData) string {
+// detectedPauseCommand says what a controller noticed of the last time in which it stood still.
+func detectedPauseCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	c := w.controllerArg(t, d)
 	p := c.pauses.Close()
 	if p.Length() == 0 {
--- a/internal/scenario/commands_jobs_test.go
+++ b/internal/scenario/commands_jobs_test.go
@@ -28,8 +28,8 @@
 		ref := fmt.Sprintf("j-%06d", first+i)
 		body := w.submissionBody(t, d, ref)
 		w.after(clock.Micros(i)*every, func() { w.submit(w.controllerArg(t, d), body) })
-		if off := arg(t, d, "off", 0); off > 0 && i%off == 0 {
-			w.after(clock.Micros(i)*every+duration(t, d, "after"), func() { w.cancel(w.controllers[i%len(w.controllers)], ref) })
+		if off := arg(t, d, "cancel_each", 0); off > 0 && i%off == 0 {
+			w.after(clock.Micros(i)*every+duration(t, d, "cancel_after"), func() { w.cancel(w.controllers[i%len(w.controllers)], ref) })
 		}
 	}
 	return ""
@@ -79,12 +79,12 @@
 
 // queryOftenCommand has users ask everywhere as soon as something was answered.
 func queryOftenCommand(t *testing.T, w *world, d *datadriven.TestData) string {
-	w.users.queryOften = !d.HasArg("over")
+	w.users.queryOften = !d.HasArg("off")
 	return ""
 }
 
-// begunCommand tells whether a job began in time.
-func begunCommand(t *testing.T, w *world, d *datadriven.TestData) string {
+// startedCommand tells whether a job began in time.
+func startedCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	ref := arg(t, d, "ref", "")
 	at, ok := w.rules.firstStartAt[ref]
 	if !ok {
@@ -96,8 +96,8 @@
 	return "in time"
 }
 
-// servedCommand tells whether enough of what was accepted of a class or team has completed.
-func servedCommand(t *testing.T, w *world, d *datadriven.TestData) string {
+// completedJobsCommand tells whether enough of what was accepted of a class or team has completed.
+func completedJobsCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	done, all := 0, 0
 	for _, r := range sortedKeys(w.users.jobs) {
 		if j := w.users.jobs[r]; j.Class == arg(t, d, "class", j.Class) && j.Team == arg(t, d, "team", j.Team) {
@@ -113,8 +113,8 @@
 	return "enough"
 }
 
-// ranCommand tells how often a job's tasks have run.
-func ranCommand(t *testing.T, w *world, d *datadriven.TestData) string {
+// completionsCommand tells how often a job's tasks have run.
+func completionsCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	ref := arg(t, d, "ref", "")
 	once, more := 0, 0
 	for i := range w.users.jobs[ref].Tasks {
--- a/internal/scenario/commands_machines_test.go
+++ b/internal/scenario/commands_machines_test.go
@@ -17,7 +17,7 @@
 
 // zoneCommand cuts a zone off.
 func zoneCommand(t *testing.T, w *world, d *datadriven.TestData) string {
-	w.faults.partitionedZone, w.faults.partitionedUntil = arg(t, d, "name", ""), w.now+duration(t, d, "cut")
+	w.faults.partitionedZone, w.faults.partitionedUntil = arg(t, d, "name", ""), w.now+duration(t, d, "for")
 	return ""
 }
 
@@ -30,12 +30,12 @@
 	return ""
 }
 
-// nobootCommand keeps the next machines from booting, or has them boot and never report.
-func nobootCommand(t *testing.T, w *world, d *datadriven.TestData) string {
-	if d.HasArg("quiet") {
-		w.cloud.NextNeverReport = arg(t, d, "next", 1)
+// failBootsCommand keeps the next machines from booting, or has them boot and never report.
+func failBootsCommand(t *testing.T, w *world, d *datadriven.TestData) string {
+	if d.HasArg("no_heartbeat") {
+		w.cloud.NextNeverReport = arg(t, d, "count", 1)
 	} else {
-		w.cloud.NextNeverBoot = arg(t, d, "next", 1)
+		w.cloud.NextNeverBoot = arg(t, d, "count", 1)
 	}
 	return ""
 }
@@ -44,23 +44,23 @@
 func workerCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	for _, s := range w.workersArg(t, d) {
 		s.network = machineNetwork{
-			unreachable:    d.HasArg("cut"),
-			inboundCut:     d.HasArg("deaf"),
-			heartbeatsCut:  d.HasArg("mute"),
-			heldUntil:      w.now + duration(t, d, "hold"),
-			duplicateDelay: duration(t, d, "copies"),
+			unreachable:    d.HasArg("unreachable"),
+			inboundCut:     d.HasArg("inbound_cut"),
+			heartbeatsCut:  d.HasArg("heartbeats_cut"),
+			heldUntil:      w.now + duration(t, d, "held"),
+			duplicateDelay: duration(t, d, "duplicates"),
 		}
-		s.keepsHeartbeats = d.HasArg("keep")
-		s.hungUntil = w.now + duration(t, d, "hang")
-		s.FailsTasks = d.HasArg("sick")
+		s.keepsHeartbeats = d.HasArg("keep_heartbeats")
+		s.hungUntil = w.now + duration(t, d, "hung")
+		s.FailsTasks = d.HasArg("fails_tasks")
 		if d.HasArg("reboot") {
 			s.Reboot(w.now)
 		}
-		if d.HasArg("die") {
+		if d.HasArg("fail") {
 			s.ended = true
 			s.instance.Failed = d.HasArg("listed")
 		}
-		if d.HasArg("notice") {
+		if d.HasArg("preemption_notice") {
 			seconds := 10.0
 			s.PreemptionNoticeS = &seconds
 			s.heartbeatSoon(w)
@@ -73,14 +73,14 @@
 // that a migration begins or ends at, or that have a preemption notice.
 func (w *world) workersArg(t *testing.T, d *datadriven.TestData) []*simWorker {
 	t.Helper()
-	ref := arg(t, d, "of", "")
-	migrationEnd := w.migrationEnd(arg(t, d, "move", ""))
+	ref := arg(t, d, "job", "")
+	migrationEnd := w.migrationEnd(arg(t, d, "migration", ""))
 	var named []*simWorker
 	for _, s := range w.machines.workers[arg(t, d, "from", 0):arg(t, d, "to", len(w.machines.workers))] {
 		switch {
-		case d.HasArg("move") && s.Name != migrationEnd:
+		case d.HasArg("migration") && s.Name != migrationEnd:
 		case ref != "" && s.activeTasks(ref) == 0:
-		case d.HasArg("noticed") && s.PreemptionNoticeS == nil:
+		case d.HasArg("with_notice") && s.PreemptionNoticeS == nil:
 		default:
 			named = append(named, s)
 		}
@@ -107,8 +107,8 @@
 	return "there"
 }
 
-// lostCommand tells whether sessions have ended because a lease ran out.
-func lostCommand(t *testing.T, w *world, d *datadriven.TestData) string {
+// expiredLeasesCommand tells whether sessions have ended because a lease ran out.
+func expiredLeasesCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	for _, s := range w.machines.workers {
 		if s.AgentEpoch > 1 {
 			return "leases"
@@ -117,20 +117,20 @@
 	return "none"
 }
 
-// onCommand counts a job's tasks that are on machines.
-func onCommand(t *testing.T, w *world, d *datadriven.TestData) string {
+// activeTasksCommand counts a job's tasks that are on machines.
+func activeTasksCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	ref := arg(t, d, "ref", "")
 	return fmt.Sprint(w.countActive(ref))
 }
 
-// onMachinesCommand counts the machines that a job is on.
-func onMachinesCommand(t *testing.T, w *world, d *datadriven.TestData) string {
+// activeMachinesCommand counts the machines that a job is on.
+func activeMachinesCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	ref := arg(t, d, "ref", "")
 	return fmt.Sprint(len(w.machinesOf(ref)))
 }
 
-// backCommand tells how soon as many tasks are on machines again.
-func backCommand(t *testing.T, w *world, d *datadriven.TestData) string {
+// awaitActiveCommand tells how soon as many tasks are on machines again.
+func awaitActiveCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	ref := arg(t, d, "ref", "")
 	n, end := arg(t, d, "tasks", 1), w.now+duration(t, d, "within")
 	for w.countActive(ref) < n {
@@ -142,8 +142,8 @@
 	return "in time"
 }
 
-// triesCommand tells how often a task of a job was ordered, wherever.
-func triesCommand(t *testing.T, w *world, d *datadriven.TestData) string {
+// runCommandsCommand tells how often a task of a job was ordered, wherever.
+func runCommandsCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	ref := arg(t, d, "ref", "")
 	n, most := 0, arg(t, d, "most", 1)
 	for _, s := range w.machines.workers {
--- a/internal/scenario/commands_rebalancing_test.go
+++ b/internal/scenario/commands_rebalancing_test.go
@@ -16,8 +16,8 @@
 	return w.machineLoads().String()
 }
 
-// evenCommand tells whether no machine has more than some times the mean load, for a while.
-func evenCommand(t *testing.T, w *world, d *datadriven.TestData) string {
+// balancedCommand tells whether no machine has more than some times the mean load, for a while.
+func balancedCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	for end := w.now + duration(t, d, "for"); ; w.run(clock.Second) {
 		if l := w.machineLoads(); l.overMean() > arg(t, d, "most", 2.0) {
 			return l.String()
@@ -28,8 +28,8 @@
 	}
 }
 
-// movingCommand lets time pass until a move is in flight that has come so far.
-func movingCommand(t *testing.T, w *world, d *datadriven.TestData) string {
+// awaitMigrationCommand lets time pass until a move is in flight that has come so far.
+func awaitMigrationCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	stage := arg(t, d, "stage", "stopping")
 	for end := w.now + duration(t, d, "within"); w.now < end; w.run(step) {
 		if m := w.leaderStatus().Migrations; len(m) > 0 && m[0].Stage == stage {
@@ -39,8 +39,8 @@
 	return fmt.Sprint("none: ", w.leaderStatus().Refusals)
 }
 
-// movesCommand tells how moves have ended.
-func movesCommand(t *testing.T, w *world, d *datadriven.TestData) string {
+// migrationsCommand tells how moves have ended.
+func migrationsCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	e := w.leaderStatus().MigrationOutcomes
 	return fmt.Sprintf("begun %d, arrived %d, elsewhere %d, cancelled %d, given up %d", e.Begun, e.Arrived, e.Elsewhere, e.Cancelled, e.GivenUp)
 }
--- a/internal/scenario/commands_store_test.go
+++ b/internal/scenario/commands_store_test.go
@@ -22,18 +22,18 @@
 // limitsCommand lowers the limits of the state service.
 func limitsCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	w.store.SetLimits(2, 4)
-	w.faults.limitsUnannounced = w.nextLimits == nil || d.HasArg("early")
+	w.faults.limitsUnannounced = w.nextLimits == nil || d.HasArg("unannounced")
 	return ""
 }
 
-// forgetCommand has the state service forget its changes.
-func forgetCommand(t *testing.T, w *world, d *datadriven.TestData) string {
+// compactCommand has the state service forget its changes.
+func compactCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	w.store.CompactChanges()
 	return ""
 }
 
-// refusedCommand tells whether few transactions were malformed.
-func refusedCommand(t *testing.T, w *world, d *datadriven.TestData) string {
+// malformedTxnsCommand tells whether few transactions were malformed.
+func malformedTxnsCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	if most := arg(t, d, "most", 0); w.rules.malformedTxns > most {
 		return fmt.Sprint(w.rules.malformedTxns)
 	}
@@ -46,8 +46,8 @@
 	return fmt.Sprint(len(items))
 }
 
-// largestCommand tells whether all values are within a size.
-func largestCommand(t *testing.T, w *world, d *datadriven.TestData) string {
+// largestValueCommand tells whether all values are within a size.
+func largestValueCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	items, _ := w.store.List(arg(t, d, "prefix", ""))
 	n := 0
 	for _, it := range items {
--- a/internal/scenario/history_checks_test.go
+++ b/internal/scenario/history_checks_test.go
@@ -23,7 +23,7 @@
 }
 
 // Each check of the history notices what violates it, and nothing else.
-func TestHistoryNotices(t *testing.T) {
+func TestHistoryChecks(t *testing.T) {
 	const token, machine = 7, "host-000001"
 	attempt := func(n uint64) *fake.Task {
 		return &fake.Task{TaskStatus: wire.TaskStatus{Task: "j-000001/3", Attempt: peer.NewAttemptID(token, n)}, Job: wire.Job{Ref: "j-000001", Tasks: 8}, Index: 3}
--- a/internal/scenario/random_faults_test.go
+++ b/internal/scenario/random_faults_test.go
@@ -81,7 +81,7 @@
 
 // The same with work that is moved as often as can be: tasks are stopped and started again all the time,
 // in the midst of the faults.
-func TestRandomFaultsWhileTasksAreMoved(t *testing.T) {
+func TestRandomFaultsDuringMigrations(t *testing.T) {
 	spread := config.Spread{
 		Enabled:         true,
 		Bound:           1.05,
@@ -128,7 +128,7 @@
 }
 
 // Worlds that the long search has found, with what it showed.
-func TestFoundWorlds(t *testing.T) {
+func TestRandomFaultRegressions(t *testing.T) {
 	seconds := func(s float64) clock.Micros { return clock.FromSeconds(s) }
 	for name, c := range map[string]struct {
 		seed     uint64
--- a/internal/scenario/size_test.go
+++ b/internal/scenario/size_test.go
@@ -152,7 +152,7 @@
 
 // What a thousand replicas that run on cost, between batches that come and go, under lowered
 // limits of the state service: pages of attempt records, puts, memory, and a takeover.
-func TestStandingReplicasAtSize(t *testing.T) {
+func TestServicesAtSize(t *testing.T) {
 	const services, replicas = 130, 8
 	d := twoTypes()
 	d.machines, d.load.runSeconds = 600, 8
@@ -216,7 +216,7 @@
 // At rest, with as many machines as operators may come to have, the controllers say little: a
 // heartbeat of nothing new wakes nobody but the holder, and the state service is asked for the
 // leader's lease alone (a watch each third of a TTL comes on top on real machines).
-func TestLittleIsSaidAtRest(t *testing.T) {
+func TestMessagesAtRest(t *testing.T) {
 	d := smallControllersTwoTypes()
 	d.machines = 300
 	w := d.world(t.Name())
