--- a/internal/shard/builders_test.go
+++ b/internal/shard/builders_test.go
@@ -134,6 +134,11 @@
 		group: &peer.AttemptGroup{Job: task.Job}, state: state, launch: attemptLaunch{agentEpoch: 1}}
 }
 
+// firstIsSchedulable says whether m1 can be given tasks.
+func firstIsSchedulable(h *Holder, at clock.Micros) bool {
+	return h.isSchedulable(at, h.shards[0], h.shards[0].machines["m1"])
+}
+
 // Effects.
 
 // effectsOf returns the effects of one type.
--- a/internal/shard/heartbeat.go
+++ b/internal/shard/heartbeat.go
@@ -64,9 +64,9 @@
 // recordStatus takes in what a status newer than all before says of the machine itself.
 func (h *Holder) recordStatus(now clock.Micros, s *heldShard, m *machine, status *wire.Heartbeat) {
 	info := infoFrom(status)
-	described := m.info.typeName == info.typeName && m.info.preemptionNotice == info.preemptionNotice
+	sameInfo := m.info.typeName == info.typeName && m.info.preemptionNotice == info.preemptionNotice
 	heardAgain := m.silent && !m.commands.isUnreachable()
-	if !described || m.leaseExpired || heardAgain {
+	if !sameInfo || m.leaseExpired || heardAgain {
 		s.markChanged(m)
 		m.silent = m.silent && m.commands.isUnreachable()
 	}
--- a/internal/shard/heartbeat_test.go
+++ b/internal/shard/heartbeat_test.go
@@ -97,11 +97,6 @@
 	}
 }
 
-// firstIsSchedulable says whether m1 can be given tasks.
-func firstIsSchedulable(h *Holder, at clock.Micros) bool {
-	return h.isSchedulable(at, h.shards[0], h.shards[0].machines["m1"])
-}
-
 // A machine whose heartbeats come, but whose commands do not arrive, gets no work until it has answered one.
 func TestUnreachableMachineGetsNoWorkUntilItAnswers(t *testing.T) {
 	h := newTestHolder(t)
--- a/internal/shard/holder.go
+++ b/internal/shard/holder.go
@@ -3,7 +3,7 @@
 //
 // The Holder owns what is known of the machines of its shards and of the task attempts on them. It answers the
 // heartbeats of their agents, sends them commands, places the tasks that the leader offers by auction, and keeps a
-// write-ahead record of each attempt in the store before its agent is told to run it. A Message and the time go in;
+// write-ahead record of each attempt in the store before the run command goes out. A Message and the time go in;
 // Effects come out, in the order in which they are to be carried out.
 //
 // The package does no I/O and starts no goroutines. It never gives a task back while an attempt of it may still run:
@@ -12,6 +12,7 @@
 
 import (
 	"fmt"
+	"iter"
 	"maps"
 	"slices"
 
@@ -33,7 +34,8 @@
 	// LongestGrant is the most that any other holder's shard lease may last.
 	LongestGrant clock.Micros
 	// AgentLease is how long an agent keeps its tasks without a reply to its heartbeats.
-	AgentLease        clock.Micros
+	AgentLease clock.Micros
+	// HeartbeatInterval is the pause between two heartbeats of an agent.
 	HeartbeatInterval clock.Micros
 	// MaxValueBytes and MaxTxnOps are what the store takes in one value and in one transaction.
 	MaxValueBytes int
@@ -142,7 +144,7 @@
 }
 
 // shardsInOrder yields the held shards by their numbers.
-func (h *Holder) shardsInOrder() func(yield func(int, *heldShard) bool) {
+func (h *Holder) shardsInOrder() iter.Seq2[int, *heldShard] {
 	return func(yield func(int, *heldShard) bool) {
 		for _, id := range slices.Sorted(maps.Keys(h.shards)) {
 			if !yield(id, h.shards[id]) {
