--- a/internal/leader/machines.go
+++ b/internal/leader/machines.go
@@ -15,26 +15,36 @@
 // machine is one of the inventory, as the cloud and its holder see it.
 type machine struct {
 	name          string
-	group         string
+	group         string // the key of its instance group
 	option        autoscaler.Option
 	shard         *shardLease
-	firstSeenAt   clock.Micros
 	address       string
-	up            bool
-	booting       bool // by the list
+	up            bool // its agent was heard
 	cordoned      bool // not worth new tasks
-	deprioritized bool // not needed for new tasks while others have room
+	deprioritized bool // not needed for new tasks while others have free capacity
 	excluded      bool // its holder was told to leave it out
-	state         peer.MachineState
-	listedAt      clock.Micros // last seen in the list; 0: never
-	runningSince  clock.Micros // since when the list says that it is up; 0: it does not
-	missingLists  int          // how many lists in a row lacked it
-	failed        bool         // it is listed as stopped by itself
-	idleSince     clock.Micros // since when it has no task
 	draining      bool
 	deleting      bool
+	state         peer.MachineState // as its holder sees it
+	idleSince     clock.Micros      // since when it has no task
 	failures      failures.Machine
-	// Room that is left while offers are made; the holder's word in state is not touched.
+	cloudListing
+	offerable
+}
+
+// cloudListing is what the cloud's lists say of a machine.
+type cloudListing struct {
+	firstSeenAt  clock.Micros
+	booting      bool
+	failed       bool         // it stopped by itself
+	listedAt     clock.Micros // last seen in a list; 0: never
+	runningSince clock.Micros // since when lists say that it is up; 0: they do not
+	missingLists int          // how many lists in a row lacked it
+}
+
+// offerable is the capacity that is left of a machine while offers are made; what its holder says in state is not
+// touched.
+type offerable struct {
 	freeCPUs, freeGPUs, freeMemory float64
 }
 
@@ -45,7 +55,7 @@
 	}
 	l.inventory.machines[name] = &machine{
 		name: name, group: group.key, option: l.option(group.record.Request), shard: l.shardOfMachine(name),
-		firstSeenAt: now, idleSince: now,
+		idleSince: now, cloudListing: cloudListing{firstSeenAt: now},
 	}
 	delete(l.inventory.discovered, name)
 	if lease := l.shardOfMachine(name); lease.state == granted {
--- a/internal/leader/process_pause_test.go
+++ b/internal/leader/process_pause_test.go
@@ -14,11 +14,11 @@
 	thawed := began + controllerTimeout + clock.Second
 	l.Step(began+clock.Second/2, Tick{})
 	l.jobsViewedAt, l.authorityEnds = thawed, thawed+clock.Second
-	fx := l.Step(thawed, Tick{})
+	effects := l.Step(thawed, Tick{})
 	if l.shards.controllers["n0"] == nil {
 		t.Error("a controller counts as gone for a pause of ours")
 	}
-	if !slices.ContainsFunc(fx, func(e Effect) bool { _, ok := e.(PauseDetected); return ok }) {
+	if !slices.ContainsFunc(effects, func(e Effect) bool { _, ok := e.(PauseDetected); return ok }) {
 		t.Error("the pause was not noticed")
 	}
 	for at := thawed; at < thawed+2*controllerTimeout; at += clock.Second / 2 {
--- a/internal/leader/proofs_test.go
+++ b/internal/leader/proofs_test.go
@@ -33,7 +33,7 @@
 	return peer.TaskEvent{Task: peer.Task{Job: spec.Ref, Index: 0}, Kind: kind, Machine: names[0]}
 }
 
-// What a holder said of an earlier grant, or over an earlier link, gives nothing back.
+// What a holder message of an earlier grant, or over an earlier link, gives nothing back.
 func TestEventsOfAnEarlierGrantChangeNothing(t *testing.T) {
 	l := granting(t, recordsOf(names[0], 0, 1))
 	b := l.shards.all[shard.ForMachine(names[0], 2)]
@@ -156,8 +156,8 @@
 func TestCompletionIsAcknowledgedOnceStored(t *testing.T) {
 	l := granting(t, recordsOf(names[0], 0, 1))
 	b := l.shards.all[shard.ForMachine(names[0], 2)]
-	acknowledged := func(fx []Effect) (n int) {
-		for _, o := range toldOf(fx) {
+	acknowledged := func(effects []Effect) (n int) {
+		for _, o := range toldOf(effects) {
 			n += len(o.Persisted)
 		}
 		return n
--- a/internal/leader/rebalancing_test.go
+++ b/internal/leader/rebalancing_test.go
@@ -95,12 +95,12 @@
 	to := l.inventory.machines[l.rebalancing.InFlight()[0].To]
 	now := began + 95*clock.Second
 	l.authorityEnds, l.jobsViewedAt = now+clock.Minute, now
-	fx := tell(l, now, nil, func(*peer.MachineState) {})
-	if n := offers(fx); n != 0 {
+	effects := tell(l, now, nil, func(*peer.MachineState) {})
+	if n := offers(effects); n != 0 {
 		t.Errorf("%d tasks offered before the old attempt is gone", n)
 	}
-	fx = tell(l, now, []peer.TaskEvent{{Task: got[0].Task, Kind: peer.EventReleased, Machine: names[0]}}, func(*peer.MachineState) {})
-	told := toldOf(fx)
+	effects = tell(l, now, []peer.TaskEvent{{Task: got[0].Task, Kind: peer.EventReleased, Machine: names[0]}}, func(*peer.MachineState) {})
+	told := toldOf(effects)
 	if len(told) != 1 || told[0].Shard != to.shard.ID || len(told[0].Offers) != 1 || told[0].Offers[0].TaskIndexes[0] != id.Index {
 		t.Errorf("told %+v, want the task offered to block %d", told, to.shard.ID)
 	}
@@ -249,9 +249,9 @@
 				c.change(s)
 			}
 		})
-		got, fx := stops(l)
+		got, effects := stops(l)
 		logged := 0
-		for _, e := range fx {
+		for _, e := range effects {
 			if x, ok := e.(Log); ok && x.Message == "machine gets no moves" && fmt.Sprint(x.Attributes[1]) == names[0] {
 				logged++
 			}
--- a/internal/leader/reconcile_test.go
+++ b/internal/leader/reconcile_test.go
@@ -150,10 +150,10 @@
 	l.Step(began, LeadershipLost{})
 	l.Step(began, LeadershipAcquired{Term: 7})
 	l.Step(began, LeadershipExtended{Until: began + 100*clock.Second})
-	fx := l.Step(began, StateLoaded{Term: 7, RequestedAt: began, Items: []wire.Item{item(t, LayoutKey, 1, LayoutRecord{Shards: 2}),
+	effects := l.Step(began, StateLoaded{Term: 7, RequestedAt: began, Items: []wire.Item{item(t, LayoutKey, 1, LayoutRecord{Shards: 2}),
 		item(t, InstanceGroupPrefix+rental.RequestID, 3, InstanceGroupRecord{Request: rental})}})
 	asked := 0
-	for _, e := range fx {
+	for _, e := range effects {
 		if r, ok := e.(ProvisionMachines); ok && r.Request == rental {
 			asked++
 		}
--- a/internal/leader/shard_assignment_test.go
+++ b/internal/leader/shard_assignment_test.go
@@ -19,10 +19,10 @@
 		l := granting(t, nil)
 		l.cfg.Facts.Quota.CPU, l.cfg.Facts.Workers.ReportS = 0.1, 3
 		l.Step(began+clock.Second, PeerConnected{Controller: "n1", Link: testLink("other"), ViaStore: slow})
-		said := HolderMessage{Controller: "n1", Link: testLink("other"), Message: &peer.ToLeader{Term: 5, StoreOK: true}}
+		message := HolderMessage{Controller: "n1", Link: testLink("other"), Message: &peer.ToLeader{Term: 5, StoreOK: true}}
 		for i := range 20 {
 			now := began + clock.Second + clock.Micros(i)*clock.Second/4
-			l.Step(now, said)
+			l.Step(now, message)
 			l.Step(now, HolderMessage{Controller: "n0", Link: testLink("link"), Message: &peer.ToLeader{Term: 5, StoreOK: true}})
 			l.Step(now, Tick{})
 		}
@@ -60,9 +60,9 @@
 }
 
 // blockWrites counts the blocks whose keys the effects write for a holder.
-func blockWrites(t *testing.T, fx []Effect, holder string) (n int) {
+func blockWrites(t *testing.T, effects []Effect, holder string) (n int) {
 	t.Helper()
-	for _, e := range fx {
+	for _, e := range effects {
 		c, ok := e.(CommitTxn)
 		if !ok {
 			continue
--- a/internal/leader/unconfirmed_machines_test.go
+++ b/internal/leader/unconfirmed_machines_test.go
@@ -11,20 +11,20 @@
 	"swiftledge/wire"
 )
 
-// rosterWrite is the write of a rental's record among the effects.
-func rosterWrite(t *testing.T, fx []Effect, key string) CommitTxn {
+// instanceGroupWrite is the write of a rental's record among the effects.
+func instanceGroupWrite(t *testing.T, effects []Effect, key string) CommitTxn {
 	t.Helper()
-	for _, e := range fx {
+	for _, e := range effects {
 		if c, ok := e.(CommitTxn); ok && c.Txn.Writes[0].Put == key {
 			return c
 		}
 	}
-	t.Fatalf("no write of %s among %v", key, fx)
+	t.Fatalf("no write of %s among %v", key, effects)
 	return CommitTxn{}
 }
 
-// rosterGuard is the version that a write of a rental's record expects of it.
-func rosterGuard(t *testing.T, c CommitTxn, key string) uint64 {
+// instanceGroupCondition is the version that a write of a rental's record expects of it.
+func instanceGroupCondition(t *testing.T, c CommitTxn, key string) uint64 {
 	t.Helper()
 	for _, g := range c.Txn.Conditions {
 		if g.Key == key {
@@ -50,19 +50,20 @@
 	lost := store.TxnResult{FailedKeys: []string{key}, Ambiguous: true}
 	l.Step(began, TxnCompleted{Term: 5, Tag: instanceGroupTag{key}, Result: lost})
 	l.Step(began, KeyRead{Term: 5, Tag: instanceGroupTag{key}, Found: true, Item: item(t, key, 20, InstanceGroupRecord{Request: asked})})
-	second := rosterWrite(t, l.Step(began, MachinesProvisioned{Term: 5, RequestID: asked.RequestID, Machines: []string{machine}}), key)
-	if got := rosterGuard(t, second, key); got != 20 {
+	second := instanceGroupWrite(t, l.Step(began, MachinesProvisioned{Term: 5, RequestID: asked.RequestID, Machines: []string{machine}}), key)
+	if got := instanceGroupCondition(t, second, key); got != 20 {
 		t.Errorf("the second write expects version %d of the record, which is at 20", got)
 	}
 
 	// Nor does a failed guard of the second prove that it went through.
-	fx := l.Step(began, TxnCompleted{Term: 5, Tag: instanceGroupTag{key}, Result: lost})
-	fx = append(fx, l.Step(began, KeyRead{Term: 5, Tag: instanceGroupTag{key}, Found: true, Item: item(t, key, 21, InstanceGroupRecord{Request: asked})})...)
+	effects := l.Step(began, TxnCompleted{Term: 5, Tag: instanceGroupTag{key}, Result: lost})
+	stored := item(t, key, 21, InstanceGroupRecord{Request: asked})
+	effects = append(effects, l.Step(began, KeyRead{Term: 5, Tag: instanceGroupTag{key}, Found: true, Item: stored})...)
 	if l.inventory.machines[machine] != nil {
 		t.Error("a machine is used whose durable record does not name it")
 	}
-	third := rosterWrite(t, fx, key)
-	if got := rosterGuard(t, third, key); got != 21 {
+	third := instanceGroupWrite(t, effects, key)
+	if got := instanceGroupCondition(t, third, key); got != 21 {
 		t.Errorf("the third write expects version %d of the record, which is at 21", got)
 	}
 	l.Step(began, TxnCompleted{Term: 5, Tag: instanceGroupTag{key}, Result: store.TxnResult{Committed: true, Revision: 22}})
@@ -72,13 +73,13 @@
 }
 
 // orderedOf gathers what the effects tell the holder of a block.
-func orderedOf(fx []Effect, b int) (drained, gone, roster []string) {
-	for _, o := range toldOf(fx) {
+func orderedOf(effects []Effect, b int) (drained, gone, listed []string) {
+	for _, o := range toldOf(effects) {
 		if o.Shard == b {
 			drained, gone = append(drained, o.Drain...), append(gone, o.Terminated...)
 		}
 	}
-	for _, e := range fx {
+	for _, e := range effects {
 		x, ok := e.(SendToHolder)
 		if !ok {
 			continue
@@ -86,12 +87,12 @@
 		for _, g := range x.Message.Grants {
 			for _, m := range g.Machines {
 				if g.Shard == b {
-					roster = append(roster, m.Name)
+					listed = append(listed, m.Name)
 				}
 			}
 		}
 	}
-	return drained, gone, roster
+	return drained, gone, listed
 }
 
 // A leader of the version in production may use machines whose record is not stored. While a rental
@@ -108,21 +109,21 @@
 		key := InstanceGroupPrefix + asked.RequestID
 		l.loadInstanceGroup(began, item(t, key, 3, InstanceGroupRecord{Request: asked}), InstanceGroupRecord{Request: asked})
 		b := shard.ForMachine(unknown, 2)
-		fx := l.Step(began, AttemptsLoaded{Term: 5, Shard: b, FencingToken: l.shards.all[b].token, Pages: recordsOf(unknown, 0)})
-		drained, _, roster := orderedOf(fx, b)
-		if !slices.Contains(roster, unknown) || !slices.Contains(drained, unknown) {
-			t.Errorf("granted %v, drained %v: %s is missing", roster, drained, unknown)
+		effects := l.Step(began, AttemptsLoaded{Term: 5, Shard: b, FencingToken: l.shards.all[b].token, Pages: recordsOf(unknown, 0)})
+		drained, _, listed := orderedOf(effects, b)
+		if !slices.Contains(listed, unknown) || !slices.Contains(drained, unknown) {
+			t.Errorf("granted %v, drained %v: %s is missing", listed, drained, unknown)
 		}
-		fx = l.Step(began, MachinesProvisioned{Term: 5, RequestID: asked.RequestID, Machines: answer.machines})
-		fx = append(fx, l.Step(began, TxnCompleted{Term: 5, Tag: instanceGroupTag{key}, Result: store.TxnResult{Committed: true, Revision: 9}})...)
-		drained, gone, _ := orderedOf(fx, b)
+		effects = l.Step(began, MachinesProvisioned{Term: 5, RequestID: asked.RequestID, Machines: answer.machines})
+		effects = append(effects, l.Step(began, TxnCompleted{Term: 5, Tag: instanceGroupTag{key}, Result: store.TxnResult{Committed: true, Revision: 9}})...)
+		drained, gone, _ := orderedOf(effects, b)
 		if slices.Contains(gone, unknown) != answer.gone || slices.Contains(drained, unknown) == answer.gone {
 			t.Errorf("the rental has %v: told that %v are gone and %v drained", answer.machines, gone, drained)
 		}
 	}
 }
 
-// So it is while a roster record cannot be read: whatever machines it names may work.
+// So it is while an instance group's record cannot be read: whatever machines it names may work.
 func TestMachinesOfAnUnreadableRecordKeepTheirTasks(t *testing.T) {
 	l := leading(t)
 	l.Step(began, LeadershipLost{})
@@ -138,20 +139,20 @@
 			}
 		}
 	}
-	fx := l.Step(began, AttemptsLoaded{Term: 7, FencingToken: l.shards.all[0].token, Pages: recordsOf("host-000009", 0)})
-	if drained, _, roster := orderedOf(fx, 0); !slices.Contains(roster, "host-000009") || !slices.Contains(drained, "host-000009") {
-		t.Errorf("granted %v, drained %v", roster, drained)
+	effects := l.Step(began, AttemptsLoaded{Term: 7, FencingToken: l.shards.all[0].token, Pages: recordsOf("host-000009", 0)})
+	if drained, _, listed := orderedOf(effects, 0); !slices.Contains(listed, "host-000009") || !slices.Contains(drained, "host-000009") {
+		t.Errorf("granted %v, drained %v", listed, drained)
 	}
 }
 
-// Without such a rental the roster is complete: what it does not name left it after its proven end,
+// Without such a request the inventory is complete: what it does not name left it after its proven end,
 // and its tasks are not waited for.
 func TestMachinesThatLeftTheRosterAreNotGranted(t *testing.T) {
 	l := leading(t)
 	b := shard.ForMachine("host-000009", 2)
-	fx := l.Step(began, AttemptsLoaded{Term: 5, Shard: b, FencingToken: l.shards.all[b].token, Pages: recordsOf("host-000009", 0)})
-	if _, _, roster := orderedOf(fx, b); slices.Contains(roster, "host-000009") {
-		t.Errorf("granted %v", roster)
+	effects := l.Step(began, AttemptsLoaded{Term: 5, Shard: b, FencingToken: l.shards.all[b].token, Pages: recordsOf("host-000009", 0)})
+	if _, _, listed := orderedOf(effects, b); slices.Contains(listed, "host-000009") {
+		t.Errorf("granted %v", listed)
 	}
 }
 
--- a/internal/naming/naming_test.go
+++ b/internal/naming/naming_test.go
@@ -32,7 +32,6 @@
 // replaced, and never raised; a directory that is not listed declares none.
 var ceilings = map[string]int{
 	"internal/compat":     1,
-	"internal/leader":     19,
 	"internal/controller": 7,
 }
 
