--- a/internal/autoscaler/plan.go
+++ b/internal/autoscaler/plan.go
@@ -25,10 +25,10 @@
 
 // Params bound the wait that is worth a machine, and the capacity that is kept free for work to come.
 type Params struct {
-	// SpotClearS is in how many seconds the machines are to clear the demand, as long as spot machines do it.
-	SpotClearS float64
-	// OnDemandClearS is the same for on-demand machines.
-	OnDemandClearS float64
+	// SpotBacklogS is in how many seconds the machines are to clear the demand, as long as spot machines do it.
+	SpotBacklogS float64
+	// OnDemandBacklogS is the same for on-demand machines.
+	OnDemandBacklogS float64
 	// ReserveRatio is the capacity that is kept beyond the demand, relative to it.
 	ReserveRatio float64
 }
@@ -97,8 +97,8 @@
 // used at once. An on-demand machine is kept only while the wait without it would be long; its slots are then worth
 // more than their price.
 func demandedSlots(demand *Demand, params Params) slotLimits {
-	spot := min(float64(demand.Tasks), math.Ceil(demand.TaskSeconds/params.SpotClearS))
-	onDemand := min(float64(demand.Tasks), math.Ceil(demand.TaskSeconds/params.OnDemandClearS))
+	spot := min(float64(demand.Tasks), math.Ceil(demand.TaskSeconds/params.SpotBacklogS))
+	onDemand := min(float64(demand.Tasks), math.Ceil(demand.TaskSeconds/params.OnDemandBacklogS))
 	if !demand.Spot {
 		onDemand = spot
 	}
--- a/internal/autoscaler/plan_test.go
+++ b/internal/autoscaler/plan_test.go
@@ -12,7 +12,7 @@
 	}
 	spot       = Option{Type: smallType, Zone: "a", Spot: true}
 	onDemand   = Option{Type: smallType, Zone: "a"}
-	testParams = Params{SpotClearS: 20, OnDemandClearS: 100}
+	testParams = Params{SpotBacklogS: 20, OnDemandBacklogS: 100}
 )
 
 func allowAll(*Option) bool { return true }
@@ -89,7 +89,7 @@
 
 // The running tasks fit on fewer machines: the emptiest get no more tasks, so that they can be deleted.
 func TestPlanDeprioritizesTheEmptiest(t *testing.T) {
-	params := Params{SpotClearS: 20, OnDemandClearS: 100, ReserveRatio: 0.5}
+	params := Params{SpotBacklogS: 20, OnDemandBacklogS: 100, ReserveRatio: 0.5}
 	var machines []Machine
 	for i, load := range []float64{0.25, 1, 0.5, 0.25} {
 		machines = append(machines, Machine{Option: spot, Name: string(rune('a' + i)), Up: true, Load: load})
@@ -110,7 +110,7 @@
 			Demands:  []Demand{{CPUs: 1, Spot: true, Tasks: 100, TaskSeconds: taskSeconds}},
 			Machines: []Machine{{Option: slow, Name: "a", Up: true}},
 			Options:  []Option{slow},
-			Params:   Params{SpotClearS: 10, OnDemandClearS: 100},
+			Params:   Params{SpotBacklogS: 10, OnDemandBacklogS: 100},
 			Allowed:  allowAll,
 		}).ScaleOut
 	}
@@ -135,7 +135,7 @@
 		return Plan(Input{
 			Demands: []Demand{{CPUs: 1, MemoryGB: 1, Spot: true, Tasks: 40, TaskSeconds: 4000}},
 			Options: options,
-			Params:  Params{SpotClearS: 25, OnDemandClearS: 200, ReserveRatio: 0.4},
+			Params:  Params{SpotBacklogS: 25, OnDemandBacklogS: 200, ReserveRatio: 0.4},
 			Allowed: allowAll,
 		}).ScaleOut
 	}
--- a/internal/autoscaler/scaleout.go
+++ b/internal/autoscaler/scaleout.go
@@ -54,12 +54,12 @@
 // missingSlots returns how many slots of an option a demand wants beyond those that it has. A machine launched now
 // finds only the work that the machines that are up leave until it has booted.
 func (l *launchPlan) missingSlots(demand *Demand, option *Option, existing slotCount) float64 {
-	clearS := l.input.Params.OnDemandClearS
+	backlogS := l.input.Params.OnDemandBacklogS
 	if option.Spot || !demand.Spot {
-		clearS = l.input.Params.SpotClearS
+		backlogS = l.input.Params.SpotBacklogS
 	}
 	left := demand.TaskSeconds - existing.up*option.Type.BootS
-	return min(float64(demand.Tasks), math.Ceil(left/clearS)) - existing.total
+	return min(float64(demand.Tasks), math.Ceil(left/backlogS)) - existing.total
 }
 
 // machinesFor returns how many machines to launch for the missing slots. The last of them is not worth it if less
--- a/internal/leader/scaling.go
+++ b/internal/leader/scaling.go
@@ -21,7 +21,7 @@
 	pending, cloudSilent := l.pendingSupply(now)
 	tuning := l.cfg.Tuning.Fleet
 	params := autoscaler.Params{
-		SpotClearS: tuning.SpotBacklogS, OnDemandClearS: tuning.OnDemandBacklogS, ReserveRatio: tuning.Reserve,
+		SpotBacklogS: tuning.SpotBacklogS, OnDemandBacklogS: tuning.OnDemandBacklogS, ReserveRatio: tuning.Reserve,
 	}
 	var options []autoscaler.Option
 	for option := range l.options() {
--- a/internal/placement/placer.go
+++ b/internal/placement/placer.go
@@ -75,7 +75,8 @@
 		var unmatched []bidder
 		matches, unmatched = p.commit(round, matches)
 		// Free capacity only shrinks: a group that fits nowhere now never will.
-		fits := p.fitsOf(unmatched)
+		fits := map[*Group]fit{}
+		p.findFits(unmatched, fits)
 		remaining := append(unmatched, tasks[len(round):]...)
 		tasks = slices.DeleteFunc(remaining, func(task bidder) bool {
 			where, checked := fits[task.group]
@@ -128,15 +129,13 @@
 	fitsWithinBound
 )
 
-// fitsOf returns where the groups of the tasks fit.
-func (p *placer) fitsOf(tasks []bidder) map[*Group]fit {
-	fits := map[*Group]fit{}
+// findFits adds to fits where the groups of the tasks fit. The map is the caller's, to be kept off the heap.
+func (p *placer) findFits(tasks []bidder, fits map[*Group]fit) {
 	for _, task := range tasks {
 		if _, known := fits[task.group]; !known {
 			fits[task.group] = p.fitOf(task.group)
 		}
 	}
-	return fits
 }
 
 func (p *placer) fitOf(group *Group) fit {
