--- a/internal/leader/attempts.go
+++ b/internal/leader/attempts.go
@@ -12,12 +12,12 @@
 
 // attemptAssigned takes in that a task was given to a machine, and that it runs there.
 func (l *Leader) attemptAssigned(now clock.Micros, t peer.Task, h *grantedTask) {
-	h.givenAt = now
+	h.assignedAt = now
 	if l.rebalancing == nil {
 		return
 	}
 	if m, j := l.inventory.machines[h.machine], l.jobs.Get(t.Job); m != nil && j != nil {
-		h.cached = slices.Contains(m.state.Images, j.Spec.Image)
+		h.imageCached = slices.Contains(m.state.Images, j.Spec.Image)
 	}
 	l.rebalancing.TaskAssigned(taskID(t), h.machine)
 }
@@ -28,8 +28,9 @@
 	if l.rebalancing == nil {
 		return
 	}
-	if m, j := l.inventory.machines[h.machine], l.jobs.Get(t.Job); m != nil && j != nil && h.givenAt > 0 && !h.cached {
-		l.rebalancing.fetches.Observe(m.option.Type.Name, j.Spec.ImageGB, now-h.givenAt)
+	m, j := l.inventory.machines[h.machine], l.jobs.Get(t.Job)
+	if m != nil && j != nil && h.assignedAt > 0 && !h.imageCached {
+		l.rebalancing.fetches.Observe(m.option.Type.Name, j.Spec.ImageGB, now-h.assignedAt)
 	}
 	if m, ok := l.rebalancing.TaskRunning(taskID(t), h.machine); ok {
 		l.debug("task moved", "task", shard.TaskName(t), "from", m.From, "to", h.machine, "meant", m.To,
@@ -48,7 +49,7 @@
 		if m, ok := l.rebalancing.TaskEnded(taskID(e.Task)); ok {
 			l.traceMigration(now, m, "its task completed")
 		}
-	case h != nil && h.stopped == moved:
+	case h != nil && h.stopReason == stoppedForMigration:
 		l.rebalancing.AttemptTerminated(now, taskID(e.Task))
 		l.scheduling.urgent = true
 	}
--- a/internal/leader/demand.go
+++ b/internal/leader/demand.go
@@ -116,7 +116,7 @@
 		demand.addTasks(j, "", replicas)
 		return
 	}
-	used := l.zones(j)
+	used := l.zonesOf(j)
 	for _, zone := range slices.Sorted(maps.Keys(used.n)) {
 		demand.addTasks(j, zone, used.n[zone])
 		replicas -= used.n[zone]
--- a/internal/leader/failure_attribution.go
+++ b/internal/leader/failure_attribution.go
@@ -20,7 +20,7 @@
 	}
 	f := failures.Failure{TaskIndex: e.Index, Machine: e.Machine}
 	if h.running {
-		f.Runtime = now - h.since
+		f.Runtime = now - h.runningSince
 	}
 	if j.Failures.TaskFailed(now, l.machineFailures(e.Machine), f) {
 		l.jobBecameSuspect(j)
@@ -72,10 +72,10 @@
 	l.info("job is suspect", "job", ref, "team", j.Spec.Team, "failed_on", j.Failures.FailedMachines(),
 		"tasks_out", j.Dispatched())
 	unstarted := func(h *grantedTask) bool {
-		if h.running || h.inherited || h.stopped != "" {
+		if h.running || h.inherited || h.stopReason != "" {
 			return false
 		}
-		h.stopped = "its job is suspect"
+		h.stopReason = "its job is suspect"
 		return true
 	}
 	for _, b := range l.shards.all {
@@ -89,8 +89,9 @@
 		return
 	}
 	l.eachDispatched(j, func(t peer.Task, h *grantedTask) {
-		if h.running && j.Failures.TaskSurvived(now-h.since) {
-			l.info("job is suspect no more", "job", t.Job, "task", shard.TaskName(t), "ran_s", (now - h.since).Seconds())
+		if h.running && j.Failures.TaskSurvived(now-h.runningSince) {
+			l.info("job is suspect no more", "job", t.Job, "task", shard.TaskName(t),
+				"ran_s", (now - h.runningSince).Seconds())
 			l.scheduling.requested = true
 		}
 	})
@@ -110,6 +111,8 @@
 // runsWell reports whether a replica of a service has run for a while, so that one that fails elsewhere is its
 // machine's fault.
 func (l *Leader) runsWell(now clock.Micros, j *jobs.Job) (well bool) {
-	l.eachDispatched(j, func(_ peer.Task, h *grantedTask) { well = well || h.running && now-h.since > jobs.StableAfter })
+	l.eachDispatched(j, func(_ peer.Task, h *grantedTask) {
+		well = well || h.running && now-h.runningSince > jobs.StableAfter
+	})
 	return well
 }
--- a/internal/leader/failure_attribution_test.go
+++ b/internal/leader/failure_attribution_test.go
@@ -21,7 +21,7 @@
 	b := l.shards.all[shard.ForMachine(names[0], 2)]
 	for i := range 4 {
 		task := peer.Task{Job: s.Ref, Index: i}
-		b.tasks[task] = &grantedTask{team: s.Team, cpus: 1, running: i == 3, since: began, machine: names[0]}
+		b.tasks[task] = &grantedTask{team: s.Team, cpus: 1, running: i == 3, runningSince: began, machine: names[0]}
 		j.MarkDispatched(i)
 	}
 	for i, name := range names[:2] {
--- a/internal/leader/free_capacity.go
+++ b/internal/leader/free_capacity.go
@@ -13,12 +13,14 @@
 // freeCapacity is what can be offered in one round. Room only shrinks while offers are
 // made, so a machine that was too full for a shape of task is not looked at again.
 type freeCapacity struct {
-	now       clock.Micros
-	machines  []*machine // the cheapest first, the fullest first among these; those at rest last
-	byImage   map[string][]*machine
-	passed    map[candidateKey]int
-	bound     *loadBound // nil: machines are taken whatever their load
-	pending   []*machine // with spreading: those whose room can be offered once the offer to their block is settled
+	now      clock.Micros
+	machines []*machine // the cheapest first, the fullest first among these; those at rest last
+	byImage  map[string][]*machine
+	passed   map[candidateKey]int
+	bound    *loadBound // nil: machines are taken whatever their load
+	// pending are, with rebalancing, the machines whose free capacity can be offered once the offer to their shard is
+	// settled.
+	pending   []*machine
 	overBound map[candidateKey]overBoundMark
 	// By service: the machines that have a replica or get one in this round.
 	avoided map[string]map[string]int
@@ -100,17 +102,17 @@
 	return r
 }
 
-// isFree says whether the machine's room can be offered.
+// isFree reports whether the machine's free capacity can be offered.
 func (r *freeCapacity) isFree(m *machine) bool {
 	return m.schedulable() && m.state.CPUs > 0 && !m.shard.offerPending
 }
 
-// schedulable says whether new tasks may run on the machine, if it has room.
+// schedulable reports whether new tasks may run on the machine, if it has free capacity.
 func (m *machine) schedulable() bool {
 	return m.state.Schedulable && !m.draining && !m.deleting && m.shard.state == granted
 }
 
-// fits says whether a task fits into what is left of the machine.
+// fits reports whether a task fits into what is left of the machine.
 func (m *machine) fits(s *wire.Job) bool {
 	return m.freeCPUs+1e-9 >= s.CPUs && m.freeGPUs+1e-9 >= s.GPUs && m.freeMemory+1e-9 >= s.MemoryGB
 }
@@ -126,7 +128,7 @@
 	return 0
 }
 
-// allowed says whether the job may run on the machine. One that is not worth its price
+// allowed reports whether the job may run on the machine. One that is not worth its price
 // for a batch is for a service, which makes it worth keeping.
 // What waits for long does not wait for a better one.
 func (m *machine) allowed(now clock.Micros, j *jobs.Job) bool {
@@ -151,11 +153,11 @@
 	return nil
 }
 
-// pendingPatience is how long a job waits for room within the bound whose block has an offer out.
+// pendingPatience is how long a job waits for free capacity within the bound whose shard has an offer out.
 const pendingPatience = clock.Second
 
-// waitsForPending says whether the job had better wait for the offer to another block to be settled: there is
-// room within the bound there.
+// waitsForPending reports whether the job had better wait for the offer to another shard to be settled: there is
+// free capacity within the bound there.
 func (r *freeCapacity) waitsForPending(j *jobs.Job) bool {
 	if r.bound == nil || j.UnservedSince() == 0 || r.now-j.UnservedSince() > pendingPatience {
 		return false
@@ -166,7 +168,7 @@
 	})
 }
 
-// leastLoaded is, with spreading, the machine that one more task of the job leaves least loaded.
+// leastLoaded is, with rebalancing, the machine that one more task of the job leaves least loaded.
 func (r *freeCapacity) leastLoaded(j *jobs.Job) (best *machine) {
 	if r.bound == nil {
 		return nil
--- a/internal/leader/job_lifecycle.go
+++ b/internal/leader/job_lifecycle.go
@@ -143,15 +143,15 @@
 
 // replicaStopped notes that a replica has ended and is to run again elsewhere.
 func (l *Leader) replicaStopped(now clock.Micros, j *jobs.Job, e peer.TaskEvent, h *grantedTask) {
-	attempt := jobs.ReplicaAttempt{Task: e.Index, Running: h.running, RunningSince: h.since, Inherited: h.inherited,
+	attempt := jobs.ReplicaAttempt{Task: e.Index, Running: h.running, RunningSince: h.runningSince, Inherited: h.inherited,
 		Released: e.Kind == peer.EventReleased, Cause: string(e.Kind)}
-	if attempt.Released && h.stopped != "" {
-		attempt.Cause = h.stopped
+	if attempt.Released && h.stopReason != "" {
+		attempt.Cause = h.stopReason
 	}
 	if j.ReplicaEnded(now, attempt) {
 		ran := 0.0
 		if h.running {
-			ran = (now - h.since).Seconds()
+			ran = (now - h.runningSince).Seconds()
 		}
 		l.info("replica ended", "task", shard.TaskName(e.Task), "machine", h.machine, "cause", attempt.Cause, "ran_s", ran)
 	}
--- a/internal/leader/keys_test.go
+++ b/internal/leader/keys_test.go
@@ -10,7 +10,7 @@
 	"swiftledge/wire"
 )
 
-// Keys that are made of an epoch and a count: a leader of another version finds what they hold by their
+// Keys that are made of a term and a count: a leader of another version finds what they hold by their
 // beginning, and must never make one that is there already.
 func TestKeysOfAnEpoch(t *testing.T) {
 	cases := []struct {
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -60,7 +60,7 @@
 	l.emit(LoadState{l.term})
 }
 
-// viewIsFresh says whether the view of the jobs is fresh enough to renew grants and hand out
+// viewIsFresh reports whether the view of the jobs is fresh enough to renew grants and hand out
 // tasks on it. A watch may hang while all else is served: a leader that cannot know of
 // cancellations must not let the workers of their tasks go on (config.GrantTime).
 func (l *Leader) viewIsFresh(now clock.Micros) bool {
--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -23,8 +23,8 @@
 	return wire.Item{Key: key, Value: raw, Version: version}
 }
 
-// toldOf gathers the orders that the effects send to holders.
-func toldOf(effects []Effect) (orders []peer.ShardOrders) {
+// ordersOf gathers the orders that the effects send to holders.
+func ordersOf(effects []Effect) (orders []peer.ShardOrders) {
 	for _, e := range effects {
 		if x, ok := e.(SendToHolder); ok {
 			orders = append(orders, x.Message.Orders...)
@@ -33,8 +33,8 @@
 	return orders
 }
 
-func offers(effects []Effect) (n int) {
-	for _, o := range toldOf(effects) {
+func countOffers(effects []Effect) (n int) {
+	for _, o := range ordersOf(effects) {
 		for _, of := range o.Offers {
 			n += len(of.TaskIndexes)
 		}
@@ -49,7 +49,7 @@
 	names = []string{"host-000000", "host-000001", "host-000002", "host-000003", "host-000004", "host-000005"}
 )
 
-// leading makes a leader of two blocks, both held by n0, whose start records are
+// leading makes a leader of two shards, both held by n0, whose attempt records are
 // not read yet.
 func leading(t *testing.T) *Leader {
 	t.Helper()
@@ -86,8 +86,8 @@
 	return l
 }
 
-// A new leader hands out nothing before it has read every block's start
-// records: a task that waits in its books may run in a block not read yet.
+// A new leader hands out nothing before it has read every shard's start
+// records: a task that waits in its books may run in a shard not read yet.
 func TestNothingIsOfferedBeforeAllRecordsAreRead(t *testing.T) {
 	l := leading(t)
 	now := began
@@ -102,13 +102,13 @@
 		return l.Step(now, HolderMessage{Controller: "n0", Link: testLink("link"), Message: &peer.ToLeader{Term: 5, StoreOK: true, Updates: []peer.ShardUpdate{u}}})
 	}
 	l.Step(now, AttemptsLoaded{Term: 5, Shard: 0, FencingToken: l.shards.all[0].token})
-	if n := offers(up(0)); n != 0 {
+	if n := countOffers(up(0)); n != 0 {
 		t.Fatalf("%d tasks offered while block 1 is not read", n)
 	}
 	effects := l.Step(now, AttemptsLoaded{Term: 5, Shard: 1, FencingToken: l.shards.all[1].token,
 		Pages: map[string]peer.AttemptPage{"run/001/1-1": {Machines: names[:1],
 			Groups: []peer.AttemptGroup{{Job: spec.Ref, Team: "red", CPUs: 1, Attempts: []int{0, 1, 0}}}}}})
-	if n := offers(effects); n != 1 {
+	if n := countOffers(effects); n != 1 {
 		t.Errorf("%d tasks offered, want the one that no record names", n)
 	}
 }
@@ -146,7 +146,7 @@
 	}
 }
 
-// granting makes a leader whose blocks are granted, all machines up and empty.
+// granting makes a leader whose shards are granted, all machines up and empty.
 func granting(t *testing.T, pages map[string]peer.AttemptPage) *Leader {
 	t.Helper()
 	l := leading(t)
@@ -180,7 +180,7 @@
 }
 
 // What a new leader finds running of a job that is over is to be stopped by the very message
-// that grants its block: a report answered between the two would renew its lease.
+// that grants its shard: a report answered between the two would renew its lease.
 func TestStopsComeWithTheGrant(t *testing.T) {
 	l := leading(t)
 	over := peer.Task{Job: "j-000009", Index: 4}
--- a/internal/leader/limits_test.go
+++ b/internal/leader/limits_test.go
@@ -9,7 +9,7 @@
 	"swiftledge/wire"
 )
 
-// regrant has a block granted anew, at a revision of the state service, and gives its token; false when
+// regrant has a shard granted anew, at a revision of the store, and gives its token; false when
 // the leader resigned instead.
 func regrant(l *Leader, now clock.Micros, revision uint64) (wire.FencingToken, bool) {
 	l.shards.all[0].state = unassigned
@@ -28,7 +28,7 @@
 	return 0, false
 }
 
-// Workers that begin anew take a token each. With thousands of machines an epoch needs more of them than
+// Workers that begin anew take a token each. With thousands of machines a term needs more of them than
 // its tokens have bits for, and a leader that resigned for that would do so again and again.
 func TestTokensOutlastTheirBits(t *testing.T) {
 	l := leading(t)
@@ -46,7 +46,7 @@
 		if token <= last {
 			t.Fatalf("token %d after %d", token, last)
 		}
-		// The next leader's key has a later revision than any write of this epoch.
+		// The next leader's key has a later revision than any write of this term.
 		if next := wire.FencingToken(revision+1) << tokenBits; token > next {
 			t.Fatalf("token %d is higher than a later leader's %d", token, next)
 		}
@@ -54,7 +54,7 @@
 	}
 }
 
-// While no write of the epoch is known to have succeeded, a later epoch may be the next revision: no
+// While no write of the term is known to have succeeded, a later term may be the next revision: no
 // token reaches that far.
 func TestTokensStayBelowALaterEpoch(t *testing.T) {
 	l := leading(t)
@@ -64,7 +64,7 @@
 	}
 }
 
-// The pages of a machine list leave the cloud's calls to rentals, however many machines there are.
+// The pages of a machine list leave the cloud's calls to instance groups, however many machines there are.
 func TestMachineListsLeaveCallsToRentals(t *testing.T) {
 	for _, machines := range []int{500, 6000} {
 		l := leading(t)
--- a/internal/leader/load_bound.go
+++ b/internal/leader/load_bound.go
@@ -25,19 +25,19 @@
 	return m.capacity().Minus(load.Resources{CPUs: m.state.CPUs, GPUs: m.state.GPUs, Memory: m.state.MemoryGB})
 }
 
-// takesWork says whether new tasks are to go to the machine: it serves, and fleet upkeep does not empty
-// it. Spreading neither counts nor fills a machine that upkeep wants empty, so the two do not work
+// takesWork reports whether new tasks are to go to the machine: it serves, and the autoscaler does not empty
+// it. Rebalancing neither counts nor fills a machine that the autoscaler wants empty, so the two do not work
 // against each other.
 func (m *machine) takesWork() bool { return m.schedulable() && m.reserveRank() == 0 }
 
-// loadBound bounds the room of one round of offers by the load of machines.
+// loadBound bounds the free capacity of one round of offers by the load of machines.
 type loadBound struct {
 	bound   load.Bound
 	fetches *load.FetchRates
 	mean    load.Mean
 }
 
-// newLoadBound of the machines that take work, as a round of offers begins; nil while spreading is off.
+// newLoadBound of the machines that take work, as a round of offers begins; nil while rebalancing is off.
 func (l *Leader) newLoadBound() *loadBound {
 	if l.rebalancing == nil {
 		return nil
@@ -61,8 +61,8 @@
 	return m.usedWithOffers().Plus(resourcesOf(s)).DominantShare(m.capacity())
 }
 
-// allows says whether one more task keeps the machine within the bound. One that upkeep wants empty never
-// is: it is for what finds no room elsewhere, not for what is to be spread.
+// allows reports whether one more task keeps the machine within the bound. One that the autoscaler wants empty never
+// is: it is for what finds no free capacity elsewhere, not for what is to be spread.
 func (e *loadBound) allows(m *machine, s *wire.Job) bool {
 	if e == nil {
 		return true
@@ -77,7 +77,7 @@
 	return e.bound.Allows(c, e.mean.Value())
 }
 
-// take takes a task's room off the machine, for the rest of the round.
+// take takes a task's free capacity off the machine, for the rest of the round.
 func (e *loadBound) take(m *machine, s *wire.Job) {
 	before := m.usedWithOffers()
 	m.freeCPUs -= s.CPUs
--- a/internal/leader/machine_choice.go
+++ b/internal/leader/machine_choice.go
@@ -2,7 +2,7 @@
 
 import "swiftledge/internal/leader/jobs"
 
-// machineFor finds the machine whose room the next task of a job takes, and the
+// machineFor finds the machine whose free capacity the next task of a job takes, and the
 // zone that the task is bound to, if any.
 func (l *Leader) machineFor(j *jobs.Job, capacity *freeCapacity) (*machine, string) {
 	s := &j.Spec
@@ -44,7 +44,7 @@
 // machineInZone is machineFor for jobs whose tasks bind each other's place.
 func (l *Leader) machineInZone(j *jobs.Job, capacity *freeCapacity) (*machine, string) {
 	s := &j.Spec
-	zones := l.zones(j)
+	zones := l.zonesOf(j)
 	avoid := capacity.avoidedMachines(l, j)
 	best := capacity.leastAvoided(j, zones, avoid, capacity.bound)
 	if best == nil && capacity.bound != nil && !capacity.waitsForPending(j) {
@@ -60,7 +60,9 @@
 }
 
 // leastAvoided finds a machine for a job whose tasks bind each other's place, among those within the bound.
-func (r *freeCapacity) leastAvoided(j *jobs.Job, zones zones, avoid map[string]int, bound *loadBound) (best *machine) {
+func (r *freeCapacity) leastAvoided(
+	j *jobs.Job, zones jobZones, avoid map[string]int, bound *loadBound,
+) (best *machine) {
 	s := &j.Spec
 	for _, list := range [][]*machine{r.byImage[s.Image], r.machines} {
 		for _, m := range list {
--- a/internal/leader/machines.go
+++ b/internal/leader/machines.go
@@ -125,7 +125,7 @@
 			moves = to != nil && to != m
 		}
 		if moves {
-			h.stopped, h.stoppedAt = "notice", now
+			h.stopReason, h.stoppedAt = "notice", now
 		}
 		if moves || j.Spec.CheckpointS > 0 && !j.Spec.IsService() {
 			lease.orders.Stop = append(lease.orders.Stop, peer.StopTask{Task: t, Checkpoint: true})
--- a/internal/leader/messages.go
+++ b/internal/leader/messages.go
@@ -27,7 +27,7 @@
 
 // Messages to a Leader.
 type (
-	// LeadershipAcquired begins an term; every write guards on Epoch, the leader key's version.
+	// LeadershipAcquired begins a term; every write guards on Term, the leader key's version.
 	LeadershipAcquired struct {
 		Term        cluster.Term
 		Incarnation cluster.Incarnation
--- a/internal/leader/preempt_test.go
+++ b/internal/leader/preemption_test.go
@@ -10,9 +10,9 @@
 	"swiftledge/wire"
 )
 
-// full makes a leader of one machine that guest's tasks fill: four that run for long, and have run for a while.
-// change may alter the job before it is taken in.
-func full(t *testing.T, change func(*wire.Job)) *Leader {
+// leaderOfFullMachine makes a leader of one machine that guest's tasks fill: four that run for long, and have run for a
+// while. change may alter the job before it is taken in.
+func leaderOfFullMachine(t *testing.T, change func(*wire.Job)) *Leader {
 	t.Helper()
 	l := granting(t, nil)
 	l.teams["guest"] = config.Team{Name: "guest"}
@@ -32,7 +32,7 @@
 	m.state = peer.MachineState{Name: names[0], Type: "small", Zone: "a", Schedulable: true, MemoryGB: 4}
 	for i := range 4 {
 		task := peer.Task{Job: long.Ref, Index: i}
-		held := &grantedTask{team: long.Team, cpus: 1, running: true, since: began - clock.Micros(20+i)*clock.Second, machine: m.name}
+		held := &grantedTask{team: long.Team, cpus: 1, running: true, runningSince: began - clock.Micros(20+i)*clock.Second, machine: m.name}
 		m.shard.tasks[task] = held
 		l.usage.Charge(held.team, held.resources())
 		j.MarkDispatched(i)
@@ -40,8 +40,8 @@
 	return l
 }
 
-// stopped gives the indexes of the tasks that waiting work stops.
-func stopped(t *testing.T, l *Leader, waiting wire.Job) (out []int) {
+// evictedTasks gives the indexes of the tasks that waiting work stops.
+func evictedTasks(t *testing.T, l *Leader, waiting wire.Job) (out []int) {
 	t.Helper()
 	l.addJob(JobRecord{Spec: waiting}, 4).AwaitAll()
 	l.preemption.ranAt = 0
@@ -87,8 +87,8 @@
 		{"equal priority is not stopped without a guarantee", func(j *wire.Job) { j.Priority = wire.PriorityHigh },
 			with(func(j *wire.Job) { j.CPUs, j.Tasks = 5, 1 }), 0},
 	} {
-		l := full(t, c.long)
-		if got := stopped(t, l, c.waiting); len(got) != c.want {
+		l := leaderOfFullMachine(t, c.long)
+		if got := evictedTasks(t, l, c.waiting); len(got) != c.want {
 			t.Errorf("%s: %d tasks are stopped (%v), want %d", c.name, len(got), got, c.want)
 		}
 	}
@@ -96,16 +96,16 @@
 
 // The task that has just saved loses least.
 func TestPreemptionCostsLittleWork(t *testing.T) {
-	l := full(t, func(j *wire.Job) { j.CheckpointS = 22 })
+	l := leaderOfFullMachine(t, func(j *wire.Job) { j.CheckpointS = 22 })
 	high := wire.Job{Ref: "j-000200", Team: "blue", Priority: wire.PriorityHigh, Tasks: 1, CPUs: 1, MemoryGB: 1, EstimateS: 10, Spot: true}
-	if got := stopped(t, l, high); len(got) != 1 || got[0] != 2 {
+	if got := evictedTasks(t, l, high); len(got) != 1 || got[0] != 2 {
 		t.Errorf("stopped %v, want the one that ran for 22 s", got)
 	}
 }
 
 // A suspect job stops nobody.
 func TestSuspectJobStopsNobody(t *testing.T) {
-	l := full(t, nil)
+	l := leaderOfFullMachine(t, nil)
 	high := wire.Job{Ref: "j-000200", Team: "blue", Priority: wire.PriorityHigh, Tasks: 9, CPUs: 1, MemoryGB: 1, EstimateS: 10, Spot: true}
 	j := l.addJob(JobRecord{Spec: high}, 4)
 	for i := range 2 {
--- a/internal/leader/proofs_test.go
+++ b/internal/leader/proofs_test.go
@@ -22,7 +22,7 @@
 	return map[string]peer.AttemptPage{"run/" + machine: {Machines: []string{machine}, Groups: []peer.AttemptGroup{g}}}
 }
 
-// saying is what a holder says of a block under a token.
+// saying is what a holder says of a shard under a token.
 func saying(b *shardLease, token wire.FencingToken, events ...peer.TaskEvent) HolderMessage {
 	return HolderMessage{Controller: "n0", Link: testLink("link"), Message: &peer.ToLeader{Term: 5,
 		Updates: []peer.ShardUpdate{{Shard: b.ID, FencingToken: token, Events: events}}}}
@@ -50,7 +50,7 @@
 	}
 }
 
-// A task that the records of two blocks name waits until it is gone from both, and not at all once it
+// A task that the records of two shards name waits until it is gone from both, and not at all once it
 // is done.
 func TestTaskWaitsWhenItHasLeftItsLastGrant(t *testing.T) {
 	l := leading(t)
@@ -74,7 +74,7 @@
 	}
 }
 
-// When a block is granted anew, what its records name stays out; only what has none comes back.
+// When a shard is granted anew, what its records name stays out; only what has none comes back.
 func TestRecordedTasksStayOutWhenABlockIsGrantedAnew(t *testing.T) {
 	l := leading(t)
 	b := l.shards.all[shard.ForMachine(names[0], 2)]
@@ -87,7 +87,7 @@
 	}
 }
 
-// Records that were read for an earlier grant or epoch may lack what was recorded since.
+// Records that were read for an earlier grant or term may lack what was recorded since.
 func TestRecordsOfAnEarlierGrantAreNotTaken(t *testing.T) {
 	for _, m := range []AttemptsLoaded{{Term: 4}, {Term: 5}} {
 		l := leading(t)
@@ -101,7 +101,7 @@
 	}
 }
 
-// After a failed guard on a block's key, only what is read there tells whose it is.
+// After a failed guard on a shard's key, only what is read there tells whose it is.
 func TestBlockKeyIsReadBack(t *testing.T) {
 	for _, ours := range []bool{true, false} {
 		l := leading(t)
@@ -157,7 +157,7 @@
 	l := granting(t, recordsOf(names[0], 0, 1))
 	b := l.shards.all[shard.ForMachine(names[0], 2)]
 	acknowledged := func(effects []Effect) (n int) {
-		for _, o := range toldOf(effects) {
+		for _, o := range ordersOf(effects) {
 			n += len(o.Persisted)
 		}
 		return n
--- a/internal/leader/rebalancing.go
+++ b/internal/leader/rebalancing.go
@@ -10,11 +10,11 @@
 	"swiftledge/internal/shard"
 )
 
-// moved is why a task was told to stop that is to run on another machine.
-const moved = "moved"
+// stoppedForMigration is why a task was told to stop that is to run on another machine.
+const stoppedForMigration = "moved"
 
-// rebalancing is the leader's part in keeping work even: it bounds the room that is offered, and has
-// running tasks moved. It is soft state; nil while spreading is off.
+// rebalancing is the leader's part in keeping work even: it bounds the free capacity that is offered, and has
+// running tasks moved. It is soft state; nil while rebalancing is off.
 type rebalancing struct {
 	*rebalancer.Rebalancer
 	bound     load.Bound
@@ -40,8 +40,9 @@
 		interval: clock.FromSeconds(s.IntervalS), loggedImpossible: map[string]bool{}}
 }
 
-// preferred gives the machine that the next task of a job is to move to, if it has room within the bound.
-func (l *Leader) preferred(j *jobs.Job, capacity *freeCapacity) *machine {
+// migrationTarget gives the machine that the next task of a job is to move to, if it has free capacity within the
+// bound.
+func (l *Leader) migrationTarget(j *jobs.Job, capacity *freeCapacity) *machine {
 	if l.rebalancing == nil {
 		return nil
 	}
@@ -53,7 +54,7 @@
 	return m
 }
 
-// migrationTargets names the machines that tasks are on their way to: upkeep does not return them meanwhile.
+// migrationTargets names the machines that tasks are on their way to: the autoscaler does not return them meanwhile.
 func (l *Leader) migrationTargets() map[string]bool {
 	if l.rebalancing == nil {
 		return nil
@@ -91,7 +92,7 @@
 	t := peer.Task{Job: m.Task.Job, Index: m.Task.Index}
 	b := l.inventory.machines[m.From].shard
 	h := b.tasks[t]
-	h.stopped, h.stoppedAt = moved, now
+	h.stopReason, h.stoppedAt = stoppedForMigration, now
 	b.orders.Stop = append(b.orders.Stop, peer.StopTask{Task: t, Checkpoint: true})
 	l.debug("moving task", "task", shard.TaskName(t), "from", m.From, "to", m.To, "gain_s", m.GainS, "cost_s", m.CostS)
 }
--- a/internal/leader/rebalancing_test.go
+++ b/internal/leader/rebalancing_test.go
@@ -25,7 +25,7 @@
 	l := leadingWith(t, tuning)
 	l.cfg.Facts.Cloud.RPS = 5
 	for _, m := range l.inventory.machines {
-		m.option.Spot = true // of which upkeep keeps a reserve
+		m.option.Spot = true // of which the autoscaler keeps a reserve
 	}
 	l.finishJob(began, l.jobs.Get(spec.Ref))
 	l.addJob(JobRecord{Spec: savable}, 30)
@@ -76,7 +76,7 @@
 		l.authorityEnds, l.jobsViewedAt, l.shards.controllers["n0"].lastHeartbeat = now+clock.Minute, now, now
 		step := l.Step(now, Tick{})
 		effects = append(effects, step...)
-		for _, o := range toldOf(step) {
+		for _, o := range ordersOf(step) {
 			out = append(out, o.Stop...)
 		}
 	}
@@ -89,18 +89,18 @@
 	if len(got) != 1 || !got[0].Checkpoint || got[0].Job != savable.Ref {
 		t.Fatalf("stops %v, want one task with time to save", got)
 	}
-	// Nothing starts elsewhere before the old attempt is proven gone; then the task is offered to the block of
+	// Nothing starts elsewhere before the old attempt is proven gone; then the task is offered to the shard of
 	// the machine that it is to move to.
 	id := taskID(got[0].Task)
 	to := l.inventory.machines[l.rebalancing.InFlight()[0].To]
 	now := began + 95*clock.Second
 	l.authorityEnds, l.jobsViewedAt = now+clock.Minute, now
 	effects := tell(l, now, nil, func(*peer.MachineState) {})
-	if n := offers(effects); n != 0 {
+	if n := countOffers(effects); n != 0 {
 		t.Errorf("%d tasks offered before the old attempt is gone", n)
 	}
 	effects = tell(l, now, []peer.TaskEvent{{Task: got[0].Task, Kind: peer.EventReleased, Machine: names[0]}}, func(*peer.MachineState) {})
-	told := toldOf(effects)
+	told := ordersOf(effects)
 	if len(told) != 1 || told[0].Shard != to.shard.ID || len(told[0].Offers) != 1 || told[0].Offers[0].TaskIndexes[0] != id.Index {
 		t.Errorf("told %+v, want the task offered to block %d", told, to.shard.ID)
 	}
@@ -109,7 +109,7 @@
 	}
 }
 
-// A move never puts a task aside for other work: while any waits that could take its room, nothing moves.
+// A move never puts a task aside for other work: while any waits that could take its free capacity, nothing moves.
 func TestNothingIsMovedWhileWorkWaits(t *testing.T) {
 	waiting := wire.Job{Ref: "j-000003", Team: "red", Priority: wire.PriorityBestEffort, Tasks: 1, CPUs: 1, MemoryGB: 1,
 		Types: []string{"not to be had"}, Spot: true, EstimateS: 10}
@@ -137,7 +137,7 @@
 	}
 }
 
-// A holder that says a task is on a machine of another block costs only itself: the task is not moved, and
+// A holder that says a task is on a machine of another shard costs only itself: the task is not moved, and
 // the leader goes on.
 func TestTaskOnAnotherBlocksMachineIsNotMoved(t *testing.T) {
 	l := unevenFleet(t, true)
@@ -178,40 +178,41 @@
 	}
 }
 
-// Fleet upkeep goes before spreading: a machine that it wants empty takes no task, neither a new one nor
+// The autoscaler goes before rebalancing: a machine that it wants empty takes no task, neither a new one nor
 // one that is moved, though it has the least load.
 func TestMachinesAtRestAreNotFilled(t *testing.T) {
 	l := unevenFleet(t, true)
 	for _, n := range names[1:] {
 		l.inventory.machines[n].deprioritized = true
 	}
-	l.autoscaler.plannedAt = began + clock.Minute*10 // upkeep's word stays as it is
+	l.autoscaler.plannedAt = began + clock.Minute*10 // the autoscaler's word stays as it is
 	if got, _ := stops(l); len(got) != 0 {
 		t.Errorf("stops %v to move to machines at rest", got)
 	}
-	// One that is not at rest has room, but over the bound: it goes before those at rest all the same.
+	// One that is not at rest has free capacity, but over the bound: it goes before those at rest all the same.
 	l.rebalancing.bound.MaxRelativeLoad = 1.05
 	m := l.inventory.machines[names[1]]
 	m.deprioritized, m.state.CPUs, m.state.MemoryGB = false, 1, 7
-	if told := offersOf(l, began+95*clock.Second, wire.Job{CPUs: 1, MemoryGB: 7}); len(told) != 1 || told[0].Shard != m.shard.ID || len(told[0].Include) != 0 {
+	told := ordersForNewJob(l, began+95*clock.Second, wire.Job{CPUs: 1, MemoryGB: 7})
+	if len(told) != 1 || told[0].Shard != m.shard.ID || len(told[0].Include) != 0 {
 		t.Errorf("told %+v, want the task offered for the fuller machine that is not at rest", told)
 	}
 }
 
-// offersOf submits a job of one task and gives what holders are told at once.
-func offersOf(l *Leader, now clock.Micros, j wire.Job) []peer.ShardOrders {
+// ordersForNewJob submits a job of one task and gives what holders are told at once.
+func ordersForNewJob(l *Leader, now clock.Micros, j wire.Job) []peer.ShardOrders {
 	j.Ref, j.Team, j.Priority, j.Tasks, j.Spot = "j-000003", "red", wire.PriorityStandard, 1, true
 	l.addJob(JobRecord{Spec: j}, 31).AwaitAll()
-	return schedules(l, now)
+	return ordersOfPass(l, now)
 }
 
-// schedules gives what holders are told when the leader looks for room.
-func schedules(l *Leader, now clock.Micros) []peer.ShardOrders {
+// ordersOfPass gives what holders are told when the leader looks for free capacity.
+func ordersOfPass(l *Leader, now clock.Micros) []peer.ShardOrders {
 	l.scheduling.requested, l.authorityEnds, l.jobsViewedAt = true, now+clock.Minute, now
-	return toldOf(l.Step(now, PeerConnected{Controller: "n9", Link: testLink("other")}))
+	return ordersOf(l.Step(now, PeerConnected{Controller: "n9", Link: testLink("other")}))
 }
 
-// Room within the bound in a block that has an offer out is waited for, but not for long.
+// Room within the bound in a shard that has an offer out is waited for, but not for long.
 func TestRoomWithinTheBoundIsWaitedFor(t *testing.T) {
 	l := unevenFleet(t, true)
 	full := l.inventory.machines[names[0]].shard
@@ -223,10 +224,10 @@
 		}
 	}
 	now := began + 95*clock.Second
-	if told := offersOf(l, now, wire.Job{CPUs: 1, MemoryGB: 1}); len(told) != 0 {
+	if told := ordersForNewJob(l, now, wire.Job{CPUs: 1, MemoryGB: 1}); len(told) != 0 {
 		t.Fatalf("told %+v while another block has room within the bound in a moment", told)
 	}
-	if told := schedules(l, now+pendingPatience+clock.Millisecond); len(told) != 1 || told[0].Shard != full.ID {
+	if told := ordersOfPass(l, now+pendingPatience+clock.Millisecond); len(told) != 1 || told[0].Shard != full.ID {
 		t.Errorf("told %+v, want the task offered beyond the bound after %v", told, pendingPatience)
 	}
 }
--- a/internal/leader/rebalancing_view.go
+++ b/internal/leader/rebalancing_view.go
@@ -37,7 +37,7 @@
 	return v
 }
 
-// waitingAtLimit notes whether work waits that would take the room of a stopped task, and names the teams
+// waitingAtLimit notes whether work waits that would take the free capacity of a stopped task, and names the teams
 // that have some waiting at their limit.
 func (l *Leader) waitingAtLimit(now clock.Micros, v *rebalancer.View) map[string]bool {
 	moving := map[string]int{}
@@ -61,14 +61,14 @@
 	return atLimit
 }
 
-// heldTask is a task in a block's grant.
+// heldTask is a task in a shard's grant.
 type heldTask struct {
-	task peer.Task
-	held *grantedTask
+	task    peer.Task
+	granted *grantedTask
 }
 
 // tasksByMachine lists the tasks in grants by the machine that they are on. A holder that names a machine
-// of another block is not believed.
+// of another shard is not believed.
 func (l *Leader) tasksByMachine() map[string][]heldTask {
 	on := map[string][]heldTask{}
 	for _, b := range l.shards.all {
@@ -86,7 +86,7 @@
 	var out []rebalancer.Task
 	for _, t := range on {
 		if j := l.jobs.Get(t.task.Job); j != nil {
-			out = append(out, l.movable(now, t.task, t.held, j, atLimit[t.held.team]))
+			out = append(out, l.movable(now, t.task, t.granted, j, atLimit[t.granted.team]))
 		}
 	}
 	slices.SortFunc(out, rebalancer.Task.Compare)
@@ -100,7 +100,7 @@
 		ID: taskID(t), Team: s.Team, Request: resourcesOf(s), Image: s.Image, ImageGB: s.ImageGB, CheckpointS: s.SaveS,
 		Checkpoints:    s.CheckpointS > 0,
 		PlacementBound: s.OneZone || s.Spread, Service: s.IsService(),
-		Stopping: h.stopped != "" || j.IsCancelled(), TeamAtLimit: atLimit,
+		Stopping: h.stopReason != "" || j.IsCancelled(), TeamAtLimit: atLimit,
 		Allows: func(m *rebalancer.Machine) bool {
 			to := l.inventory.machines[m.Name]
 			_, failedThere := j.Failures.FailedOn(m.Name)
@@ -108,8 +108,8 @@
 		},
 	}
 	if h.running {
-		out.RunningSince = h.since
-		out.RemainingS = l.jobs.RunSeconds(j) - (now - h.since).Seconds()
+		out.RunningSince = h.runningSince
+		out.RemainingS = l.jobs.RunSeconds(j) - (now - h.runningSince).Seconds()
 	}
 	return out
 }
--- a/internal/leader/schedule.go
+++ b/internal/leader/schedule.go
@@ -11,8 +11,8 @@
 	"swiftledge/wire"
 )
 
-// batchDelay is how long room that comes free is collected before it is offered, so
-// that one start record serves several tasks. New jobs do not wait for it.
+// batchDelay is how long capacity that comes free is collected before it is offered, so
+// that one attempt record serves several tasks. New jobs do not wait for it.
 const batchDelay = 120 * clock.Millisecond
 
 // tasksPerTurn is how many tasks of a job go at once before another's turn is looked at.
@@ -24,13 +24,13 @@
 	zone  string
 }
 
-// schedule hands waiting tasks to blocks with room: teams in turn by their
+// schedule hands waiting tasks to shards with free capacity: teams in turn by their
 // shares, guarantees first.
 func (l *Leader) schedule(now clock.Micros) {
 	if !l.scheduling.requested || !l.scheduling.urgent && now-l.scheduling.ranAt < batchDelay || !l.viewIsFresh(now) {
 		return
 	}
-	// Until every block's start records are read, a task that waits here may run
+	// Until every shard's attempt records are read, a task that waits here may run
 	// in one of them, and the teams' use is not known.
 	if slices.ContainsFunc(l.shards.all, func(b *shardLease) bool { return !b.AttemptsRead }) {
 		return
@@ -79,7 +79,7 @@
 func (o *offering) serve(turn fairshare.Turn) (offered int) {
 	j := turn.Job
 	s := &j.Spec
-	m, zone := o.preferred(j, o.capacity), ""
+	m, zone := o.migrationTarget(j, o.capacity), ""
 	isMigration := m != nil
 	if !isMigration {
 		if m, zone = o.machineFor(j, o.capacity); m == nil {
--- a/internal/leader/service_test.go
+++ b/internal/leader/service_test.go
@@ -28,13 +28,13 @@
 	}
 	effects := say(peer.EventAttemptRemains, peer.EventCompleted)
 	stops := 0
-	for _, o := range toldOf(effects) {
+	for _, o := range ordersOf(effects) {
 		stops += len(o.Stop)
 	}
-	if n := offers(effects); n != 0 || stops != 0 || b.tasks[one] == nil {
+	if n := countOffers(effects); n != 0 || stops != 0 || b.tasks[one] == nil {
 		t.Errorf("%d tasks offered, %d stopped, counted %v while another attempt may run", n, stops, b.tasks[one] != nil)
 	}
-	if n := offers(say(peer.EventReleased)); n != 1 {
+	if n := countOffers(say(peer.EventReleased)); n != 1 {
 		t.Errorf("%d tasks offered after the last attempt, want the replica", n)
 	}
 }
@@ -52,14 +52,14 @@
 		Message: &peer.ToLeader{Term: 5, Updates: []peer.ShardUpdate{{Shard: b.ID, FencingToken: b.token,
 			Events: []peer.TaskEvent{{Task: one, Kind: peer.EventCompleted, Machine: names[0]}}}}}})
 	stopped, stored := false, false
-	for _, o := range toldOf(effects) {
+	for _, o := range ordersOf(effects) {
 		stopped = stopped || len(o.Stop) == 1 && o.Stop[0].Task == one
 		stored = stored || len(o.Persisted) == 1 && o.Persisted[0] == one
 	}
 	if !stopped || !stored || j.Completed() != 0 {
 		t.Errorf("told to keep it listed %v, that it is settled %v, %d tasks done", stopped, stored, j.Completed())
 	}
-	if n := offers(effects); n != 1 {
+	if n := countOffers(effects); n != 1 {
 		t.Errorf("%d tasks offered, want the replica again", n)
 	}
 }
--- a/internal/leader/shard_table.go
+++ b/internal/leader/shard_table.go
@@ -116,18 +116,18 @@
 
 // grantedTask is a task that is in a shard's grant: it counts in full.
 type grantedTask struct {
-	team       string
-	cpus, gpus float64
-	zone       string
-	running    bool
-	remains    bool         // one of several attempts has ended, and another may run yet
-	inherited  bool         // from the attempt records of an earlier grant
-	since      clock.Micros // when it was first seen to run
-	machine    string
-	givenAt    clock.Micros // to its machine; 0: not known
-	cached     bool         // its image was known to be there then
-	stopped    string       // why it was told to stop, if it was
-	stoppedAt  clock.Micros
+	team             string
+	cpus, gpus       float64
+	zone             string
+	running          bool
+	otherAttemptLeft bool         // one of several attempts has ended, and another may run yet
+	inherited        bool         // from the attempt records of an earlier grant
+	runningSince     clock.Micros // when it was first seen to run
+	machine          string
+	assignedAt       clock.Micros // to its machine; 0: not known
+	imageCached      bool         // its image was known to be there then
+	stopReason       string       // why it was told to stop, if it was
+	stoppedAt        clock.Micros
 }
 
 // resources returns what the task takes.
--- a/internal/leader/task_events.go
+++ b/internal/leader/task_events.go
@@ -19,7 +19,7 @@
 		}
 	case peer.EventRunning:
 		if h := lease.tasks[e.Task]; h != nil && !h.running {
-			h.running, h.since, h.machine = true, now, e.Machine
+			h.running, h.runningSince, h.machine = true, now, e.Machine
 			l.attemptRunning(now, e.Task, h)
 			if j != nil {
 				j.MarkRunning()
@@ -30,7 +30,7 @@
 		}
 	case peer.EventAttemptRemains:
 		if h := lease.tasks[e.Task]; h != nil {
-			h.remains = true
+			h.otherAttemptLeft = true
 		}
 	case peer.EventUnplaced, peer.EventReleased, peer.EventFailed, peer.EventCompleted:
 		if j != nil && j.Spec.IsService() {
@@ -65,8 +65,8 @@
 // replicaEnded takes in the end of a service's task. None is its last, so the task waits again, but
 // only when none of its attempts may run.
 func (l *Leader) replicaEnded(now clock.Micros, lease *shardLease, j *jobs.Job, e peer.TaskEvent) {
-	if h := lease.tasks[e.Task]; h != nil && h.remains && e.Kind == peer.EventCompleted {
-		h.remains = false
+	if h := lease.tasks[e.Task]; h != nil && h.otherAttemptLeft && e.Kind == peer.EventCompleted {
+		h.otherAttemptLeft = false
 		return
 	}
 	h := l.release(lease, e.Task)
--- a/internal/leader/trace.go
+++ b/internal/leader/trace.go
@@ -35,11 +35,11 @@
 
 // traceStarted tells how long a task took from the choice of its machine to its run.
 func (l *Leader) traceStarted(now clock.Micros, t peer.Task, task *grantedTask) {
-	if task.givenAt == 0 {
+	if task.assignedAt == 0 {
 		return
 	}
 	l.recordSpan(trace.Span{
-		Job: t.Job, Task: shard.TaskName(t), Name: "start", Begin: task.givenAt, End: now,
+		Job: t.Job, Task: shard.TaskName(t), Name: "start", Begin: task.assignedAt, End: now,
 		Attributes: []trace.Attribute{{Key: "machine", Value: task.machine}},
 	})
 }
--- a/internal/leader/unconfirmed_machines_test.go
+++ b/internal/leader/unconfirmed_machines_test.go
@@ -74,7 +74,7 @@
 
 // orderedOf gathers what the effects tell the holder of a block.
 func orderedOf(effects []Effect, b int) (drained, gone, listed []string) {
-	for _, o := range toldOf(effects) {
+	for _, o := range ordersOf(effects) {
 		if o.Shard == b {
 			drained, gone = append(drained, o.Drain...), append(gone, o.Terminated...)
 		}
--- a/internal/leader/zones.go
+++ b/internal/leader/zones.go
@@ -6,14 +6,14 @@
 	"swiftledge/wire"
 )
 
-// zones is where the tasks of a job are, and so where more of them may be.
-type zones struct {
+// jobZones is where the tasks of a job are, and so where more of them may be.
+type jobZones struct {
 	job *wire.Job
 	n   map[string]int
 }
 
-func (l *Leader) zones(j *jobs.Job) zones {
-	z := zones{&j.Spec, map[string]int{}}
+func (l *Leader) zonesOf(j *jobs.Job) jobZones {
+	z := jobZones{&j.Spec, map[string]int{}}
 	if !z.job.OneZone && !z.job.Spread {
 		return z
 	}
@@ -33,7 +33,7 @@
 	}
 }
 
-func (z zones) allow(zone string) bool {
+func (z jobZones) allow(zone string) bool {
 	switch {
 	case z.n[""] > 0 && (z.job.OneZone || z.job.Spread):
 		return false // a task that may be anywhere leaves no zone that is surely allowed
@@ -43,4 +43,4 @@
 	return !z.job.Spread || z.n[zone] < (z.job.Tasks+1)/2
 }
 
-func (z zones) add(zone string) { z.n[zone]++ }
+func (z jobZones) add(zone string) { z.n[zone]++ }
