--- a/internal/loopback/loopback_test.go
+++ b/internal/loopback/loopback_test.go
@@ -49,11 +49,17 @@
 	first, jobs int // numbers of the jobs
 	tasks       int
 	runS        float64
+	// via are the controllers that take the jobs in turn; none: all of them.
+	via []*Controller
 }
 
 // submitAll submits a batch and returns the references of its jobs.
 func submitAll(t *testing.T, c *Cluster, b batch) (refs []string) {
 	t.Helper()
+	via := b.via
+	if len(via) == 0 {
+		via = c.Controllers
+	}
 	for i := b.first; i < b.first+b.jobs; i++ {
 		job := wire.Job{
 			Ref:         fmt.Sprintf("j-%06d", i),
@@ -71,7 +77,7 @@
 			CheckpointS: 1,
 			SaveS:       0.5,
 		}
-		controller := c.Controllers[i%len(c.Controllers)]
+		controller := via[i%len(via)]
 		eventually(t, "accepted", func() bool { return c.Submit(controller, job, b.runS) == nil })
 		refs = append(refs, job.Ref)
 	}
@@ -124,7 +130,7 @@
 	for _, l := range held {
 		l.Set(Condition{CutTo: true})
 	}
-	more := submitAll(t, c, batch{first: 31, jobs: 2, tasks: 4, runS: 1})
+	more := submitAll(t, c, batch{first: 31, jobs: 2, tasks: 4, runS: 1, via: []*Controller{cut, third}})
 	for _, l := range held {
 		l.Heal()
 	}
