--- a/internal/leader/attempts.go
+++ b/internal/leader/attempts.go
@@ -33,7 +33,7 @@
 		l.rebalancing.fetches.Observe(m.option.Type.Name, j.Spec.ImageGB, now-h.assignedAt)
 	}
 	if m, ok := l.rebalancing.TaskRunning(taskID(t), h.machine); ok {
-		l.debug("task moved", "task", shard.TaskName(t), "from", m.From, "to", h.machine, "meant", m.To,
+		l.debug("task migrated", "task", shard.TaskName(t), "from", m.From, "to", h.machine, "target", m.To,
 			"took_s", (now - m.StartedAt).Seconds())
 		l.traceMigration(now, m, "done")
 	}
--- a/internal/leader/rebalancing.go
+++ b/internal/leader/rebalancing.go
@@ -74,7 +74,7 @@
 	}
 	s.plannedAt = now
 	for _, m := range s.Expire(now) {
-		l.debug("move given up", "task", m.Task.String(), "stage", m.Stage.String())
+		l.debug("migration given up", "task", m.Task.String(), "stage", m.Stage.String())
 		l.traceMigration(now, m, "given up")
 	}
 	for _, t := range l.autoscaler.catalog {
@@ -94,7 +94,7 @@
 	h := b.tasks[t]
 	h.stopReason, h.stoppedAt = stoppedForMigration, now
 	b.orders.Stop = append(b.orders.Stop, peer.StopTask{Task: t, Checkpoint: true})
-	l.debug("moving task", "task", shard.TaskName(t), "from", m.From, "to", m.To, "gain_s", m.GainS, "cost_s", m.CostS)
+	l.debug("migrating task", "task", shard.TaskName(t), "from", m.From, "to", m.To, "gain_s", m.GainS, "cost_s", m.CostS)
 }
 
 // logImpossibleFigures tells once of each machine whose figures cannot be true.
@@ -103,8 +103,8 @@
 		if r.Reason == rebalancer.InvalidResources && !l.rebalancing.loggedImpossible[r.Machine] {
 			l.rebalancing.loggedImpossible[r.Machine] = true
 			m := l.inventory.machines[r.Machine]
-			l.info("machine gets no moves", "machine", r.Machine, "why", r.Reason, "type", m.state.Type,
-				"rented", m.option.Type.Name, "cpus_free", m.state.CPUs, "ram_gb_free", m.state.MemoryGB)
+			l.info("machine excluded from migrations", "machine", r.Machine, "reason", r.Reason, "type", m.state.Type,
+				"provisioned_type", m.option.Type.Name, "cpus_free", m.state.CPUs, "memory_gb_free", m.state.MemoryGB)
 		}
 	}
 }
--- a/internal/leader/rebalancing_test.go
+++ b/internal/leader/rebalancing_test.go
@@ -232,7 +232,7 @@
 	}
 }
 
-// A machine whose figures cannot be true gets no moves, and is logged once.
+// A machine whose figures cannot be true is excluded from migrations, and is logged once.
 func TestImpossibleFiguresAreLoggedOnce(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(*peer.MachineState)
@@ -253,7 +253,7 @@
 		got, effects := stops(l)
 		logged := 0
 		for _, e := range effects {
-			if x, ok := e.(Log); ok && x.Message == "machine gets no moves" && fmt.Sprint(x.Attributes[1]) == names[0] {
+			if x, ok := e.(Log); ok && x.Message == "machine excluded from migrations" && fmt.Sprint(x.Attributes[1]) == names[0] {
 				logged++
 			}
 		}
