--- a/internal/controller/agent_client.go
+++ b/internal/controller/agent_client.go
@@ -11,6 +11,7 @@
 	"github.com/valyala/fasthttp"
 
 	"swiftledge/internal/config"
+	"swiftledge/internal/jsonhttp"
 	"swiftledge/internal/shard"
 	"swiftledge/wire"
 )
@@ -79,17 +80,12 @@
 		return answer, ctx.Err()
 	}
 	defer a.release()
-	body, err := json.Marshal(request.Body)
-	if err != nil {
-		return answer, fmt.Errorf("encode commands to %s: %w", request.Machine, err)
-	}
 	req, res := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(res)
-	req.Header.SetMethod(http.MethodPost)
-	req.Header.SetContentType("application/json")
-	req.SetRequestURI("http://" + request.Address + "/orders")
-	req.SetBodyRaw(body)
+	if err := jsonhttp.Encode(req, http.MethodPost, request.Address, "/orders", request.Body); err != nil {
+		return answer, fmt.Errorf("encode commands to %s: %w", request.Machine, err)
+	}
 	if a.connections.count() > a.maxKept {
 		req.SetConnectionClose()
 	}
