--- a/internal/leader/attempts.go
+++ b/internal/leader/attempts.go
@@ -10,52 +10,52 @@
 	"swiftledge/wire"
 )
 
-// attemptAssigned takes in that a task was given to a machine, and that it runs there.
-func (l *Leader) attemptAssigned(now clock.Micros, t peer.Task, h *grantedTask) {
-	h.assignedAt = now
+// attemptAssigned records that a task was assigned to a machine.
+func (l *Leader) attemptAssigned(now clock.Micros, t peer.Task, task *grantedTask) {
+	task.assignedAt = now
 	if l.rebalancing == nil {
 		return
 	}
-	if m, j := l.inventory.machines[h.machine], l.jobs.Get(t.Job); m != nil && j != nil {
-		h.imageCached = slices.Contains(m.state.Images, j.Spec.Image)
+	if m, j := l.inventory.machines[task.machine], l.jobs.Get(t.Job); m != nil && j != nil {
+		task.imageCached = slices.Contains(m.state.Images, j.Spec.Image)
 	}
-	l.rebalancing.TaskAssigned(taskID(t), h.machine)
+	l.rebalancing.TaskAssigned(taskID(t), task.machine)
 }
 
-// attemptRunning takes in that a task runs.
-func (l *Leader) attemptRunning(now clock.Micros, t peer.Task, h *grantedTask) {
-	l.traceStarted(now, t, h)
+// attemptRunning records that a task runs on its machine, which ends its migration, if any.
+func (l *Leader) attemptRunning(now clock.Micros, t peer.Task, task *grantedTask) {
+	l.traceStarted(now, t, task)
 	if l.rebalancing == nil {
 		return
 	}
-	m, j := l.inventory.machines[h.machine], l.jobs.Get(t.Job)
-	if m != nil && j != nil && h.assignedAt > 0 && !h.imageCached {
-		l.rebalancing.fetches.Observe(m.option.Type.Name, j.Spec.ImageGB, now-h.assignedAt)
+	m, j := l.inventory.machines[task.machine], l.jobs.Get(t.Job)
+	if m != nil && j != nil && task.assignedAt > 0 && !task.imageCached {
+		l.rebalancing.fetches.Observe(m.option.Type.Name, j.Spec.ImageGB, now-task.assignedAt)
 	}
-	if m, ok := l.rebalancing.TaskRunning(taskID(t), h.machine); ok {
-		l.debug("task migrated", "task", shard.TaskName(t), "from", m.From, "to", h.machine, "target", m.To,
+	if m, ok := l.rebalancing.TaskRunning(taskID(t), task.machine); ok {
+		l.debug("task migrated", "task", shard.TaskName(t), "from", m.From, "to", task.machine, "target", m.To,
 			"took_s", (now - m.StartedAt).Seconds())
 		l.traceMigration(now, m, "done")
 	}
 }
 
-// attemptEnded takes in that an attempt has ended: one that was moved may start elsewhere now.
-func (l *Leader) attemptEnded(now clock.Micros, e peer.TaskEvent, h *grantedTask) {
+// attemptEnded records that an attempt has ended. If its task is being migrated, it may now start elsewhere.
+func (l *Leader) attemptEnded(now clock.Micros, event peer.TaskEvent, task *grantedTask) {
 	if l.rebalancing == nil {
 		return
 	}
 	switch {
-	case e.Kind == peer.EventCompleted:
-		if m, ok := l.rebalancing.TaskEnded(taskID(e.Task)); ok {
+	case event.Kind == peer.EventCompleted:
+		if m, ok := l.rebalancing.TaskEnded(taskID(event.Task)); ok {
 			l.traceMigration(now, m, "its task completed")
 		}
-	case h != nil && h.stopReason == stoppedForMigration:
-		l.rebalancing.AttemptTerminated(now, taskID(e.Task))
+	case task != nil && task.stopReason == stoppedForMigration:
+		l.rebalancing.AttemptTerminated(now, taskID(event.Task))
 		l.scheduling.urgent = true
 	}
 }
 
-// jobEnded takes in that a job is done or cancelled.
+// jobEnded records that a job is done or cancelled, which ends the migrations of its tasks.
 func (l *Leader) jobEnded(now clock.Micros, j *jobs.Job, state wire.JobState) {
 	l.traceJob(now, j, state)
 	if l.rebalancing == nil {
--- a/internal/leader/autoscaler_state.go
+++ b/internal/leader/autoscaler_state.go
@@ -6,12 +6,13 @@
 	"swiftledge/wire"
 )
 
-// autoscalerState owns the machine types that the cloud offers and what is remembered of each option between plans.
+// autoscalerState owns the machine types that the cloud offers and the state of each option that is kept between
+// capacity plans.
 type autoscalerState struct {
 	types        map[string]wire.MachineType
-	catalog      []wire.MachineType // the same, in the cloud's order
+	catalog      []wire.MachineType // the same types in the order of the cloud
 	refusals     map[autoscaler.OptionKey]capacityRefusal
-	bootFailures map[autoscaler.OptionKey]int // how many machines in a row did not come up
+	bootFailures map[autoscaler.OptionKey]int // number of consecutive machines that did not come up
 
 	reconciledAt, plannedAt, catalogRequestedAt clock.Micros
 }
@@ -23,5 +24,5 @@
 	}
 }
 
-// capacityRefusal is how long an option is left alone that the cloud had too little of.
-type capacityRefusal struct{ until, wait clock.Micros }
+// capacityRefusal is how long an option is not requested after the cloud lacked capacity for it.
+type capacityRefusal struct{ retryAt, backoff clock.Micros }
--- a/internal/leader/catalog.go
+++ b/internal/leader/catalog.go
@@ -8,8 +8,8 @@
 	"swiftledge/wire"
 )
 
-// catalogLoaded takes in the cloud's catalog. It is kept in the store, so that submissions can be judged while the
-// cloud is away, and told to the other controllers.
+// catalogLoaded applies the cloud's catalog. It is stored, so that submissions can be validated while the cloud is
+// unavailable, and sent to the other controllers.
 func (l *Leader) catalogLoaded(types []wire.MachineType) {
 	if len(types) == 0 {
 		return
@@ -26,7 +26,7 @@
 	}
 }
 
-// setTypes replaces the machine types, also those of the machines that are known.
+// setTypes replaces the machine types, including those of the known machines.
 func (l *Leader) setTypes(types []wire.MachineType) {
 	l.autoscaler.catalog = types
 	for _, machineType := range types {
--- a/internal/leader/demand.go
+++ b/internal/leader/demand.go
@@ -11,22 +11,22 @@
 	"swiftledge/wire"
 )
 
-// demandKey tells demands apart.
+// demandKey identifies the tasks that share one demand.
 type demandKey struct {
 	shape   jobs.Shape
 	service bool
-	zone    string // of those that are to be spread
+	zone    string // of tasks that must be spread over zones
 }
 
-// demandSet gathers what capacity is wanted: first that of services, which cannot wait and have few machines to choose
-// from.
+// demandSet collects the demands for capacity in order of precedence: those of services come first, as services cannot
+// wait and have few machines to choose from.
 type demandSet struct {
 	byKey map[demandKey]*autoscaler.Demand
 	list  []*autoscaler.Demand
 }
 
-// of returns the demand of jobs like j in a zone; "": in any that j allows.
-func (d *demandSet) of(j *jobs.Job, zone string) *autoscaler.Demand {
+// demandFor returns the demand of jobs like j in a zone, or, with the zone "", in any zone that j allows.
+func (d *demandSet) demandFor(j *jobs.Job, zone string) *autoscaler.Demand {
 	spec := &j.Spec
 	key := demandKey{j.Shape, spec.IsService(), zone}
 	if demand := d.byKey[key]; demand != nil {
@@ -43,60 +43,61 @@
 	return demand
 }
 
-// addTasks adds tasks that are to run for as long as their service stands.
+// addTasks adds tasks of a service, which run without end.
 func (d *demandSet) addTasks(j *jobs.Job, zone string, tasks int) {
-	demand := d.of(j, zone)
+	demand := d.demandFor(j, zone)
 	demand.Tasks += tasks
 	demand.TaskSeconds = math.Inf(1)
 }
 
-// teamCapacity is how many processors the teams may still use, by team, while demand is gathered.
-type teamCapacity struct {
+// remainingQuota is the CPU quota, by team, that the demand gathered so far leaves unused.
+type remainingQuota struct {
 	l    *Leader
-	left map[string]float64
+	cpus map[string]float64
 }
 
-// take returns how many of some tasks of a job fit within what its team may still use, and takes that.
-func (c *teamCapacity) take(spec *wire.Job, tasks int) int {
-	if _, known := c.left[spec.Team]; !known {
-		c.left[spec.Team] = c.l.teams[spec.Team].CPULimit()
+// reserve reserves quota for tasks of a job, for as many as their team's remaining quota covers, and returns their
+// number.
+func (q *remainingQuota) reserve(spec *wire.Job, tasks int) int {
+	if _, known := q.cpus[spec.Team]; !known {
+		q.cpus[spec.Team] = q.l.teams[spec.Team].CPULimit()
 	}
 	if spec.CPUs > 0 {
-		tasks = int(min(float64(tasks), c.left[spec.Team]/spec.CPUs+1e-9))
+		tasks = int(min(float64(tasks), q.cpus[spec.Team]/spec.CPUs+1e-9))
 	}
-	c.left[spec.Team] -= float64(tasks) * spec.CPUs
+	q.cpus[spec.Team] -= float64(tasks) * spec.CPUs
 	return tasks
 }
 
-// capacityDemand is what machines are wanted for.
+// capacityDemand returns the demands that the autoscaler has to cover, by precedence.
 func (l *Leader) capacityDemand(now clock.Micros) []autoscaler.Demand {
-	demand := &demandSet{byKey: map[demandKey]*autoscaler.Demand{}}
-	quota := &teamCapacity{l: l, left: map[string]float64{}}
+	set := &demandSet{byKey: map[demandKey]*autoscaler.Demand{}}
+	quota := &remainingQuota{l: l, cpus: map[string]float64{}}
 	for j := range l.jobs.Sorted() {
 		if tasks := unfinishedTasks(now, j); tasks > 0 && j.Spec.IsService() {
-			l.addServiceDemand(now, demand, j, quota.take(&j.Spec, tasks))
+			l.addServiceDemand(now, set, j, quota.reserve(&j.Spec, tasks))
 		}
 	}
-	l.addArrivalReserve(now, demand)
+	l.addArrivalReserve(now, set)
 	for j := range l.jobs.Sorted() {
 		if tasks := unfinishedTasks(now, j); tasks > 0 && !j.Spec.IsService() {
-			batch := demand.of(j, "")
-			batch.Tasks += quota.take(&j.Spec, tasks)
+			batch := set.demandFor(j, "")
+			batch.Tasks += quota.reserve(&j.Spec, tasks)
 			batch.TaskSeconds += float64(tasks) * l.jobs.RunSeconds(j)
 		}
 	}
 	if reserve := l.unseenClassReserve(); reserve != nil {
-		demand.list = append(demand.list, reserve)
+		set.list = append(set.list, reserve)
 	}
-	out := make([]autoscaler.Demand, len(demand.list))
-	for i, d := range demand.list {
-		out[i] = *d
+	demands := make([]autoscaler.Demand, len(set.list))
+	for i, entry := range set.list {
+		demands[i] = *entry
 	}
-	return out
+	return demands
 }
 
-// unfinishedTasks is for how many tasks a job needs capacity: none while it is held back, and of a suspect job no more
-// than those that run and a probe.
+// unfinishedTasks returns the number of tasks for which a job needs capacity. A job in backoff needs none, and a
+// suspect job needs capacity for its dispatched tasks and one probe only.
 func unfinishedTasks(now clock.Micros, j *jobs.Job) int {
 	if j.Failures.InBackoff(now) {
 		return 0
@@ -108,27 +109,27 @@
 	return tasks
 }
 
-// addServiceDemand adds a service's replicas. Those that must be spread need capacity in several zones: all of it in
-// the cheapest would leave half of them without.
+// addServiceDemand adds the demand of a service's replicas. Replicas that must be spread need capacity in several
+// zones: with all of it in the cheapest zone, half of them could not be placed.
 func (l *Leader) addServiceDemand(now clock.Micros, demand *demandSet, j *jobs.Job, replicas int) {
-	open := l.openZones(now, j)
-	if len(open) == 0 {
+	zones := l.openZones(now, j)
+	if len(zones) == 0 {
 		demand.addTasks(j, "", replicas)
 		return
 	}
-	used := l.zonesOf(j)
-	for _, zone := range slices.Sorted(maps.Keys(used.n)) {
-		demand.addTasks(j, zone, used.n[zone])
-		replicas -= used.n[zone]
+	placed := l.zonesOf(j)
+	for _, zone := range slices.Sorted(maps.Keys(placed.taskCounts)) {
+		demand.addTasks(j, zone, placed.taskCounts[zone])
+		replicas -= placed.taskCounts[zone]
 	}
 	for ; replicas > 0; replicas-- {
-		zone := slices.MinFunc(open, func(a, b string) int { return used.n[a] - used.n[b] })
-		used.add(zone)
+		zone := slices.MinFunc(zones, func(a, b string) int { return placed.taskCounts[a] - placed.taskCounts[b] })
+		placed.add(zone)
 		demand.addTasks(j, zone, 1)
 	}
 }
 
-// openZones are the zones over which a job's tasks may be spread now; none if they need not be.
+// openZones returns the zones over which a job's tasks may be spread now, or none if the job needs no spreading.
 func (l *Leader) openZones(now clock.Micros, j *jobs.Job) (zones []string) {
 	spec := &j.Spec
 	if !spec.Spread || spec.Zone != "" {
@@ -139,7 +140,7 @@
 	}
 	for option := range l.options() {
 		fits := task.Slots(&option) > 0
-		refused := now < l.autoscaler.refusals[option.Key()].until
+		refused := now < l.autoscaler.refusals[option.Key()].retryAt
 		if fits && !refused && !slices.Contains(zones, option.Zone) {
 			zones = append(zones, option.Zone)
 		}
@@ -149,103 +150,105 @@
 }
 
 const (
-	// arrivalWindow is for how many seconds back the services that came are counted, minArrivalWindow at least.
-	arrivalWindow    = 120
-	minArrivalWindow = 30
-	// bootsAhead is for how many boot times services are expected, and arrivalDeviations by how many standard
-	// deviations more of them than came lately.
-	bootsAhead        = 1.3
+	// arrivalWindowS is the number of seconds over which recently accepted services are counted. minArrivalWindowS is
+	// the least number of seconds over which their rate is computed.
+	arrivalWindowS    = 120
+	minArrivalWindowS = 30
+	// bootTimesAhead is the number of boot times for which arriving services are expected. arrivalDeviations is the
+	// number of standard deviations by which the reserve exceeds the recent rate.
+	bootTimesAhead    = 1.3
 	arrivalDeviations = 1.5
 )
 
-// recentArrivals are the services of one shape that came lately.
-type recentArrivals struct {
-	example             *jobs.Job
-	replicas, ofSquares float64 // sums
+// arrivalStats sums up the recently accepted services of one shape.
+type arrivalStats struct {
+	sampleJob                 *jobs.Job
+	replicas, squaredReplicas float64 // sums over the services of the replicas and of their squares
 }
 
-// expected is how many replicas are expected while a machine boots.
-func (a *recentArrivals) expected(bootS, window float64) int {
-	ahead := bootS * bootsAhead / window
-	return int(math.Ceil(a.replicas*ahead + arrivalDeviations*math.Sqrt(a.ofSquares*ahead)))
+// expected returns the number of replicas that are expected to arrive while a machine boots.
+func (a *arrivalStats) expected(bootS, windowS float64) int {
+	windows := bootS * bootTimesAhead / windowS
+	return int(math.Ceil(a.replicas*windows + arrivalDeviations*math.Sqrt(a.squaredReplicas*windows)))
 }
 
-// addArrivalReserve adds the capacity that services need which come while a machine that was asked for them would
-// still boot: what came lately, for that long, and half as much again as it varies.
+// addArrivalReserve adds the capacity for services that arrive while a machine requested for them would still boot:
+// the recent arrivals projected over that time, plus arrivalDeviations standard deviations.
 func (l *Leader) addArrivalReserve(now clock.Micros, demand *demandSet) {
-	arrivals, window := l.recentArrivals(now)
+	arrivals, windowS := l.recentArrivals(now)
 	for _, a := range arrivals {
-		replicas := a.expected(l.bootTime(&a.example.Spec), window)
-		zones := l.openZones(now, a.example)
+		replicas := a.expected(l.bootTimeS(&a.sampleJob.Spec), windowS)
+		zones := l.openZones(now, a.sampleJob)
 		if len(zones) == 0 {
 			zones = []string{""}
 		}
 		for _, zone := range zones {
-			demand.addTasks(a.example, zone, (replicas+len(zones)-1)/len(zones))
+			demand.addTasks(a.sampleJob, zone, (replicas+len(zones)-1)/len(zones))
 		}
 	}
 }
 
-// recentArrivals sums up the services that came lately, by shape, and says in how many seconds they came.
-func (l *Leader) recentArrivals(now clock.Micros) (arrivals []*recentArrivals, window float64) {
-	byShape := map[jobs.Shape]*recentArrivals{}
-	oldest := 0.0
+// recentArrivals sums up the recently accepted services by shape and returns the number of seconds that they span.
+func (l *Leader) recentArrivals(now clock.Micros) (arrivals []*arrivalStats, windowS float64) {
+	byShape := map[jobs.Shape]*arrivalStats{}
+	oldestS := 0.0
 	for j := range l.jobs.Sorted() {
-		age := (now + l.wallOffset - j.AcceptedAt).Seconds()
-		if !j.Spec.IsService() || age > arrivalWindow {
+		ageS := (now + l.wallOffset - j.AcceptedAt).Seconds()
+		if !j.Spec.IsService() || ageS > arrivalWindowS {
 			continue
 		}
-		oldest = max(oldest, age)
-		a := byShape[j.Shape]
-		if a == nil {
-			a = &recentArrivals{example: j}
-			byShape[j.Shape] = a
-			arrivals = append(arrivals, a)
+		oldestS = max(oldestS, ageS)
+		stats := byShape[j.Shape]
+		if stats == nil {
+			stats = &arrivalStats{sampleJob: j}
+			byShape[j.Shape] = stats
+			arrivals = append(arrivals, stats)
 		}
 		replicas := float64(j.Spec.Tasks)
-		a.replicas += replicas
-		a.ofSquares += replicas * replicas
+		stats.replicas += replicas
+		stats.squaredReplicas += replicas * replicas
 	}
-	return arrivals, max(oldest, minArrivalWindow)
+	return arrivals, max(oldestS, minArrivalWindowS)
 }
 
-// bootTime is the longest usual boot time of the machines that a job may run on.
-func (l *Leader) bootTime(spec *wire.Job) (boot float64) {
+// bootTimeS returns the longest usual boot time, in seconds, of the machine types that a job may run on.
+func (l *Leader) bootTimeS(spec *wire.Job) (bootS float64) {
 	task := autoscaler.Demand{CPUs: spec.CPUs, GPUs: spec.GPUs, MemoryGB: spec.MemoryGB, Types: spec.Types}
 	for _, machineType := range l.autoscaler.catalog {
 		if task.Slots(&autoscaler.Option{Type: machineType}) > 0 {
-			boot = max(boot, machineType.BootS)
+			bootS = max(bootS, machineType.BootS)
 		}
 	}
-	return boot
+	return bootS
 }
 
 const (
-	// unseenClassCPUs are kept up at most, in ordinary machines, for each class of services that is expected to
-	// start sooner than a machine boots and of which no job has come yet: what it takes is not known either, so this
-	// is for its first few jobs only. It is never more than unseenClassShare of what runs, or a small site would pay
-	// for it with a large part of its machines.
+	// unseenClassCPUs is the maximum number of CPUs kept on on-demand machines for each service class whose jobs are
+	// expected to start sooner than a machine boots and of which no job has arrived yet. What such a job needs is
+	// unknown, so the reserve covers the first few jobs only. unseenClassShare limits the reserve to a part of the
+	// CPUs in use, as a small site would otherwise pay for it with a large part of its machines.
 	unseenClassCPUs  = 24
 	unseenClassShare = 0.08
 )
 
-// unseenClassReserve is the capacity that is kept for classes of services of which none has come yet; nil: none.
+// unseenClassReserve returns the demand of the reserve for service classes without any job yet, or nil if there is
+// none.
 func (l *Leader) unseenClassReserve() *autoscaler.Demand {
-	fastestBoot := math.Inf(1)
+	fastestBootS := math.Inf(1)
 	for _, machineType := range l.autoscaler.catalog {
-		fastestBoot = min(fastestBoot, machineType.BootS)
+		fastestBootS = min(fastestBootS, machineType.BootS)
 	}
 	cpus := 0
-	for class, startWithin := range l.startSLO {
-		if !l.jobs.HasSeenClass(class) && startWithin < fastestBoot*1.5+10 {
+	for class, startWithinS := range l.startSLO {
+		if !l.jobs.HasSeenClass(class) && startWithinS < fastestBootS*1.5+10 {
 			cpus += unseenClassCPUs
 		}
 	}
-	held := 0.0
+	usedCPUs := 0.0
 	for _, usage := range l.usage.All() {
-		held += usage.CPUs
+		usedCPUs += usage.CPUs
 	}
-	cpus = min(cpus, int(held*unseenClassShare))
+	cpus = min(cpus, int(usedCPUs*unseenClassShare))
 	if cpus == 0 {
 		return nil
 	}
--- a/internal/leader/effects.go
+++ b/internal/leader/effects.go
@@ -9,65 +9,65 @@
 	"swiftledge/wire"
 )
 
-// Effect is what a Leader wants done.
+// Effect is an action that a Leader requests from the controller.
 //
 //sumtype:decl
 type Effect interface{ leaderEffect() }
 
 // Effects of a Leader.
 type (
-	// SendToHolder goes to a holder.
+	// SendToHolder sends a message to a controller.
 	SendToHolder struct {
 		Link    Link
 		Message peer.FromLeader
 	}
-	// LoadState asks for all that the store holds of ours, and a watch of the jobs from there on.
+	// LoadState requests all of the scheduler's data in the store, and a watch of the jobs from that state on.
 	LoadState struct{ Term cluster.Term }
-	// LoadAttempts asks for a shard's attempt records.
+	// LoadAttempts requests a shard's attempt records.
 	LoadAttempts struct {
 		Term         cluster.Term
 		Shard        int
 		FencingToken wire.FencingToken
 	}
-	// CommitTxn is a transaction; Guards on the term are part of it.
+	// CommitTxn requests a transaction. Its conditions include the one on the term.
 	CommitTxn struct {
 		Term     cluster.Term
 		Priority store.Priority
 		Txn      wire.Txn
 		Tag      TxnTag
 	}
-	// ReadKey asks for one key.
+	// ReadKey requests the value of one key.
 	ReadKey struct {
 		Term cluster.Term
 		Key  string
 		Tag  TxnTag
 	}
-	// ProvisionMachines asks the cloud for machines.
+	// ProvisionMachines sends a provision request to the cloud.
 	ProvisionMachines struct {
 		Term    cluster.Term
 		Request wire.ProvisionRequest
 	}
-	// DeleteMachines returns machines.
+	// DeleteMachines has the cloud delete machines.
 	DeleteMachines struct {
 		Term     cluster.Term
 		Machines []string
 	}
-	// ListMachines asks for the machine list.
+	// ListMachines requests the machine list.
 	ListMachines struct{}
-	// LoadCatalog asks for the catalog.
+	// LoadCatalog requests the catalog.
 	LoadCatalog struct{}
-	// PauseDetected tells that the controller stood still.
+	// PauseDetected reports a pause of the controller process.
 	PauseDetected struct{ Pause pausedetect.Pause }
-	// ReplyStatus answers an operator's question.
+	// ReplyStatus answers an operator's status request.
 	ReplyStatus struct {
 		ReplyTo chan<- peer.Status
 		Status  peer.Status
 	}
-	// Resign gives up the term.
+	// Resign ends the term before its lease expires.
 	Resign struct{ Reason string }
-	// RecordSpan is a span to be written.
+	// RecordSpan writes a trace span.
 	RecordSpan struct{ Span trace.Span }
-	// Log is a line for the log.
+	// Log writes a log line.
 	Log struct {
 		Debug      bool
 		Message    string
--- a/internal/leader/emit.go
+++ b/internal/leader/emit.go
@@ -1,14 +1,14 @@
 package leader
 
-// emit adds an effect to those of the step under way.
+// emit adds an effect to those of the current step.
 func (l *Leader) emit(e Effect) { l.effects = append(l.effects, e) }
 
-// info writes a log line.
+// info logs a line at info level.
 func (l *Leader) info(message string, attributes ...any) {
 	l.emit(Log{Message: message, Attributes: attributes})
 }
 
-// debug writes a log line for debugging.
+// debug logs a line at debug level.
 func (l *Leader) debug(message string, attributes ...any) {
 	l.emit(Log{Debug: true, Message: message, Attributes: attributes})
 }
--- a/internal/leader/failure_attribution.go
+++ b/internal/leader/failure_attribution.go
@@ -8,21 +8,21 @@
 	"swiftledge/internal/shard"
 )
 
-// taskFailed takes in that a task failed: its job may be at fault for it, its machine, or the task alone. A failure of
-// a task that is in no grant is no evidence.
-func (l *Leader) taskFailed(now clock.Micros, j *jobs.Job, e peer.TaskEvent, h *grantedTask) {
-	if h == nil {
+// taskFailed attributes the failure of a task to its job, its machine, or the task alone. The failure of a task that
+// is in no grant is no evidence.
+func (l *Leader) taskFailed(now clock.Micros, j *jobs.Job, event peer.TaskEvent, task *grantedTask) {
+	if task == nil {
 		return
 	}
 	isService := j.Spec.IsService()
-	if isService && l.runsWell(now, j) {
+	if isService && l.hasStableReplica(now, j) {
 		j.Failures.MarkSound()
 	}
-	f := failures.Failure{TaskIndex: e.Index, Machine: e.Machine}
-	if h.running {
-		f.Runtime = now - h.runningSince
+	failure := failures.Failure{TaskIndex: event.Index, Machine: event.Machine}
+	if task.running {
+		failure.Runtime = now - task.runningSince
 	}
-	if j.Failures.TaskFailed(now, l.machineFailures(e.Machine), f) {
+	if j.Failures.TaskFailed(now, l.machineFailures(event.Machine), failure) {
 		l.jobBecameSuspect(j)
 	}
 	if j.Failures.Suspect() {
@@ -30,19 +30,19 @@
 	} else {
 		l.outcomes.failed++
 	}
-	l.drainIfFaulty(now, e.Machine)
-	// A service's replicas have pauses of their own: see fell.
-	if pause := j.Failures.TaskBackoff(e.Index); pause > 0 && !isService {
-		j.Delay(e.Index, now+pause)
+	l.drainIfFaulty(now, event.Machine)
+	// Replicas of a service have a backoff of their own, see jobs.Job.ReplicaEnded.
+	if backoff := j.Failures.TaskBackoff(event.Index); backoff > 0 && !isService {
+		j.Delay(event.Index, now+backoff)
 	}
 }
 
-// creditCompletion takes in that a task completed: its job is sound, and what failed of it before counts against the
-// machines where it did.
-func (l *Leader) creditCompletion(now clock.Micros, j *jobs.Job, e peer.TaskEvent) {
-	was := j.Failures.Sound()
-	j.Failures.TaskCompleted(e.Index, e.Machine, l.machineFailures(e.Machine))
-	if was {
+// creditCompletion records the completion of a task: its job is sound, so earlier failures of the job count against
+// the machines on which they occurred.
+func (l *Leader) creditCompletion(now clock.Micros, j *jobs.Job, event peer.TaskEvent) {
+	wasSound := j.Failures.Sound()
+	j.Failures.TaskCompleted(event.Index, event.Machine, l.machineFailures(event.Machine))
+	if wasSound {
 		return
 	}
 	for _, name := range j.Failures.FailedMachines() {
@@ -50,7 +50,7 @@
 	}
 }
 
-// machineFailures is the evidence about a machine; nil if it is not known any more.
+// machineFailures returns the failure evidence about a machine, or nil if the machine is no longer known.
 func (l *Leader) machineFailures(name string) *failures.Machine {
 	if m := l.inventory.machines[name]; m != nil {
 		return &m.failures
@@ -58,61 +58,61 @@
 	return nil
 }
 
-// drainIfFaulty drains a machine that is at fault for what failed on it.
+// drainIfFaulty drains a machine if the failures of tasks on it are attributed to the machine.
 func (l *Leader) drainIfFaulty(now clock.Micros, name string) {
 	if m := l.inventory.machines[name]; m != nil && !m.draining && m.failures.Faulty() {
 		l.drainMachine(now, m, "fails its tasks")
 	}
 }
 
-// jobBecameSuspect stops the tasks of a suspect job that have not begun to run: they would only fetch its image and
-// fail.
+// jobBecameSuspect stops the tasks of a suspect job that do not run yet, as they would only fetch its image and fail.
 func (l *Leader) jobBecameSuspect(j *jobs.Job) {
 	ref := j.Spec.Ref
 	l.info("job is suspect", "job", ref, "team", j.Spec.Team, "failed_on", j.Failures.FailedMachines(),
 		"tasks_out", j.Dispatched())
-	unstarted := func(h *grantedTask) bool {
-		if h.running || h.inherited || h.stopReason != "" {
+	stopUnstarted := func(task *grantedTask) bool {
+		if task.running || task.inherited || task.stopReason != "" {
 			return false
 		}
-		h.stopReason = "its job is suspect"
+		task.stopReason = "its job is suspect"
 		return true
 	}
-	for _, b := range l.shards.all {
-		b.stopTasks(ref, unstarted)
+	for _, lease := range l.shards.all {
+		lease.stopTasks(ref, stopUnstarted)
 	}
 }
 
-// clearSuspicion ends the suspicion of a job one of whose tasks has run for long.
+// clearSuspicion clears the suspicion of a job once one of its tasks has run long enough.
 func (l *Leader) clearSuspicion(now clock.Micros, j *jobs.Job) {
 	if !j.Failures.Suspect() {
 		return
 	}
-	l.eachDispatched(j, func(t peer.Task, h *grantedTask) {
-		if h.running && j.Failures.TaskSurvived(now-h.runningSince) {
+	l.eachDispatched(j, func(t peer.Task, task *grantedTask) {
+		if task.running && j.Failures.TaskSurvived(now-task.runningSince) {
 			l.info("job is suspect no more", "job", t.Job, "task", shard.TaskName(t),
-				"ran_s", (now - h.runningSince).Seconds())
+				"ran_s", (now - task.runningSince).Seconds())
 			l.scheduling.requested = true
 		}
 	})
 }
 
-// suspectStatus lists the suspect jobs for an operator.
-func (l *Leader) suspectStatus(now clock.Micros) (out []peer.SuspectStatus) {
+// suspectStatus describes the suspect jobs for the operator status.
+func (l *Leader) suspectStatus(now clock.Micros) (suspects []peer.SuspectStatus) {
 	for _, ref := range l.jobs.Refs() {
 		if j := l.jobs.Get(ref); j.Failures.Suspect() {
-			out = append(out, peer.SuspectStatus{Job: ref, Team: j.Spec.Team, Machines: len(j.Failures.FailedMachines()),
-				Probes: j.Failures.Probes(), NextS: max(0, (j.Failures.NextProbeAt() - now).Seconds())})
+			suspects = append(suspects, peer.SuspectStatus{Job: ref, Team: j.Spec.Team,
+				Machines: len(j.Failures.FailedMachines()), Probes: j.Failures.Probes(),
+				NextS: max(0, (j.Failures.NextProbeAt() - now).Seconds())})
 		}
 	}
-	return out
+	return suspects
 }
 
-// runsWell reports whether a replica of a service has run for a while, so that one that fails elsewhere is its
-// machine's fault.
-func (l *Leader) runsWell(now clock.Micros, j *jobs.Job) (well bool) {
-	l.eachDispatched(j, func(_ peer.Task, h *grantedTask) {
-		well = well || h.running && now-h.runningSince > jobs.StableAfter
+// hasStableReplica reports whether a replica of a service has run stably. A replica that then fails on another machine
+// is attributed to that machine.
+func (l *Leader) hasStableReplica(now clock.Micros, j *jobs.Job) (stable bool) {
+	l.eachDispatched(j, func(_ peer.Task, task *grantedTask) {
+		stable = stable || task.running && now-task.runningSince > jobs.StableAfter
 	})
-	return well
+	return stable
 }
--- a/internal/leader/failure_attribution_test.go
+++ b/internal/leader/failure_attribution_test.go
@@ -98,18 +98,18 @@
 	for _, c := range []struct {
 		at   clock.Micros
 		m    *machine
-		want giveUpReason
+		want removalReason
 	}{
-		{began + late, silent, giveUpNone},
-		{began + l.silentBootTimeout(late) + clock.Second, silent, giveUpNeverReported},
-		{began + late + clock.Second, booting, giveUpNeverCameUp},
-		{began + 10*late, healthy, giveUpNone},
+		{began + late, silent, removalNone},
+		{began + l.silentBootTimeout(late) + clock.Second, silent, removalNeverReported},
+		{began + late + clock.Second, booting, removalNeverCameUp},
+		{began + 10*late, healthy, removalNone},
 	} {
-		if reason := l.giveUpReason(c.at, c.m, shardSilence{up: 3, silent: 1}); reason != c.want {
+		if reason := l.removalReason(c.at, c.m, shardSilence{up: 3, silent: 1}); reason != c.want {
 			t.Errorf("%s after %.0f s: %q, want %q", c.m.name, (c.at - began).Seconds(), reason, c.want)
 		}
 	}
-	l.machinesToGiveUp(began + late + clock.Second)
+	l.machinesToRemove(began + late + clock.Second)
 	if late := l.withExpectedDelay(booting.option).DelayS; late != 20 {
 		t.Errorf("expected %g s late after one that did not come up", late)
 	}
--- a/internal/leader/free_capacity.go
+++ b/internal/leader/free_capacity.go
@@ -10,47 +10,48 @@
 	"swiftledge/wire"
 )
 
-// freeCapacity is what can be offered in one round. Room only shrinks while offers are
-// made, so a machine that was too full for a shape of task is not looked at again.
+// freeCapacity is the free capacity that one scheduling pass can offer. It only shrinks during the pass, so a machine
+// that was too full for a shape of task is not checked for that shape again.
 type freeCapacity struct {
 	now      clock.Micros
-	machines []*machine // the cheapest first, the fullest first among these; those at rest last
+	machines []*machine // sorted ascending by reserveRank, price per CPU and free CPUs
 	byImage  map[string][]*machine
-	passed   map[candidateKey]int
-	bound    *loadBound // nil: machines are taken whatever their load
-	// pending are, with rebalancing, the machines whose free capacity can be offered once the offer to their shard is
-	// settled.
+	skipped  map[candidateKey]int // number of machines at the head of each list that are too full
+	bound    *loadBound           // nil: no load bound applies
+	// pending are, with rebalancing, the machines whose free capacity can be offered once the pending offer to their
+	// shard is settled.
 	pending   []*machine
 	overBound map[candidateKey]overBoundMark
-	// By service: the machines that have a replica or get one in this round.
+	// avoided has, by job, the machines that its next task should avoid, and why. For a service these include the
+	// machines that get a replica in this pass.
 	avoided map[string]map[string]int
 }
 
-// Why a job's next task had better not go to a machine.
+// Reasons for a job's next task to avoid a machine, the weaker first.
 const (
-	replicaThere = 1 + iota // a service's replica is there: one machine's end must not end all
-	failedThere             // one failed there
+	avoidReplica = 1 + iota // a replica of the service runs there: the loss of one machine must not end all replicas
+	avoidFailure            // a task of the job failed there
 )
 
-// avoidedMachines are the machines that a job's next task had better not go to, and why.
+// avoidedMachines returns the machines that a job's next task should avoid, and why.
 func (r *freeCapacity) avoidedMachines(l *Leader, j *jobs.Job) map[string]int {
-	s := &j.Spec
-	on := r.avoided[s.Ref]
-	if on == nil {
-		on = map[string]int{}
-		if s.IsService() {
-			l.eachDispatched(j, func(_ peer.Task, h *grantedTask) { on[h.machine] = replicaThere })
+	spec := &j.Spec
+	reasons := r.avoided[spec.Ref]
+	if reasons == nil {
+		reasons = map[string]int{}
+		if spec.IsService() {
+			l.eachDispatched(j, func(_ peer.Task, task *grantedTask) { reasons[task.machine] = avoidReplica })
 		}
 		for _, name := range j.Failures.FailedMachines() {
-			on[name] = failedThere
+			reasons[name] = avoidFailure
 		}
-		r.avoided[s.Ref] = on
+		r.avoided[spec.Ref] = reasons
 	}
-	return on
+	return reasons
 }
 
-// candidateKey names a list of machines as one shape of task sees it: all of them, or
-// those with an image.
+// candidateKey identifies a list of machines as seen by one shape of task: all machines, or those that have an image
+// cached.
 type candidateKey struct {
 	shape    jobs.Shape
 	all      bool
@@ -58,28 +59,29 @@
 	unserved bool
 }
 
-// overBoundMark remembers that all machines of a list before one are over the bound at some mean load.
+// overBoundMark records that the first machines of a list are all over the load bound at some mean load.
 type overBoundMark struct {
-	before int
-	mean   float64
+	skipped int // number of machines at the head of the list
+	mean    float64
 }
 
-// meanStep is by what factor the mean has to grow for machines over the bound to be looked at again.
-const meanStep = 1.02
+// meanRecheckFactor is the factor by which the mean load must grow for machines over the bound to be checked again.
+const meanRecheckFactor = 1.02
 
+// freeCapacity returns the free capacity that can be offered now.
 func (l *Leader) freeCapacity(now clock.Micros) *freeCapacity {
-	r := &freeCapacity{now: now, byImage: map[string][]*machine{}, passed: map[candidateKey]int{},
+	capacity := &freeCapacity{now: now, byImage: map[string][]*machine{}, skipped: map[candidateKey]int{},
 		avoided: map[string]map[string]int{},
 		bound:   l.newLoadBound(), overBound: map[candidateKey]overBoundMark{}}
 	for _, m := range l.inventory.machines {
 		m.freeCPUs, m.freeGPUs, m.freeMemory = m.state.CPUs, m.state.GPUs, m.state.MemoryGB
-		if r.isFree(m) {
-			r.machines = append(r.machines, m)
-		} else if r.bound != nil && m.takesWork() && m.state.CPUs > 0 {
-			r.pending = append(r.pending, m)
+		if capacity.isOfferable(m) {
+			capacity.machines = append(capacity.machines, m)
+		} else if capacity.bound != nil && m.takesWork() && m.state.CPUs > 0 {
+			capacity.pending = append(capacity.pending, m)
 		}
 	}
-	slices.SortFunc(r.machines, func(a, b *machine) int {
+	slices.SortFunc(capacity.machines, func(a, b *machine) int {
 		if c := cmp.Compare(a.reserveRank(), b.reserveRank()); c != 0 {
 			return c
 		}
@@ -91,33 +93,34 @@
 		}
 		return cmp.Compare(a.name, b.name)
 	})
-	for _, m := range r.machines {
+	for _, m := range capacity.machines {
 		if m.reserveRank() > 0 {
 			continue
 		}
 		for _, image := range m.state.Images {
-			r.byImage[image] = append(r.byImage[image], m)
+			capacity.byImage[image] = append(capacity.byImage[image], m)
 		}
 	}
-	return r
+	return capacity
 }
 
-// isFree reports whether the machine's free capacity can be offered.
-func (r *freeCapacity) isFree(m *machine) bool {
+// isOfferable reports whether the machine's free capacity can be offered.
+func (r *freeCapacity) isOfferable(m *machine) bool {
 	return m.schedulable() && m.state.CPUs > 0 && !m.shard.offerPending
 }
 
-// schedulable reports whether new tasks may run on the machine, if it has free capacity.
+// schedulable reports whether new tasks may run on the machine if it has free capacity.
 func (m *machine) schedulable() bool {
 	return m.state.Schedulable && !m.draining && !m.deleting && m.shard.state == granted
 }
 
-// fits reports whether a task fits into what is left of the machine.
-func (m *machine) fits(s *wire.Job) bool {
-	return m.freeCPUs+1e-9 >= s.CPUs && m.freeGPUs+1e-9 >= s.GPUs && m.freeMemory+1e-9 >= s.MemoryGB
+// fits reports whether a task fits into the machine's remaining free capacity.
+func (m *machine) fits(spec *wire.Job) bool {
+	return m.freeCPUs+1e-9 >= spec.CPUs && m.freeGPUs+1e-9 >= spec.GPUs && m.freeMemory+1e-9 >= spec.MemoryGB
 }
 
-// reserveRank tells machines that others go before: those at rest, those not worth their price.
+// reserveRank ranks machines by how late tasks are placed on them: 0 for machines in normal use, 1 for deprioritized
+// and 2 for cordoned ones.
 func (m *machine) reserveRank() int {
 	switch {
 	case m.cordoned:
@@ -128,89 +131,89 @@
 	return 0
 }
 
-// allowed reports whether the job may run on the machine. One that is not worth its price
-// for a batch is for a service, which makes it worth keeping.
-// What waits for long does not wait for a better one.
+// allowed reports whether the job may run on the machine. A cordoned machine, which is not worth its price for batch
+// jobs, accepts services, which make it worth keeping, and jobs that have waited too long for a better one.
 func (m *machine) allowed(now clock.Micros, j *jobs.Job) bool {
-	s := &j.Spec
-	return (!m.cordoned || s.IsService() || j.IsUnserved(now)) && (s.Spot || !m.option.Spot) &&
-		(s.Zone == "" || s.Zone == m.option.Zone) &&
-		(len(s.Types) == 0 || slices.Contains(s.Types, m.option.Type.Name))
+	spec := &j.Spec
+	return (!m.cordoned || spec.IsService() || j.IsUnserved(now)) && (spec.Spot || !m.option.Spot) &&
+		(spec.Zone == "" || spec.Zone == m.option.Zone) &&
+		(len(spec.Types) == 0 || slices.Contains(spec.Types, m.option.Type.Name))
 }
 
-// first finds the first machine of a list that takes a task of the job.
-func (r *freeCapacity) first(list []*machine, k candidateKey, j *jobs.Job) *machine {
-	s := &j.Spec
-	for i := r.passed[k]; i < len(list); i++ {
-		if m := list[i]; m.fits(s) && m.allowed(r.now, j) {
+// firstFit returns the first machine of a list that can take a task of the job, or nil.
+func (r *freeCapacity) firstFit(list []*machine, key candidateKey, j *jobs.Job) *machine {
+	spec := &j.Spec
+	for i := r.skipped[key]; i < len(list); i++ {
+		if m := list[i]; m.fits(spec) && m.allowed(r.now, j) {
 			if _, failed := j.Failures.FailedOn(m.name); !failed {
 				return m
 			}
-		} else if i == r.passed[k] {
-			r.passed[k] = i + 1
+		} else if i == r.skipped[key] {
+			r.skipped[key] = i + 1
 		}
 	}
 	return nil
 }
 
-// pendingPatience is how long a job waits for free capacity within the bound whose shard has an offer out.
-const pendingPatience = clock.Second
+// maxPendingWait is how long a job waits for free capacity within the load bound in a shard whose offer is pending.
+const maxPendingWait = clock.Second
 
-// waitsForPending reports whether the job had better wait for the offer to another shard to be settled: there is
-// free capacity within the bound there.
+// waitsForPending reports whether the job should wait until a pending offer to a shard is settled, because that shard
+// has free capacity within the load bound.
 func (r *freeCapacity) waitsForPending(j *jobs.Job) bool {
-	if r.bound == nil || j.UnservedSince() == 0 || r.now-j.UnservedSince() > pendingPatience {
+	if r.bound == nil || j.UnservedSince() == 0 || r.now-j.UnservedSince() > maxPendingWait {
 		return false
 	}
-	s := &j.Spec
+	spec := &j.Spec
 	return slices.ContainsFunc(r.pending, func(m *machine) bool {
-		return m.fits(s) && m.allowed(r.now, j) && r.bound.allows(m, s)
+		return m.fits(spec) && m.allowed(r.now, j) && r.bound.allows(m, spec)
 	})
 }
 
-// leastLoaded is, with rebalancing, the machine that one more task of the job leaves least loaded.
+// leastLoaded returns, with rebalancing, the machine that one more task of the job leaves least loaded. It returns nil
+// if there is none.
 func (r *freeCapacity) leastLoaded(j *jobs.Job) (best *machine) {
 	if r.bound == nil {
 		return nil
 	}
-	s := &j.Spec
-	least := 0.0
+	spec := &j.Spec
+	leastLoad := 0.0
 	for _, m := range r.machines {
-		if _, failed := j.Failures.FailedOn(m.name); failed || m.reserveRank() > 0 || !m.fits(s) || !m.allowed(r.now, j) {
+		if _, failed := j.Failures.FailedOn(m.name); failed || m.reserveRank() > 0 || !m.fits(spec) || !m.allowed(r.now, j) {
 			continue
 		}
-		if load := m.loadWith(s); best == nil || load < least {
-			best, least = m, load
+		if machineLoad := m.loadWith(spec); best == nil || machineLoad < leastLoad {
+			best, leastLoad = m, machineLoad
 		}
 	}
 	return best
 }
 
-// firstWithin is first among the machines that are within the bound.
-func (r *freeCapacity) firstWithin(list []*machine, k candidateKey, j *jobs.Job) *machine {
+// firstFitWithinBound is firstFit among the machines that stay within the load bound.
+func (r *freeCapacity) firstFitWithinBound(list []*machine, key candidateKey, j *jobs.Job) *machine {
 	if r.bound == nil {
-		return r.first(list, k, j)
+		return r.firstFit(list, key, j)
 	}
-	s := &j.Spec
+	spec := &j.Spec
 	mean := r.bound.mean.Value()
-	over := r.overBound[k]
-	if mean > over.mean*meanStep {
-		over = overBoundMark{mean: mean}
+	mark := r.overBound[key]
+	if mean > mark.mean*meanRecheckFactor {
+		mark = overBoundMark{mean: mean}
 	}
-	for i := over.before; i < len(list); i++ {
+	for i := mark.skipped; i < len(list); i++ {
 		m := list[i]
-		if m.fits(s) && m.allowed(r.now, j) && r.bound.allows(m, s) {
+		if m.fits(spec) && m.allowed(r.now, j) && r.bound.allows(m, spec) {
 			if _, failed := j.Failures.FailedOn(m.name); !failed {
-				r.overBound[k] = over
+				r.overBound[key] = mark
 				return m
 			}
-		} else if i == over.before {
-			over.before = i + 1
+		} else if i == mark.skipped {
+			mark.skipped = i + 1
 		}
 	}
-	r.overBound[k] = over
+	r.overBound[key] = mark
 	return nil
 }
 
-// pricePerCPU is what one of a machine's processors costs.
+// pricePerCPU returns the price of one of a machine's CPUs.
 func pricePerCPU(m *machine) float64 { return m.option.Price() / max(m.option.Type.CPUs, 1) }
--- a/internal/leader/give_up.go
+++ b/internal/leader/give_up.go
@@ -8,29 +8,30 @@
 	"swiftledge/internal/clock"
 )
 
-// giveUpReason is why a machine is given up; "": it is not.
-type giveUpReason string
+// removalReason is why a machine that serves no tasks any longer is deleted; "" if it is not.
+type removalReason string
 
-// Reasons to give a machine up, as the log shows them.
+// Reasons to remove a machine, as the log shows them.
 const (
-	giveUpNone          giveUpReason = ""
-	giveUpFailed        giveUpReason = "failed"
-	giveUpUnlisted      giveUpReason = "no longer listed"
-	giveUpSilent        giveUpReason = "silent"
-	giveUpDrained       giveUpReason = "drained"
-	giveUpNeverCameUp   giveUpReason = "never came up" // the cloud still starts it
-	giveUpNeverReported giveUpReason = "never reported"
+	removalNone          removalReason = ""
+	removalFailed        removalReason = "failed"
+	removalUnlisted      removalReason = "no longer listed"
+	removalSilent        removalReason = "silent"
+	removalDrained       removalReason = "drained"
+	removalNeverCameUp   removalReason = "never came up"  // listed as starting, or not listed yet
+	removalNeverReported removalReason = "never reported" // listed as running, but its agent sent no heartbeat
 )
 
 const (
-	// listsUntilGone is in how many lists in a row a machine has to be missing to count as gone.
-	listsUntilGone = 3
-	// unlistedGrace is for how long beyond the lag of lists an idle machine may be missing in them.
+	// minMissingLists is the number of consecutive machine lists that must lack a machine for it to count as gone.
+	minMissingLists = 3
+	// unlistedGrace is how long, beyond the lag of machine lists, an idle machine may be missing from them.
 	unlistedGrace = 10 * clock.Second
 )
 
-// machinesToGiveUp names the machines that serve nobody any more.
-func (l *Leader) machinesToGiveUp(now clock.Micros) []string {
+// machinesToRemove returns the names of the machines that serve no tasks any longer: failed, lost, drained or never
+// booted.
+func (l *Leader) machinesToRemove(now clock.Micros) []string {
 	silence := l.silenceByShard()
 	var names []string
 	for _, name := range slices.Sorted(maps.Keys(l.inventory.machines)) {
@@ -38,12 +39,12 @@
 		if m.deleting {
 			continue
 		}
-		reason := l.giveUpReason(now, m, silence[m.shard])
-		if reason == giveUpNone {
+		reason := l.removalReason(now, m, silence[m.shard])
+		if reason == removalNone {
 			continue
 		}
 		names = append(names, name)
-		if reason == giveUpNeverCameUp {
+		if reason == removalNeverCameUp {
 			l.autoscaler.bootFailures[m.option.Key()]++
 		}
 		l.debug("giving up machine", "machine", name, "reason", reason)
@@ -54,11 +55,12 @@
 // shardSilence counts the machines of a shard that are up, and those of them that are silent.
 type shardSilence struct{ up, silent int }
 
-// onItsOwn reports whether a silent machine may be at fault itself: many silent machines at once point at the holder.
-func (s shardSilence) onItsOwn() bool { return s.silent*2 < s.up || s.silent == 1 }
+// isMachineFault reports whether the silence of a machine may be its own fault. Many silent machines at once indicate
+// a fault of the shard holder.
+func (s shardSilence) isMachineFault() bool { return s.silent*2 < s.up || s.silent == 1 }
 
-// silenceByShard counts silent machines. Those under a preemption notice are expected to fall silent, many at once
-// too.
+// silenceByShard counts the silent machines of each shard. It skips machines with a preemption notice: they are
+// expected to fall silent, also many at once.
 func (l *Leader) silenceByShard() map[*shardLease]shardSilence {
 	counts := map[*shardLease]shardSilence{}
 	for _, m := range l.inventory.machines {
@@ -75,43 +77,43 @@
 	return counts
 }
 
-// silentBootTimeout is how long a machine may be listed as up without a heartbeat. Whatever an earlier holder had
-// started there has lost its lease by then.
-func (l *Leader) silentBootTimeout(late clock.Micros) clock.Micros {
-	return max(late, 2*l.cfg.AgentLeaseTime())
+// silentBootTimeout returns how long a machine may be listed as running without a heartbeat. By then any task that an
+// earlier shard holder started there has lost its lease.
+func (l *Leader) silentBootTimeout(bootTimeout clock.Micros) clock.Micros {
+	return max(bootTimeout, 2*l.cfg.AgentLeaseTime())
 }
 
-// maxBootFailures bounds by how much an option's machines that did not come up count.
+// maxBootFailures bounds how many failed boots of an option add to its expected delay.
 const maxBootFailures = 4
 
-// withExpectedDelay is an option with how late its machines are expected: by a boot time for each that did not come up
-// since one last did.
-func (l *Leader) withExpectedDelay(o autoscaler.Option) autoscaler.Option {
-	o.DelayS = o.Type.BootS * float64(min(l.autoscaler.bootFailures[o.Key()], maxBootFailures))
-	return o
+// withExpectedDelay returns the option with the expected delay of its machines: one boot time for each machine that
+// did not come up since one last did.
+func (l *Leader) withExpectedDelay(option autoscaler.Option) autoscaler.Option {
+	option.DelayS = option.Type.BootS * float64(min(l.autoscaler.bootFailures[option.Key()], maxBootFailures))
+	return option
 }
 
-// giveUpReason says why a machine serves nobody any more, if that is so.
-func (l *Leader) giveUpReason(now clock.Micros, m *machine, silence shardSilence) giveUpReason {
+// removalReason returns why a machine serves no tasks any longer, or removalNone if it may serve some.
+func (l *Leader) removalReason(now clock.Micros, m *machine, silence shardSilence) removalReason {
 	switch {
 	case m.failed:
-		return giveUpFailed
+		return removalFailed
 	case l.isUnlisted(now, m):
-		return giveUpUnlisted
-	case m.state.Silent && (m.state.PreemptionNotice || silence.onItsOwn()):
-		return giveUpSilent
+		return removalUnlisted
+	case m.state.Silent && (m.state.PreemptionNotice || silence.isMachineFault()):
+		return removalSilent
 	case m.draining && m.up && m.state.Tasks == 0 && !m.shard.offerPending:
-		return giveUpDrained
+		return removalDrained
 	case !m.up && m.shard.state == granted:
 		return l.bootFailureReason(now, m)
 	}
-	return giveUpNone
+	return removalNone
 }
 
-// isUnlisted reports whether the cloud's lists show that a machine is gone. They alone cost no machine that runs work:
-// whatever they say, one that is gone falls silent.
+// isUnlisted reports whether the cloud's machine lists show that a machine is gone. The lists alone never remove a
+// machine that runs tasks: if it is really gone, it also falls silent.
 func (l *Leader) isUnlisted(now clock.Micros, m *machine) bool {
-	if m.missingLists < listsUntilGone {
+	if m.missingLists < minMissingLists {
 		return false
 	}
 	lag := clock.FromSeconds(l.cfg.Facts.Cloud.ListLagS)
@@ -119,14 +121,15 @@
 	return m.state.Silent || !m.up || idle
 }
 
-// bootFailureReason says why a machine is given up whose agent never sent a heartbeat; it may come up yet.
-func (l *Leader) bootFailureReason(now clock.Micros, m *machine) giveUpReason {
-	late := clock.FromSeconds(m.option.Type.BootS*l.cfg.Tuning.Fleet.BootTimeoutFactor + l.cfg.Facts.Cloud.ListLagS)
+// bootFailureReason returns why a machine whose agent never sent a heartbeat is removed, or removalNone while it may
+// still come up.
+func (l *Leader) bootFailureReason(now clock.Micros, m *machine) removalReason {
+	bootTimeout := clock.FromSeconds(m.option.Type.BootS*l.cfg.Tuning.Fleet.BootTimeoutFactor + l.cfg.Facts.Cloud.ListLagS)
 	switch {
-	case (m.booting || m.listedAt == 0) && now-m.firstSeenAt > late && now-l.startedAt > late/2:
-		return giveUpNeverCameUp
-	case m.runningSince > 0 && now-max(m.runningSince, l.startedAt) > l.silentBootTimeout(late):
-		return giveUpNeverReported
+	case (m.booting || m.listedAt == 0) && now-m.firstSeenAt > bootTimeout && now-l.startedAt > bootTimeout/2:
+		return removalNeverCameUp
+	case m.runningSince > 0 && now-max(m.runningSince, l.startedAt) > l.silentBootTimeout(bootTimeout):
+		return removalNeverReported
 	}
-	return giveUpNone
+	return removalNone
 }
--- a/internal/leader/holder_messages.go
+++ b/internal/leader/holder_messages.go
@@ -11,13 +11,13 @@
 	"swiftledge/wire"
 )
 
-// holderMessage takes in what a controller says as a holder of shards.
+// holderMessage handles a message of a controller as a shard holder.
 func (l *Leader) holderMessage(now clock.Micros, m HolderMessage) {
 	c := l.shards.controllers[m.Controller]
 	if c == nil || c.link != m.Link || m.Message.Term != l.term {
 		return
 	}
-	c.heartbeat(now, m.Message)
+	c.recordHeartbeat(now, m.Message)
 	if m.Message.RenewSeq > 0 && l.loaded && l.authorised(now) && l.viewIsFresh(now) {
 		l.renewLeases(m.Link, m.Message.RenewSeq)
 	}
@@ -46,7 +46,7 @@
 	l.emit(SendToHolder{link, renewal})
 }
 
-// shardUpdated takes in what has changed in a shard.
+// shardUpdated applies the changes in a shard that its holder reports.
 func (l *Leader) shardUpdated(now clock.Micros, lease *shardLease, update peer.ShardUpdate) {
 	for _, event := range update.Events {
 		l.taskEvent(now, lease, event)
@@ -60,7 +60,7 @@
 	l.scheduling.requested = true
 }
 
-// flushOrders sends the orders that have gathered for the holders, one message to each.
+// flushOrders sends the pending orders to the shard holders, one message to each.
 func (l *Leader) flushOrders() {
 	byLink := map[Link]*peer.FromLeader{}
 	var links []Link
@@ -81,7 +81,8 @@
 	}
 }
 
-// reportTaskCounts tells the controllers which jobs' counts have changed, for users who ask.
+// reportTaskCounts sends the changed task counts of jobs to the controllers, which answer the status requests of
+// users.
 func (l *Leader) reportTaskCounts() {
 	counts := l.jobs.ChangedCounts()
 	if len(counts) == 0 {
@@ -92,22 +93,22 @@
 	}
 }
 
-// peerConnected takes in a new link. What the controller was told over an older one may be lost: its blocks
-// are granted anew.
+// peerConnected registers a controller under a new link. Messages sent over an older link may be lost, so the shards
+// of the controller are granted again.
 func (l *Leader) peerConnected(now clock.Micros, m PeerConnected) {
 	l.shards.controllers[m.Controller] = &controller{
 		Controller:  assignment.Controller{Name: m.Controller, ViaStore: m.ViaStore, ConnectedAt: now},
 		incarnation: m.Incarnation, link: m.Link, lastHeartbeat: now,
 	}
-	for _, b := range l.shards.all {
-		if b.Holder == m.Controller && b.link != m.Link && b.state != writing {
-			b.state = unassigned
+	for _, lease := range l.shards.all {
+		if lease.Holder == m.Controller && lease.link != m.Link && lease.state != writing {
+			lease.state = unassigned
 		}
 	}
 	l.emit(SendToHolder{m.Link, peer.FromLeader{Term: l.term, Types: l.autoscaler.catalog, Holders: l.shardHolders()}})
 }
 
-// controllersByName are the controllers in touch in a fixed order: the same state gives the same effects.
+// controllersByName returns the connected controllers in a fixed order, so that the same state gives the same effects.
 func (l *Leader) controllersByName() []*controller {
 	byName := func(a, b *controller) int { return strings.Compare(a.Name, b.Name) }
 	return slices.SortedFunc(maps.Values(l.shards.controllers), byName)
--- a/internal/leader/instance_groups.go
+++ b/internal/leader/instance_groups.go
@@ -10,44 +10,46 @@
 )
 
 const (
-	// pruneEvery is how long machines that are gone may stay in the inventory: there they do no harm but to a new
-	// leader, which waits for them a while, and each write costs a put.
-	pruneEvery = 20 * clock.Second
-	// machineEntryBytes is about what a machine takes in its record, with its part of the rest.
+	// pruneInterval is how long terminated machines may stay in the durable inventory. There they only cost a new
+	// leader some waiting time, while each write costs a put.
+	pruneInterval = 20 * clock.Second
+	// machineEntryBytes is the approximate size of a machine in the record of its group, with its part of the
+	// overhead.
 	machineEntryBytes = 20
-	// failedProvisionRetry is how soon a request is repeated whose call has failed.
-	failedProvisionRetry = 2 * clock.Second
-	// minRefusalWait and maxRefusalWait bound how long an option is left alone that the cloud had too little of.
+	// failedProvisionRetryDelay is how soon a provision request is repeated after its call failed.
+	failedProvisionRetryDelay = 2 * clock.Second
+	// minRefusalWait and maxRefusalWait bound how long an option is not requested after the cloud lacked capacity for
+	// it.
 	minRefusalWait = 10 * clock.Second
 	maxRefusalWait = clock.Minute
 )
 
-// instanceGroupTag marks the write and the read of an instance group's record.
+// instanceGroupTag identifies the write and the read of an instance group's record.
 type instanceGroupTag struct{ key string }
 
-// loadInstanceGroup takes in a record of a former leader.
-func (l *Leader) loadInstanceGroup(now clock.Micros, item wire.Item, r InstanceGroupRecord) {
-	group := &instanceGroup{key: item.Key, keyVersion: item.Version, record: r, wantedSince: now}
+// loadInstanceGroup loads an instance group from a record of a former leader.
+func (l *Leader) loadInstanceGroup(now clock.Micros, item wire.Item, record InstanceGroupRecord) {
+	group := &instanceGroup{key: item.Key, keyVersion: item.Version, record: record, pendingSince: now}
 	l.inventory.groups[item.Key] = group
-	if !r.Answered {
+	if !record.Answered {
 		l.inventory.unansweredRequests[item.Key] = true
-		// The answer was lost with that leader; the same name gives the same machines.
+		// The former leader may have lost the answer. A request with the same ID yields the same machines.
 		group.busy, group.requestedAt = true, now
-		l.emit(ProvisionMachines{l.term, r.Request})
+		l.emit(ProvisionMachines{l.term, record.Request})
 		return
 	}
-	for _, name := range r.Machines {
+	for _, name := range record.Machines {
 		l.addMachine(now, name, group)
 	}
 }
 
-// option is the kind of machines that a request asks for.
-func (l *Leader) option(r wire.ProvisionRequest) autoscaler.Option {
-	t, ok := l.autoscaler.types[r.Type]
+// option returns the option that a provision request asks for.
+func (l *Leader) option(request wire.ProvisionRequest) autoscaler.Option {
+	machineType, ok := l.autoscaler.types[request.Type]
 	if !ok {
-		t = wire.MachineType{Name: r.Type}
+		machineType = wire.MachineType{Name: request.Type}
 	}
-	return autoscaler.Option{Type: t, Zone: r.Zone, Spot: r.Spot}
+	return autoscaler.Option{Type: machineType, Zone: request.Zone, Spot: request.Spot}
 }
 
 // writeInstanceGroup stores the record of an instance group.
@@ -57,19 +59,20 @@
 	l.commit(store.PriorityAttempts, instanceGroupTag{group.key}, unchanged, []wire.Write{put(group.key, group.record)})
 }
 
-// pruneInstanceGroup takes machines that are gone out of the durable inventory.
+// pruneInstanceGroup removes terminated machines from the record of an instance group, and deletes the record of an
+// empty group.
 func (l *Leader) pruneInstanceGroup(now clock.Micros, group *instanceGroup) {
 	terminated := func(name string) bool { return l.inventory.terminated[name] }
-	left := slices.DeleteFunc(slices.Clone(group.record.Machines), terminated)
-	if len(left) > 0 && (len(left) == len(group.record.Machines) || now-group.prunedAt < pruneEvery) {
+	remaining := slices.DeleteFunc(slices.Clone(group.record.Machines), terminated)
+	if len(remaining) > 0 && (len(remaining) == len(group.record.Machines) || now-group.prunedAt < pruneInterval) {
 		return
 	}
 	group.prunedAt = now
-	if len(left)*machineEntryBytes > l.valueBytes {
-		return // of the time when values could be larger: it stays as it is until less is left
+	if len(remaining)*machineEntryBytes > l.valueBytes {
+		return // written when values could be larger: it stays until fewer machines are left
 	}
-	group.record.Machines = left
-	if len(left) == 0 {
+	group.record.Machines = remaining
+	if len(remaining) == 0 {
 		delete(l.inventory.groups, group.key)
 		l.commit(store.PriorityBackground, nil, nil, []wire.Write{{Delete: group.key}})
 		l.settleFormerRequest(now, group)
@@ -78,9 +81,9 @@
 	l.writeInstanceGroup(group)
 }
 
-// instanceGroupWritten goes on after a write of an instance group's record. Only a write that succeeded proves what is
-// stored. A failed condition does not: the write of ours that changed the record may have been an earlier one than
-// this, whose answer was lost.
+// instanceGroupWritten handles the outcome of the write of an instance group's record. Only a committed write proves
+// what is stored. A failed condition does not: the record may have been changed by an earlier write of this leader
+// whose answer was lost.
 func (l *Leader) instanceGroupWritten(now clock.Micros, tag instanceGroupTag, m TxnCompleted) {
 	group := l.inventory.groups[tag.key]
 	switch {
@@ -96,8 +99,8 @@
 	}
 }
 
-// instanceGroupRead compares what is stored of an instance group with what was to be written, and writes it again if
-// it is something else.
+// instanceGroupRead compares the stored record of an instance group with the one to be written, and writes it again if
+// they differ.
 func (l *Leader) instanceGroupRead(now clock.Micros, tag instanceGroupTag, m KeyRead) {
 	group := l.inventory.groups[tag.key]
 	if group == nil {
@@ -116,13 +119,13 @@
 	l.writeInstanceGroup(group)
 }
 
-// equal reports whether two records tell the same.
+// equal reports whether two records have the same content.
 func (r *InstanceGroupRecord) equal(o *InstanceGroupRecord) bool {
 	return r.Request == o.Request && r.Answered == o.Answered && slices.Equal(r.Machines, o.Machines)
 }
 
-// instanceGroupStored goes on once a record is known to be stored as it is here: a recorded request is sent, and
-// recorded machines are used.
+// instanceGroupStored continues once the record of an instance group is known to be stored as it is here: it sends the
+// recorded provision request, or adds the recorded machines to the inventory.
 func (l *Leader) instanceGroupStored(now clock.Micros, group *instanceGroup) {
 	group.busy = false
 	if !group.record.Answered {
@@ -138,7 +141,7 @@
 	l.settleFormerRequest(now, group)
 }
 
-// machinesProvisioned takes in the cloud's answer to a request.
+// machinesProvisioned handles the cloud's answer to a provision request.
 func (l *Leader) machinesProvisioned(now clock.Micros, m MachinesProvisioned) {
 	group := l.inventory.groups[InstanceGroupPrefix+m.RequestID]
 	if group == nil || group.record.Answered {
@@ -147,7 +150,7 @@
 	switch {
 	case m.Err == nil:
 		group.record.Machines, group.record.Answered = m.Machines, true
-		l.noteProvisionOutcome(now, group, len(m.Machines) < group.record.Request.Count)
+		l.recordProvisionOutcome(now, group, len(m.Machines) < group.record.Request.Count)
 		l.debug("machines provisioned", "request", m.RequestID, "count", len(m.Machines),
 			"type", group.record.Request.Type, "spot", group.record.Request.Spot)
 		if len(m.Machines) == 0 {
@@ -156,18 +159,18 @@
 		}
 		l.writeInstanceGroup(group)
 	case m.NoCapacity:
-		l.noteProvisionOutcome(now, group, true)
+		l.recordProvisionOutcome(now, group, true)
 		group.record.Answered = true
 		l.pruneInstanceGroup(now, group)
 	default:
-		// Repeated under the same name, soon.
-		group.requestedAt = now - (provisionRetryAfter - failedProvisionRetry)
+		// The request is repeated soon, under the same ID.
+		group.requestedAt = now - (provisionRetryAfter - failedProvisionRetryDelay)
 	}
 }
 
-// noteProvisionOutcome notes whether an option had all that was asked for. One that had not is left alone for a while,
-// longer each time: every try costs puts and cloud calls.
-func (l *Leader) noteProvisionOutcome(now clock.Micros, group *instanceGroup, short bool) {
+// recordProvisionOutcome records whether the cloud had all the machines that were requested of an option. If not, the
+// option is not requested for a while, longer each time, as every attempt costs puts and cloud calls.
+func (l *Leader) recordProvisionOutcome(now clock.Micros, group *instanceGroup, short bool) {
 	requested := l.option(group.record.Request)
 	option := requested.Key()
 	if !short {
@@ -175,7 +178,7 @@
 		return
 	}
 	refusal := l.autoscaler.refusals[option]
-	refusal.wait = min(max(2*refusal.wait, minRefusalWait), maxRefusalWait)
-	refusal.until = now + refusal.wait
+	refusal.backoff = min(max(2*refusal.backoff, minRefusalWait), maxRefusalWait)
+	refusal.retryAt = now + refusal.backoff
 	l.autoscaler.refusals[option] = refusal
 }
--- a/internal/leader/inventory.go
+++ b/internal/leader/inventory.go
@@ -5,21 +5,22 @@
 	"swiftledge/wire"
 )
 
-// inventory owns the machines, the requests to the cloud that bring and delete them, and the durable records of both.
+// inventory owns the machines, the requests to the cloud that provision and delete them, and the durable records of
+// both.
 type inventory struct {
 	machines   map[string]*machine
 	terminated map[string]bool // machines whose end is proven
-	// discovered are machines that nobody here knows to have provisioned.
+	// discovered are machines that no known provision request brought.
 	discovered map[string]wire.Machine
 	// unconfirmed are machines that only attempt records name.
 	unconfirmed map[string]bool
 
 	groups     map[string]*instanceGroup // by key
-	requestSeq int                       // of the request made last
-	// unansweredRequests are the keys of former leaders' requests without a stored answer.
+	requestSeq int                       // sequence number of the latest provision request
+	// unansweredRequests are the keys of the records of former leaders' provision requests without a stored answer.
 	unansweredRequests map[string]bool
 
-	listing           bool // a machine list is under way
+	listing           bool // a machine list is in flight
 	listedAt          clock.Micros
 	deletionsInFlight int
 }
@@ -31,7 +32,7 @@
 	}
 }
 
-// unansweredGroups counts the requests that the cloud has not answered.
+// unansweredGroups returns the number of provision requests that the cloud has not answered.
 func (i *inventory) unansweredGroups() (n int) {
 	for _, group := range i.groups {
 		if !group.record.Answered {
@@ -41,14 +42,14 @@
 	return n
 }
 
-// instanceGroup is a request to the cloud, and the record of what it brought.
+// instanceGroup is a provision request and the machines that it brought, with their durable record.
 type instanceGroup struct {
-	key         string
-	keyVersion  uint64
-	record      InstanceGroupRecord
-	busy        bool // a write or a request is under way
-	requestedAt clock.Micros
-	wantedSince clock.Micros // when it was first wanted here
-	// when machines that are gone were last taken out of its record
+	key          string
+	keyVersion   uint64
+	record       InstanceGroupRecord
+	busy         bool // a write or a request is in flight
+	requestedAt  clock.Micros
+	pendingSince clock.Micros // when this leader created or loaded the request
+	// when terminated machines were last removed from its record
 	prunedAt clock.Micros
 }
--- a/internal/leader/job_lifecycle.go
+++ b/internal/leader/job_lifecycle.go
@@ -13,82 +13,84 @@
 	"swiftledge/wire"
 )
 
-// finalStateTag marks the write of a job's final state.
+// finalStateTag identifies the write of a job's final state.
 type finalStateTag struct{ job string }
 
-// progressTag marks the write of a progress page.
+// progressTag identifies the write of a progress page.
 type progressTag struct{ write jobs.PageWrite }
 
 func (finalStateTag) txnTag() {}
 func (progressTag) txnTag()   {}
 
-// addJob takes in a job's record.
-func (l *Leader) addJob(r JobRecord, keyVersion uint64) *jobs.Job {
-	j := jobs.New(r.Spec, r.AcceptedAt, keyVersion)
+// addJob adds the job of a stored record to the table of jobs.
+func (l *Leader) addJob(record JobRecord, keyVersion uint64) *jobs.Job {
+	j := jobs.New(record.Spec, record.AcceptedAt, keyVersion)
 	l.jobs.Add(j)
 	return j
 }
 
-// jobsChanged takes in what users did to jobs.
+// jobsChanged applies the job submissions and cancellations that the watch reported.
 func (l *Leader) jobsChanged(now clock.Micros, m JobsChanged) {
-	for _, e := range m.Events {
-		if e.Put != "" {
-			l.jobSubmitted(e)
+	for _, event := range m.Events {
+		if event.Put != "" {
+			l.jobSubmitted(event)
 		} else {
-			l.jobKeyDeleted(now, e.Delete)
+			l.jobKeyDeleted(now, event.Delete)
 		}
 	}
 	l.jobsViewedAt = max(l.jobsViewedAt, m.RequestedAt)
 }
 
-func (l *Leader) jobSubmitted(e wire.Event) {
-	if l.jobs.Get(strings.TrimPrefix(e.Put, JobPrefix)) != nil {
+// jobSubmitted adds a newly submitted job, all of whose tasks wait.
+func (l *Leader) jobSubmitted(event wire.Event) {
+	if l.jobs.Get(strings.TrimPrefix(event.Put, JobPrefix)) != nil {
 		return
 	}
-	r, ok := decode[JobRecord](l, wire.Item{Key: e.Put, Value: e.Value})
+	record, ok := decode[JobRecord](l, wire.Item{Key: event.Put, Value: event.Value})
 	if !ok {
 		return
 	}
-	l.addJob(r, e.Version).AwaitAll()
+	l.addJob(record, event.Version).AwaitAll()
 	l.scheduling.requestUrgently()
 }
 
-// jobKeyDeleted cancels a job: only an abort deletes its key without the leader's doing. While its final state is
-// being written, the outcome tells which of the two it was; a progress write under way must not hide an abort.
+// jobKeyDeleted cancels a job: apart from the leader itself, only an abort deletes a job's key. While the job's final
+// state is being written, the outcome of that write tells the two apart. A progress write in flight must not hide an
+// abort.
 func (l *Leader) jobKeyDeleted(now clock.Micros, key string) {
 	if j := l.jobs.Get(strings.TrimPrefix(key, JobPrefix)); j != nil && !j.IsFinishing() {
 		l.cancelJob(now, j)
 	}
 }
 
-// cancelJob stops a cancelled job's tasks wherever they may be.
+// cancelJob stops all tasks of a cancelled job.
 func (l *Leader) cancelJob(now clock.Micros, j *jobs.Job) {
 	ref := j.Spec.Ref
 	j.Cancel()
 	l.jobEnded(now, j, wire.JobCancelled)
 	l.jobs.Remove(ref)
-	for _, b := range l.shards.all {
-		b.stopJob(ref)
-		// What has completed, too: a late copy of its order must not start it again.
-		for _, t := range b.unpersisted {
+	for _, lease := range l.shards.all {
+		lease.stopJob(ref)
+		// Completed tasks are stopped as well: a delayed copy of a run command must not start them again.
+		for _, t := range lease.unpersisted {
 			if t.Job == ref {
-				b.orders.Stop = append(b.orders.Stop, peer.StopTask{Task: t})
+				lease.orders.Stop = append(lease.orders.Stop, peer.StopTask{Task: t})
 			}
 		}
-		b.acknowledge(func(t peer.Task) bool { return t.Job == ref })
+		lease.acknowledge(func(t peer.Task) bool { return t.Job == ref })
 	}
 	l.progress.Forget(j)
 }
 
-// finishJob takes in that a job's final state is stored: all its tasks have completed.
+// finishJob removes a job whose final state is stored: all its tasks have completed.
 func (l *Leader) finishJob(now clock.Micros, j *jobs.Job) {
 	ref := j.Spec.Ref
 	l.jobEnded(now, j, wire.JobDone)
 	l.jobs.Remove(ref)
-	for _, b := range l.shards.all {
-		b.acknowledge(func(t peer.Task) bool { return t.Job == ref })
-		// A copy that a stale record still names must not run on.
-		b.stopJob(ref)
+	for _, lease := range l.shards.all {
+		lease.acknowledge(func(t peer.Task) bool { return t.Job == ref })
+		// An attempt that a stale record still names must not run on.
+		lease.stopJob(ref)
 	}
 	l.progress.Forget(j)
 }
@@ -106,7 +108,7 @@
 	})
 }
 
-// finalStateWritten goes on after the write of a job's final state.
+// finalStateWritten handles the outcome of the write of a job's final state.
 func (l *Leader) finalStateWritten(now clock.Micros, tag finalStateTag, result store.TxnResult) {
 	j := l.jobs.Get(tag.job)
 	if j == nil {
@@ -116,74 +118,78 @@
 	case result.Committed:
 		l.finishJob(now, j)
 	case len(result.FailedKeys) > 0:
-		// A user's abort came first, or an earlier copy of this write did.
+		// Either a user aborted the job first, or an earlier copy of this write was applied.
 		l.emit(ReadKey{l.term, FinalStatePrefix + tag.job, tag})
 	default:
 		j.StopFinishing()
 	}
 }
 
-// finalStateRead goes on after a job's final state was read, as its write conflicted with another.
+// finalStateRead handles the read of a job's final state after a conflict of its write: the stored state decides how
+// the job ended.
 func (l *Leader) finalStateRead(now clock.Micros, tag finalStateTag, m KeyRead) {
 	j := l.jobs.Get(tag.job)
 	if j == nil {
 		return
 	}
 	j.StopFinishing()
-	var r FinalStateRecord
-	if !m.Found || json.Unmarshal(m.Item.Value, &r) != nil {
+	var record FinalStateRecord
+	if !m.Found || json.Unmarshal(m.Item.Value, &record) != nil {
 		return
 	}
-	if r.State == wire.JobDone {
+	if record.State == wire.JobDone {
 		l.finishJob(now, j)
 	} else {
 		l.cancelJob(now, j)
 	}
 }
 
-// replicaStopped notes that a replica has ended and is to run again elsewhere.
-func (l *Leader) replicaStopped(now clock.Micros, j *jobs.Job, e peer.TaskEvent, h *grantedTask) {
-	attempt := jobs.ReplicaAttempt{Task: e.Index, Running: h.running, RunningSince: h.runningSince, Inherited: h.inherited,
-		Released: e.Kind == peer.EventReleased, Cause: string(e.Kind)}
-	if attempt.Released && h.stopReason != "" {
-		attempt.Cause = h.stopReason
+// replicaStopped records that a replica has ended and must run again elsewhere.
+func (l *Leader) replicaStopped(now clock.Micros, j *jobs.Job, event peer.TaskEvent, task *grantedTask) {
+	attempt := jobs.ReplicaAttempt{Task: event.Index, Running: task.running, RunningSince: task.runningSince,
+		Inherited: task.inherited,
+		Released:  event.Kind == peer.EventReleased, Cause: string(event.Kind)}
+	if attempt.Released && task.stopReason != "" {
+		attempt.Cause = task.stopReason
 	}
 	if j.ReplicaEnded(now, attempt) {
-		ran := 0.0
-		if h.running {
-			ran = (now - h.runningSince).Seconds()
+		runtimeS := 0.0
+		if task.running {
+			runtimeS = (now - task.runningSince).Seconds()
 		}
-		l.info("replica ended", "task", shard.TaskName(e.Task), "machine", h.machine, "cause", attempt.Cause, "ran_s", ran)
+		l.info("replica ended", "task", shard.TaskName(event.Task), "machine", task.machine, "cause", attempt.Cause,
+			"ran_s", runtimeS)
 	}
 	l.scheduling.urgent = true
 }
 
-// replicaStarted notes that a replica runs, again or for the first time.
-func (l *Leader) replicaStarted(now clock.Micros, j *jobs.Job, t peer.Task, h *grantedTask) {
+// replicaStarted records that a replica runs, for the first time or again.
+func (l *Leader) replicaStarted(now clock.Micros, j *jobs.Job, t peer.Task, task *grantedTask) {
 	outage, ended := j.ReplicaRunning(t.Index)
 	switch {
 	case ended:
-		l.info("replica runs again", "task", shard.TaskName(t), "machine", h.machine, "cause", outage.Cause,
+		l.info("replica runs again", "task", shard.TaskName(t), "machine", task.machine, "cause", outage.Cause,
 			"down_s", (now - outage.Since).Seconds())
-	case !h.inherited:
-		l.debug("replica runs", "task", shard.TaskName(t), "machine", h.machine,
+	case !task.inherited:
+		l.debug("replica runs", "task", shard.TaskName(t), "machine", task.machine,
 			"after_s", (now + l.wallOffset - j.AcceptedAt).Seconds())
 	}
 }
 
 // writeProgress writes the progress pages that are due.
 func (l *Leader) writeProgress(now clock.Micros) {
-	for _, w := range l.progress.DueWrites(now, l.jobs, l.valueBytes) {
-		if w.Delete {
-			l.commit(store.PriorityBackground, nil, nil, []wire.Write{{Delete: w.Key}})
+	for _, write := range l.progress.DueWrites(now, l.jobs, l.valueBytes) {
+		if write.Delete {
+			l.commit(store.PriorityBackground, nil, nil, []wire.Write{{Delete: write.Key}})
 			continue
 		}
-		unchanged := []wire.Condition{{Key: w.Key, Version: w.Version}}
-		l.commit(store.PriorityBackground, progressTag{w}, unchanged, []wire.Write{put(w.Key, w.Record)})
+		unchanged := []wire.Condition{{Key: write.Key, Version: write.Version}}
+		l.commit(store.PriorityBackground, progressTag{write}, unchanged, []wire.Write{put(write.Key, write.Record)})
 	}
 }
 
-// progressWritten goes on after the write of a progress page.
+// progressWritten handles the outcome of the write of a progress page, and acknowledges the completions that are now
+// persisted.
 func (l *Leader) progressWritten(tag progressTag, result store.TxnResult) {
 	if !result.Committed {
 		if l.progress.Failed(tag.write, result, l.valueBytes) {
@@ -192,8 +198,8 @@
 		return
 	}
 	stored := l.progress.Committed(tag.write, result.Revision)
-	for _, b := range l.shards.all {
-		b.acknowledge(func(t peer.Task) bool {
+	for _, lease := range l.shards.all {
+		lease.acknowledge(func(t peer.Task) bool {
 			j := stored[t.Job]
 			return j != nil && j.IsPersisted(t.Index)
 		})
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -1,9 +1,10 @@
-// Package leader is the leading controller: it decides which controller holds which shard, which machines there are to
-// be, and which task goes where. A Leader is an actor that owns one term at a time. It takes messages (what holders
-// report, what users did to jobs, answers of the store and the cloud, the passing of time) and returns effects
-// (messages to holders, store transactions, cloud calls, log lines), which the controller carries out. Every write is
-// conditional on the term's leader key, so that one of a former leader fails however late it is applied. The package
-// does no I/O, reads no clock and starts no goroutine: the same messages at the same times give the same effects.
+// Package leader implements the leading controller. It decides which controller holds which shard, which machines to
+// provision and delete, and on which shard each task runs. A Leader is an actor that owns one term at a time. It takes
+// messages (reports of shard holders, job submissions and cancellations, answers of the store and the cloud, the
+// passing of time) and returns effects (messages to shard holders, store transactions, cloud calls, log lines), which
+// the controller carries out. Every write is conditional on the leader key of the term, so a write of a former leader
+// fails however late it is applied. The package does no I/O, reads no clock and starts no goroutine: the same messages
+// at the same times give the same effects.
 package leader
 
 import (
@@ -16,19 +17,19 @@
 type Leader struct {
 	settings
 	termState
-	effects []Effect // of the step under way
+	effects []Effect // of the current step
 	pauses  pausedetect.Detector
 }
 
-// Step takes one message at a time.
+// Step handles one message and returns the effects of handling it.
 func (l *Leader) Step(now clock.Micros, message Message) []Effect {
 	l.effects = nil
-	if began, paused := l.pauses.Observe(now); paused {
-		l.pauseDetected(began, now)
+	if pauseStart, paused := l.pauses.Observe(now); paused {
+		l.pauseDetected(pauseStart, now)
 	}
 	switch m := message.(type) {
 	case LeadershipAcquired:
-		l.begin(now, m)
+		l.beginTerm(now, m)
 	case LeadershipExtended:
 		l.authorityEnds = m.Until
 	case LeadershipLost:
@@ -51,8 +52,8 @@
 	return l.effects
 }
 
-// begin starts a term with an empty state, which the store's content fills.
-func (l *Leader) begin(now clock.Micros, m LeadershipAcquired) {
+// beginTerm starts a term with an empty state and requests the content of the store to fill it.
+func (l *Leader) beginTerm(now clock.Micros, m LeadershipAcquired) {
 	l.reset()
 	l.term, l.incarnation, l.leading, l.startedAt = m.Term, m.Incarnation, true, now
 	l.progress = jobs.NewProgressPages(m.Term)
@@ -60,14 +61,14 @@
 	l.emit(LoadState{l.term})
 }
 
-// viewIsFresh reports whether the view of the jobs is fresh enough to renew grants and hand out
-// tasks on it. A watch may hang while all else is served: a leader that cannot know of
-// cancellations must not let the workers of their tasks go on (config.GrantTime).
+// viewIsFresh reports whether the view of the jobs is fresh enough to renew shard grants and offer tasks. A watch may
+// hang while every other request is served. A leader that cannot learn of cancellations must not extend the leases
+// under which agents run the cancelled tasks (config.GrantTime).
 func (l *Leader) viewIsFresh(now clock.Micros) bool {
 	return now < l.jobsViewedAt+l.cfg.MaxViewAge().Shorter()
 }
 
-// handleEvent takes in what happens while the controller leads, whatever it has asked for.
+// handleEvent handles a message that is no answer to a request of this term.
 func (l *Leader) handleEvent(now clock.Micros, message event) {
 	switch m := message.(type) {
 	case PeerConnected:
@@ -86,7 +87,7 @@
 	}
 }
 
-// handleAnswer takes in what this term has asked the store or the cloud for.
+// handleAnswer handles the answer of the store or the cloud to a request of this term.
 func (l *Leader) handleAnswer(now clock.Micros, message answer) {
 	switch m := message.(type) {
 	case StateLoaded:
--- a/internal/leader/leadership.go
+++ b/internal/leader/leadership.go
@@ -5,25 +5,26 @@
 	"swiftledge/internal/cluster"
 )
 
-// leadership is the term that this controller leads, what its authority rests on, and the limits that the store has
-// shown during the term.
+// leadership is the state of the current term, the authority to act in it, and the limits that the store has shown
+// during it.
 type leadership struct {
 	term        cluster.Term
 	incarnation cluster.Incarnation
 	leading     bool
-	loaded      bool         // the store's content was taken in
+	loaded      bool         // the content of the store is loaded
 	startedAt   clock.Micros // when the term was acquired
 
 	authorityEnds clock.Micros // until when the leader may act without a further renewal of its lease
-	jobsViewedAt  clock.Micros // the jobs are known as they were then, or later
-	wallOffset    clock.Micros // the time of day less the steady clock
+	jobsViewedAt  clock.Micros // the view of the jobs is at least as recent as this
+	wallOffset    clock.Micros // the time of day minus the steady clock
 
 	// highestRevision is the highest revision at which a write of this term is known to have succeeded.
 	highestRevision uint64
-	// Most bytes of a value and most operations of a transaction that the store takes.
+	// valueBytes and txnOps are the maximum size of a value and the maximum number of operations of a transaction that
+	// the store accepts.
 	valueBytes, txnOps int
 }
 
-// authorised reports whether the leader may act. It is asked at the moment of acting: a process that was short of
-// processor time may wake after its authority has ended.
+// authorised reports whether the leader may act. It must be called at the moment of acting: a process that was short
+// of CPU time may resume after its authority has ended.
 func (s *leadership) authorised(now clock.Micros) bool { return s.leading && now < s.authorityEnds }
--- a/internal/leader/limits_test.go
+++ b/internal/leader/limits_test.go
@@ -83,8 +83,8 @@
 				}
 			}
 		}
-		calls := lists * (machines/listPage + 1)
-		if most := int(listShare*2*spell.Seconds()) + machines/listPage + 1; calls > most || lists == 0 {
+		calls := lists * (machines/machinesPerListPage + 1)
+		if most := int(maxListShare*2*spell.Seconds()) + machines/machinesPerListPage + 1; calls > most || lists == 0 {
 			t.Errorf("%d machines: %d lists of %d calls in a minute, want at most %d calls", machines, lists, calls, most)
 		}
 	}
--- a/internal/leader/load.go
+++ b/internal/leader/load.go
@@ -12,7 +12,7 @@
 	"swiftledge/wire"
 )
 
-// loadState takes in what the store holds at the start of a term.
+// loadState loads the content of the store at the start of a term.
 func (l *Leader) loadState(now clock.Micros, m StateLoaded) {
 	l.wallOffset = m.TimeOfDay - now
 	l.jobsViewedAt = m.RequestedAt
@@ -27,7 +27,7 @@
 			if r, ok := decode[InstanceGroupRecord](l, item); ok {
 				l.loadInstanceGroup(now, item, r)
 			} else {
-				l.inventory.unansweredRequests[item.Key] = true // whatever machines it names may work
+				l.inventory.unansweredRequests[item.Key] = true // any machine that it names may run tasks
 			}
 		}
 	}
@@ -43,17 +43,17 @@
 		"shards", len(l.shards.all))
 }
 
-// loadShards makes the shards, to which the machines belong, and learns the machine types. The first leader of a store
-// stores how many shards there are.
+// loadShards creates the shards, to which the machines belong, and loads the machine types. The first leader that uses
+// a store records the number of shards in it.
 func (l *Leader) loadShards(items []wire.Item) {
-	shards, haveLayout := int(l.cfg.Tuning.Grants.Blocks), false
+	shards, layoutStored := int(l.cfg.Tuning.Grants.Blocks), false
 	versions := map[string]uint64{}
 	records := map[string]ShardRecord{}
 	for _, item := range items {
 		switch {
 		case item.Key == LayoutKey:
 			if r, ok := decode[LayoutRecord](l, item); ok && r.Shards > 0 {
-				shards, haveLayout = r.Shards, true
+				shards, layoutStored = r.Shards, true
 			}
 		case item.Key == CatalogKey:
 			if c, ok := decode[wire.Catalog](l, item); ok {
@@ -73,14 +73,14 @@
 			tasks:      map[peer.Task]*grantedTask{},
 		})
 	}
-	if !haveLayout {
+	if !layoutStored {
 		absent := []wire.Condition{{Key: LayoutKey}}
 		l.commit(store.PriorityUrgent, nil, absent, []wire.Write{put(LayoutKey, LayoutRecord{shards})})
 	}
 }
 
-// loadProgress takes in which tasks of the jobs have completed. All others wait, until the attempt records say which
-// of them may run.
+// loadProgress loads which tasks of the jobs have completed. All other tasks wait until the attempt records show which
+// of them may already run.
 func (l *Leader) loadProgress(items []wire.Item) {
 	for _, item := range items {
 		if !strings.HasPrefix(item.Key, jobs.ProgressPrefix) {
--- a/internal/leader/load_bound.go
+++ b/internal/leader/load_bound.go
@@ -9,80 +9,84 @@
 	"swiftledge/wire"
 )
 
+// taskID converts the ID of a task for the rebalancer.
 func taskID(t peer.Task) rebalancer.TaskID { return rebalancer.TaskID{Job: t.Job, Index: t.Index} }
 
-func resourcesOf(s *wire.Job) load.Resources {
-	return load.Resources{CPUs: s.CPUs, GPUs: s.GPUs, Memory: s.MemoryGB}
+// resourcesOf returns the resources that a task of the job takes.
+func resourcesOf(spec *wire.Job) load.Resources {
+	return load.Resources{CPUs: spec.CPUs, GPUs: spec.GPUs, Memory: spec.MemoryGB}
 }
 
+// capacity returns the resources of the machine according to its type.
 func (m *machine) capacity() load.Resources {
 	t := &m.option.Type
 	return load.Resources{CPUs: t.CPUs, GPUs: t.GPUs, Memory: t.MemoryGB}
 }
 
-// used is what the holder says is taken of the machine, by what is ordered and runs.
+// used returns the resources of the machine that are taken, by ordered and running tasks, according to its holder.
 func (m *machine) used() load.Resources {
 	return m.capacity().Minus(load.Resources{CPUs: m.state.CPUs, GPUs: m.state.GPUs, Memory: m.state.MemoryGB})
 }
 
-// takesWork reports whether new tasks are to go to the machine: it serves, and the autoscaler does not empty
-// it. Rebalancing neither counts nor fills a machine that the autoscaler wants empty, so the two do not work
-// against each other.
+// takesWork reports whether new tasks should be placed on the machine: it is schedulable, and the autoscaler is not
+// emptying it. Rebalancing neither counts nor fills a machine that the autoscaler wants to be empty, so that the two
+// do not work against each other.
 func (m *machine) takesWork() bool { return m.schedulable() && m.reserveRank() == 0 }
 
-// loadBound bounds the free capacity of one round of offers by the load of machines.
+// loadBound bounds the free capacity that one scheduling pass offers by the load of the machines.
 type loadBound struct {
 	bound   load.Bound
 	fetches *load.FetchRates
 	mean    load.Mean
 }
 
-// newLoadBound of the machines that take work, as a round of offers begins; nil while rebalancing is off.
+// newLoadBound returns the load bound of a new scheduling pass, over the machines that take work, or nil while
+// rebalancing is off.
 func (l *Leader) newLoadBound() *loadBound {
 	if l.rebalancing == nil {
 		return nil
 	}
-	e := &loadBound{bound: l.rebalancing.bound, fetches: l.rebalancing.fetches}
+	bound := &loadBound{bound: l.rebalancing.bound, fetches: l.rebalancing.fetches}
 	for _, m := range l.inventory.machines {
 		if m.takesWork() {
-			e.mean.Add(m.load())
+			bound.mean.Add(m.load())
 		}
 	}
-	return e
+	return bound
 }
 
-// usedWithOffers is what is taken of the machine with what was offered in this round.
+// usedWithOffers returns the resources of the machine that are taken, including the offers of this pass.
 func (m *machine) usedWithOffers() load.Resources {
 	return m.capacity().Minus(load.Resources{CPUs: m.freeCPUs, GPUs: m.freeGPUs, Memory: m.freeMemory})
 }
 
-// loadWith is the machine's load with what was offered in this round and one more task.
-func (m *machine) loadWith(s *wire.Job) float64 {
-	return m.usedWithOffers().Plus(resourcesOf(s)).DominantShare(m.capacity())
+// loadWith returns the machine's load with the offers of this pass and one more task.
+func (m *machine) loadWith(spec *wire.Job) float64 {
+	return m.usedWithOffers().Plus(resourcesOf(spec)).DominantShare(m.capacity())
 }
 
-// allows reports whether one more task keeps the machine within the bound. One that the autoscaler wants empty never
-// is: it is for what finds no free capacity elsewhere, not for what is to be spread.
-func (e *loadBound) allows(m *machine, s *wire.Job) bool {
+// allows reports whether one more task keeps the machine within the bound. A machine that the autoscaler wants to be
+// empty is never within it: it is for tasks that find no free capacity elsewhere, not for spreading load.
+func (e *loadBound) allows(m *machine, spec *wire.Job) bool {
 	if e == nil {
 		return true
 	}
 	if m.reserveRank() > 0 {
 		return false
 	}
-	c := load.Candidate{Load: m.loadWith(s), TaskLoad: resourcesOf(s).DominantShare(m.capacity())}
-	if slices.Contains(m.state.Images, s.Image) {
-		c.SavedFetchS = e.fetches.FetchSeconds(m.option.Type.Name, s.ImageGB)
+	candidate := load.Candidate{Load: m.loadWith(spec), TaskLoad: resourcesOf(spec).DominantShare(m.capacity())}
+	if slices.Contains(m.state.Images, spec.Image) {
+		candidate.SavedFetchS = e.fetches.FetchSeconds(m.option.Type.Name, spec.ImageGB)
 	}
-	return e.bound.Allows(c, e.mean.Value())
+	return e.bound.Allows(candidate, e.mean.Value())
 }
 
-// take takes a task's free capacity off the machine, for the rest of the round.
-func (e *loadBound) take(m *machine, s *wire.Job) {
+// reserve takes the resources of a task off the machine's free capacity for the rest of the pass.
+func (e *loadBound) reserve(m *machine, spec *wire.Job) {
 	before := m.usedWithOffers()
-	m.freeCPUs -= s.CPUs
-	m.freeGPUs -= s.GPUs
-	m.freeMemory -= s.MemoryGB
+	m.freeCPUs -= spec.CPUs
+	m.freeGPUs -= spec.GPUs
+	m.freeMemory -= spec.MemoryGB
 	if e != nil && m.reserveRank() == 0 {
 		e.mean.Update(before.DominantShare(m.capacity()), m.usedWithOffers().DominantShare(m.capacity()))
 	}
--- a/internal/leader/machine_choice.go
+++ b/internal/leader/machine_choice.go
@@ -2,26 +2,26 @@
 
 import "swiftledge/internal/leader/jobs"
 
-// machineFor finds the machine whose free capacity the next task of a job takes, and the
-// zone that the task is bound to, if any.
+// machineFor returns the machine on which the next task of a job is offered, and the zone to which the task is bound,
+// if any.
 func (l *Leader) machineFor(j *jobs.Job, capacity *freeCapacity) (*machine, string) {
-	s := &j.Spec
-	if s.OneZone || s.Spread || s.IsService() {
+	spec := &j.Spec
+	if spec.OneZone || spec.Spread || spec.IsService() {
 		return l.machineInZone(j, capacity)
 	}
-	withImage := candidateKey{shape: j.Shape, image: s.Image, unserved: j.IsUnserved(capacity.now)}
-	if m := capacity.firstWithin(capacity.byImage[s.Image], withImage, j); m != nil {
+	withImage := candidateKey{shape: j.Shape, image: spec.Image, unserved: j.IsUnserved(capacity.now)}
+	if m := capacity.firstFitWithinBound(capacity.byImage[spec.Image], withImage, j); m != nil {
 		return m, ""
 	}
 	all := candidateKey{shape: j.Shape, all: true, unserved: j.IsUnserved(capacity.now)}
 	if capacity.bound != nil {
 		allWithin := all
-		allWithin.image = s.Image // which decides how far the bound is widened
-		if m := capacity.firstWithin(capacity.machines, allWithin, j); m != nil {
+		allWithin.image = spec.Image // the image decides how far the bound is widened
+		if m := capacity.firstFitWithinBound(capacity.machines, allWithin, j); m != nil {
 			return m, ""
 		}
 	}
-	// With a bound, the least loaded machine beyond it is better than none, but not than one that can be
+	// With a load bound, the least loaded machine beyond it is better than none, but worse than one that can be
 	// offered in a moment.
 	if capacity.waitsForPending(j) {
 		return nil, ""
@@ -29,21 +29,21 @@
 	if m := capacity.leastLoaded(j); m != nil {
 		return m, ""
 	}
-	if m := capacity.first(capacity.machines, all, j); m != nil {
+	if m := capacity.firstFit(capacity.machines, all, j); m != nil {
 		return m, ""
 	}
-	// Better where it failed before than nowhere.
+	// A machine on which the job failed is better than none.
 	for _, m := range capacity.machines {
-		if _, failed := j.Failures.FailedOn(m.name); failed && m.fits(s) && m.allowed(capacity.now, j) {
+		if _, failed := j.Failures.FailedOn(m.name); failed && m.fits(spec) && m.allowed(capacity.now, j) {
 			return m, ""
 		}
 	}
 	return nil, ""
 }
 
-// machineInZone is machineFor for jobs whose tasks bind each other's place.
+// machineInZone is machineFor for jobs whose tasks restrict each other's placement.
 func (l *Leader) machineInZone(j *jobs.Job, capacity *freeCapacity) (*machine, string) {
-	s := &j.Spec
+	spec := &j.Spec
 	zones := l.zonesOf(j)
 	avoid := capacity.avoidedMachines(l, j)
 	best := capacity.leastAvoided(j, zones, avoid, capacity.bound)
@@ -53,21 +53,22 @@
 	switch {
 	case best == nil:
 		return nil, ""
-	case s.OneZone || s.Spread:
+	case spec.OneZone || spec.Spread:
 		return best, best.option.Zone
 	}
 	return best, ""
 }
 
-// leastAvoided finds a machine for a job whose tasks bind each other's place, among those within the bound.
+// leastAvoided returns the machine to avoid least, among those within the bound, for a job whose tasks restrict each
+// other's placement.
 func (r *freeCapacity) leastAvoided(
 	j *jobs.Job, zones jobZones, avoid map[string]int, bound *loadBound,
 ) (best *machine) {
-	s := &j.Spec
-	for _, list := range [][]*machine{r.byImage[s.Image], r.machines} {
+	spec := &j.Spec
+	for _, list := range [][]*machine{r.byImage[spec.Image], r.machines} {
 		for _, m := range list {
-			if !m.fits(s) || !m.allowed(r.now, j) || !zones.allow(m.option.Zone) || j.AvoidsMachine(r.now, m.name) ||
-				!bound.allows(m, s) {
+			if !m.fits(spec) || !m.allowed(r.now, j) || !zones.allows(m.option.Zone) || j.AvoidsMachine(r.now, m.name) ||
+				!bound.allows(m, spec) {
 				continue
 			}
 			if best == nil || avoid[m.name] < avoid[best.name] {
--- a/internal/leader/machines.go
+++ b/internal/leader/machines.go
@@ -12,43 +12,43 @@
 	"swiftledge/wire"
 )
 
-// machine is one of the inventory, as the cloud and its holder see it.
+// machine is a machine of the inventory, as the cloud and its shard holder see it.
 type machine struct {
 	name          string
 	group         string // the key of its instance group
 	option        autoscaler.Option
 	shard         *shardLease
 	address       string
-	up            bool // its agent was heard
+	up            bool // its agent has sent a heartbeat
 	cordoned      bool // not worth new tasks
 	deprioritized bool // not needed for new tasks while others have free capacity
-	excluded      bool // its holder was told to leave it out
+	excluded      bool // its holder was ordered to exclude it from scheduling
 	draining      bool
 	deleting      bool
-	state         peer.MachineState // as its holder sees it
-	idleSince     clock.Micros      // since when it has no task
+	state         peer.MachineState // as its shard holder sees it
+	idleSince     clock.Micros      // since when it has no tasks
 	failures      failures.Machine
 	cloudListing
 	offerable
 }
 
-// cloudListing is what the cloud's lists say of a machine.
+// cloudListing is what the cloud's machine lists say about a machine.
 type cloudListing struct {
 	firstSeenAt  clock.Micros
 	booting      bool
-	failed       bool         // it stopped by itself
-	listedAt     clock.Micros // last seen in a list; 0: never
-	runningSince clock.Micros // since when lists say that it is up; 0: they do not
-	missingLists int          // how many lists in a row lacked it
+	failed       bool         // it stopped without being deleted
+	listedAt     clock.Micros // when a list last had it; 0: never
+	runningSince clock.Micros // since when lists show it as running; 0: they do not
+	missingLists int          // number of consecutive lists that lacked it
 }
 
-// offerable is the capacity that is left of a machine while offers are made; what its holder says in state is not
-// touched.
+// offerable is the capacity of a machine that remains free while offers are made. The free capacity that its holder
+// reports in state stays unchanged.
 type offerable struct {
 	freeCPUs, freeGPUs, freeMemory float64
 }
 
-// addMachine takes a machine of an instance group in, unless it is known.
+// addMachine adds a machine of an instance group to the inventory, unless it is known already.
 func (l *Leader) addMachine(now clock.Micros, name string, group *instanceGroup) {
 	if l.inventory.machines[name] != nil {
 		return
@@ -63,69 +63,72 @@
 	}
 }
 
-// machineReported takes in how a holder sees a machine.
-func (l *Leader) machineReported(now clock.Micros, s peer.MachineState) {
-	m := l.inventory.machines[s.Name]
+// machineReported applies the state of a machine that its shard holder reports.
+func (l *Leader) machineReported(now clock.Micros, state peer.MachineState) {
+	m := l.inventory.machines[state.Name]
 	if m == nil {
-		if l.inventory.terminated[s.Name] {
-			lease := l.shardOfMachine(s.Name)
-			lease.orders.Terminated = append(lease.orders.Terminated, s.Name)
-		} else if s.Type != "" && s.TokenConfirmed {
-			// What is only heard of may be a late copy of a heartbeat of a machine long
-			// deleted; one that has seen our token is there, and so is one that is listed.
-			l.inventory.discovered[s.Name] = wire.Machine{Name: s.Name, Type: s.Type, Zone: s.Zone, Spot: s.Spot}
+		if l.inventory.terminated[state.Name] {
+			lease := l.shardOfMachine(state.Name)
+			lease.orders.Terminated = append(lease.orders.Terminated, state.Name)
+		} else if state.Type != "" && state.TokenConfirmed {
+			// A machine that is only reported may come from a delayed copy of a heartbeat of a machine deleted long
+			// ago. One that confirmed our fencing token exists, and so does one that a machine list has.
+			l.inventory.discovered[state.Name] = wire.Machine{
+				Name: state.Name, Type: state.Type, Zone: state.Zone, Spot: state.Spot,
+			}
 		}
 		return
 	}
-	if s.Terminated {
-		l.markTerminated(s.Name)
+	if state.Terminated {
+		l.markTerminated(state.Name)
 		return
 	}
-	if s.Type == "" {
-		// Known by name only, not heard yet. One that was up under its former holder,
-		// and ended while the shard changed hands, would never be missed otherwise.
-		m.state.Silent = m.up && s.Silent
+	if state.Type == "" {
+		// The holder knows the machine by name only and has no heartbeat of it yet. Unless it counts as silent, a machine
+		// that was up under the former holder and ended while the shard changed hands would never be missed.
+		m.state.Silent = m.up && state.Silent
 		return
 	}
 	if !m.up {
 		delete(l.autoscaler.bootFailures, m.option.Key())
 	}
 	m.up = true
-	m.address = s.Address
-	if s.Tasks > 0 || m.state.Tasks > 0 {
+	m.address = state.Address
+	if state.Tasks > 0 || m.state.Tasks > 0 {
 		m.idleSince = now
 	}
-	noticed := s.PreemptionNotice && !m.state.PreemptionNotice
-	m.state = s
+	noticed := state.PreemptionNotice && !m.state.PreemptionNotice
+	m.state = state
 	if noticed {
 		l.checkpointTasks(now, m)
 	}
 }
 
-// checkpointTasks stops the tasks that can save their progress before their machine goes.
+// checkpointTasks stops the tasks that can save their progress before their machine ends.
 func (l *Leader) checkpointTasks(now clock.Micros, m *machine) {
 	lease := m.shard
 	var capacity *freeCapacity
-	var on []peer.Task
-	for t, h := range lease.tasks {
-		if h.machine == m.name && l.jobs.Get(t.Job) != nil {
-			on = append(on, t)
+	var tasks []peer.Task
+	for t, task := range lease.tasks {
+		if task.machine == m.name && l.jobs.Get(t.Job) != nil {
+			tasks = append(tasks, t)
 		}
 	}
-	slices.SortFunc(on, func(a, c peer.Task) int { return cmp.Or(strings.Compare(a.Job, c.Job), a.Index-c.Index) })
-	for _, t := range on {
-		h, j := lease.tasks[t], l.jobs.Get(t.Job)
-		// A replica moves at once if there is room for it; else it runs to the end here.
+	slices.SortFunc(tasks, func(a, b peer.Task) int { return cmp.Or(strings.Compare(a.Job, b.Job), a.Index-b.Index) })
+	for _, t := range tasks {
+		task, j := lease.tasks[t], l.jobs.Get(t.Job)
+		// A replica moves at once if there is free capacity for it elsewhere. Otherwise it runs here until the machine
+		// ends.
 		moves := false
 		if j.Spec.IsService() && m.state.PreemptionNotice {
 			if capacity == nil {
 				capacity = l.freeCapacity(now)
 			}
-			to, _ := l.machineFor(j, capacity)
-			moves = to != nil && to != m
+			target, _ := l.machineFor(j, capacity)
+			moves = target != nil && target != m
 		}
 		if moves {
-			h.stopReason, h.stoppedAt = "notice", now
+			task.stopReason, task.stoppedAt = "notice", now
 		}
 		if moves || j.Spec.CheckpointS > 0 && !j.Spec.IsService() {
 			lease.orders.Stop = append(lease.orders.Stop, peer.StopTask{Task: t, Checkpoint: true})
@@ -133,7 +136,7 @@
 	}
 }
 
-// drainMachine has a machine emptied: it gets no new tasks, and those that can save do so and leave.
+// drainMachine drains a machine: it gets no new tasks, and its tasks that can save a checkpoint do so and stop.
 func (l *Leader) drainMachine(now clock.Micros, m *machine, reason string) {
 	m.draining = true
 	lease := m.shard
@@ -142,29 +145,29 @@
 	l.info("draining machine", "machine", m.name, "reason", reason)
 }
 
-// machinesListed takes in the cloud's list of machines.
+// machinesListed applies the cloud's list of machines to the inventory.
 func (l *Leader) machinesListed(now clock.Micros, list []wire.Machine) {
 	seen := map[string]bool{}
-	for _, w := range list {
-		seen[w.Name] = true
-		m := l.inventory.machines[w.Name]
+	for _, listed := range list {
+		seen[listed.Name] = true
+		m := l.inventory.machines[listed.Name]
 		if m == nil {
-			if !l.inventory.terminated[w.Name] {
-				l.inventory.discovered[w.Name] = w
+			if !l.inventory.terminated[listed.Name] {
+				l.inventory.discovered[listed.Name] = listed
 			}
 			continue
 		}
 		if m.listedAt == 0 {
-			m.firstSeenAt = min(m.firstSeenAt, now-clock.FromSeconds(w.AgeS))
+			m.firstSeenAt = min(m.firstSeenAt, now-clock.FromSeconds(listed.AgeS))
 		}
-		m.listedAt, m.missingLists, m.address = now, 0, w.Address
-		m.booting = w.State == wire.MachineStarting
-		if w.State != wire.MachineRunning {
+		m.listedAt, m.missingLists, m.address = now, 0, listed.Address
+		m.booting = listed.State == wire.MachineStarting
+		if listed.State != wire.MachineRunning {
 			m.runningSince = 0
 		} else if m.runningSince == 0 {
 			m.runningSince = now
 		}
-		m.failed = w.State == wire.MachineFailed
+		m.failed = listed.State == wire.MachineFailed
 	}
 	for _, m := range l.inventory.machines {
 		if m.listedAt > 0 && !seen[m.name] {
@@ -173,7 +176,7 @@
 	}
 }
 
-// machinesDeleted takes in the end of a deletion.
+// machinesDeleted handles the outcome of a deletion.
 func (l *Leader) machinesDeleted(deletion MachinesDeleted) {
 	l.inventory.deletionsInFlight = max(0, l.inventory.deletionsInFlight-1)
 	for _, name := range deletion.Machines {
@@ -189,7 +192,7 @@
 	}
 }
 
-// markTerminated takes out a machine that is deleted.
+// markTerminated removes a machine whose end is proven from the inventory and tells its holder.
 func (l *Leader) markTerminated(name string) {
 	delete(l.inventory.machines, name)
 	l.inventory.terminated[name] = true
--- a/internal/leader/messages.go
+++ b/internal/leader/messages.go
@@ -8,14 +8,14 @@
 	"swiftledge/wire"
 )
 
-// Link is a connection to a controller, maybe to this one. Links are compared: the holder of a shard is told of it
-// over the link that it was granted over.
+// Link is a connection to a controller, possibly to this one. Links are compared: the holder of a shard receives
+// orders for it over the link over which the shard was granted.
 type Link interface {
-	// Send hands a message over for delivery and does not wait for it.
+	// Send queues a message for delivery and returns without waiting for it.
 	Send(message *peer.FromLeader)
 }
 
-// TxnTag says what a transaction or a read was for; it comes back with the outcome.
+// TxnTag identifies the purpose of a transaction or a read. It is returned with the outcome.
 //
 //sumtype:decl
 type TxnTag interface{ txnTag() }
@@ -27,74 +27,73 @@
 
 // Messages to a Leader.
 type (
-	// LeadershipAcquired begins a term; every write guards on Term, the leader key's version.
+	// LeadershipAcquired begins a term. Every write of the term is conditional on Term, the version of the leader key.
 	LeadershipAcquired struct {
 		Term        cluster.Term
 		Incarnation cluster.Incarnation
 	}
-	// LeadershipExtended says until when the leader may act without a further renewal.
+	// LeadershipExtended sets the time until which the leader may act without a further renewal.
 	LeadershipExtended struct{ Until clock.Micros }
 	// LeadershipLost ends the term.
 	LeadershipLost struct{}
-	// StateLoaded is the store's content at the start of an term.
+	// StateLoaded has the content of the store at the start of a term.
 	StateLoaded struct {
 		Term        cluster.Term
 		Items       []wire.Item
 		Revision    uint64
-		TimeOfDay   clock.Micros // time of day
-		RequestedAt clock.Micros // when the jobs were asked for
+		TimeOfDay   clock.Micros
+		RequestedAt clock.Micros // when the read of the jobs was requested
 	}
-	// PeerConnected is a new link to a controller, maybe to ourselves.
+	// PeerConnected reports a new link to a controller, possibly to this one.
 	PeerConnected struct {
 		Controller  string
 		Incarnation cluster.Incarnation
 		Link        Link
 		ViaStore    bool // through the store: messages take seconds
 	}
-	// PeerDisconnected is its end.
+	// PeerDisconnected reports the end of a link.
 	PeerDisconnected struct {
 		Controller string
 		Link       Link
 	}
-	// HolderMessage is what a holder says.
+	// HolderMessage is a message of a controller in its role as a shard holder.
 	HolderMessage struct {
 		Controller string
 		Link       Link
 		Message    *peer.ToLeader
 	}
-	// JobsChanged are changes of jobs, maybe none: all that there were until Asked, when they
-	// were asked for.
+	// JobsChanged has the changes of jobs, possibly none, up to RequestedAt, when they were requested.
 	JobsChanged struct {
 		Term        cluster.Term
 		Events      []wire.Event
 		RequestedAt clock.Micros
 	}
-	// TxnCompleted is the end of a transaction.
+	// TxnCompleted is the outcome of a transaction.
 	TxnCompleted struct {
 		Term   cluster.Term
 		Tag    TxnTag
 		Result store.TxnResult
 		Err    error
 	}
-	// AttemptsLoaded are a shard's attempt records, read after its key was written.
+	// AttemptsLoaded has a shard's attempt records, read after the shard's key was written.
 	AttemptsLoaded struct {
 		Term         cluster.Term
 		Shard        int
 		FencingToken wire.FencingToken
 		Pages        map[string]peer.AttemptPage
 	}
-	// KeyRead is one key that was asked for.
+	// KeyRead is the answer to ReadKey.
 	KeyRead struct {
 		Term  cluster.Term
 		Tag   TxnTag
 		Item  wire.Item
 		Found bool
 	}
-	// CatalogLoaded is the cloud's catalog.
+	// CatalogLoaded has the cloud's catalog.
 	CatalogLoaded struct{ Types []wire.MachineType }
-	// MachinesListed is the cloud's full machine list.
+	// MachinesListed has the cloud's full machine list.
 	MachinesListed struct{ Machines []wire.Machine }
-	// MachinesProvisioned is a provision request's end.
+	// MachinesProvisioned is the outcome of a provision request.
 	MachinesProvisioned struct {
 		Term       cluster.Term
 		RequestID  string
@@ -102,15 +101,15 @@
 		NoCapacity bool
 		Err        error
 	}
-	// MachinesDeleted is a deletion's end; when Err is nil the machines are gone.
+	// MachinesDeleted is the outcome of a deletion. If Err is nil, the machines are gone.
 	MachinesDeleted struct {
 		Term     cluster.Term
 		Machines []string
 		Err      error
 	}
-	// StatusRequested is an operator's question; the answer goes to Tag.
+	// StatusRequested is an operator's request for the status. The answer is sent to ReplyTo.
 	StatusRequested struct{ ReplyTo chan<- peer.Status }
-	// Tick lets time pass.
+	// Tick reports that time has passed, at regular intervals.
 	Tick struct{}
 )
 
@@ -132,7 +131,7 @@
 func (MachinesProvisioned) leaderMessage() {}
 func (MachinesDeleted) leaderMessage()     {}
 
-// EndsTerm reports whether a message ends the term under way, and with it all that the term has asked for.
+// EndsTerm reports whether a message ends the current term, and with it everything that the term has requested.
 func EndsTerm(message Message) bool {
 	switch message.(type) {
 	case LeadershipAcquired, LeadershipLost:
@@ -143,7 +142,7 @@
 	return false
 }
 
-// event is a message that counts only while the controller leads.
+// event is a message that is handled only while the controller leads.
 //
 //sumtype:decl
 type event interface {
@@ -158,8 +157,7 @@
 func (MachinesListed) leaderEvent()   {}
 func (Tick) leaderEvent()             {}
 
-// answer is the answer to an effect. Its term is that of the effect: an answer of an earlier term is not waited for
-// any more.
+// answer is the answer to an effect. Its term is that of the effect: an answer to an earlier term's effect is ignored.
 //
 //sumtype:decl
 type answer interface {
--- a/internal/leader/preemption.go
+++ b/internal/leader/preemption.go
@@ -14,70 +14,70 @@
 )
 
 const (
-	// preemptionInterval is the pause between two preemption passes.
+	// preemptionInterval is the minimum time between two preemption passes.
 	preemptionInterval = 300 * clock.Millisecond
-	// stoppingWindow is how long a task that was told to stop counts as free capacity to come.
+	// stoppingWindow is how long a task that was ordered to stop counts as capacity that is about to be free.
 	stoppingWindow = 3 * clock.Second
-	// maxEvictions bounds what one look stops.
-	maxEvictions = 64
-	// minBootTimesLeft is how many usual boot times a task has to have left to run for it to be stopped for anything
-	// but production work: else the free capacity, or a machine, comes about as soon without.
+	// maxPreemptions bounds how many tasks one preemption pass stops.
+	maxPreemptions = 64
+	// minBootTimesLeft is how many usual boot times of run time a task must have left to be preempted for anything but
+	// production work. With less left, its capacity or a new machine is available about as soon anyway.
 	minBootTimesLeft = 2
-	// placementCostS is about what it costs a stopped task, in seconds, to be placed again and to have its image.
+	// placementCostS is the approximate cost, in seconds, of placing a stopped task again and fetching its image.
 	placementCostS = 5
 )
 
-// victim is a task that may be stopped to free capacity.
+// victim is a task that may be preempted to free capacity.
 type victim struct {
 	task             peer.Task
-	held             *grantedTask
+	granted          *grantedTask
 	memory           float64
 	rank             int
-	ran              float64 // so far, in seconds
-	endsSoon         bool
-	savesCheckpoints bool    // its progress, at intervals
-	cost             float64 // of the work that is lost; less for work of low priority
+	runtimeS         float64 // seconds run so far
+	endsSoon         bool    // has too little run time left to be preempted for anything but production work
+	savesCheckpoints bool    // saves its progress at intervals
+	cost             float64 // CPU seconds of work lost, weighted down for low priorities
 }
 
-// preemptionCandidate is what a machine has for waiting work, and could have.
+// preemptionCandidate is a machine on which capacity may be freed for waiting work.
 type preemptionCandidate struct {
 	machine      *machine
-	cpus, memory float64 // free, and soon free
+	cpus, memory float64 // free now or after the tasks that are already stopping
 	victims      []victim
 }
 
-// claim is why a job's next task may stop others (PROTOCOL, "Preemption").
+// claim describes why a job's next task may preempt others (PROTOCOL, "Preemption").
 type claim struct {
 	team            string
 	rank            int
-	withinGuarantee bool // the team must be given it
-	ownTasksOnly    bool // the team is at its limit: only its own tasks free capacity
+	withinGuarantee bool // the team stays within its guarantee with the task
+	ownTasksOnly    bool // the team is at its limit: only its own tasks may be preempted
 }
 
-// preemptionPass is one look for capacity to free.
+// preemptionPass is the state of one pass that frees capacity by preemption.
 type preemptionPass struct {
-	l           *Leader
-	now         clock.Micros
-	urgent      bool               // production work waits
-	longRunning map[string]float64 // by job that runs for long: the boot time of its machines
-	candidates  []*preemptionCandidate
-	leaving     *fairshare.Usage // what teams' tasks will give back, less what is to come
-	evicted     int
+	l             *Leader
+	now           clock.Micros
+	urgent        bool               // production work waits
+	longRunning   map[string]float64 // usual boot time of its machines, in seconds, by job with long-running tasks
+	candidates    []*preemptionCandidate
+	stoppingUsage *fairshare.Usage // resources that stopping tasks give back, less those this pass has assigned
+	preempted     int
 }
 
-// preempt frees capacity for work that waits and finds none, by stopping less important tasks, and tasks that
-// other teams run beyond their guarantees for a team that is within its own.
+// preempt frees capacity for waiting tasks that find none. It stops tasks of lower priority, and for a team that is
+// within its guarantee also tasks that other teams run beyond theirs.
 func (l *Leader) preempt(now clock.Micros, queues []*fairshare.TeamQueue) {
 	if now-l.preemption.ranAt < preemptionInterval {
 		return
 	}
-	p := &preemptionPass{l: l, now: now}
+	pass := &preemptionPass{l: l, now: now}
 	waiting := false
-	for _, t := range queues {
-		for _, j := range t.Preemptors() {
+	for _, queue := range queues {
+		for _, j := range queue.Preemptors() {
 			if j.Waiting() > 0 {
 				waiting = true
-				p.urgent = p.urgent || j.Spec.Priority.Rank() == wire.PriorityProduction.Rank()
+				pass.urgent = pass.urgent || j.Spec.Priority.Rank() == wire.PriorityProduction.Rank()
 			}
 		}
 	}
@@ -85,20 +85,20 @@
 		return
 	}
 	l.preemption.ranAt = now
-	if p.findLongRunning(); !p.urgent && len(p.longRunning) == 0 {
+	if pass.findLongRunning(); !pass.urgent && len(pass.longRunning) == 0 {
 		return
 	}
-	p.survey()
-	for _, t := range queues {
-		for _, j := range t.Preemptors() {
-			if p.makeCapacityFor(t, j); p.evicted > maxEvictions {
+	pass.collectCandidates()
+	for _, queue := range queues {
+		for _, j := range queue.Preemptors() {
+			if pass.makeCapacityFor(queue, j); pass.preempted > maxPreemptions {
 				return
 			}
 		}
 	}
 }
 
-// findLongRunning finds the jobs whose tasks have long to go after their start: only these are stopped for anything but
+// findLongRunning finds the jobs whose tasks run long after their start. Only these are preempted for anything but
 // production work.
 func (p *preemptionPass) findLongRunning() {
 	p.longRunning = map[string]float64{}
@@ -106,192 +106,194 @@
 		if j.Dispatched() == 0 || j.Spec.Priority.Rank() == wire.PriorityProduction.Rank() {
 			continue
 		}
-		if boot := p.l.bootTime(&j.Spec); j.Spec.IsService() || p.l.jobs.RunSeconds(j) > minBootTimesLeft*boot {
-			p.longRunning[j.Spec.Ref] = boot
+		if bootS := p.l.bootTimeS(&j.Spec); j.Spec.IsService() || p.l.jobs.RunSeconds(j) > minBootTimesLeft*bootS {
+			p.longRunning[j.Spec.Ref] = bootS
 		}
 	}
 }
 
-// survey finds the machines that could take waiting work, by name, and what each team's tasks give back that
-// were told to stop.
-func (p *preemptionPass) survey() {
-	l, on := p.l, map[string]*preemptionCandidate{}
-	p.leaving = fairshare.NewUsage()
+// collectCandidates collects, by name, the machines that may take waiting work, and the usage of stopping tasks.
+func (p *preemptionPass) collectCandidates() {
+	l, byMachine := p.l, map[string]*preemptionCandidate{}
+	p.stoppingUsage = fairshare.NewUsage()
 	for _, m := range l.inventory.machines {
 		if m.schedulable() {
-			on[m.name] = &preemptionCandidate{machine: m, cpus: m.state.CPUs, memory: m.state.MemoryGB}
+			byMachine[m.name] = &preemptionCandidate{machine: m, cpus: m.state.CPUs, memory: m.state.MemoryGB}
 		}
 	}
-	for _, b := range l.shards.all {
-		for t, h := range b.tasks {
-			p.surveyTask(on, t, h)
+	for _, lease := range l.shards.all {
+		for t, task := range lease.tasks {
+			p.collectTask(byMachine, t, task)
 		}
 	}
-	p.candidates = make([]*preemptionCandidate, 0, len(on))
-	for _, name := range slices.Sorted(maps.Keys(on)) {
-		at := on[name]
-		if len(at.victims) == 0 && !p.urgent {
-			continue // what fits there needs nobody stopped
+	p.candidates = make([]*preemptionCandidate, 0, len(byMachine))
+	for _, name := range slices.Sorted(maps.Keys(byMachine)) {
+		candidate := byMachine[name]
+		if len(candidate.victims) == 0 && !p.urgent {
+			continue // a task that fits here needs no preemption
 		}
-		slices.SortFunc(at.victims, compareVictims)
-		p.candidates = append(p.candidates, at)
+		slices.SortFunc(candidate.victims, compareVictims)
+		p.candidates = append(p.candidates, candidate)
 	}
 }
 
-// surveyTask counts a task as capacity that comes free soon, or as a victim.
-func (p *preemptionPass) surveyTask(on map[string]*preemptionCandidate, t peer.Task, h *grantedTask) {
-	leaves := h.stopReason != "" && p.now-h.stoppedAt < stoppingWindow
-	if leaves {
-		p.leaving.Charge(h.team, h.resources())
+// collectTask counts a task as capacity that is about to become free, or adds it to the victims of its machine.
+func (p *preemptionPass) collectTask(byMachine map[string]*preemptionCandidate, t peer.Task, task *grantedTask) {
+	stopping := task.stopReason != "" && p.now-task.stoppedAt < stoppingWindow
+	if stopping {
+		p.stoppingUsage.Charge(task.team, task.resources())
 	}
-	boot, long := p.longRunning[t.Job]
-	if !long && !p.urgent && !leaves {
+	bootS, long := p.longRunning[t.Job]
+	if !long && !p.urgent && !stopping {
 		return
 	}
-	at, j := on[h.machine], p.l.jobs.Get(t.Job)
-	if at == nil || j == nil {
+	candidate, j := byMachine[task.machine], p.l.jobs.Get(t.Job)
+	if candidate == nil || j == nil {
 		return
 	}
-	if leaves {
-		at.cpus += h.cpus
-		at.memory += j.Spec.MemoryGB
+	if stopping {
+		candidate.cpus += task.cpus
+		candidate.memory += j.Spec.MemoryGB
 	}
-	v := p.l.victim(p.now, t, h, j)
-	v.endsSoon = !long || !j.Spec.IsService() && p.l.jobs.RunSeconds(j)-v.ran < minBootTimesLeft*boot
-	if h.stopReason == "" && (p.urgent || !v.endsSoon) && v.rank > wire.PriorityProduction.Rank() {
-		at.victims = append(at.victims, v)
+	v := p.l.victim(p.now, t, task, j)
+	v.endsSoon = !long || !j.Spec.IsService() && p.l.jobs.RunSeconds(j)-v.runtimeS < minBootTimesLeft*bootS
+	if task.stopReason == "" && (p.urgent || !v.endsSoon) && v.rank > wire.PriorityProduction.Rank() {
+		candidate.victims = append(candidate.victims, v)
 	}
 }
 
-// compareVictims orders victims by what stopping them costs.
+// compareVictims orders victims by the cost of preempting them.
 func compareVictims(a, b victim) int {
 	return cmp.Or(cmp.Compare(a.cost, b.cost), cmp.Compare(a.task.Job, b.task.Job),
 		cmp.Compare(a.task.Index, b.task.Index))
 }
 
-// victim weighs a task that may be stopped. What it saved by itself at its last interval is not lost.
-func (l *Leader) victim(now clock.Micros, t peer.Task, h *grantedTask, j *jobs.Job) victim {
-	s := &j.Spec
-	rank, ran := s.Priority.Rank(), 0.0
-	if h.running {
-		ran = (now - h.runningSince).Seconds()
+// victim describes a task that may be preempted. Its progress up to the last periodic checkpoint is not lost.
+func (l *Leader) victim(now clock.Micros, t peer.Task, task *grantedTask, j *jobs.Job) victim {
+	spec := &j.Spec
+	rank, runtimeS := spec.Priority.Rank(), 0.0
+	if task.running {
+		runtimeS = (now - task.runningSince).Seconds()
 	}
-	lost := ran
-	if s.CheckpointS > 0 {
-		lost = math.Mod(ran, s.CheckpointS)
+	lostS := runtimeS
+	if spec.CheckpointS > 0 {
+		lostS = math.Mod(runtimeS, spec.CheckpointS)
 	}
-	return victim{task: t, held: h, memory: s.MemoryGB, rank: rank, ran: ran, savesCheckpoints: s.CheckpointS > 0,
-		cost: h.cpus * (lost + placementCostS) / float64(max(rank, 1))}
+	return victim{task: t, granted: task, memory: spec.MemoryGB, rank: rank, runtimeS: runtimeS,
+		savesCheckpoints: spec.CheckpointS > 0, cost: task.cpus * (lostS + placementCostS) / float64(max(rank, 1))}
 }
 
-// makeCapacityFor frees capacity for the waiting tasks of one job, as far as it may run.
-func (p *preemptionPass) makeCapacityFor(t *fairshare.TeamQueue, j *jobs.Job) {
-	s := &j.Spec
+// makeCapacityFor frees capacity for the waiting tasks of one job, as far as its team may run them.
+func (p *preemptionPass) makeCapacityFor(queue *fairshare.TeamQueue, j *jobs.Job) {
+	spec := &j.Spec
 	zones := p.l.zonesOf(j)
-	serviceCPUs := t.ServiceCPUs()
-	for n := min(j.Waiting(), maxEvictions); n > 0; n-- {
-		if !t.ServiceFits(s, serviceCPUs) {
+	serviceCPUs := queue.ServiceCPUs()
+	for n := min(j.Waiting(), maxPreemptions); n > 0; n-- {
+		if !queue.ServiceFits(spec, serviceCPUs) {
 			return
 		}
-		c, ok := p.claim(t, s)
+		c, ok := p.claim(queue, spec)
 		if !ok {
 			return
 		}
-		best, leave := p.cheapest(j, zones, c)
-		if best == nil {
+		candidate, victims := p.cheapestCandidate(j, zones, c)
+		if candidate == nil {
 			return
 		}
-		p.evict(best, leave)
-		best.cpus -= s.CPUs
-		best.memory -= s.MemoryGB
-		zones.add(best.machine.option.Zone)
-		p.leaving.Release(s.Team, fairshare.ResourceUsage{CPUs: s.CPUs, GPUs: s.GPUs})
-		serviceCPUs += s.CPUs
+		p.preemptTasks(candidate, victims)
+		candidate.cpus -= spec.CPUs
+		candidate.memory -= spec.MemoryGB
+		zones.add(candidate.machine.option.Zone)
+		p.stoppingUsage.Release(spec.Team, fairshare.ResourceUsage{CPUs: spec.CPUs, GPUs: spec.GPUs})
+		serviceCPUs += spec.CPUs
 	}
 }
 
-// claim says why one more task of the team may stop others, if it may.
-func (p *preemptionPass) claim(t *fairshare.TeamQueue, s *wire.Job) (claim, bool) {
-	u := t.Usage().Minus(p.leaving.Of(s.Team))
-	c := claim{team: s.Team, rank: s.Priority.Rank(),
-		withinGuarantee: u.FitsGuarantee(s, t.Team()), ownTasksOnly: !u.FitsLimit(s, t.Team())}
+// claim returns the claim of one more task of the team to preempt others, and whether it may preempt any.
+func (p *preemptionPass) claim(queue *fairshare.TeamQueue, spec *wire.Job) (claim, bool) {
+	usage := queue.Usage().Minus(p.stoppingUsage.Of(spec.Team))
+	c := claim{team: spec.Team, rank: spec.Priority.Rank(),
+		withinGuarantee: usage.FitsGuarantee(spec, queue.Team()), ownTasksOnly: !usage.FitsLimit(spec, queue.Team())}
 	return c, c.withinGuarantee || c.rank <= wire.PriorityHigh.Rank()
 }
 
-// mayEvict reports whether a task may be stopped for a claim. Production work stops whatever is less important.
-// Anything else only stops what runs for long on borrowed capacity and is less important, or for a guarantee as
-// important and saves its progress: work that is as important is not done twice for it, though the protocol would allow
-// it.
-func (p *preemptionPass) mayEvict(c claim, v *victim) bool {
+// mayPreempt reports whether a claim allows a task to be preempted. Production work preempts any task of lower
+// priority. Other work only preempts long-running tasks on borrowed capacity: those of lower priority, and, for a
+// guarantee, those of equal priority that save checkpoints. It does not make other tasks of equal priority repeat
+// their work, although the protocol would allow that.
+func (p *preemptionPass) mayPreempt(c claim, v *victim) bool {
 	switch {
-	case c.ownTasksOnly && v.held.team != c.team:
+	case c.ownTasksOnly && v.granted.team != c.team:
 		return false
 	case c.rank == wire.PriorityProduction.Rank():
 		return c.rank < v.rank
-	case v.endsSoon || !p.isBorrowed(v.held):
+	case v.endsSoon || !p.isBorrowed(v.granted):
 		return false
 	}
-	return c.rank < v.rank || c.withinGuarantee && c.rank == v.rank && v.savesCheckpoints && v.held.team != c.team
+	return c.rank < v.rank || c.withinGuarantee && c.rank == v.rank && v.savesCheckpoints && v.granted.team != c.team
 }
 
-// isBorrowed reports whether a task's team keeps its guarantee without it.
-func (p *preemptionPass) isBorrowed(h *grantedTask) bool {
-	u := p.l.usage.Of(h.team).Minus(p.leaving.Of(h.team))
-	return u.CPUs-h.cpus >= p.l.teams[h.team].CPUs-1e-9
+// isBorrowed reports whether a task runs on borrowed capacity: without it, its team still uses at least its guarantee.
+func (p *preemptionPass) isBorrowed(task *grantedTask) bool {
+	usage := p.l.usage.Of(task.team).Minus(p.stoppingUsage.Of(task.team))
+	return usage.CPUs-task.cpus >= p.l.teams[task.team].CPUs-1e-9
 }
 
-// cheapest finds the machine on which free capacity for one more task of the job costs least, and which of its
-// victims have to leave.
-func (p *preemptionPass) cheapest(j *jobs.Job, zones jobZones, c claim) (best *preemptionCandidate, leave []int) {
-	s := &j.Spec
-	least := 0.0
-	for _, at := range p.candidates {
-		m := at.machine
-		if !m.allowed(p.now, j) || !zones.allow(m.option.Zone) || j.AvoidsMachine(p.now, m.name) ||
-			m.state.GPUs+1e-9 < s.GPUs {
+// cheapestCandidate returns the machine on which one more task costs least to fit, and its victims' indexes.
+func (p *preemptionPass) cheapestCandidate(
+	j *jobs.Job, zones jobZones, c claim,
+) (best *preemptionCandidate, victims []int) {
+	spec := &j.Spec
+	leastCost := 0.0
+	for _, candidate := range p.candidates {
+		m := candidate.machine
+		if !m.allowed(p.now, j) || !zones.allows(m.option.Zone) || j.AvoidsMachine(p.now, m.name) ||
+			m.state.GPUs+1e-9 < spec.GPUs {
 			continue
 		}
-		if who, cost, ok := p.victimsFor(at, s, c); ok && (best == nil || cost < least) {
-			best, leave, least = at, who, cost
+		if indexes, cost, ok := p.victimsFor(candidate, spec, c); ok && (best == nil || cost < leastCost) {
+			best, victims, leastCost = candidate, indexes, cost
 		}
 	}
-	return best, leave
+	return best, victims
 }
 
-// victimsFor says which victims must leave a machine for one more task to fit, and at what cost; of a team at its
-// limit as much as the task takes.
-func (p *preemptionPass) victimsFor(at *preemptionCandidate, s *wire.Job, c claim) (who []int, cost float64, ok bool) {
-	cpus, memory, given := at.cpus, at.memory, 0.0
+// victimsFor returns the indexes of the victims to preempt on a machine for one more task to fit, and their cost. For
+// a team at its limit, its preempted tasks must also free at least the CPUs that the task takes.
+func (p *preemptionPass) victimsFor(
+	candidate *preemptionCandidate, spec *wire.Job, c claim,
+) (indexes []int, cost float64, ok bool) {
+	cpus, memory, freedCPUs := candidate.cpus, candidate.memory, 0.0
 	for i := 0; ; i++ {
-		if cpus+1e-9 >= s.CPUs && memory+1e-9 >= s.MemoryGB && (!c.ownTasksOnly || given+1e-9 >= s.CPUs) {
-			return who, cost, true
+		if cpus+1e-9 >= spec.CPUs && memory+1e-9 >= spec.MemoryGB && (!c.ownTasksOnly || freedCPUs+1e-9 >= spec.CPUs) {
+			return indexes, cost, true
 		}
-		if i == len(at.victims) {
+		if i == len(candidate.victims) {
 			return nil, 0, false
 		}
-		v := &at.victims[i]
-		if !p.mayEvict(c, v) {
+		v := &candidate.victims[i]
+		if !p.mayPreempt(c, v) {
 			continue
 		}
-		cpus += v.held.cpus
+		cpus += v.granted.cpus
 		memory += v.memory
-		given += v.held.cpus
+		freedCPUs += v.granted.cpus
 		cost += v.cost
-		who = append(who, i)
+		indexes = append(indexes, i)
 	}
 }
 
-// evict has the holder end victims on a machine.
-func (p *preemptionPass) evict(at *preemptionCandidate, leave []int) {
-	for _, i := range slices.Backward(leave) {
-		v := at.victims[i]
-		at.victims = slices.Delete(at.victims, i, i+1)
-		at.cpus += v.held.cpus
-		at.memory += v.memory
-		p.leaving.Charge(v.held.team, v.held.resources())
-		v.held.stopReason, v.held.stoppedAt = "evicted", p.now
-		at.machine.shard.orders.Stop = append(at.machine.shard.orders.Stop, peer.StopTask{Task: v.task})
-		p.evicted++
+// preemptTasks orders the shard holder to stop victims on a machine.
+func (p *preemptionPass) preemptTasks(candidate *preemptionCandidate, indexes []int) {
+	for _, i := range slices.Backward(indexes) {
+		v := candidate.victims[i]
+		candidate.victims = slices.Delete(candidate.victims, i, i+1)
+		candidate.cpus += v.granted.cpus
+		candidate.memory += v.memory
+		p.stoppingUsage.Charge(v.granted.team, v.granted.resources())
+		v.granted.stopReason, v.granted.stoppedAt = "evicted", p.now
+		candidate.machine.shard.orders.Stop = append(candidate.machine.shard.orders.Stop, peer.StopTask{Task: v.task})
+		p.preempted++
 		p.l.outcomes.preempted++
 	}
 }
--- a/internal/leader/process_pause.go
+++ b/internal/leader/process_pause.go
@@ -7,14 +7,14 @@
 	"swiftledge/internal/pausedetect"
 )
 
-// pauseDetected tells that this controller stood still, and what of its leadership ran out meanwhile.
-func (l *Leader) pauseDetected(began, now clock.Micros) {
-	p := pausedetect.Pause{Began: began, Ended: now}
-	if l.leading && l.authorityEnds > began && !l.authorised(now) {
-		p.Expired = append(p.Expired, fmt.Sprintf("authority of epoch %d", l.term))
+// pauseDetected reports a pause of this process, and which parts of its leadership expired meanwhile.
+func (l *Leader) pauseDetected(start, end clock.Micros) {
+	pause := pausedetect.Pause{Began: start, Ended: end}
+	if l.leading && l.authorityEnds > start && !l.authorised(end) {
+		pause.Expired = append(pause.Expired, fmt.Sprintf("authority of epoch %d", l.term))
 	}
-	if l.leading && l.loaded && !l.viewIsFresh(now) {
-		p.Expired = append(p.Expired, "view of the jobs")
+	if l.leading && l.loaded && !l.viewIsFresh(end) {
+		pause.Expired = append(pause.Expired, "view of the jobs")
 	}
-	l.emit(PauseDetected{p})
+	l.emit(PauseDetected{pause})
 }
--- a/internal/leader/rebalancing_test.go
+++ b/internal/leader/rebalancing_test.go
@@ -227,8 +227,8 @@
 	if told := ordersForNewJob(l, now, wire.Job{CPUs: 1, MemoryGB: 1}); len(told) != 0 {
 		t.Fatalf("told %+v while another block has room within the bound in a moment", told)
 	}
-	if told := ordersOfPass(l, now+pendingPatience+clock.Millisecond); len(told) != 1 || told[0].Shard != full.ID {
-		t.Errorf("told %+v, want the task offered beyond the bound after %v", told, pendingPatience)
+	if told := ordersOfPass(l, now+maxPendingWait+clock.Millisecond); len(told) != 1 || told[0].Shard != full.ID {
+		t.Errorf("told %+v, want the task offered beyond the bound after %v", told, maxPendingWait)
 	}
 }
 
--- a/internal/leader/rebalancing_view.go
+++ b/internal/leader/rebalancing_view.go
@@ -11,105 +11,108 @@
 	"swiftledge/internal/rebalancer"
 )
 
-// rebalancingView is what moves are decided on.
+// rebalancingView returns the view of machines and tasks on which migrations are decided.
 func (l *Leader) rebalancingView(now clock.Micros) rebalancer.View {
-	v := rebalancer.View{Stale: !l.viewIsFresh(now), FetchRates: l.rebalancing.fetches}
-	atLimit := l.waitingAtLimit(now, &v)
+	view := rebalancer.View{Stale: !l.viewIsFresh(now), FetchRates: l.rebalancing.fetches}
+	atLimit := l.waitingAtLimit(now, &view)
 	for _, name := range slices.Sorted(maps.Keys(l.inventory.machines)) {
 		m := l.inventory.machines[name]
 		if !m.up || m.state.Silent || m.state.PreemptionNotice {
 			continue
 		}
-		bm := &rebalancer.Machine{Name: name, Type: m.option.Type.Name, Capacity: m.capacity(), Used: m.used(),
+		entry := &rebalancer.Machine{Name: name, Type: m.option.Type.Name, Capacity: m.capacity(), Used: m.used(),
 			Schedulable: m.takesWork(), OfferPending: m.shard.offerPending, Images: m.state.Images}
 		if m.state.Type != m.option.Type.Name {
-			bm.Capacity = load.Resources{} // it is not what was rented
+			entry.Capacity = load.Resources{} // the machine is not of the type that was provisioned
 		}
-		v.Machines = append(v.Machines, bm)
+		view.Machines = append(view.Machines, entry)
 	}
-	var on map[string][]heldTask
-	v.Tasks = func(m *rebalancer.Machine) []rebalancer.Task {
-		if on == nil {
-			on = l.tasksByMachine()
+	var byMachine map[string][]placedTask
+	view.Tasks = func(m *rebalancer.Machine) []rebalancer.Task {
+		if byMachine == nil {
+			byMachine = l.tasksByMachine()
 		}
-		return l.movableTasks(now, on[m.Name], atLimit)
+		return l.plannerTasks(now, byMachine[m.Name], atLimit)
 	}
-	return v
+	return view
 }
 
-// waitingAtLimit notes whether work waits that would take the free capacity of a stopped task, and names the teams
-// that have some waiting at their limit.
-func (l *Leader) waitingAtLimit(now clock.Micros, v *rebalancer.View) map[string]bool {
-	moving := map[string]int{}
+// waitingAtLimit returns the teams with work that waits at their limit. It also sets WorkWaiting if other work
+// waits, as that would take the capacity that a stopped task frees.
+func (l *Leader) waitingAtLimit(now clock.Micros, view *rebalancer.View) map[string]bool {
+	migrating := map[string]int{}
 	for _, m := range l.rebalancing.InFlight() {
 		if m.Stage == rebalancer.Terminated {
-			moving[m.Task.Job]++
+			migrating[m.Task.Job]++
 		}
 	}
 	atLimit := map[string]bool{}
 	for j := range l.jobs.All() {
-		s := &j.Spec
-		team := l.teams[s.Team]
+		spec := &j.Spec
+		team := l.teams[spec.Team]
 		switch {
-		case j.Waiting() <= moving[j.Spec.Ref] || j.IsCancelled() || j.Failures.InBackoff(now):
-		case l.usage.Of(s.Team).FitsLimit(s, team):
-			v.WorkWaiting = true
+		case j.Waiting() <= migrating[j.Spec.Ref] || j.IsCancelled() || j.Failures.InBackoff(now):
+		case l.usage.Of(spec.Team).FitsLimit(spec, team):
+			view.WorkWaiting = true
 		default:
-			atLimit[s.Team] = true
+			atLimit[spec.Team] = true
 		}
 	}
 	return atLimit
 }
 
-// heldTask is a task in a shard's grant.
-type heldTask struct {
-	task    peer.Task
+// placedTask is a task in a shard grant, with its ID.
+type placedTask struct {
+	id      peer.Task
 	granted *grantedTask
 }
 
-// tasksByMachine lists the tasks in grants by the machine that they are on. A holder that names a machine
-// of another shard is not believed.
-func (l *Leader) tasksByMachine() map[string][]heldTask {
-	on := map[string][]heldTask{}
-	for _, b := range l.shards.all {
-		for t, h := range b.tasks {
-			if m := l.inventory.machines[h.machine]; m != nil && m.shard == b {
-				on[h.machine] = append(on[h.machine], heldTask{t, h})
+// tasksByMachine returns the granted tasks by the machine that they are on. It ignores a machine that a holder names
+// although it belongs to another shard.
+func (l *Leader) tasksByMachine() map[string][]placedTask {
+	byMachine := map[string][]placedTask{}
+	for _, lease := range l.shards.all {
+		for t, task := range lease.tasks {
+			if m := l.inventory.machines[task.machine]; m != nil && m.shard == lease {
+				byMachine[task.machine] = append(byMachine[task.machine], placedTask{t, task})
 			}
 		}
 	}
-	return on
+	return byMachine
 }
 
-// movableTasks describes a machine's tasks to the planner, in a fixed order.
-func (l *Leader) movableTasks(now clock.Micros, on []heldTask, atLimit map[string]bool) []rebalancer.Task {
-	var out []rebalancer.Task
-	for _, t := range on {
-		if j := l.jobs.Get(t.task.Job); j != nil {
-			out = append(out, l.movable(now, t.task, t.granted, j, atLimit[t.granted.team]))
+// plannerTasks describes a machine's tasks to the rebalancer, in a fixed order.
+func (l *Leader) plannerTasks(now clock.Micros, tasks []placedTask, atLimit map[string]bool) []rebalancer.Task {
+	var described []rebalancer.Task
+	for _, t := range tasks {
+		if j := l.jobs.Get(t.id.Job); j != nil {
+			described = append(described, l.plannerTask(now, t.id, t.granted, j, atLimit[t.granted.team]))
 		}
 	}
-	slices.SortFunc(out, rebalancer.Task.Compare)
-	return out
+	slices.SortFunc(described, rebalancer.Task.Compare)
+	return described
 }
 
-// movable describes a task to the planner.
-func (l *Leader) movable(now clock.Micros, t peer.Task, h *grantedTask, j *jobs.Job, atLimit bool) rebalancer.Task {
-	s := &j.Spec
-	out := rebalancer.Task{
-		ID: taskID(t), Team: s.Team, Request: resourcesOf(s), Image: s.Image, ImageGB: s.ImageGB, CheckpointS: s.SaveS,
-		Checkpoints:    s.CheckpointS > 0,
-		PlacementBound: s.OneZone || s.Spread, Service: s.IsService(),
-		Stopping: h.stopReason != "" || j.IsCancelled(), TeamAtLimit: atLimit,
+// plannerTask describes a task to the rebalancer.
+func (l *Leader) plannerTask(
+	now clock.Micros, t peer.Task, task *grantedTask, j *jobs.Job, atLimit bool,
+) rebalancer.Task {
+	spec := &j.Spec
+	described := rebalancer.Task{
+		ID: taskID(t), Team: spec.Team, Request: resourcesOf(spec), Image: spec.Image, ImageGB: spec.ImageGB,
+		CheckpointS:    spec.SaveS,
+		Checkpoints:    spec.CheckpointS > 0,
+		PlacementBound: spec.OneZone || spec.Spread, Service: spec.IsService(),
+		Stopping: task.stopReason != "" || j.IsCancelled(), TeamAtLimit: atLimit,
 		Allows: func(m *rebalancer.Machine) bool {
-			to := l.inventory.machines[m.Name]
-			_, failedThere := j.Failures.FailedOn(m.Name)
-			return !failedThere && to.allowed(now, j)
+			target := l.inventory.machines[m.Name]
+			_, failedOnTarget := j.Failures.FailedOn(m.Name)
+			return !failedOnTarget && target.allowed(now, j)
 		},
 	}
-	if h.running {
-		out.RunningSince = h.runningSince
-		out.RemainingS = l.jobs.RunSeconds(j) - (now - h.runningSince).Seconds()
+	if task.running {
+		described.RunningSince = task.runningSince
+		described.RemainingS = l.jobs.RunSeconds(j) - (now - task.runningSince).Seconds()
 	}
-	return out
+	return described
 }
--- a/internal/leader/reconcile.go
+++ b/internal/leader/reconcile.go
@@ -12,17 +12,18 @@
 )
 
 const (
-	// reconcileEvery is the pause between two reconciliations of the inventory, planEvery that between two plans.
-	reconcileEvery = clock.Second / 2
-	planEvery      = clock.Second
-	// maxUnansweredRequests is how many requests for machines may be unanswered for more to be made.
+	// reconcileInterval is the time between two reconciliations of the inventory, and planInterval the time between
+	// two capacity plans.
+	reconcileInterval = clock.Second / 2
+	planInterval      = clock.Second
+	// maxUnansweredRequests is the number of unanswered provision requests at which no more are made.
 	maxUnansweredRequests = 4
 )
 
-// reconcileInventory squares the machines that the cloud has with those that are wanted: it asks for machines, deletes
-// some, and gives up those that serve nobody.
+// reconcileInventory reconciles the machines that the cloud has with the capacity that is needed: it provisions
+// machines, deletes idle ones, and removes those that serve no tasks any longer.
 func (l *Leader) reconcileInventory(now clock.Micros) {
-	if now-l.autoscaler.reconciledAt < reconcileEvery {
+	if now-l.autoscaler.reconciledAt < reconcileInterval {
 		return
 	}
 	l.autoscaler.reconciledAt = now
@@ -31,18 +32,17 @@
 	if len(l.autoscaler.types) == 0 {
 		return
 	}
-	// While a request is unanswered, machines that nobody knows may be those that it brought.
+	// While a provision request is unanswered, unknown machines may be those that it brought.
 	if unanswered == 0 {
 		l.adoptDiscovered()
 	}
 	l.reconcileInstanceGroups(now)
-	// While many machines are lost, or the cloud answers nothing, those that live are
-	// planned with all the same.
-	unwanted := l.machinesToGiveUp(now)
+	// Capacity is planned with the remaining machines also while many machines are lost or the cloud does not answer.
+	unwanted := l.machinesToRemove(now)
 	for _, name := range unwanted {
 		l.inventory.machines[name].deleting = true
 	}
-	if now-l.autoscaler.plannedAt >= planEvery {
+	if now-l.autoscaler.plannedAt >= planInterval {
 		l.autoscaler.plannedAt = now
 		unwanted = append(unwanted, l.planCapacity(now, unanswered < maxUnansweredRequests)...)
 	}
@@ -50,17 +50,18 @@
 }
 
 const (
-	// minPollInterval is the least pause between two machine lists.
+	// minPollInterval is the minimum time between two machine lists.
 	minPollInterval = 2 * clock.Second
-	// listTimeout is how long a machine list is waited for.
+	// listTimeout is how long the leader waits for a machine list.
 	listTimeout = 30 * clock.Second
-	// catalogInterval is the pause between two reads of the catalog, firstCatalogInterval while none is known.
+	// catalogInterval is the time between two reads of the catalog, and firstCatalogInterval that time while no
+	// catalog is known.
 	catalogInterval      = 60 * clock.Second
 	firstCatalogInterval = 3 * clock.Second
 )
 
-// pollCloud has the machine list and the catalog read when it is time. Lists give way to provision requests, which
-// share the cloud's few calls with them.
+// pollCloud requests the machine list and the catalog when they are due. While provision requests are unanswered,
+// lists are requested less often, as both share the cloud's low call rate.
 func (l *Leader) pollCloud(now clock.Micros, provisioning bool) {
 	listInterval := max(clock.FromSeconds(l.cfg.Facts.Cloud.ListLagS)/2, minPollInterval, l.minListInterval())
 	if provisioning {
@@ -84,26 +85,27 @@
 }
 
 const (
-	// listPage is how many machines the cloud lists at once (PROTOCOL).
-	listPage = 500
-	// listShare is the part of the cloud's calls that lists may take.
-	listShare = 0.75
-	// leastCloudRate is the least rate of calls that is reckoned with.
-	leastCloudRate = 0.1
+	// machinesPerListPage is the maximum number of machines in one page of a machine list (PROTOCOL).
+	machinesPerListPage = 500
+	// maxListShare is the maximum share of the cloud's call rate that machine lists use.
+	maxListShare = 0.75
+	// minCloudRPS is the lowest call rate, in requests per second, that is assumed for the cloud.
+	minCloudRPS = 0.1
 )
 
-// minListInterval is how far apart machine lists are for their pages to leave calls to provision requests and
-// deletions.
+// minListInterval returns the minimum interval between machine lists that leaves calls for provision requests and
+// deletions, given the number of pages of a list.
 func (l *Leader) minListInterval() clock.Micros {
-	pages := float64(len(l.inventory.machines)/listPage + 1)
-	return clock.FromSeconds(pages / (listShare * max(l.cfg.Facts.Cloud.RPS, leastCloudRate)))
+	pages := float64(len(l.inventory.machines)/machinesPerListPage + 1)
+	return clock.FromSeconds(pages / (maxListShare * max(l.cfg.Facts.Cloud.RPS, minCloudRPS)))
 }
 
-// provisionRetryAfter is how long a provision request's answer is waited for before it is asked for again.
+// provisionRetryAfter is how long the leader waits for the answer to a provision request before it repeats the
+// request.
 const provisionRetryAfter = 8 * clock.Second
 
-// reconcileInstanceGroups repeats provision requests without an answer, and takes machines that are gone out of the
-// records of the others.
+// reconcileInstanceGroups repeats unanswered provision requests and removes terminated machines from the records of
+// the other instance groups.
 func (l *Leader) reconcileInstanceGroups(now clock.Micros) {
 	for _, key := range slices.Sorted(maps.Keys(l.inventory.groups)) {
 		group := l.inventory.groups[key]
@@ -116,8 +118,8 @@
 	}
 }
 
-// retryProvisioning repeats a request that the cloud has left unanswered for long; the same name gives the same
-// machines.
+// retryProvisioning repeats a provision request that the cloud has not answered in time. A request with the same ID
+// yields the same machines.
 func (l *Leader) retryProvisioning(now clock.Micros, group *instanceGroup) {
 	requested := group.busy && group.requestedAt > 0
 	if requested && now-group.requestedAt > provisionRetryAfter {
@@ -127,13 +129,14 @@
 }
 
 const (
-	// maxDeletions is how many deletions may be under way.
+	// maxDeletions is the maximum number of deletions in flight.
 	maxDeletions = 3
-	// maxMachinesPerDeletion is how many machines one deletion may name (PROTOCOL).
+	// maxMachinesPerDeletion is the maximum number of machines that one deletion may name (PROTOCOL).
 	maxMachinesPerDeletion = 100
 )
 
-// deleteMachines has machines deleted, as many as one deletion may name; the others' turn comes later.
+// deleteMachines deletes as many of the named machines as one deletion may name. The others are left for a later
+// reconciliation.
 func (l *Leader) deleteMachines(names []string) {
 	sent := 0
 	if len(names) > 0 && l.inventory.deletionsInFlight < maxDeletions {
@@ -146,7 +149,7 @@
 	}
 }
 
-// adoptDiscovered takes machines into the inventory that nobody here knows to have provisioned.
+// adoptDiscovered adds machines to the inventory that no known provision request brought.
 func (l *Leader) adoptDiscovered() {
 	if len(l.inventory.discovered) == 0 {
 		return
@@ -160,14 +163,15 @@
 	clear(l.inventory.discovered)
 	byFirstName := func(a, b wire.ProvisionRequest) int { return strings.Compare(byKind[a][0], byKind[b][0]) }
 	for _, kind := range slices.SortedFunc(maps.Keys(byKind), byFirstName) {
-		// As many as a provision request has at most: more might not fit into a value.
+		// A group is at most as large as that of a provision request: the record of a larger one might exceed the
+		// value size limit.
 		for names := range slices.Chunk(byKind[kind], autoscaler.MaxMachinesPerRequest) {
 			l.adopt(kind, names)
 		}
 	}
 }
 
-// adopt records an instance group for machines of one kind.
+// adopt records an instance group for discovered machines of one type, zone and price class.
 func (l *Leader) adopt(kind wire.ProvisionRequest, names []string) {
 	l.inventory.requestSeq++
 	group := &instanceGroup{
--- a/internal/leader/reconcile_test.go
+++ b/internal/leader/reconcile_test.go
@@ -195,9 +195,9 @@
 	}
 	for _, c := range []struct {
 		m    *machine
-		want giveUpReason
-	}{{works, giveUpNone}, {idle, giveUpUnlisted}, {silent, giveUpUnlisted}} {
-		if reason := l.giveUpReason(at, c.m, shardSilence{up: 2, silent: 2}); reason != c.want {
+		want removalReason
+	}{{works, removalNone}, {idle, removalUnlisted}, {silent, removalUnlisted}} {
+		if reason := l.removalReason(at, c.m, shardSilence{up: 2, silent: 2}); reason != c.want {
 			t.Errorf("%s: %q, want %q", c.m.name, reason, c.want)
 		}
 	}
--- a/internal/leader/records.go
+++ b/internal/leader/records.go
@@ -23,7 +23,7 @@
 	AcceptedAt clock.Micros `json:"at"` // time of day of the acceptance
 }
 
-// FinalStateRecord is the value of over/<ref>: a final state, kept for ever.
+// FinalStateRecord is the value of over/<ref>: the final state of a job, kept forever.
 type FinalStateRecord struct {
 	State wire.JobState `json:"state"`
 	Tasks int           `json:"tasks"`
@@ -36,14 +36,15 @@
 	Incarnation  cluster.Incarnation `json:"run"`
 }
 
-// LayoutRecord fixes how machines are split into shards.
+// LayoutRecord fixes the number of shards over which machines are distributed.
 type LayoutRecord struct {
 	Shards int `json:"blocks"`
 }
 
-// InstanceGroupRecord is a provision request, or machines that were found: the durable inventory.
+// InstanceGroupRecord is a provision request and the machines that it brought, or machines that were discovered. These
+// records are the durable inventory.
 type InstanceGroupRecord struct {
 	Request  wire.ProvisionRequest `json:"rental"`
 	Machines []string              `json:"machines"`
-	Answered bool                  `json:"asked"` // the answer is known
+	Answered bool                  `json:"asked"` // whether the answer of the cloud is known
 }
--- a/internal/leader/scaling.go
+++ b/internal/leader/scaling.go
@@ -11,14 +11,15 @@
 	"swiftledge/wire"
 )
 
-// keepNewFor is how long a new machine is kept whatever is wanted: the cloud charges for a minute at least.
-const keepNewFor = 55 * clock.Second
+// minMachineLifetime is how long a new machine is kept regardless of demand: the cloud charges for at least a minute.
+const minMachineLifetime = 55 * clock.Second
 
-// planCapacity scales out to what the queues need, if it may, and names idle machines to scale in.
+// planCapacity scales out to cover the demand, if mayScaleOut is set, and returns the names of the idle machines to
+// scale in.
 func (l *Leader) planCapacity(now clock.Micros, mayScaleOut bool) []string {
 	demand := l.capacityDemand(now)
 	supply := l.machineSupply(now)
-	pending, cloudSilent := l.pendingSupply(now)
+	pending, cloudUnavailable := l.pendingSupply(now)
 	tuning := l.cfg.Tuning.Fleet
 	params := autoscaler.Params{
 		SpotBacklogS: tuning.SpotBacklogS, OnDemandBacklogS: tuning.OnDemandBacklogS, ReserveRatio: tuning.Reserve,
@@ -27,7 +28,7 @@
 	for option := range l.options() {
 		options = append(options, l.withExpectedDelay(option))
 	}
-	available := func(o *autoscaler.Option) bool { return now >= l.autoscaler.refusals[o.Key()].until }
+	available := func(o *autoscaler.Option) bool { return now >= l.autoscaler.refusals[o.Key()].retryAt }
 	decision := autoscaler.Plan(autoscaler.Input{
 		Demands:  demand,
 		Machines: append(supply, pending...),
@@ -35,8 +36,8 @@
 		Params:   params,
 		Allowed:  available,
 	})
-	l.applyExclusions(decision, cloudSilent)
-	l.scheduling.requested = true // what is no longer cordoned has free capacity again
+	l.applyExclusions(decision, cloudUnavailable)
+	l.scheduling.requested = true // machines that are no longer cordoned have free capacity again
 	if mayScaleOut {
 		for _, launch := range decision.ScaleOut {
 			l.requestMachines(now, launch)
@@ -45,7 +46,7 @@
 	return decision.ScaleIn
 }
 
-// machineSupply describes the machines that serve, or will when they are up.
+// machineSupply describes the machines that run tasks or will do so once they are up.
 func (l *Leader) machineSupply(now clock.Micros) []autoscaler.Machine {
 	var supply []autoscaler.Machine
 	targets := l.migrationTargets()
@@ -55,17 +56,17 @@
 			continue
 		}
 		idle := m.up && m.state.Tasks == 0 && !m.shard.offerPending
-		keep := idle && now-m.idleSince < l.idleTimeout(m) || now-m.firstSeenAt < keepNewFor || targets[name]
-		c := autoscaler.Machine{Option: m.option, Name: name, Up: m.up, Idle: idle, Retain: keep}
+		retain := idle && now-m.idleSince < l.idleTimeout(m) || now-m.firstSeenAt < minMachineLifetime || targets[name]
+		entry := autoscaler.Machine{Option: m.option, Name: name, Up: m.up, Idle: idle, Retain: retain}
 		if m.up && m.option.Type.CPUs > 0 {
-			c.Load = 1 - m.state.CPUs/m.option.Type.CPUs
+			entry.Load = 1 - m.state.CPUs/m.option.Type.CPUs
 		}
-		supply = append(supply, c)
+		supply = append(supply, entry)
 	}
 	return supply
 }
 
-// idleTimeout is how long a machine may be idle. An ordinary one costs more, so it is deleted sooner.
+// idleTimeout returns how long a machine may stay idle. An on-demand machine costs more, so it is deleted sooner.
 func (l *Leader) idleTimeout(m *machine) clock.Micros {
 	timeout := clock.FromSeconds(l.cfg.Tuning.Fleet.IdleTimeoutS)
 	if !m.option.Spot {
@@ -74,22 +75,23 @@
 	return timeout
 }
 
-// pendingSupply is what requests without an answer may bring, and whether the cloud leaves one unanswered for so long
-// that it counts as away.
-func (l *Leader) pendingSupply(now clock.Micros) (supply []autoscaler.Machine, cloudSilent bool) {
+// pendingSupply describes the machines that unanswered provision requests may bring, and reports whether one of these
+// requests has been unanswered for so long that the cloud counts as unavailable.
+func (l *Leader) pendingSupply(now clock.Micros) (supply []autoscaler.Machine, cloudUnavailable bool) {
 	for _, group := range l.inventory.groups {
 		if group.record.Answered {
 			continue
 		}
-		cloudSilent = cloudSilent || now-group.wantedSince > unansweredTimeout
+		cloudUnavailable = cloudUnavailable || now-group.pendingSince > unansweredTimeout
 		for range group.record.Request.Count {
 			supply = append(supply, autoscaler.Machine{Option: l.option(group.record.Request)})
 		}
 	}
-	return supply, cloudSilent
+	return supply, cloudUnavailable
 }
 
-// options goes through all kinds of machines that the cloud offers.
+// options returns an iterator over the options that the cloud offers: each machine type in each zone, on-demand and
+// spot.
 func (l *Leader) options() iter.Seq[autoscaler.Option] {
 	return func(yield func(autoscaler.Option) bool) {
 		for _, machineType := range l.autoscaler.catalog {
@@ -104,35 +106,37 @@
 	}
 }
 
-// requestMachines has a request for machines recorded, which is sent to the cloud once it is stored.
+// requestMachines records a provision request. It is sent to the cloud once the record is stored.
 func (l *Leader) requestMachines(now clock.Micros, launch autoscaler.Launch) {
 	l.inventory.requestSeq++
 	id := fmt.Sprintf("r-%d-%d", l.term, l.inventory.requestSeq)
 	request := wire.ProvisionRequest{
 		RequestID: id, Type: launch.Type.Name, Zone: launch.Zone, Spot: launch.Spot, Count: launch.Count,
 	}
-	group := &instanceGroup{key: InstanceGroupPrefix + id, wantedSince: now, record: InstanceGroupRecord{Request: request}}
+	group := &instanceGroup{
+		key: InstanceGroupPrefix + id, pendingSince: now, record: InstanceGroupRecord{Request: request},
+	}
 	l.inventory.groups[group.key] = group
 	l.writeInstanceGroup(group)
 }
 
-// unansweredTimeout is how long a provision request is without an answer before the cloud counts as away.
+// unansweredTimeout is how long a provision request may be unanswered before the cloud counts as unavailable.
 const unansweredTimeout = 10 * clock.Second
 
-// applyExclusions tells the holders which machines their auctions are to leave out. Cordoned ones, which are not worth
-// their price, get no work at all; deprioritized ones, which are only more than needed, get it as soon as the others
+// applyExclusions tells the shard holders which machines to exclude from their auctions. Cordoned machines are not
+// worth their price and get no work at all. Deprioritized machines only exceed the demand and get work once the others
 // have no free capacity.
 //
-// While the cloud does not answer, nothing cheaper comes: what is there serves, too.
-func (l *Leader) applyExclusions(d autoscaler.Decision, cloudSilent bool) {
+// While the cloud does not answer, nothing cheaper can be provisioned, so cordoned machines are only deprioritized.
+func (l *Leader) applyExclusions(decision autoscaler.Decision, cloudUnavailable bool) {
 	for _, m := range l.inventory.machines {
 		m.cordoned, m.deprioritized = false, false
 	}
-	for _, name := range d.Cordon {
+	for _, name := range decision.Cordon {
 		m := l.inventory.machines[name]
-		m.cordoned, m.deprioritized = !cloudSilent, cloudSilent
+		m.cordoned, m.deprioritized = !cloudUnavailable, cloudUnavailable
 	}
-	for _, name := range d.Deprioritize {
+	for _, name := range decision.Deprioritize {
 		l.inventory.machines[name].deprioritized = true
 	}
 	for _, name := range slices.Sorted(maps.Keys(l.inventory.machines)) {
--- a/internal/leader/schedule.go
+++ b/internal/leader/schedule.go
@@ -11,28 +11,29 @@
 	"swiftledge/wire"
 )
 
-// batchDelay is how long capacity that comes free is collected before it is offered, so
-// that one attempt record serves several tasks. New jobs do not wait for it.
+// batchDelay is how long freed capacity is collected before it is offered, so that one attempt record covers several
+// tasks. New jobs bypass the delay.
 const batchDelay = 120 * clock.Millisecond
 
-// tasksPerTurn is how many tasks of a job go at once before another's turn is looked at.
+// tasksPerTurn is the maximum number of tasks of one job that are offered before the next turn is chosen.
 const tasksPerTurn = 8
 
+// offerKey identifies a task offer within a scheduling pass: the tasks of one job for one shard and zone.
 type offerKey struct {
-	block int
+	shard int
 	job   string
 	zone  string
 }
 
-// schedule hands waiting tasks to shards with free capacity: teams in turn by their
-// shares, guarantees first.
+// schedule runs a scheduling pass if one is due. It offers waiting tasks to shards with free capacity, guarantees
+// first and then by fair share, and preempts tasks for work that still finds no capacity.
 func (l *Leader) schedule(now clock.Micros) {
 	if !l.scheduling.requested || !l.scheduling.urgent && now-l.scheduling.ranAt < batchDelay || !l.viewIsFresh(now) {
 		return
 	}
-	// Until every shard's attempt records are read, a task that waits here may run
-	// in one of them, and the teams' use is not known.
-	if slices.ContainsFunc(l.shards.all, func(b *shardLease) bool { return !b.AttemptsRead }) {
+	// Until the attempt records of every shard are read, a task that counts as waiting may already run under one of
+	// them, and the teams' usage is unknown.
+	if slices.ContainsFunc(l.shards.all, func(lease *shardLease) bool { return !lease.AttemptsRead }) {
 		return
 	}
 	l.scheduling.requested, l.scheduling.urgent = false, false
@@ -47,42 +48,42 @@
 	l.preempt(now, queues)
 }
 
-// offering is the part of a scheduling pass that hands tasks out.
-type offering struct {
+// offerRound is the part of a scheduling pass that offers tasks to shards.
+type offerRound struct {
 	*Leader
-	now      clock.Micros
-	capacity *freeCapacity
-	index    map[offerKey]int // where the offers of a kind stand among those to their shard
+	now       clock.Micros
+	capacity  *freeCapacity
+	positions map[offerKey]int // position of each offer among the offers to its shard
 }
 
-// offerInTurns hands out tasks until nobody who is served next finds free capacity.
+// offerInTurns offers tasks, one turn after the other, until no queue with a turn left finds free capacity.
 func (l *Leader) offerInTurns(now clock.Micros, queues []*fairshare.TeamQueue, capacity *freeCapacity) {
-	o := &offering{Leader: l, now: now, capacity: capacity, index: map[offerKey]int{}}
+	round := &offerRound{Leader: l, now: now, capacity: capacity, positions: map[offerKey]int{}}
 	for {
 		turn, ok := fairshare.Next(queues)
 		if !ok {
 			break
 		}
-		turn.Done(o.serve(turn))
+		turn.Done(round.offerTurn(turn))
 	}
-	for _, b := range l.shards.all {
-		if len(b.orders.Offers) > 0 {
-			capacity.bound.annotate(b.orders.Offers)
-			b.offerSeq++
-			b.orders.OfferSeq = b.offerSeq
-			b.offerPending = true
+	for _, lease := range l.shards.all {
+		if len(lease.orders.Offers) > 0 {
+			capacity.bound.annotate(lease.orders.Offers)
+			lease.offerSeq++
+			lease.orders.OfferSeq = lease.offerSeq
+			lease.offerPending = true
 		}
 	}
 }
 
-// serve offers tasks of the job whose turn it is for one machine, and returns how many.
-func (o *offering) serve(turn fairshare.Turn) (offered int) {
+// offerTurn offers tasks of the job whose turn it is on one machine and returns how many it offered.
+func (o *offerRound) offerTurn(turn fairshare.Turn) (offered int) {
 	j := turn.Job
-	s := &j.Spec
-	m, zone := o.migrationTarget(j, o.capacity), ""
-	isMigration := m != nil
+	spec := &j.Spec
+	target, zone := o.migrationTarget(j, o.capacity), ""
+	isMigration := target != nil
 	if !isMigration {
-		if m, zone = o.machineFor(j, o.capacity); m == nil {
+		if target, zone = o.machineFor(j, o.capacity); target == nil {
 			return 0
 		}
 	}
@@ -90,8 +91,8 @@
 	if isMigration || turn.Single || o.isPlacedOneByOne(j) {
 		limit = 1
 	}
-	if s.IsService() {
-		o.capacity.avoidedMachines(o.Leader, j)[m.name] = replicaThere
+	if spec.IsService() {
+		o.capacity.avoidedMachines(o.Leader, j)[target.name] = avoidReplica
 	}
 	if j.Failures.Suspect() {
 		j.Failures.ProbeStarted(o.capacity.now)
@@ -99,51 +100,53 @@
 	if !j.WasDispatched() {
 		o.traceQueued(o.now, j)
 	}
-	m.include()
-	for offered < limit && m.fits(s) && turn.Queue.Fits(s) && (offered == 0 || o.mayTakeMore(m, s)) {
+	target.includeInScheduling()
+	for offered < limit && target.fits(spec) && turn.Queue.Fits(spec) && (offered == 0 || o.mayOfferMore(target, spec)) {
 		task := j.DispatchFirst()
 		if task < 0 {
 			break
 		}
-		o.offer(j, task, m, zone)
+		o.offer(j, task, target, zone)
 		offered++
 	}
 	return offered
 }
 
-// include has the holder offer the machine to tasks again, if it was told to leave it out.
-func (m *machine) include() {
+// includeInScheduling has the shard holder offer the machine to tasks again if the machine is excluded from
+// scheduling.
+func (m *machine) includeInScheduling() {
 	if m.excluded {
 		m.deprioritized, m.excluded = false, false
 		m.shard.orders.Include = append(m.shard.orders.Include, m.name)
 	}
 }
 
-// isPlacedOneByOne reports whether each task of the job changes where the next may be, or is a probe.
-func (o *offering) isPlacedOneByOne(j *jobs.Job) bool {
+// isPlacedOneByOne reports whether a turn offers only one task of the job: each of its tasks changes where the next
+// may run, or is a probe.
+func (o *offerRound) isPlacedOneByOne(j *jobs.Job) bool {
 	return j.Spec.OneZone || j.Spec.Spread || j.Spec.IsService() || j.Failures.Suspect()
 }
 
-// mayTakeMore reports whether a machine may take more than the first task of a turn.
-func (o *offering) mayTakeMore(m *machine, s *wire.Job) bool {
-	return m.reserveRank() > 0 || o.capacity.bound.allows(m, s)
+// mayOfferMore reports whether a machine may get more than the first task of a turn.
+func (o *offerRound) mayOfferMore(m *machine, spec *wire.Job) bool {
+	return m.reserveRank() > 0 || o.capacity.bound.allows(m, spec)
 }
 
-// offer offers a task to a machine's shard, bound to a zone if one is given.
-func (o *offering) offer(j *jobs.Job, task int, m *machine, zone string) {
-	s, b := &j.Spec, m.shard
-	o.capacity.bound.take(m, s)
-	h := &grantedTask{team: s.Team, cpus: s.CPUs, gpus: s.GPUs, zone: zone}
-	b.tasks[peer.Task{Job: s.Ref, Index: task}] = h
-	o.usage.Charge(h.team, h.resources())
-	key := offerKey{b.ID, s.Ref, zone}
-	at, ok := o.index[key]
+// offer adds a task to the offers to the shard of a machine, bound to a zone if one is given.
+func (o *offerRound) offer(j *jobs.Job, index int, m *machine, zone string) {
+	spec, lease := &j.Spec, m.shard
+	o.capacity.bound.reserve(m, spec)
+	task := &grantedTask{team: spec.Team, cpus: spec.CPUs, gpus: spec.GPUs, zone: zone}
+	lease.tasks[peer.Task{Job: spec.Ref, Index: index}] = task
+	o.usage.Charge(task.team, task.resources())
+	key := offerKey{lease.ID, spec.Ref, zone}
+	position, ok := o.positions[key]
 	if !ok {
-		at = len(b.orders.Offers)
-		o.index[key] = at
-		b.orders.Offers = append(b.orders.Offers, peer.TaskOffer{Job: *s, Zone: zone})
+		position = len(lease.orders.Offers)
+		o.positions[key] = position
+		lease.orders.Offers = append(lease.orders.Offers, peer.TaskOffer{Job: *spec, Zone: zone})
 	}
-	b.orders.Offers[at].TaskIndexes = append(b.orders.Offers[at].TaskIndexes, task)
+	lease.orders.Offers[position].TaskIndexes = append(lease.orders.Offers[position].TaskIndexes, index)
 	j.SetUnservedSince(o.now)
 }
 
@@ -154,6 +157,7 @@
 	return policy.Queues(fairshare.Clock{Now: now, TimeOfDay: now + l.wallOffset}, l.jobs, l.usage)
 }
 
+// shardOfMachine returns the lease of the shard that a machine belongs to.
 func (l *Leader) shardOfMachine(machine string) *shardLease {
 	return l.shards.all[shard.ForMachine(machine, len(l.shards.all))]
 }
--- a/internal/leader/scheduling_state.go
+++ b/internal/leader/scheduling_state.go
@@ -2,24 +2,24 @@
 
 import "swiftledge/internal/clock"
 
-// schedulingState owns the request for the next scheduling pass and its pace.
+// schedulingState owns the request for the next scheduling pass and the time of the last one.
 type schedulingState struct {
 	requested bool // something changed that may let tasks start
-	urgent    bool // a job has come: the pass does not wait to collect more free capacity
+	urgent    bool // a job arrived or a task can restart: the pass does not wait for more freed capacity
 	ranAt     clock.Micros
 }
 
-// requestUrgently asks for a pass at once.
+// requestUrgently requests a scheduling pass without delay.
 func (s *schedulingState) requestUrgently() { s.requested, s.urgent = true, true }
 
-// preemptionState owns the pace of preemption.
+// preemptionState owns the time of the last preemption pass.
 type preemptionState struct {
 	ranAt clock.Micros
 }
 
-// taskOutcomes counts, for the log, how many tasks of this term ended without a result, by cause.
+// taskOutcomes counts, for the log, the tasks of this term that ended without a result, by cause.
 type taskOutcomes struct {
-	failed        int // by themselves, of jobs that are not suspect
-	failedSuspect int
+	failed        int // failures of tasks whose job is not suspect
+	failedSuspect int // failures of tasks whose job is suspect
 	preempted     int
 }
--- a/internal/leader/settings.go
+++ b/internal/leader/settings.go
@@ -2,45 +2,46 @@
 
 import "swiftledge/internal/config"
 
-// settings are what stays the same for as long as the process runs.
+// settings is the configuration that stays the same for the lifetime of the process.
 type settings struct {
 	cfg     *config.Config
 	self    string      // the name of this controller
-	storeOK func() bool // whether this controller reaches the store
+	storeOK func() bool // reports whether this controller reaches the store
 	teams   map[string]config.Team
-	// completionSLO is by class in how many seconds its jobs are expected to be completed.
+	// completionSLO has by class the number of seconds within which its jobs are expected to complete.
 	completionSLO map[string]float64
-	// startSLO is by class in how many seconds its tasks are expected to start; its jobs are never to complete.
+	// startSLO has by class the number of seconds within which its tasks are expected to start. Its jobs are services,
+	// which never complete.
 	startSLO map[string]float64
 }
 
-// New makes a leader that does not lead yet.
+// New returns a Leader that does not lead yet.
 func New(cfg *config.Config, storeOK func() bool) *Leader {
 	l := &Leader{settings: newSettings(cfg, storeOK)}
 	l.reset()
 	return l
 }
 
-// newSettings sorts the teams by name and the objectives by class.
+// newSettings indexes the teams by name and the objectives by class.
 func newSettings(cfg *config.Config, storeOK func() bool) settings {
 	s := settings{cfg: cfg, self: cfg.Name, storeOK: storeOK,
 		completionSLO: map[string]float64{}, startSLO: map[string]float64{}, teams: map[string]config.Team{}}
-	for _, o := range cfg.Facts.Objectives {
-		if o.Kind == config.ObjectiveFinished {
-			s.completionSLO[o.Class] = o.WithinS
+	for _, objective := range cfg.Facts.Objectives {
+		if objective.Kind == config.ObjectiveFinished {
+			s.completionSLO[objective.Class] = objective.WithinS
 		}
-		if o.Kind == config.ObjectiveWait {
-			s.startSLO[o.Class] = o.WithinS
+		if objective.Kind == config.ObjectiveWait {
+			s.startSLO[objective.Class] = objective.WithinS
 		}
 	}
-	// What is expected to be done as well is no service.
-	for _, o := range cfg.Facts.Objectives {
-		if o.Kind == config.ObjectiveFinished || o.Kind == config.ObjectiveDeadline {
-			delete(s.startSLO, o.Class)
+	// A class whose jobs are also expected to complete is no service class.
+	for _, objective := range cfg.Facts.Objectives {
+		if objective.Kind == config.ObjectiveFinished || objective.Kind == config.ObjectiveDeadline {
+			delete(s.startSLO, objective.Class)
 		}
 	}
-	for _, t := range cfg.Facts.Teams {
-		s.teams[t.Name] = t
+	for _, team := range cfg.Facts.Teams {
+		s.teams[team.Name] = team
 	}
 	return s
 }
--- a/internal/leader/shard_assignment.go
+++ b/internal/leader/shard_assignment.go
@@ -8,16 +8,17 @@
 )
 
 const (
-	// controllerTimeout is how long a controller may send nothing before it counts as gone, and
-	// controllerTimeoutViaStore the same for one that is connected through the store.
+	// controllerTimeout is how long a controller may send nothing before it counts as gone. controllerTimeoutViaStore
+	// is the same for a controller that is connected through the store.
 	controllerTimeout         = 4 * clock.Second
 	controllerTimeoutViaStore = 12 * clock.Second
-	// connectGrace is how long a new leader waits for the other controllers, so that shards stay
-	// where they are.
+	// connectGrace is how long a new leader waits for the other controllers to connect, so that shards keep their
+	// holders.
 	connectGrace = 1200 * clock.Millisecond
 )
 
-// assignShards finds holders for shards that have none, evens out, and has the keys of those that move written.
+// assignShards assigns holders to shards without one, balances the shards over the controllers, and writes the keys of
+// the shards whose holder changes.
 func (l *Leader) assignShards(now clock.Micros) {
 	l.dropSilentControllers(now)
 	connected := len(l.shards.controllers)
@@ -25,19 +26,19 @@
 		return
 	}
 	changed := l.shards.assign(assignment.Round{Now: now, Leader: l.self, Capacity: l.controllerCapacity()})
-	for part := range slices.Chunk(changed, max(l.txnOps, 1)) {
-		l.writeShardKeys(part)
+	for leases := range slices.Chunk(changed, max(l.txnOps, 1)) {
+		l.writeShardKeys(leases)
 	}
 }
 
-// controllerCapacity is what the controllers of the site are able to do.
+// controllerCapacity describes the capacity of the site's controllers and the load on them.
 func (l *Leader) controllerCapacity() assignment.Capacity {
 	facts := &l.cfg.Facts
 	return assignment.Capacity{Controllers: facts.InitialSize, CPU: facts.Quota.CPU, HeartbeatS: facts.Workers.ReportS,
 		AgentLease: l.cfg.AgentLeaseTime(), Machines: len(l.inventory.machines)}
 }
 
-// dropSilentControllers forgets controllers that have sent nothing for too long.
+// dropSilentControllers removes controllers that have sent nothing for too long.
 func (l *Leader) dropSilentControllers(now clock.Micros) {
 	for _, c := range l.shards.controllers {
 		timeout := controllerTimeout
--- a/internal/leader/shard_grants.go
+++ b/internal/leader/shard_grants.go
@@ -13,31 +13,31 @@
 	"swiftledge/wire"
 )
 
-// shardHolders names who answers for each shard, for redirects.
+// shardHolders returns the name of the holder of each shard, for redirects of agents.
 func (l *Leader) shardHolders() []string {
 	if !l.loaded {
 		return nil
 	}
-	out := make([]string, len(l.shards.all))
+	holders := make([]string, len(l.shards.all))
 	for i, lease := range l.shards.all {
-		out[i] = lease.Holder
+		holders[i] = lease.Holder
 	}
-	return out
+	return holders
 }
 
-// tokenBits is how many low bits of a token count within its term, at first.
+// tokenBits is the number of low bits of a fencing token that initially count the tokens of a term.
 const tokenBits = 12
 
-// hasTokens reports whether this term may give that many more tokens. A later term is a later revision
-// of the store than any at which a write of this one succeeded, as those are guarded on our
-// leader key. So the count may run over its bits as far as that revision's tokens go: each grant
-// that is written makes room for thousands more, and a term does not use its tokens up.
+// hasTokens reports whether this term may issue that many more fencing tokens. Every write of this term is conditional
+// on its leader key, so a later term is a later store revision than any at which such a write succeeded. The count may
+// therefore overflow its bits up to the tokens of that revision. Each shard grant written raises the bound by
+// thousands of tokens, so a term does not run out of them.
 func (l *Leader) hasTokens(more int) bool {
 	first := uint64(l.term) << tokenBits
 	return first+l.shards.tokensIssued+uint64(more) < (max(uint64(l.term), l.highestRevision)+1)<<tokenBits
 }
 
-// shardsTag marks the write of shards' keys, and the reads that follow it.
+// shardsTag identifies the write of shard keys and the reads that follow it.
 type shardsTag struct{ tokens map[int]wire.FencingToken }
 
 // writeShardKeys stores the holders of shards, each under a new fencing token.
@@ -46,7 +46,7 @@
 	var conditions []wire.Condition
 	var writes []wire.Write
 	if !l.hasTokens(len(leases)) {
-		l.emit(Resign{"no token is left that a later leader's are surely higher than"})
+		l.emit(Resign{"the term has no fencing token left that is lower than those of every later term"})
 		return
 	}
 	for _, lease := range leases {
@@ -55,8 +55,8 @@
 		lease.token = wire.FencingToken(uint64(l.term)<<tokenBits + l.shards.tokensIssued)
 		var incarnation cluster.Incarnation
 		lease.link = nil
-		if n := l.shards.controllers[lease.Holder]; n != nil {
-			lease.link, incarnation = n.link, n.incarnation
+		if c := l.shards.controllers[lease.Holder]; c != nil {
+			lease.link, incarnation = c.link, c.incarnation
 		}
 		tag.tokens[lease.ID] = lease.token
 		key := shard.Key(lease.ID)
@@ -67,26 +67,26 @@
 	l.commit(store.PriorityUrgent, tag, conditions, writes)
 }
 
-// shardKeysWritten goes on after that: what may run in the shards is read.
-func (l *Leader) shardKeysWritten(tag shardsTag, o store.TxnResult) {
+// shardKeysWritten handles the outcome of a write of shard keys. After a commit, it loads the attempt records of the
+// shards.
+func (l *Leader) shardKeysWritten(tag shardsTag, result store.TxnResult) {
 	for _, id := range slices.Sorted(maps.Keys(tag.tokens)) {
 		lease, token := l.shards.all[id], tag.tokens[id]
 		if lease.state != writing || lease.token != token {
 			continue
 		}
-		if o.Committed {
-			lease.keyVersion = o.Revision
+		if result.Committed {
+			lease.keyVersion = result.Revision
 			lease.state = reading
 			l.emit(LoadAttempts{l.term, id, token})
 			continue
 		}
-		// Only a try of our own that got no answer can have changed the key.
+		// Only an earlier write of this term whose answer was lost can have changed the key.
 		l.emit(ReadKey{l.term, shard.Key(id), tag})
 	}
 }
 
-// attemptsLoaded takes in what may run in a shard, from its attempt records, and grants the shard to its
-// holder, if it has one.
+// attemptsLoaded rebuilds a shard's tasks from its attempt records and grants the shard to its holder, if it has one.
 func (l *Leader) attemptsLoaded(m AttemptsLoaded) {
 	lease := l.shards.all[m.Shard]
 	if lease.state != reading || lease.token != m.FencingToken {
@@ -95,7 +95,7 @@
 	l.rebuildFromAttempts(lease, m.Pages)
 	lease.AttemptsRead = true
 	if lease.link == nil {
-		lease.state = unassigned // it waits for a holder
+		lease.state = unassigned // waits for a holder
 		return
 	}
 	lease.state, lease.UnassignedSince = granted, 0
@@ -104,15 +104,15 @@
 		"tasks", len(lease.tasks))
 }
 
-// rebuildFromAttempts replaces what counts as running in a shard by what its attempt records name.
+// rebuildFromAttempts replaces the tasks that count as running in a shard by those that its attempt records name.
 func (l *Leader) rebuildFromAttempts(lease *shardLease, pages map[string]peer.AttemptPage) {
 	old := lease.tasks
 	lease.tasks = map[peer.Task]*grantedTask{}
 	lease.unpersisted = nil
 	lease.offerPending = false
 	lease.orders = peer.ShardOrders{Shard: lease.ID, FencingToken: lease.token}
-	for _, h := range old {
-		l.usage.Release(h.team, h.resources())
+	for _, task := range old {
+		l.usage.Release(task.team, task.resources())
 	}
 	for _, key := range slices.Sorted(maps.Keys(pages)) {
 		page := pages[key]
@@ -120,14 +120,14 @@
 			group := &page.Groups[i]
 			records, err := page.Records(group)
 			if err != nil {
-				l.info("invalid attempt records", "error", err) // not reached: pages are checked when read
+				l.info("invalid attempt records", "error", err) // unreachable: pages are checked when they are read
 			}
-			for _, r := range records {
-				l.addFromAttempt(lease, group, r, old)
+			for _, record := range records {
+				l.addFromAttempt(lease, group, record, old)
 			}
 		}
 	}
-	// What has no record cannot have been started: the record's guard would fail now.
+	// A task without an attempt record cannot have been started: the condition of the record's write would fail now.
 	for t := range old {
 		if j := l.jobs.OfTask(t); j != nil && lease.tasks[t] == nil {
 			j.Requeue(t.Index)
@@ -135,20 +135,21 @@
 	}
 }
 
-// addFromAttempt counts one attempt record. A task of a job that is over or unknown is to be stopped.
+// addFromAttempt adds the task of one attempt record to a shard. A task whose job is cancelled or unknown is ordered
+// to stop.
 func (l *Leader) addFromAttempt(
-	lease *shardLease, group *peer.AttemptGroup, r peer.AttemptRecord, old map[peer.Task]*grantedTask,
+	lease *shardLease, group *peer.AttemptGroup, record peer.AttemptRecord, old map[peer.Task]*grantedTask,
 ) {
-	t := peer.Task{Job: group.Job, Index: r.Index}
+	t := peer.Task{Job: group.Job, Index: record.Index}
 	if lease.tasks[t] != nil {
 		return
 	}
-	h := &grantedTask{team: group.Team, cpus: group.CPUs, gpus: group.GPUs, machine: r.Machine, inherited: true}
-	if m := l.inventory.machines[r.Machine]; m != nil {
-		h.zone = m.option.Zone
+	task := &grantedTask{team: group.Team, cpus: group.CPUs, gpus: group.GPUs, machine: record.Machine, inherited: true}
+	if m := l.inventory.machines[record.Machine]; m != nil {
+		task.zone = m.option.Zone
 	}
-	lease.tasks[t] = h
-	l.usage.Charge(h.team, h.resources())
+	lease.tasks[t] = task
+	l.usage.Charge(task.team, task.resources())
 	j := l.jobs.OfTask(t)
 	if old[t] == nil && j != nil {
 		j.MarkDispatched(t.Index)
@@ -158,7 +159,7 @@
 	}
 }
 
-// sendGrant sends a shard's grant to its holder and the new list of holders to all.
+// sendGrant sends a shard grant to the shard's holder, and the new list of holders to all controllers.
 func (l *Leader) sendGrant(lease *shardLease, pages map[string]peer.AttemptPage) {
 	var machines []peer.InventoryMachine
 	for _, name := range slices.Sorted(maps.Keys(l.inventory.machines)) {
@@ -173,8 +174,8 @@
 		machines = append(machines, peer.InventoryMachine{Name: name, Address: m.address})
 	}
 	machines = append(machines, l.grantUnconfirmed(lease, pages)...)
-	// A controller that linked up before the term was loaded knows no types yet.
-	// What is to be stopped comes with the grant: no heartbeat may be answered between the two.
+	// A controller that connected before the term was loaded does not know the machine types yet. Stop orders are sent
+	// with the grant, so that the holder answers no heartbeat between the two.
 	grant := peer.ShardGrant{
 		Shard: lease.ID, FencingToken: lease.token, KeyVersion: lease.keyVersion, Pages: pages, Machines: machines,
 	}
@@ -183,37 +184,38 @@
 	toHolder.Orders, toHolder.Grants = []peer.ShardOrders{lease.orders}, []peer.ShardGrant{grant}
 	l.emit(SendToHolder{lease.link, toHolder})
 	lease.orders = peer.ShardOrders{}
-	for _, n := range l.controllersByName() {
-		if n.link != lease.link {
-			l.emit(SendToHolder{n.link, message})
+	for _, c := range l.controllersByName() {
+		if c.link != lease.link {
+			l.emit(SendToHolder{c.link, message})
 		}
 	}
 }
 
-// release takes a task out of a shard's grant.
-func (l *Leader) release(lease *shardLease, t peer.Task) *grantedTask {
-	h := lease.tasks[t]
-	if h != nil {
+// releaseTask removes a task from a shard's grant and returns it, or nil if the grant does not have it.
+func (l *Leader) releaseTask(lease *shardLease, t peer.Task) *grantedTask {
+	task := lease.tasks[t]
+	if task != nil {
 		delete(lease.tasks, t)
-		l.usage.Release(h.team, h.resources())
+		l.usage.Release(task.team, task.resources())
 	}
-	return h
+	return task
 }
 
-// shardKeyRead goes on after a shard's key was read, as a write of it conflicted with another.
+// shardKeyRead handles the read of a shard's key after a conflict: it finds out whether an earlier write of the key by
+// this leader was applied.
 func (l *Leader) shardKeyRead(tag shardsTag, m KeyRead) {
 	for _, id := range slices.Sorted(maps.Keys(tag.tokens)) {
-		b, token := l.shards.all[id], tag.tokens[id]
-		if shard.Key(id) != m.Item.Key || b.state != writing || b.token != token {
+		lease, token := l.shards.all[id], tag.tokens[id]
+		if shard.Key(id) != m.Item.Key || lease.state != writing || lease.token != token {
 			continue
 		}
-		b.keyVersion = m.Item.Version
-		var r ShardRecord
-		if m.Found && json.Unmarshal(m.Item.Value, &r) == nil && r.FencingToken == token {
-			b.state = reading
+		lease.keyVersion = m.Item.Version
+		var record ShardRecord
+		if m.Found && json.Unmarshal(m.Item.Value, &record) == nil && record.FencingToken == token {
+			lease.state = reading
 			l.emit(LoadAttempts{l.term, id, token})
 		} else {
-			b.state = unassigned
+			lease.state = unassigned
 		}
 	}
 }
--- a/internal/leader/shard_orders.go
+++ b/internal/leader/shard_orders.go
@@ -6,23 +6,23 @@
 	"swiftledge/internal/peer"
 )
 
-// stopJob tells the holder to end all tasks of a job.
+// stopJob orders the shard holder to stop all tasks of a job.
 func (lease *shardLease) stopJob(ref string) {
 	lease.stopTasks(ref, func(*grantedTask) bool { return true })
 }
 
-// stopTasks tells the holder to end those tasks of a job that selects names.
+// stopTasks orders the shard holder to stop those tasks of a job for which selects returns true.
 func (lease *shardLease) stopTasks(ref string, selects func(*grantedTask) bool) {
 	from := len(lease.orders.Stop)
-	for t, h := range lease.tasks {
-		if t.Job == ref && selects(h) {
+	for t, task := range lease.tasks {
+		if t.Job == ref && selects(task) {
 			lease.orders.Stop = append(lease.orders.Stop, peer.StopTask{Task: t})
 		}
 	}
-	slices.SortFunc(lease.orders.Stop[from:], func(a, c peer.StopTask) int { return a.Index - c.Index })
+	slices.SortFunc(lease.orders.Stop[from:], func(a, b peer.StopTask) int { return a.Index - b.Index })
 }
 
-// acknowledge tells the holder which completions are persisted.
+// acknowledge tells the shard holder which completions are persisted.
 func (lease *shardLease) acknowledge(stored func(peer.Task) bool) {
 	lease.unpersisted = slices.DeleteFunc(lease.unpersisted, func(t peer.Task) bool {
 		if stored(t) {
--- a/internal/leader/shard_table.go
+++ b/internal/leader/shard_table.go
@@ -9,15 +9,15 @@
 	"swiftledge/wire"
 )
 
-// shardTable owns the leases of the shards, the fencing tokens of the term, and the controllers in touch that may
-// hold shards.
+// shardTable owns the shard leases, the fencing tokens of the term, and the connected controllers, which may hold
+// shards.
 type shardTable struct {
-	all          []*shardLease          // by number
-	controllers  map[string]*controller // in touch, by name
-	tokensIssued uint64                 // how many this term has given
+	all          []*shardLease          // by shard ID
+	controllers  map[string]*controller // connected ones, by name
+	tokensIssued uint64                 // number of fencing tokens issued in this term
 }
 
-// controller is a controller in touch.
+// controller is a connected controller.
 type controller struct {
 	assignment.Controller
 	incarnation   cluster.Incarnation
@@ -25,8 +25,8 @@
 	lastHeartbeat clock.Micros
 }
 
-// heartbeat takes in how a controller is.
-func (c *controller) heartbeat(now clock.Micros, message *peer.ToLeader) {
+// recordHeartbeat records the health that a controller reports: whether it reaches its agents and the store.
+func (c *controller) recordHeartbeat(now clock.Micros, message *peer.ToLeader) {
 	c.lastHeartbeat = now
 	if message.NoAgentContact {
 		c.NoAgentContactAt = now
@@ -38,8 +38,8 @@
 	}
 }
 
-// leaseOf returns the lease that an update is about, or nil if the lease is not that of the update's fencing token
-// any more, or was granted over another link.
+// leaseOf returns the lease that an update refers to. It returns nil if the lease no longer has the update's fencing
+// token or was granted over another link.
 func (s *shardTable) leaseOf(update peer.ShardUpdate, link Link) *shardLease {
 	if update.Shard < 0 || update.Shard >= len(s.all) {
 		return nil
@@ -51,15 +51,15 @@
 	return lease
 }
 
-// hasOrders reports whether there is anything to tell the holder.
+// hasOrders reports whether orders for the holder are pending.
 func (lease *shardLease) hasOrders() bool {
-	o := &lease.orders
-	tasks := len(o.Offers) + len(o.Stop) + len(o.Persisted)
-	machines := len(o.Added) + len(o.Drain) + len(o.Terminated) + len(o.Exclude) + len(o.Include)
+	orders := &lease.orders
+	tasks := len(orders.Offers) + len(orders.Stop) + len(orders.Persisted)
+	machines := len(orders.Added) + len(orders.Drain) + len(orders.Terminated) + len(orders.Exclude) + len(orders.Include)
 	return tasks+machines > 0
 }
 
-// takeOrders returns the orders that have gathered, and begins anew.
+// takeOrders returns the pending orders and clears them.
 func (lease *shardLease) takeOrders() peer.ShardOrders {
 	orders := lease.orders
 	orders.Shard, orders.FencingToken = lease.ID, lease.token
@@ -67,7 +67,7 @@
 	return orders
 }
 
-// phase is how far the lease has come, as the assignment of holders sees it.
+// phase returns the state of the lease in the terms of the holder assignment.
 func (lease *shardLease) phase() assignment.Phase {
 	switch lease.state {
 	case writing, reading:
@@ -79,7 +79,7 @@
 	return assignment.Unassigned
 }
 
-// assign finds holders for shards and returns the leases whose keys are to be written.
+// assign assigns holders to shards and returns the leases whose keys must be written.
 func (s *shardTable) assign(round assignment.Round) []*shardLease {
 	for _, lease := range s.all {
 		c := s.controllers[lease.Holder]
@@ -97,40 +97,40 @@
 	return changed
 }
 
-// disconnect forgets a controller whose link has ended, unless it is connected anew already.
+// disconnect removes a controller whose link has ended, unless it has connected again over another link.
 func (s *shardTable) disconnect(m PeerDisconnected) {
 	if c := s.controllers[m.Controller]; c != nil && c.link == m.Link {
 		delete(s.controllers, m.Controller)
 	}
 }
 
-// leaseState is how far the lease of a shard has come.
+// leaseState is the state of a shard lease.
 type leaseState int
 
 const (
-	unassigned leaseState = iota // no holder under this term
+	unassigned leaseState = iota // no holder in this term
 	writing                      // its key is being written
 	reading                      // its attempt records are being read
 	granted
 )
 
-// grantedTask is a task that is in a shard's grant: it counts in full.
+// grantedTask is a task in a shard grant. It counts fully towards the usage of its team.
 type grantedTask struct {
-	team             string
-	cpus, gpus       float64
-	zone             string
-	running          bool
-	otherAttemptLeft bool         // one of several attempts has ended, and another may run yet
-	inherited        bool         // from the attempt records of an earlier grant
-	runningSince     clock.Micros // when it was first seen to run
-	machine          string
-	assignedAt       clock.Micros // to its machine; 0: not known
-	imageCached      bool         // its image was known to be there then
-	stopReason       string       // why it was told to stop, if it was
-	stoppedAt        clock.Micros
+	team               string
+	cpus, gpus         float64
+	zone               string
+	running            bool
+	otherAttemptMayRun bool         // one of several attempts has ended, and another may still run
+	inherited          bool         // from the attempt records of an earlier grant
+	runningSince       clock.Micros // when it was first reported as running
+	machine            string
+	assignedAt         clock.Micros // when it was assigned to its machine; 0 if unknown
+	imageCached        bool         // whether the machine was known to have its image cached at that time
+	stopReason         string       // why it was ordered to stop; "" if it was not
+	stoppedAt          clock.Micros
 }
 
-// resources returns what the task takes.
+// resources returns the resources that the task takes.
 func (t *grantedTask) resources() fairshare.ResourceUsage {
 	return fairshare.ResourceUsage{CPUs: t.cpus, GPUs: t.gpus}
 }
@@ -146,5 +146,5 @@
 	offerSeq     uint64
 	offerPending bool // an offer is not settled yet
 	orders       peer.ShardOrders
-	unpersisted  []peer.Task // told done, not stored yet
+	unpersisted  []peer.Task // completed tasks whose completion is not stored yet
 }
--- a/internal/leader/state_log.go
+++ b/internal/leader/state_log.go
@@ -2,10 +2,10 @@
 
 import "swiftledge/internal/clock"
 
-// stateLogInterval is the pause between two lines that sum up the state.
+// stateLogInterval is the time between two log lines that summarise the state.
 const stateLogInterval = 10 * clock.Second
 
-// stateSummary sums up queues and free capacity for whoever reads a debug log.
+// stateSummary summarises queues and free capacity for the debug log.
 type stateSummary struct {
 	waiting, waitingAtLimit, replicas int
 	onDemand, idle, schedulable       int
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -10,7 +10,7 @@
 	"swiftledge/internal/rebalancer"
 )
 
-// status tells an operator what the leader knows of loads, waiting work and migrations.
+// status returns the operator status: what the leader knows about loads, waiting work and migrations.
 func (l *Leader) status(now clock.Micros) peer.Status {
 	status := peer.Status{
 		Controller: l.self, Term: l.term, Leading: l.leading && l.loaded, Rebalancing: l.rebalancing != nil,
@@ -34,38 +34,39 @@
 	return status
 }
 
-// load is the dominant share of the machine that its tasks take.
+// load returns the dominant share of the machine's capacity that its tasks take.
 func (m *machine) load() float64 { return m.used().DominantShare(m.capacity()) }
 
-// shardLoads sums up loads by shard. The means are of the machines that take work, the first that of all of them.
+// shardLoads returns the mean load of all machines that accept new tasks, and the status of each shard, whose mean
+// covers the same machines.
 func (l *Leader) shardLoads() (float64, []peer.ShardStatus) {
-	var all load.Mean
+	var total load.Mean
 	means := make([]load.Mean, len(l.shards.all))
-	out := make([]peer.ShardStatus, len(l.shards.all))
+	statuses := make([]peer.ShardStatus, len(l.shards.all))
 	for i, lease := range l.shards.all {
-		out[i] = lease.status()
+		statuses[i] = lease.status()
 	}
 	for _, m := range l.inventory.machines {
 		if !m.up {
 			continue
 		}
-		status := &out[m.shard.ID]
+		status := &statuses[m.shard.ID]
 		status.Machines++
 		if !m.takesWork() {
 			continue
 		}
 		status.TakeWork++
 		status.MostLoad = max(status.MostLoad, m.load())
-		all.Add(m.load())
+		total.Add(m.load())
 		means[m.shard.ID].Add(m.load())
 	}
-	for i := range out {
-		out[i].MeanLoad = means[i].Value()
+	for i := range statuses {
+		statuses[i].MeanLoad = means[i].Value()
 	}
-	return all.Value(), out
+	return total.Value(), statuses
 }
 
-// status tells who holds the shard, and how many of its tasks have not started.
+// status describes the holder of the shard, and how many of its tasks have not started.
 func (lease *shardLease) status() peer.ShardStatus {
 	status := peer.ShardStatus{
 		Shard: lease.ID, Holder: lease.Holder, Granted: lease.state == granted, Tasks: len(lease.tasks),
@@ -78,7 +79,7 @@
 	return status
 }
 
-// machineStatus tells how loaded a machine is against the mean, and why it takes no work if it does not.
+// machineStatus describes the load of a machine relative to the mean, and why it accepts no new tasks if it does not.
 func (l *Leader) machineStatus(m *machine, mean float64) peer.MachineStatus {
 	status := peer.MachineStatus{
 		Name: m.name, Shard: m.shard.ID, Type: m.option.Type.Name, Zone: m.option.Zone, Load: m.load(),
@@ -90,7 +91,7 @@
 	return status
 }
 
-// exclusionReason tells an operator why a machine takes no work; "" if it does.
+// exclusionReason returns why a machine accepts no new tasks, for operators; "" if it accepts them.
 func (m *machine) exclusionReason() string {
 	switch {
 	case m.shard.state != granted:
@@ -111,56 +112,57 @@
 	return ""
 }
 
-// teamStatus sums up what each team holds and what of it waits.
+// teamStatus describes what each team uses and how many of its tasks wait.
 func (l *Leader) teamStatus() []peer.TeamStatus {
 	byTeam := map[string]*peer.TeamStatus{}
-	for name, t := range l.teams {
-		byTeam[name] = &peer.TeamStatus{Team: name, CPUs: l.usage.Of(name).CPUs, Limit: t.CPUsMax}
+	for name, team := range l.teams {
+		byTeam[name] = &peer.TeamStatus{Team: name, CPUs: l.usage.Of(name).CPUs, Limit: team.CPUsMax}
 	}
 	for j := range l.jobs.All() {
-		s := &j.Spec
-		t := byTeam[s.Team]
-		if t == nil {
+		spec := &j.Spec
+		status := byTeam[spec.Team]
+		if status == nil {
 			continue
 		}
-		t.Waiting += j.Waiting()
-		if team := l.teams[s.Team]; !l.usage.Of(s.Team).FitsLimit(s, team) {
-			t.AtLimit += j.Waiting()
+		status.Waiting += j.Waiting()
+		if team := l.teams[spec.Team]; !l.usage.Of(spec.Team).FitsLimit(spec, team) {
+			status.AtLimit += j.Waiting()
 		}
 	}
-	var out []peer.TeamStatus
+	var statuses []peer.TeamStatus
 	for _, name := range slices.Sorted(maps.Keys(byTeam)) {
-		out = append(out, *byTeam[name])
+		statuses = append(statuses, *byTeam[name])
 	}
-	return out
+	return statuses
 }
 
-// migrationStatus tells of the migrations in flight.
-func migrationStatus(now clock.Micros, migrations []rebalancer.Migration) (out []peer.MigrationStatus) {
-	for _, m := range migrations {
-		out = append(out, peer.MigrationStatus{
-			Task: m.Task.String(), Team: m.Team, From: m.From, To: m.To, Stage: m.Stage.String(),
-			AgeS: (now - m.StartedAt).Seconds(), GainS: m.GainS, CostS: m.CostS,
+// migrationStatus describes the migrations in flight.
+func migrationStatus(now clock.Micros, migrations []rebalancer.Migration) (statuses []peer.MigrationStatus) {
+	for _, migration := range migrations {
+		statuses = append(statuses, peer.MigrationStatus{
+			Task: migration.Task.String(), Team: migration.Team, From: migration.From, To: migration.To,
+			Stage: migration.Stage.String(), AgeS: (now - migration.StartedAt).Seconds(),
+			GainS: migration.GainS, CostS: migration.CostS,
 		})
 	}
-	return out
+	return statuses
 }
 
-// migrationOutcomes tells how the migrations of the term have ended.
+// migrationOutcomes returns how many migrations of the term ended in each way.
 func migrationOutcomes(o rebalancer.Outcomes) peer.MigrationOutcomes {
 	return peer.MigrationOutcomes{
 		Begun: o.Started, Arrived: o.Arrived, Elsewhere: o.Diverted, Cancelled: o.Cancelled, GivenUp: o.TimedOut,
 	}
 }
 
-// refusalStatus tells why tasks were not migrated.
-func refusalStatus(refusals []rebalancer.Refusal) (out []peer.RefusalStatus) {
-	for _, r := range refusals {
-		s := peer.RefusalStatus{Machine: r.Machine, Reason: string(r.Reason), Tasks: r.Tasks}
-		if r.Task.Job != "" {
-			s.Task = r.Task.String()
+// refusalStatus describes why tasks were not migrated.
+func refusalStatus(refusals []rebalancer.Refusal) (statuses []peer.RefusalStatus) {
+	for _, refusal := range refusals {
+		status := peer.RefusalStatus{Machine: refusal.Machine, Reason: string(refusal.Reason), Tasks: refusal.Tasks}
+		if refusal.Task.Job != "" {
+			status.Task = refusal.Task.String()
 		}
-		out = append(out, s)
+		statuses = append(statuses, status)
 	}
-	return out
+	return statuses
 }
--- a/internal/leader/store_writes.go
+++ b/internal/leader/store_writes.go
@@ -9,8 +9,8 @@
 	"swiftledge/wire"
 )
 
-// commit asks for a transaction, on the condition that the term lasts besides those that are given: one of an older
-// leader fails however late it is applied.
+// commit requests a transaction under the given conditions and the condition that the term lasts: a transaction of a
+// former leader fails however late it is applied.
 func (l *Leader) commit(priority store.Priority, tag TxnTag, conditions []wire.Condition, writes []wire.Write) {
 	conditions = append([]wire.Condition{{Key: Key, Version: uint64(l.term)}}, conditions...)
 	l.emit(CommitTxn{Term: l.term, Priority: priority, Txn: wire.Txn{Conditions: conditions, Writes: writes}, Tag: tag})
@@ -20,28 +20,28 @@
 func put(key string, v any) wire.Write {
 	raw, err := json.Marshal(v)
 	if err != nil {
-		panic(fmt.Sprintf("encode %s: %v", key, err)) // our own types always encode
+		panic(fmt.Sprintf("encode %s: %v", key, err)) // the records of this package can always be encoded
 	}
 	return wire.Write{Put: key, Value: raw}
 }
 
-// decode reads a record of ours; one that cannot be read is logged and left alone.
-func decode[T any](l *Leader, it wire.Item) (v T, ok bool) {
-	if err := json.Unmarshal(it.Value, &v); err != nil {
-		l.info("unreadable record", "key", it.Key, "error", err)
+// decode decodes a stored record. It logs a record that cannot be decoded, which stays as it is.
+func decode[T any](l *Leader, item wire.Item) (v T, ok bool) {
+	if err := json.Unmarshal(item.Value, &v); err != nil {
+		l.info("cannot decode stored record", "key", item.Key, "error", err)
 		return v, false
 	}
 	return v, true
 }
 
-// txnCompleted takes in the outcome of a transaction and hands it to the part that asked for it.
+// txnCompleted dispatches the outcome of a transaction by its tag.
 func (l *Leader) txnCompleted(now clock.Micros, m TxnCompleted) {
 	if m.Result.FailedOn(Key) {
 		l.emit(Resign{"the leader key has changed"})
 		return
 	}
 	if m.Result.Rejected {
-		// Limits fell below what the settings say.
+		// The limits of the store have fallen below those of the settings.
 		l.valueBytes, l.txnOps = store.ReducedLimits(l.valueBytes, l.txnOps)
 	}
 	if m.Result.Committed {
@@ -59,7 +59,7 @@
 	}
 }
 
-// keyRead hands the value of a key to the part that asked for it.
+// keyRead dispatches the value of a key that was read by its tag.
 func (l *Leader) keyRead(now clock.Micros, m KeyRead) {
 	switch tag := m.Tag.(type) {
 	case shardsTag:
