--- a/internal/leader/task_events.go
+++ b/internal/leader/task_events.go
@@ -6,101 +6,103 @@
 	"swiftledge/internal/peer"
 )
 
-func (l *Leader) taskEvent(now clock.Micros, lease *shardLease, e peer.TaskEvent) {
-	j := l.jobs.OfTask(e.Task)
-	switch e.Kind {
+// taskEvent handles an event of a task that its shard holder reports.
+func (l *Leader) taskEvent(now clock.Micros, lease *shardLease, event peer.TaskEvent) {
+	j := l.jobs.OfTask(event.Task)
+	switch event.Kind {
 	case peer.EventAssigned:
-		if h := lease.tasks[e.Task]; h != nil {
-			h.machine = e.Machine
-			if m := l.inventory.machines[e.Machine]; m != nil {
-				h.zone = m.option.Zone
+		if task := lease.tasks[event.Task]; task != nil {
+			task.machine = event.Machine
+			if m := l.inventory.machines[event.Machine]; m != nil {
+				task.zone = m.option.Zone
 			}
-			l.attemptAssigned(now, e.Task, h)
+			l.attemptAssigned(now, event.Task, task)
 		}
 	case peer.EventRunning:
-		if h := lease.tasks[e.Task]; h != nil && !h.running {
-			h.running, h.runningSince, h.machine = true, now, e.Machine
-			l.attemptRunning(now, e.Task, h)
+		if task := lease.tasks[event.Task]; task != nil && !task.running {
+			task.running, task.runningSince, task.machine = true, now, event.Machine
+			l.attemptRunning(now, event.Task, task)
 			if j != nil {
 				j.MarkRunning()
 				if j.Spec.IsService() {
-					l.replicaStarted(now, j, e.Task, h)
+					l.replicaStarted(now, j, event.Task, task)
 				}
 			}
 		}
 	case peer.EventAttemptRemains:
-		if h := lease.tasks[e.Task]; h != nil {
-			h.otherAttemptLeft = true
+		if task := lease.tasks[event.Task]; task != nil {
+			task.otherAttemptMayRun = true
 		}
 	case peer.EventUnplaced, peer.EventReleased, peer.EventFailed, peer.EventCompleted:
 		if j != nil && j.Spec.IsService() {
-			l.replicaEnded(now, lease, j, e)
+			l.replicaEnded(now, lease, j, event)
 		} else {
-			l.taskEnded(now, lease, j, e)
+			l.taskEnded(now, lease, j, event)
 		}
 	}
 }
 
-// taskEnded takes in the end of a batch's task, or of one whose job is not known any more.
-func (l *Leader) taskEnded(now clock.Micros, lease *shardLease, j *jobs.Job, e peer.TaskEvent) {
-	h := l.release(lease, e.Task)
-	if h != nil && h.running && j != nil {
+// taskEnded handles the end of an attempt of a batch task, or of a task whose job is no longer known.
+func (l *Leader) taskEnded(now clock.Micros, lease *shardLease, j *jobs.Job, event peer.TaskEvent) {
+	task := l.releaseTask(lease, event.Task)
+	if task != nil && task.running && j != nil {
 		j.MarkStopped()
 	}
-	l.attemptEnded(now, e, h)
+	l.attemptEnded(now, event, task)
 	switch {
-	case e.Kind == peer.EventCompleted:
-		l.taskCompleted(now, lease, j, e)
-		if h != nil && j != nil {
-			j.ClearDispatched(e.Index)
+	case event.Kind == peer.EventCompleted:
+		l.taskCompleted(now, lease, j, event)
+		if task != nil && j != nil {
+			j.ClearDispatched(event.Index)
 		}
-	case h != nil && j != nil:
-		j.Requeue(e.Index)
+	case task != nil && j != nil:
+		j.Requeue(event.Index)
 	}
-	if e.Kind == peer.EventFailed && j != nil {
-		l.taskFailed(now, j, e, h)
+	if event.Kind == peer.EventFailed && j != nil {
+		l.taskFailed(now, j, event, task)
 	}
 }
 
-// replicaEnded takes in the end of a service's task. None is its last, so the task waits again, but
-// only when none of its attempts may run.
-func (l *Leader) replicaEnded(now clock.Micros, lease *shardLease, j *jobs.Job, e peer.TaskEvent) {
-	if h := lease.tasks[e.Task]; h != nil && h.otherAttemptLeft && e.Kind == peer.EventCompleted {
-		h.otherAttemptLeft = false
+// replicaEnded handles the end of an attempt of a service task. A service task never completes for good, so it waits
+// to run again, but only once none of its attempts may still run.
+func (l *Leader) replicaEnded(now clock.Micros, lease *shardLease, j *jobs.Job, event peer.TaskEvent) {
+	if task := lease.tasks[event.Task]; task != nil && task.otherAttemptMayRun && event.Kind == peer.EventCompleted {
+		task.otherAttemptMayRun = false
 		return
 	}
-	h := l.release(lease, e.Task)
-	if h != nil && h.running {
+	task := l.releaseTask(lease, event.Task)
+	if task != nil && task.running {
 		j.MarkStopped()
 	}
-	if e.Kind == peer.EventCompleted {
-		// It stays listed until its machine has shown a higher token: a late copy of its order would
-		// start it anew.
-		lease.orders.Stop = append(lease.orders.Stop, peer.StopTask{Task: e.Task})
-		lease.orders.Persisted = append(lease.orders.Persisted, e.Task)
+	if event.Kind == peer.EventCompleted {
+		// The attempt stays listed until its machine has confirmed a higher fencing token, as a delayed copy of its
+		// run command would start it again.
+		lease.orders.Stop = append(lease.orders.Stop, peer.StopTask{Task: event.Task})
+		lease.orders.Persisted = append(lease.orders.Persisted, event.Task)
 	}
-	if h != nil {
-		j.Requeue(e.Index)
-		if e.Kind != peer.EventUnplaced {
-			l.replicaStopped(now, j, e, h)
+	if task != nil {
+		j.Requeue(event.Index)
+		if event.Kind != peer.EventUnplaced {
+			l.replicaStopped(now, j, event, task)
 		}
 	}
-	if e.Kind == peer.EventFailed {
-		l.taskFailed(now, j, e, h)
+	if event.Kind == peer.EventFailed {
+		l.taskFailed(now, j, event, task)
 	}
 }
 
-func (l *Leader) taskCompleted(now clock.Micros, lease *shardLease, j *jobs.Job, e peer.TaskEvent) {
+// taskCompleted records the completion of a task, which is acknowledged to the holder once it is persisted.
+func (l *Leader) taskCompleted(now clock.Micros, lease *shardLease, j *jobs.Job, event peer.TaskEvent) {
 	if j != nil {
-		l.creditCompletion(now, j, e)
+		l.creditCompletion(now, j, event)
 	}
-	if j == nil || j.IsCancelled() || j.IsPersisted(e.Index) {
-		lease.orders.Persisted = append(lease.orders.Persisted, e.Task)
+	if j == nil || j.IsCancelled() || j.IsPersisted(event.Index) {
+		lease.orders.Persisted = append(lease.orders.Persisted, event.Task)
 		return
 	}
-	lease.unpersisted = append(lease.unpersisted, e.Task)
-	if j.MarkCompleted(e.Index) {
-		l.jobs.ObserveRunTime(j, e.RunSeconds)
+	lease.unpersisted = append(lease.unpersisted, event.Task)
+	if j.MarkCompleted(event.Index) {
+		l.jobs.ObserveRunTime(j, event.RunSeconds)
 	}
 	l.writeFinalState(j)
 }
--- a/internal/leader/term_state.go
+++ b/internal/leader/term_state.go
@@ -6,7 +6,8 @@
 	"swiftledge/internal/leader/jobs"
 )
 
-// termState is made anew for each term: the leadership itself, and the parts that own the rest of the state.
+// termState is the state that is created anew for each term: the leadership itself, and the parts that own the rest of
+// the state.
 type termState struct {
 	leadership
 	jobs        *jobs.Table
@@ -17,13 +18,13 @@
 	autoscaler  autoscalerState
 	scheduling  schedulingState
 	preemption  preemptionState
-	rebalancing *rebalancing // nil while it is off
+	rebalancing *rebalancing // nil while rebalancing is off
 	outcomes    taskOutcomes
 
 	stateLoggedAt, countsReportedAt clock.Micros
 }
 
-// reset forgets everything of the last term.
+// reset discards the state of the last term.
 func (l *Leader) reset() {
 	l.termState = termState{
 		leadership: leadership{valueBytes: l.cfg.TargetValueBytes(), txnOps: l.cfg.MaxTxnWrites()},
--- a/internal/leader/tick.go
+++ b/internal/leader/tick.go
@@ -3,11 +3,11 @@
 import "swiftledge/internal/clock"
 
 const (
-	// countsReportInterval is the pause between two reports of the jobs' task counts to the controllers.
+	// countsReportInterval is the time between two reports of task counts to the controllers.
 	countsReportInterval = clock.Second
 )
 
-// tick does what is due with the passing of time.
+// tick performs the periodic work that is due.
 func (l *Leader) tick(now clock.Micros) {
 	if !l.loaded || !l.authorised(now) {
 		return
--- a/internal/leader/trace.go
+++ b/internal/leader/trace.go
@@ -12,17 +12,17 @@
 	"swiftledge/wire"
 )
 
-// recordSpan has a span written, if anything is traced.
+// recordSpan records a span if tracing is on.
 func (l *Leader) recordSpan(span trace.Span) {
 	if l.cfg.Tuning.Trace.File != "" {
 		l.emit(RecordSpan{span})
 	}
 }
 
-// acceptedAt is when a job was accepted, in steady time.
+// acceptedAt returns when a job was accepted, in steady time.
 func (l *Leader) acceptedAt(j *jobs.Job) clock.Micros { return j.AcceptedAt - l.wallOffset }
 
-// traceQueued tells how long a job waited until its first task was dispatched.
+// traceQueued records how long a job waited until its first task was dispatched.
 func (l *Leader) traceQueued(now clock.Micros, j *jobs.Job) {
 	l.recordSpan(trace.Span{
 		Job: j.Spec.Ref, Name: "queue", Begin: l.acceptedAt(j), End: now,
@@ -33,7 +33,7 @@
 	})
 }
 
-// traceStarted tells how long a task took from the choice of its machine to its run.
+// traceStarted records how long a task took from its assignment to a machine until it ran.
 func (l *Leader) traceStarted(now clock.Micros, t peer.Task, task *grantedTask) {
 	if task.assignedAt == 0 {
 		return
@@ -44,7 +44,7 @@
 	})
 }
 
-// traceJob tells of a job from its acceptance to its end.
+// traceJob records a job from its acceptance to its end.
 func (l *Leader) traceJob(now clock.Micros, j *jobs.Job, state wire.JobState) {
 	l.recordSpan(trace.Span{
 		Job: j.Spec.Ref, Name: "job", Begin: l.acceptedAt(j), End: now,
@@ -52,8 +52,8 @@
 	})
 }
 
-// traceMigration tells of a migration that has ended: the decision, the stop up to the proof that the task is gone from
-// its machine, and the start.
+// traceMigration records a migration that has ended: a span for all of it, one for the stop, up to the proof that the
+// task is gone from its machine, and one for the start.
 func (l *Leader) traceMigration(now clock.Micros, m rebalancer.Migration, outcome string) {
 	span := trace.Span{Job: m.Task.Job, Task: m.Task.String(), Name: "move", Begin: m.StartedAt, End: now}
 	span.Attributes = []trace.Attribute{
--- a/internal/leader/unconfirmed_machines.go
+++ b/internal/leader/unconfirmed_machines.go
@@ -8,19 +8,19 @@
 	"swiftledge/internal/peer"
 )
 
-// A holder takes the tasks of a machine that its grant does not list for gone: machines leave the
-// durable inventory only after their proven end. That holds as long as no machine works that no stored
-// record names. A leader of the version in production may have broken it: after a lost answer it can
-// take a provision request's record for written that was not. Such a record is still without the cloud's answer.
-// Nor does it hold while a record cannot be read.
+// A shard holder treats tasks on a machine that its grant does not list as ended, because a machine leaves the durable
+// inventory only after its end is proven. This requires that every machine that may run tasks is named by a stored
+// record. The condition fails in two cases. A leader of the version in production may break it: after a lost answer it
+// can take the record of a provision request as written although it was not. Such a record still lacks the cloud's
+// answer. The condition also fails while a record cannot be read.
 //
-// So while provision requests of former leaders are without a stored answer, machines that only attempt records
-// name are granted as well, drained: their tasks count as running until the answer, or their own
-// reports, prove something else.
+// Therefore, while provision requests of former leaders lack a stored answer, machines that only attempt records name
+// are granted as well, drained. Their tasks count as running until the answer, or the heartbeats of the machines,
+// prove otherwise.
 
-// machinesOfAttemptsOnly names the machines of attempt records that no inventory record names, although one of them
-// may have to.
-func (l *Leader) machinesOfAttemptsOnly(pages map[string]peer.AttemptPage) []string {
+// machinesOnlyInAttempts returns the machines that attempt records name and no inventory record does, if an inventory
+// record may be missing.
+func (l *Leader) machinesOnlyInAttempts(pages map[string]peer.AttemptPage) []string {
 	if len(l.inventory.unansweredRequests) == 0 {
 		return nil
 	}
@@ -36,11 +36,12 @@
 	return slices.Sorted(maps.Keys(names))
 }
 
-// grantUnconfirmed adds such machines to a shard's grant.
+// grantUnconfirmed returns the machines that only attempt records name, to be added to a shard's grant, and orders
+// them drained.
 func (l *Leader) grantUnconfirmed(
 	lease *shardLease, pages map[string]peer.AttemptPage,
 ) (machines []peer.InventoryMachine) {
-	for _, name := range l.machinesOfAttemptsOnly(pages) {
+	for _, name := range l.machinesOnlyInAttempts(pages) {
 		l.inventory.unconfirmed[name] = true
 		lease.orders.Drain = append(lease.orders.Drain, name)
 		machines = append(machines, peer.InventoryMachine{Name: name})
@@ -48,8 +49,8 @@
 	return machines
 }
 
-// settleFormerRequest notes that a provision request's answer is stored. Once that is true of all of them, the
-// inventory names every machine that may work: what it does not name has ended.
+// settleFormerRequest records that the answer to a provision request of a former leader is stored. Once all these
+// answers are stored, the inventory names every machine that may run tasks, and any other machine has ended.
 func (l *Leader) settleFormerRequest(now clock.Micros, group *instanceGroup) {
 	if !l.inventory.unansweredRequests[group.key] {
 		return
@@ -60,7 +61,7 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(l.inventory.unconfirmed)) {
 		if m := l.inventory.machines[name]; m != nil {
-			l.drainMachine(now, m, "worked without a stored record")
+			l.drainMachine(now, m, "in use without a stored inventory record")
 		} else {
 			l.markTerminated(name)
 		}
--- a/internal/leader/zones.go
+++ b/internal/leader/zones.go
@@ -6,41 +6,44 @@
 	"swiftledge/wire"
 )
 
-// jobZones is where the tasks of a job are, and so where more of them may be.
+// jobZones is the number of tasks that a job has in each zone, which decides where more of them may run.
 type jobZones struct {
-	job *wire.Job
-	n   map[string]int
+	job        *wire.Job
+	taskCounts map[string]int
 }
 
+// zonesOf counts the granted tasks of a job by zone, if they restrict where its other tasks may run.
 func (l *Leader) zonesOf(j *jobs.Job) jobZones {
-	z := jobZones{&j.Spec, map[string]int{}}
-	if !z.job.OneZone && !z.job.Spread {
-		return z
+	zones := jobZones{&j.Spec, map[string]int{}}
+	if !zones.job.OneZone && !zones.job.Spread {
+		return zones
 	}
-	l.eachDispatched(j, func(_ peer.Task, h *grantedTask) { z.n[h.zone]++ })
-	return z
+	l.eachDispatched(j, func(_ peer.Task, task *grantedTask) { zones.taskCounts[task.zone]++ })
+	return zones
 }
 
-// eachDispatched calls f for the job's tasks that are in grants.
+// eachDispatched calls f for each of the job's tasks that is in a shard grant.
 func (l *Leader) eachDispatched(j *jobs.Job, f func(peer.Task, *grantedTask)) {
-	for i := range j.DispatchedTasks() {
-		for _, b := range l.shards.all {
-			t := peer.Task{Job: j.Spec.Ref, Index: i}
-			if h := b.tasks[t]; h != nil {
-				f(t, h)
+	for index := range j.DispatchedTasks() {
+		for _, lease := range l.shards.all {
+			t := peer.Task{Job: j.Spec.Ref, Index: index}
+			if task := lease.tasks[t]; task != nil {
+				f(t, task)
 			}
 		}
 	}
 }
 
-func (z jobZones) allow(zone string) bool {
+// allows reports whether one more task of the job may run in the zone.
+func (z jobZones) allows(zone string) bool {
 	switch {
-	case z.n[""] > 0 && (z.job.OneZone || z.job.Spread):
-		return false // a task that may be anywhere leaves no zone that is surely allowed
-	case z.job.OneZone && len(z.n) > 0 && z.n[zone] == 0:
+	case z.taskCounts[""] > 0 && (z.job.OneZone || z.job.Spread):
+		return false // no zone is sure to be allowed while the zone of a task is unknown
+	case z.job.OneZone && len(z.taskCounts) > 0 && z.taskCounts[zone] == 0:
 		return false
 	}
-	return !z.job.Spread || z.n[zone] < (z.job.Tasks+1)/2
+	return !z.job.Spread || z.taskCounts[zone] < (z.job.Tasks+1)/2
 }
 
-func (z jobZones) add(zone string) { z.n[zone]++ }
+// add counts one more task in a zone.
+func (z jobZones) add(zone string) { z.taskCounts[zone]++ }
