--- a/internal/leader/demand.go
+++ b/internal/leader/demand.go
@@ -52,15 +52,15 @@
 
 // remainingQuota is the CPU quota, by team, that the demand gathered so far leaves unused.
 type remainingQuota struct {
-	l    *Leader
-	cpus map[string]float64
+	leader *Leader
+	cpus   map[string]float64
 }
 
 // reserve reserves quota for tasks of a job, for as many as their team's remaining quota covers, and returns their
 // number.
 func (q *remainingQuota) reserve(spec *wire.Job, tasks int) int {
 	if _, known := q.cpus[spec.Team]; !known {
-		q.cpus[spec.Team] = q.l.teams[spec.Team].CPULimit()
+		q.cpus[spec.Team] = q.leader.teams[spec.Team].CPULimit()
 	}
 	if spec.CPUs > 0 {
 		tasks = int(min(float64(tasks), q.cpus[spec.Team]/spec.CPUs+1e-9))
@@ -72,7 +72,7 @@
 // capacityDemand returns the demands that the autoscaler has to cover, by precedence.
 func (l *Leader) capacityDemand(now clock.Micros) []autoscaler.Demand {
 	set := &demandSet{byKey: map[demandKey]*autoscaler.Demand{}}
-	quota := &remainingQuota{l: l, cpus: map[string]float64{}}
+	quota := &remainingQuota{leader: l, cpus: map[string]float64{}}
 	for j := range l.jobs.Sorted() {
 		if tasks := unfinishedTasks(now, j); tasks > 0 && j.Spec.IsService() {
 			l.addServiceDemand(now, set, j, quota.reserve(&j.Spec, tasks))
@@ -166,8 +166,8 @@
 	replicas, squaredReplicas float64 // sums over the services of the replicas and of their squares
 }
 
-// expected returns the number of replicas that are expected to arrive while a machine boots.
-func (a *arrivalStats) expected(bootS, windowS float64) int {
+// expectedReplicas returns the number of replicas that are expected to arrive while a machine boots.
+func (a *arrivalStats) expectedReplicas(bootS, windowS float64) int {
 	windows := bootS * bootTimesAhead / windowS
 	return int(math.Ceil(a.replicas*windows + arrivalDeviations*math.Sqrt(a.squaredReplicas*windows)))
 }
@@ -177,7 +177,7 @@
 func (l *Leader) addArrivalReserve(now clock.Micros, demand *demandSet) {
 	arrivals, windowS := l.recentArrivals(now)
 	for _, a := range arrivals {
-		replicas := a.expected(l.bootTimeS(&a.sampleJob.Spec), windowS)
+		replicas := a.expectedReplicas(l.bootTimeS(&a.sampleJob.Spec), windowS)
 		zones := l.openZones(now, a.sampleJob)
 		if len(zones) == 0 {
 			zones = []string{""}
--- a/internal/leader/free_capacity.go
+++ b/internal/leader/free_capacity.go
@@ -34,9 +34,9 @@
 )
 
 // avoidedMachines returns the machines that a job's next task should avoid, and why.
-func (r *freeCapacity) avoidedMachines(l *Leader, j *jobs.Job) map[string]int {
+func (c *freeCapacity) avoidedMachines(l *Leader, j *jobs.Job) map[string]int {
 	spec := &j.Spec
-	reasons := r.avoided[spec.Ref]
+	reasons := c.avoided[spec.Ref]
 	if reasons == nil {
 		reasons = map[string]int{}
 		if spec.IsService() {
@@ -45,7 +45,7 @@
 		for _, name := range j.Failures.FailedMachines() {
 			reasons[name] = avoidFailure
 		}
-		r.avoided[spec.Ref] = reasons
+		c.avoided[spec.Ref] = reasons
 	}
 	return reasons
 }
@@ -105,7 +105,7 @@
 }
 
 // isOfferable reports whether the machine's free capacity can be offered.
-func (r *freeCapacity) isOfferable(m *machine) bool {
+func (c *freeCapacity) isOfferable(m *machine) bool {
 	return m.schedulable() && m.state.CPUs > 0 && !m.shard.offerPending
 }
 
@@ -141,15 +141,15 @@
 }
 
 // firstFit returns the first machine of a list that can take a task of the job, or nil.
-func (r *freeCapacity) firstFit(list []*machine, key candidateKey, j *jobs.Job) *machine {
+func (c *freeCapacity) firstFit(list []*machine, key candidateKey, j *jobs.Job) *machine {
 	spec := &j.Spec
-	for i := r.skipped[key]; i < len(list); i++ {
-		if m := list[i]; m.fits(spec) && m.allowed(r.now, j) {
+	for i := c.skipped[key]; i < len(list); i++ {
+		if m := list[i]; m.fits(spec) && m.allowed(c.now, j) {
 			if _, failed := j.Failures.FailedOn(m.name); !failed {
 				return m
 			}
-		} else if i == r.skipped[key] {
-			r.skipped[key] = i + 1
+		} else if i == c.skipped[key] {
+			c.skipped[key] = i + 1
 		}
 	}
 	return nil
@@ -160,26 +160,26 @@
 
 // waitsForPending reports whether the job should wait until a pending offer to a shard is settled, because that shard
 // has free capacity within the load bound.
-func (r *freeCapacity) waitsForPending(j *jobs.Job) bool {
-	if r.bound == nil || j.UnservedSince() == 0 || r.now-j.UnservedSince() > maxPendingWait {
+func (c *freeCapacity) waitsForPending(j *jobs.Job) bool {
+	if c.bound == nil || j.UnservedSince() == 0 || c.now-j.UnservedSince() > maxPendingWait {
 		return false
 	}
 	spec := &j.Spec
-	return slices.ContainsFunc(r.pending, func(m *machine) bool {
-		return m.fits(spec) && m.allowed(r.now, j) && r.bound.allows(m, spec)
+	return slices.ContainsFunc(c.pending, func(m *machine) bool {
+		return m.fits(spec) && m.allowed(c.now, j) && c.bound.allows(m, spec)
 	})
 }
 
 // leastLoaded returns, with rebalancing, the machine that one more task of the job leaves least loaded. It returns nil
 // if there is none.
-func (r *freeCapacity) leastLoaded(j *jobs.Job) (best *machine) {
-	if r.bound == nil {
+func (c *freeCapacity) leastLoaded(j *jobs.Job) (best *machine) {
+	if c.bound == nil {
 		return nil
 	}
 	spec := &j.Spec
 	leastLoad := 0.0
-	for _, m := range r.machines {
-		if _, failed := j.Failures.FailedOn(m.name); failed || m.reserveRank() > 0 || !m.fits(spec) || !m.allowed(r.now, j) {
+	for _, m := range c.machines {
+		if _, failed := j.Failures.FailedOn(m.name); failed || m.reserveRank() > 0 || !m.fits(spec) || !m.allowed(c.now, j) {
 			continue
 		}
 		if machineLoad := m.loadWith(spec); best == nil || machineLoad < leastLoad {
@@ -190,28 +190,28 @@
 }
 
 // firstFitWithinBound is firstFit among the machines that stay within the load bound.
-func (r *freeCapacity) firstFitWithinBound(list []*machine, key candidateKey, j *jobs.Job) *machine {
-	if r.bound == nil {
-		return r.firstFit(list, key, j)
+func (c *freeCapacity) firstFitWithinBound(list []*machine, key candidateKey, j *jobs.Job) *machine {
+	if c.bound == nil {
+		return c.firstFit(list, key, j)
 	}
 	spec := &j.Spec
-	mean := r.bound.mean.Value()
-	mark := r.overBound[key]
+	mean := c.bound.mean.Value()
+	mark := c.overBound[key]
 	if mean > mark.mean*meanRecheckFactor {
 		mark = overBoundMark{mean: mean}
 	}
 	for i := mark.skipped; i < len(list); i++ {
 		m := list[i]
-		if m.fits(spec) && m.allowed(r.now, j) && r.bound.allows(m, spec) {
+		if m.fits(spec) && m.allowed(c.now, j) && c.bound.allows(m, spec) {
 			if _, failed := j.Failures.FailedOn(m.name); !failed {
-				r.overBound[key] = mark
+				c.overBound[key] = mark
 				return m
 			}
 		} else if i == mark.skipped {
 			mark.skipped = i + 1
 		}
 	}
-	r.overBound[key] = mark
+	c.overBound[key] = mark
 	return nil
 }
 
--- a/internal/leader/load_bound.go
+++ b/internal/leader/load_bound.go
@@ -67,8 +67,8 @@
 
 // allows reports whether one more task keeps the machine within the bound. A machine that the autoscaler wants to be
 // empty is never within it: it is for tasks that find no free capacity elsewhere, not for spreading load.
-func (e *loadBound) allows(m *machine, spec *wire.Job) bool {
-	if e == nil {
+func (b *loadBound) allows(m *machine, spec *wire.Job) bool {
+	if b == nil {
 		return true
 	}
 	if m.reserveRank() > 0 {
@@ -76,28 +76,28 @@
 	}
 	candidate := load.Candidate{Load: m.loadWith(spec), TaskLoad: resourcesOf(spec).DominantShare(m.capacity())}
 	if slices.Contains(m.state.Images, spec.Image) {
-		candidate.SavedFetchS = e.fetches.FetchSeconds(m.option.Type.Name, spec.ImageGB)
+		candidate.SavedFetchS = b.fetches.FetchSeconds(m.option.Type.Name, spec.ImageGB)
 	}
-	return e.bound.Allows(candidate, e.mean.Value())
+	return b.bound.Allows(candidate, b.mean.Value())
 }
 
 // reserve takes the resources of a task off the machine's free capacity for the rest of the pass.
-func (e *loadBound) reserve(m *machine, spec *wire.Job) {
+func (b *loadBound) reserve(m *machine, spec *wire.Job) {
 	before := m.usedWithOffers()
 	m.freeCPUs -= spec.CPUs
 	m.freeGPUs -= spec.GPUs
 	m.freeMemory -= spec.MemoryGB
-	if e != nil && m.reserveRank() == 0 {
-		e.mean.Update(before.DominantShare(m.capacity()), m.usedWithOffers().DominantShare(m.capacity()))
+	if b != nil && m.reserveRank() == 0 {
+		b.mean.Update(before.DominantShare(m.capacity()), m.usedWithOffers().DominantShare(m.capacity()))
 	}
 }
 
 // annotate adds to offers the mean load that they lead to, which a holder of a few machines cannot know.
-func (e *loadBound) annotate(offers []peer.TaskOffer) {
-	if e == nil {
+func (b *loadBound) annotate(offers []peer.TaskOffer) {
+	if b == nil {
 		return
 	}
 	for i := range offers {
-		offers[i].Job.FleetLoad = e.mean.Value()
+		offers[i].Job.FleetLoad = b.mean.Value()
 	}
 }
--- a/internal/leader/machine_choice.go
+++ b/internal/leader/machine_choice.go
@@ -61,13 +61,13 @@
 
 // leastAvoided returns the machine to avoid least, among those within the bound, for a job whose tasks restrict each
 // other's placement.
-func (r *freeCapacity) leastAvoided(
+func (c *freeCapacity) leastAvoided(
 	j *jobs.Job, zones jobZones, avoid map[string]int, bound *loadBound,
 ) (best *machine) {
 	spec := &j.Spec
-	for _, list := range [][]*machine{r.byImage[spec.Image], r.machines} {
+	for _, list := range [][]*machine{c.byImage[spec.Image], c.machines} {
 		for _, m := range list {
-			if !m.fits(spec) || !m.allowed(r.now, j) || !zones.allows(m.option.Zone) || j.AvoidsMachine(r.now, m.name) ||
+			if !m.fits(spec) || !m.allowed(c.now, j) || !zones.allows(m.option.Zone) || j.AvoidsMachine(c.now, m.name) ||
 				!bound.allows(m, spec) {
 				continue
 			}
--- a/internal/leader/preemption.go
+++ b/internal/leader/preemption.go
@@ -56,7 +56,7 @@
 
 // preemptionPass is the state of one pass that frees capacity by preemption.
 type preemptionPass struct {
-	l             *Leader
+	leader        *Leader
 	now           clock.Micros
 	urgent        bool               // production work waits
 	longRunning   map[string]float64 // usual boot time of its machines, in seconds, by job with long-running tasks
@@ -71,7 +71,7 @@
 	if now-l.preemption.ranAt < preemptionInterval {
 		return
 	}
-	pass := &preemptionPass{l: l, now: now}
+	pass := &preemptionPass{leader: l, now: now}
 	waiting := false
 	for _, queue := range queues {
 		for _, j := range queue.Preemptors() {
@@ -102,11 +102,11 @@
 // production work.
 func (p *preemptionPass) findLongRunning() {
 	p.longRunning = map[string]float64{}
-	for j := range p.l.jobs.All() {
+	for j := range p.leader.jobs.All() {
 		if j.Dispatched() == 0 || j.Spec.Priority.Rank() == wire.PriorityProduction.Rank() {
 			continue
 		}
-		if bootS := p.l.bootTimeS(&j.Spec); j.Spec.IsService() || p.l.jobs.RunSeconds(j) > minBootTimesLeft*bootS {
+		if bootS := p.leader.bootTimeS(&j.Spec); j.Spec.IsService() || p.leader.jobs.RunSeconds(j) > minBootTimesLeft*bootS {
 			p.longRunning[j.Spec.Ref] = bootS
 		}
 	}
@@ -114,7 +114,7 @@
 
 // collectCandidates collects, by name, the machines that may take waiting work, and the usage of stopping tasks.
 func (p *preemptionPass) collectCandidates() {
-	l, byMachine := p.l, map[string]*preemptionCandidate{}
+	l, byMachine := p.leader, map[string]*preemptionCandidate{}
 	p.stoppingUsage = fairshare.NewUsage()
 	for _, m := range l.inventory.machines {
 		if m.schedulable() {
@@ -147,7 +147,7 @@
 	if !long && !p.urgent && !stopping {
 		return
 	}
-	candidate, j := byMachine[task.machine], p.l.jobs.Get(t.Job)
+	candidate, j := byMachine[task.machine], p.leader.jobs.Get(t.Job)
 	if candidate == nil || j == nil {
 		return
 	}
@@ -155,8 +155,8 @@
 		candidate.cpus += task.cpus
 		candidate.memory += j.Spec.MemoryGB
 	}
-	v := p.l.victim(p.now, t, task, j)
-	v.endsSoon = !long || !j.Spec.IsService() && p.l.jobs.RunSeconds(j)-v.runtimeS < minBootTimesLeft*bootS
+	v := p.leader.victim(p.now, t, task, j)
+	v.endsSoon = !long || !j.Spec.IsService() && p.leader.jobs.RunSeconds(j)-v.runtimeS < minBootTimesLeft*bootS
 	if task.stopReason == "" && (p.urgent || !v.endsSoon) && v.rank > wire.PriorityProduction.Rank() {
 		candidate.victims = append(candidate.victims, v)
 	}
@@ -186,7 +186,7 @@
 // makeCapacityFor frees capacity for the waiting tasks of one job, as far as its team may run them.
 func (p *preemptionPass) makeCapacityFor(queue *fairshare.TeamQueue, j *jobs.Job) {
 	spec := &j.Spec
-	zones := p.l.zonesOf(j)
+	zones := p.leader.zonesOf(j)
 	serviceCPUs := queue.ServiceCPUs()
 	for n := min(j.Waiting(), maxPreemptions); n > 0; n-- {
 		if !queue.ServiceFits(spec, serviceCPUs) {
@@ -235,8 +235,8 @@
 
 // isBorrowed reports whether a task runs on borrowed capacity: without it, its team still uses at least its guarantee.
 func (p *preemptionPass) isBorrowed(task *grantedTask) bool {
-	usage := p.l.usage.Of(task.team).Minus(p.stoppingUsage.Of(task.team))
-	return usage.CPUs-task.cpus >= p.l.teams[task.team].CPUs-1e-9
+	usage := p.leader.usage.Of(task.team).Minus(p.stoppingUsage.Of(task.team))
+	return usage.CPUs-task.cpus >= p.leader.teams[task.team].CPUs-1e-9
 }
 
 // cheapestCandidate returns the machine on which one more task costs least to fit, and its victims' indexes.
@@ -294,6 +294,6 @@
 		v.granted.stopReason, v.granted.stoppedAt = "evicted", p.now
 		candidate.machine.shard.orders.Stop = append(candidate.machine.shard.orders.Stop, peer.StopTask{Task: v.task})
 		p.preempted++
-		p.l.outcomes.preempted++
+		p.leader.outcomes.preempted++
 	}
 }
--- a/internal/leader/store_writes.go
+++ b/internal/leader/store_writes.go
@@ -59,7 +59,7 @@
 	}
 }
 
-// keyRead dispatches the value of a key that was read by its tag.
+// keyRead dispatches the value of a key by the tag of its read.
 func (l *Leader) keyRead(now clock.Micros, m KeyRead) {
 	switch tag := m.Tag.(type) {
 	case shardsTag:
