--- a/internal/leader/attempts.go
+++ b/internal/leader/attempts.go
@@ -16,8 +16,8 @@
 	if l.rebalancing == nil {
 		return
 	}
-	if m, j := l.inventory.machines[task.machine], l.jobs.Get(t.Job); m != nil && j != nil {
-		task.imageCached = slices.Contains(m.state.Images, j.Spec.Image)
+	if m, job := l.inventory.machines[task.machine], l.jobs.Get(t.Job); m != nil && job != nil {
+		task.imageCached = slices.Contains(m.state.Images, job.Spec.Image)
 	}
 	l.rebalancing.TaskAssigned(taskID(t), task.machine)
 }
@@ -28,9 +28,9 @@
 	if l.rebalancing == nil {
 		return
 	}
-	m, j := l.inventory.machines[task.machine], l.jobs.Get(t.Job)
-	if m != nil && j != nil && task.assignedAt > 0 && !task.imageCached {
-		l.rebalancing.fetches.Observe(m.option.Type.Name, j.Spec.ImageGB, now-task.assignedAt)
+	m, job := l.inventory.machines[task.machine], l.jobs.Get(t.Job)
+	if m != nil && job != nil && task.assignedAt > 0 && !task.imageCached {
+		l.rebalancing.fetches.Observe(m.option.Type.Name, job.Spec.ImageGB, now-task.assignedAt)
 	}
 	if m, ok := l.rebalancing.TaskRunning(taskID(t), task.machine); ok {
 		l.debug("task migrated", "task", shard.TaskName(t), "from", m.From, "to", task.machine, "target", m.To,
@@ -56,12 +56,12 @@
 }
 
 // jobEnded records that a job is done or cancelled, which ends the migrations of its tasks.
-func (l *Leader) jobEnded(now clock.Micros, j *jobs.Job, state wire.JobState) {
-	l.traceJob(now, j, state)
+func (l *Leader) jobEnded(now clock.Micros, job *jobs.Job, state wire.JobState) {
+	l.traceJob(now, job, state)
 	if l.rebalancing == nil {
 		return
 	}
-	for _, m := range l.rebalancing.JobEnded(j.Spec.Ref) {
+	for _, m := range l.rebalancing.JobEnded(job.Spec.Ref) {
 		l.traceMigration(now, m, "its job is "+string(state))
 	}
 }
--- a/internal/leader/demand.go
+++ b/internal/leader/demand.go
@@ -25,10 +25,11 @@
 	list  []*autoscaler.Demand
 }
 
-// demandFor returns the demand of jobs like j in a zone, or, with the zone "", in any zone that j allows.
-func (d *demandSet) demandFor(j *jobs.Job, zone string) *autoscaler.Demand {
-	spec := &j.Spec
-	key := demandKey{j.Shape, spec.IsService(), zone}
+// demandFor returns the demand of jobs like the given one in a zone, or, with the zone "", in any zone that the job
+// allows.
+func (d *demandSet) demandFor(job *jobs.Job, zone string) *autoscaler.Demand {
+	spec := &job.Spec
+	key := demandKey{job.Shape, spec.IsService(), zone}
 	if demand := d.byKey[key]; demand != nil {
 		return demand
 	}
@@ -44,8 +45,8 @@
 }
 
 // addTasks adds tasks of a service, which run without end.
-func (d *demandSet) addTasks(j *jobs.Job, zone string, tasks int) {
-	demand := d.demandFor(j, zone)
+func (d *demandSet) addTasks(job *jobs.Job, zone string, tasks int) {
+	demand := d.demandFor(job, zone)
 	demand.Tasks += tasks
 	demand.TaskSeconds = math.Inf(1)
 }
@@ -73,17 +74,17 @@
 func (l *Leader) capacityDemand(now clock.Micros) []autoscaler.Demand {
 	set := &demandSet{byKey: map[demandKey]*autoscaler.Demand{}}
 	quota := &remainingQuota{leader: l, cpus: map[string]float64{}}
-	for j := range l.jobs.Sorted() {
-		if tasks := unfinishedTasks(now, j); tasks > 0 && j.Spec.IsService() {
-			l.addServiceDemand(now, set, j, quota.reserve(&j.Spec, tasks))
+	for job := range l.jobs.Sorted() {
+		if tasks := unfinishedTasks(now, job); tasks > 0 && job.Spec.IsService() {
+			l.addServiceDemand(now, set, job, quota.reserve(&job.Spec, tasks))
 		}
 	}
 	l.addArrivalReserve(now, set)
-	for j := range l.jobs.Sorted() {
-		if tasks := unfinishedTasks(now, j); tasks > 0 && !j.Spec.IsService() {
-			batch := set.demandFor(j, "")
-			batch.Tasks += quota.reserve(&j.Spec, tasks)
-			batch.TaskSeconds += float64(tasks) * l.jobs.RunSeconds(j)
+	for job := range l.jobs.Sorted() {
+		if tasks := unfinishedTasks(now, job); tasks > 0 && !job.Spec.IsService() {
+			batch := set.demandFor(job, "")
+			batch.Tasks += quota.reserve(&job.Spec, tasks)
+			batch.TaskSeconds += float64(tasks) * l.jobs.RunSeconds(job)
 		}
 	}
 	if reserve := l.unseenClassReserve(); reserve != nil {
@@ -98,40 +99,40 @@
 
 // unfinishedTasks returns the number of tasks for which a job needs capacity. A job in backoff needs none, and a
 // suspect job needs capacity for its dispatched tasks and one probe only.
-func unfinishedTasks(now clock.Micros, j *jobs.Job) int {
-	if j.Failures.InBackoff(now) {
+func unfinishedTasks(now clock.Micros, job *jobs.Job) int {
+	if job.Failures.InBackoff(now) {
 		return 0
 	}
-	tasks := j.Spec.Tasks - j.Completed()
-	if j.Failures.Suspect() {
-		tasks = min(tasks, j.Dispatched()+1)
+	tasks := job.Spec.Tasks - job.Completed()
+	if job.Failures.Suspect() {
+		tasks = min(tasks, job.Dispatched()+1)
 	}
 	return tasks
 }
 
 // addServiceDemand adds the demand of a service's replicas. Replicas that must be spread need capacity in several
 // zones: with all of it in the cheapest zone, half of them could not be placed.
-func (l *Leader) addServiceDemand(now clock.Micros, demand *demandSet, j *jobs.Job, replicas int) {
-	zones := l.openZones(now, j)
+func (l *Leader) addServiceDemand(now clock.Micros, demand *demandSet, job *jobs.Job, replicas int) {
+	zones := l.openZones(now, job)
 	if len(zones) == 0 {
-		demand.addTasks(j, "", replicas)
+		demand.addTasks(job, "", replicas)
 		return
 	}
-	placed := l.zonesOf(j)
+	placed := l.zonesOf(job)
 	for _, zone := range slices.Sorted(maps.Keys(placed.taskCounts)) {
-		demand.addTasks(j, zone, placed.taskCounts[zone])
+		demand.addTasks(job, zone, placed.taskCounts[zone])
 		replicas -= placed.taskCounts[zone]
 	}
 	for ; replicas > 0; replicas-- {
 		zone := slices.MinFunc(zones, func(a, b string) int { return placed.taskCounts[a] - placed.taskCounts[b] })
 		placed.add(zone)
-		demand.addTasks(j, zone, 1)
+		demand.addTasks(job, zone, 1)
 	}
 }
 
 // openZones returns the zones over which a job's tasks may be spread now, or none if the job needs no spreading.
-func (l *Leader) openZones(now clock.Micros, j *jobs.Job) (zones []string) {
-	spec := &j.Spec
+func (l *Leader) openZones(now clock.Micros, job *jobs.Job) (zones []string) {
+	spec := &job.Spec
 	if !spec.Spread || spec.Zone != "" {
 		return nil
 	}
@@ -192,19 +193,19 @@
 func (l *Leader) recentArrivals(now clock.Micros) (arrivals []*arrivalStats, windowS float64) {
 	byShape := map[jobs.Shape]*arrivalStats{}
 	oldestS := 0.0
-	for j := range l.jobs.Sorted() {
-		ageS := (now + l.wallOffset - j.AcceptedAt).Seconds()
-		if !j.Spec.IsService() || ageS > arrivalWindowS {
+	for job := range l.jobs.Sorted() {
+		ageS := (now + l.wallOffset - job.AcceptedAt).Seconds()
+		if !job.Spec.IsService() || ageS > arrivalWindowS {
 			continue
 		}
 		oldestS = max(oldestS, ageS)
-		stats := byShape[j.Shape]
+		stats := byShape[job.Shape]
 		if stats == nil {
-			stats = &arrivalStats{sampleJob: j}
-			byShape[j.Shape] = stats
+			stats = &arrivalStats{sampleJob: job}
+			byShape[job.Shape] = stats
 			arrivals = append(arrivals, stats)
 		}
-		replicas := float64(j.Spec.Tasks)
+		replicas := float64(job.Spec.Tasks)
 		stats.replicas += replicas
 		stats.squaredReplicas += replicas * replicas
 	}
--- a/internal/leader/failure_attribution.go
+++ b/internal/leader/failure_attribution.go
@@ -10,42 +10,42 @@
 
 // taskFailed attributes the failure of a task to its job, its machine, or the task alone. The failure of a task that
 // is in no grant is no evidence.
-func (l *Leader) taskFailed(now clock.Micros, j *jobs.Job, event peer.TaskEvent, task *grantedTask) {
+func (l *Leader) taskFailed(now clock.Micros, job *jobs.Job, event peer.TaskEvent, task *grantedTask) {
 	if task == nil {
 		return
 	}
-	isService := j.Spec.IsService()
-	if isService && l.hasStableReplica(now, j) {
-		j.Failures.MarkSound()
+	isService := job.Spec.IsService()
+	if isService && l.hasStableReplica(now, job) {
+		job.Failures.MarkSound()
 	}
 	failure := failures.Failure{TaskIndex: event.Index, Machine: event.Machine}
 	if task.running {
 		failure.Runtime = now - task.runningSince
 	}
-	if j.Failures.TaskFailed(now, l.machineFailures(event.Machine), failure) {
-		l.jobBecameSuspect(j)
+	if job.Failures.TaskFailed(now, l.machineFailures(event.Machine), failure) {
+		l.jobBecameSuspect(job)
 	}
-	if j.Failures.Suspect() {
+	if job.Failures.Suspect() {
 		l.outcomes.failedSuspect++
 	} else {
 		l.outcomes.failed++
 	}
 	l.drainIfFaulty(now, event.Machine)
 	// Replicas of a service have a backoff of their own, see jobs.Job.ReplicaEnded.
-	if backoff := j.Failures.TaskBackoff(event.Index); backoff > 0 && !isService {
-		j.Delay(event.Index, now+backoff)
+	if backoff := job.Failures.TaskBackoff(event.Index); backoff > 0 && !isService {
+		job.Delay(event.Index, now+backoff)
 	}
 }
 
 // creditCompletion records the completion of a task: its job is sound, so earlier failures of the job count against
 // the machines on which they occurred.
-func (l *Leader) creditCompletion(now clock.Micros, j *jobs.Job, event peer.TaskEvent) {
-	wasSound := j.Failures.Sound()
-	j.Failures.TaskCompleted(event.Index, event.Machine, l.machineFailures(event.Machine))
+func (l *Leader) creditCompletion(now clock.Micros, job *jobs.Job, event peer.TaskEvent) {
+	wasSound := job.Failures.Sound()
+	job.Failures.TaskCompleted(event.Index, event.Machine, l.machineFailures(event.Machine))
 	if wasSound {
 		return
 	}
-	for _, name := range j.Failures.FailedMachines() {
+	for _, name := range job.Failures.FailedMachines() {
 		l.drainIfFaulty(now, name)
 	}
 }
@@ -66,10 +66,10 @@
 }
 
 // jobBecameSuspect stops the tasks of a suspect job that do not run yet, as they would only fetch its image and fail.
-func (l *Leader) jobBecameSuspect(j *jobs.Job) {
-	ref := j.Spec.Ref
-	l.info("job is suspect", "job", ref, "team", j.Spec.Team, "failed_on", j.Failures.FailedMachines(),
-		"tasks_out", j.Dispatched())
+func (l *Leader) jobBecameSuspect(job *jobs.Job) {
+	ref := job.Spec.Ref
+	l.info("job is suspect", "job", ref, "team", job.Spec.Team, "failed_on", job.Failures.FailedMachines(),
+		"tasks_out", job.Dispatched())
 	stopUnstarted := func(task *grantedTask) bool {
 		if task.running || task.inherited || task.stopReason != "" {
 			return false
@@ -83,12 +83,12 @@
 }
 
 // clearSuspicion clears the suspicion of a job once one of its tasks has run long enough.
-func (l *Leader) clearSuspicion(now clock.Micros, j *jobs.Job) {
-	if !j.Failures.Suspect() {
+func (l *Leader) clearSuspicion(now clock.Micros, job *jobs.Job) {
+	if !job.Failures.Suspect() {
 		return
 	}
-	l.eachDispatched(j, func(t peer.Task, task *grantedTask) {
-		if task.running && j.Failures.TaskSurvived(now-task.runningSince) {
+	l.eachDispatched(job, func(t peer.Task, task *grantedTask) {
+		if task.running && job.Failures.TaskSurvived(now-task.runningSince) {
 			l.info("job is suspect no more", "job", t.Job, "task", shard.TaskName(t),
 				"ran_s", (now - task.runningSince).Seconds())
 			l.scheduling.requested = true
@@ -99,10 +99,10 @@
 // suspectStatus describes the suspect jobs for the operator status.
 func (l *Leader) suspectStatus(now clock.Micros) (suspects []peer.SuspectStatus) {
 	for _, ref := range l.jobs.Refs() {
-		if j := l.jobs.Get(ref); j.Failures.Suspect() {
-			suspects = append(suspects, peer.SuspectStatus{Job: ref, Team: j.Spec.Team,
-				Machines: len(j.Failures.FailedMachines()), Probes: j.Failures.Probes(),
-				NextS: max(0, (j.Failures.NextProbeAt() - now).Seconds())})
+		if job := l.jobs.Get(ref); job.Failures.Suspect() {
+			suspects = append(suspects, peer.SuspectStatus{Job: ref, Team: job.Spec.Team,
+				Machines: len(job.Failures.FailedMachines()), Probes: job.Failures.Probes(),
+				NextS: max(0, (job.Failures.NextProbeAt() - now).Seconds())})
 		}
 	}
 	return suspects
@@ -110,8 +110,8 @@
 
 // hasStableReplica reports whether a replica of a service has run stably. A replica that then fails on another machine
 // is attributed to that machine.
-func (l *Leader) hasStableReplica(now clock.Micros, j *jobs.Job) (stable bool) {
-	l.eachDispatched(j, func(_ peer.Task, task *grantedTask) {
+func (l *Leader) hasStableReplica(now clock.Micros, job *jobs.Job) (stable bool) {
+	l.eachDispatched(job, func(_ peer.Task, task *grantedTask) {
 		stable = stable || task.running && now-task.runningSince > jobs.StableAfter
 	})
 	return stable
--- a/internal/leader/free_capacity.go
+++ b/internal/leader/free_capacity.go
@@ -34,15 +34,15 @@
 )
 
 // avoidedMachines returns the machines that a job's next task should avoid, and why.
-func (c *freeCapacity) avoidedMachines(l *Leader, j *jobs.Job) map[string]int {
-	spec := &j.Spec
+func (c *freeCapacity) avoidedMachines(l *Leader, job *jobs.Job) map[string]int {
+	spec := &job.Spec
 	reasons := c.avoided[spec.Ref]
 	if reasons == nil {
 		reasons = map[string]int{}
 		if spec.IsService() {
-			l.eachDispatched(j, func(_ peer.Task, task *grantedTask) { reasons[task.machine] = avoidReplica })
+			l.eachDispatched(job, func(_ peer.Task, task *grantedTask) { reasons[task.machine] = avoidReplica })
 		}
-		for _, name := range j.Failures.FailedMachines() {
+		for _, name := range job.Failures.FailedMachines() {
 			reasons[name] = avoidFailure
 		}
 		c.avoided[spec.Ref] = reasons
@@ -82,14 +82,14 @@
 		}
 	}
 	slices.SortFunc(capacity.machines, func(a, b *machine) int {
-		if c := cmp.Compare(a.reserveRank(), b.reserveRank()); c != 0 {
-			return c
+		if order := cmp.Compare(a.reserveRank(), b.reserveRank()); order != 0 {
+			return order
 		}
-		if c := cmp.Compare(pricePerCPU(a), pricePerCPU(b)); c != 0 {
-			return c
+		if order := cmp.Compare(pricePerCPU(a), pricePerCPU(b)); order != 0 {
+			return order
 		}
-		if c := cmp.Compare(a.freeCPUs, b.freeCPUs); c != 0 {
-			return c
+		if order := cmp.Compare(a.freeCPUs, b.freeCPUs); order != 0 {
+			return order
 		}
 		return cmp.Compare(a.name, b.name)
 	})
@@ -133,19 +133,19 @@
 
 // allowed reports whether the job may run on the machine. A cordoned machine, which is not worth its price for batch
 // jobs, accepts services, which make it worth keeping, and jobs that have waited too long for a better one.
-func (m *machine) allowed(now clock.Micros, j *jobs.Job) bool {
-	spec := &j.Spec
-	return (!m.cordoned || spec.IsService() || j.IsUnserved(now)) && (spec.Spot || !m.option.Spot) &&
+func (m *machine) allowed(now clock.Micros, job *jobs.Job) bool {
+	spec := &job.Spec
+	return (!m.cordoned || spec.IsService() || job.IsUnserved(now)) && (spec.Spot || !m.option.Spot) &&
 		(spec.Zone == "" || spec.Zone == m.option.Zone) &&
 		(len(spec.Types) == 0 || slices.Contains(spec.Types, m.option.Type.Name))
 }
 
 // firstFit returns the first machine of a list that can take a task of the job, or nil.
-func (c *freeCapacity) firstFit(list []*machine, key candidateKey, j *jobs.Job) *machine {
-	spec := &j.Spec
+func (c *freeCapacity) firstFit(list []*machine, key candidateKey, job *jobs.Job) *machine {
+	spec := &job.Spec
 	for i := c.skipped[key]; i < len(list); i++ {
-		if m := list[i]; m.fits(spec) && m.allowed(c.now, j) {
-			if _, failed := j.Failures.FailedOn(m.name); !failed {
+		if m := list[i]; m.fits(spec) && m.allowed(c.now, job) {
+			if _, failed := job.Failures.FailedOn(m.name); !failed {
 				return m
 			}
 		} else if i == c.skipped[key] {
@@ -160,26 +160,27 @@
 
 // waitsForPending reports whether the job should wait until a pending offer to a shard is settled, because that shard
 // has free capacity within the load bound.
-func (c *freeCapacity) waitsForPending(j *jobs.Job) bool {
-	if c.bound == nil || j.UnservedSince() == 0 || c.now-j.UnservedSince() > maxPendingWait {
+func (c *freeCapacity) waitsForPending(job *jobs.Job) bool {
+	if c.bound == nil || job.UnservedSince() == 0 || c.now-job.UnservedSince() > maxPendingWait {
 		return false
 	}
-	spec := &j.Spec
+	spec := &job.Spec
 	return slices.ContainsFunc(c.pending, func(m *machine) bool {
-		return m.fits(spec) && m.allowed(c.now, j) && c.bound.allows(m, spec)
+		return m.fits(spec) && m.allowed(c.now, job) && c.bound.allows(m, spec)
 	})
 }
 
 // leastLoaded returns, with rebalancing, the machine that one more task of the job leaves least loaded. It returns nil
 // if there is none.
-func (c *freeCapacity) leastLoaded(j *jobs.Job) (best *machine) {
+func (c *freeCapacity) leastLoaded(job *jobs.Job) (best *machine) {
 	if c.bound == nil {
 		return nil
 	}
-	spec := &j.Spec
+	spec := &job.Spec
 	leastLoad := 0.0
 	for _, m := range c.machines {
-		if _, failed := j.Failures.FailedOn(m.name); failed || m.reserveRank() > 0 || !m.fits(spec) || !m.allowed(c.now, j) {
+		if _, failed := job.Failures.FailedOn(m.name); failed || m.reserveRank() > 0 || !m.fits(spec) ||
+			!m.allowed(c.now, job) {
 			continue
 		}
 		if machineLoad := m.loadWith(spec); best == nil || machineLoad < leastLoad {
@@ -190,11 +191,11 @@
 }
 
 // firstFitWithinBound is firstFit among the machines that stay within the load bound.
-func (c *freeCapacity) firstFitWithinBound(list []*machine, key candidateKey, j *jobs.Job) *machine {
+func (c *freeCapacity) firstFitWithinBound(list []*machine, key candidateKey, job *jobs.Job) *machine {
 	if c.bound == nil {
-		return c.firstFit(list, key, j)
+		return c.firstFit(list, key, job)
 	}
-	spec := &j.Spec
+	spec := &job.Spec
 	mean := c.bound.mean.Value()
 	mark := c.overBound[key]
 	if mean > mark.mean*meanRecheckFactor {
@@ -202,8 +203,8 @@
 	}
 	for i := mark.skipped; i < len(list); i++ {
 		m := list[i]
-		if m.fits(spec) && m.allowed(c.now, j) && c.bound.allows(m, spec) {
-			if _, failed := j.Failures.FailedOn(m.name); !failed {
+		if m.fits(spec) && m.allowed(c.now, job) && c.bound.allows(m, spec) {
+			if _, failed := job.Failures.FailedOn(m.name); !failed {
 				c.overBound[key] = mark
 				return m
 			}
--- a/internal/leader/instance_groups.go
+++ b/internal/leader/instance_groups.go
@@ -142,23 +142,23 @@
 }
 
 // machinesProvisioned handles the cloud's answer to a provision request.
-func (l *Leader) machinesProvisioned(now clock.Micros, m MachinesProvisioned) {
-	group := l.inventory.groups[InstanceGroupPrefix+m.RequestID]
+func (l *Leader) machinesProvisioned(now clock.Micros, result MachinesProvisioned) {
+	group := l.inventory.groups[InstanceGroupPrefix+result.RequestID]
 	if group == nil || group.record.Answered {
 		return
 	}
 	switch {
-	case m.Err == nil:
-		group.record.Machines, group.record.Answered = m.Machines, true
-		l.recordProvisionOutcome(now, group, len(m.Machines) < group.record.Request.Count)
-		l.debug("machines provisioned", "request", m.RequestID, "count", len(m.Machines),
+	case result.Err == nil:
+		group.record.Machines, group.record.Answered = result.Machines, true
+		l.recordProvisionOutcome(now, group, len(result.Machines) < group.record.Request.Count)
+		l.debug("machines provisioned", "request", result.RequestID, "count", len(result.Machines),
 			"type", group.record.Request.Type, "spot", group.record.Request.Spot)
-		if len(m.Machines) == 0 {
+		if len(result.Machines) == 0 {
 			l.pruneInstanceGroup(now, group)
 			return
 		}
 		l.writeInstanceGroup(group)
-	case m.NoCapacity:
+	case result.NoCapacity:
 		l.recordProvisionOutcome(now, group, true)
 		group.record.Answered = true
 		l.pruneInstanceGroup(now, group)
--- a/internal/leader/job_lifecycle.go
+++ b/internal/leader/job_lifecycle.go
@@ -24,9 +24,9 @@
 
 // addJob adds the job of a stored record to the table of jobs.
 func (l *Leader) addJob(record JobRecord, keyVersion uint64) *jobs.Job {
-	j := jobs.New(record.Spec, record.AcceptedAt, keyVersion)
-	l.jobs.Add(j)
-	return j
+	job := jobs.New(record.Spec, record.AcceptedAt, keyVersion)
+	l.jobs.Add(job)
+	return job
 }
 
 // jobsChanged applies the job submissions and cancellations that the watch reported.
@@ -58,16 +58,16 @@
 // state is being written, the outcome of that write tells the two apart. A progress write in flight must not hide an
 // abort.
 func (l *Leader) jobKeyDeleted(now clock.Micros, key string) {
-	if j := l.jobs.Get(strings.TrimPrefix(key, JobPrefix)); j != nil && !j.IsFinishing() {
-		l.cancelJob(now, j)
+	if job := l.jobs.Get(strings.TrimPrefix(key, JobPrefix)); job != nil && !job.IsFinishing() {
+		l.cancelJob(now, job)
 	}
 }
 
 // cancelJob stops all tasks of a cancelled job.
-func (l *Leader) cancelJob(now clock.Micros, j *jobs.Job) {
-	ref := j.Spec.Ref
-	j.Cancel()
-	l.jobEnded(now, j, wire.JobCancelled)
+func (l *Leader) cancelJob(now clock.Micros, job *jobs.Job) {
+	ref := job.Spec.Ref
+	job.Cancel()
+	l.jobEnded(now, job, wire.JobCancelled)
 	l.jobs.Remove(ref)
 	for _, lease := range l.shards.all {
 		lease.stopJob(ref)
@@ -79,80 +79,80 @@
 		}
 		lease.acknowledge(func(t peer.Task) bool { return t.Job == ref })
 	}
-	l.progress.Forget(j)
+	l.progress.Forget(job)
 }
 
 // finishJob removes a job whose final state is stored: all its tasks have completed.
-func (l *Leader) finishJob(now clock.Micros, j *jobs.Job) {
-	ref := j.Spec.Ref
-	l.jobEnded(now, j, wire.JobDone)
+func (l *Leader) finishJob(now clock.Micros, job *jobs.Job) {
+	ref := job.Spec.Ref
+	l.jobEnded(now, job, wire.JobDone)
 	l.jobs.Remove(ref)
 	for _, lease := range l.shards.all {
 		lease.acknowledge(func(t peer.Task) bool { return t.Job == ref })
 		// An attempt that a stale record still names must not run on.
 		lease.stopJob(ref)
 	}
-	l.progress.Forget(j)
+	l.progress.Forget(job)
 }
 
 // writeFinalState writes a job's final state once all its tasks have completed.
-func (l *Leader) writeFinalState(j *jobs.Job) {
-	if !j.StartFinishing() {
+func (l *Leader) writeFinalState(job *jobs.Job) {
+	if !job.StartFinishing() {
 		return
 	}
-	ref := j.Spec.Ref
-	unchanged := []wire.Condition{{Key: JobPrefix + ref, Version: j.KeyVersion}}
+	ref := job.Spec.Ref
+	unchanged := []wire.Condition{{Key: JobPrefix + ref, Version: job.KeyVersion}}
 	l.commit(store.PriorityAttempts, finalStateTag{ref}, unchanged, []wire.Write{
-		put(FinalStatePrefix+ref, FinalStateRecord{State: wire.JobDone, Tasks: j.Completed()}),
+		put(FinalStatePrefix+ref, FinalStateRecord{State: wire.JobDone, Tasks: job.Completed()}),
 		{Delete: JobPrefix + ref},
 	})
 }
 
 // finalStateWritten handles the outcome of the write of a job's final state.
 func (l *Leader) finalStateWritten(now clock.Micros, tag finalStateTag, result store.TxnResult) {
-	j := l.jobs.Get(tag.job)
-	if j == nil {
+	job := l.jobs.Get(tag.job)
+	if job == nil {
 		return
 	}
 	switch {
 	case result.Committed:
-		l.finishJob(now, j)
+		l.finishJob(now, job)
 	case len(result.FailedKeys) > 0:
 		// Either a user aborted the job first, or an earlier copy of this write was applied.
 		l.emit(ReadKey{l.term, FinalStatePrefix + tag.job, tag})
 	default:
-		j.StopFinishing()
+		job.StopFinishing()
 	}
 }
 
 // finalStateRead handles the read of a job's final state after a conflict of its write: the stored state decides how
 // the job ended.
 func (l *Leader) finalStateRead(now clock.Micros, tag finalStateTag, m KeyRead) {
-	j := l.jobs.Get(tag.job)
-	if j == nil {
+	job := l.jobs.Get(tag.job)
+	if job == nil {
 		return
 	}
-	j.StopFinishing()
+	job.StopFinishing()
 	var record FinalStateRecord
 	if !m.Found || json.Unmarshal(m.Item.Value, &record) != nil {
 		return
 	}
 	if record.State == wire.JobDone {
-		l.finishJob(now, j)
+		l.finishJob(now, job)
 	} else {
-		l.cancelJob(now, j)
+		l.cancelJob(now, job)
 	}
 }
 
 // replicaStopped records that a replica has ended and must run again elsewhere.
-func (l *Leader) replicaStopped(now clock.Micros, j *jobs.Job, event peer.TaskEvent, task *grantedTask) {
+func (l *Leader) replicaStopped(now clock.Micros, job *jobs.Job, event peer.TaskEvent, task *grantedTask) {
 	attempt := jobs.ReplicaAttempt{Task: event.Index, Running: task.running, RunningSince: task.runningSince,
 		Inherited: task.inherited,
 		Released:  event.Kind == peer.EventReleased, Cause: string(event.Kind)}
 	if attempt.Released && task.stopReason != "" {
 		attempt.Cause = task.stopReason
 	}
-	if j.ReplicaEnded(now, attempt) {
+	if job.ReplicaEnded(now, attempt) {
 		runtimeS := 0.0
 		if task.running {
 			runtimeS = (now - task.runningSince).Seconds()
@@ -164,15 +164,15 @@
 }
 
 // replicaStarted records that a replica runs, for the first time or again.
-func (l *Leader) replicaStarted(now clock.Micros, j *jobs.Job, t peer.Task, task *grantedTask) {
-	outage, ended := j.ReplicaRunning(t.Index)
+func (l *Leader) replicaStarted(now clock.Micros, job *jobs.Job, t peer.Task, task *grantedTask) {
+	outage, ended := job.ReplicaRunning(t.Index)
 	switch {
 	case ended:
 		l.info("replica runs again", "task", shard.TaskName(t), "machine", task.machine, "cause", outage.Cause,
 			"down_s", (now - outage.Since).Seconds())
 	case !task.inherited:
 		l.debug("replica runs", "task", shard.TaskName(t), "machine", task.machine,
-			"after_s", (now + l.wallOffset - j.AcceptedAt).Seconds())
+			"after_s", (now + l.wallOffset - job.AcceptedAt).Seconds())
 	}
 }
 
@@ -200,8 +200,8 @@
 	stored := l.progress.Committed(tag.write, result.Revision)
 	for _, lease := range l.shards.all {
 		lease.acknowledge(func(t peer.Task) bool {
-			j := stored[t.Job]
-			return j != nil && j.IsPersisted(t.Index)
+			job := stored[t.Job]
+			return job != nil && job.IsPersisted(t.Index)
 		})
 	}
 }
--- a/internal/leader/load_state.go
+++ b/internal/leader/load_state.go
@@ -91,7 +91,7 @@
 			l.progress.Load(page, l.jobs, l.valueBytes)
 		}
 	}
-	for j := range l.jobs.All() {
-		j.FinishLoading()
+	for job := range l.jobs.All() {
+		job.FinishLoading()
 	}
 }
--- a/internal/leader/machine_choice.go
+++ b/internal/leader/machine_choice.go
@@ -4,37 +4,37 @@
 
 // machineFor returns the machine on which the next task of a job is offered, and the zone to which the task is bound,
 // if any.
-func (l *Leader) machineFor(j *jobs.Job, capacity *freeCapacity) (*machine, string) {
-	spec := &j.Spec
+func (l *Leader) machineFor(job *jobs.Job, capacity *freeCapacity) (*machine, string) {
+	spec := &job.Spec
 	if spec.OneZone || spec.Spread || spec.IsService() {
-		return l.machineInZone(j, capacity)
+		return l.machineInZone(job, capacity)
 	}
-	withImage := candidateKey{shape: j.Shape, image: spec.Image, unserved: j.IsUnserved(capacity.now)}
-	if m := capacity.firstFitWithinBound(capacity.byImage[spec.Image], withImage, j); m != nil {
+	withImage := candidateKey{shape: job.Shape, image: spec.Image, unserved: job.IsUnserved(capacity.now)}
+	if m := capacity.firstFitWithinBound(capacity.byImage[spec.Image], withImage, job); m != nil {
 		return m, ""
 	}
-	all := candidateKey{shape: j.Shape, all: true, unserved: j.IsUnserved(capacity.now)}
+	all := candidateKey{shape: job.Shape, all: true, unserved: job.IsUnserved(capacity.now)}
 	if capacity.bound != nil {
 		allWithin := all
 		allWithin.image = spec.Image // the image decides how far the bound is widened
-		if m := capacity.firstFitWithinBound(capacity.machines, allWithin, j); m != nil {
+		if m := capacity.firstFitWithinBound(capacity.machines, allWithin, job); m != nil {
 			return m, ""
 		}
 	}
 	// With a load bound, the least loaded machine beyond it is better than none, but worse than one that can be
 	// offered in a moment.
-	if capacity.waitsForPending(j) {
+	if capacity.waitsForPending(job) {
 		return nil, ""
 	}
-	if m := capacity.leastLoaded(j); m != nil {
+	if m := capacity.leastLoaded(job); m != nil {
 		return m, ""
 	}
-	if m := capacity.firstFit(capacity.machines, all, j); m != nil {
+	if m := capacity.firstFit(capacity.machines, all, job); m != nil {
 		return m, ""
 	}
 	// A machine on which the job failed is better than none.
 	for _, m := range capacity.machines {
-		if _, failed := j.Failures.FailedOn(m.name); failed && m.fits(spec) && m.allowed(capacity.now, j) {
+		if _, failed := job.Failures.FailedOn(m.name); failed && m.fits(spec) && m.allowed(capacity.now, job) {
 			return m, ""
 		}
 	}
@@ -42,13 +42,13 @@
 }
 
 // machineInZone is machineFor for jobs whose tasks restrict each other's placement.
-func (l *Leader) machineInZone(j *jobs.Job, capacity *freeCapacity) (*machine, string) {
-	spec := &j.Spec
-	zones := l.zonesOf(j)
-	avoid := capacity.avoidedMachines(l, j)
-	best := capacity.leastAvoided(j, zones, avoid, capacity.bound)
-	if best == nil && capacity.bound != nil && !capacity.waitsForPending(j) {
-		best = capacity.leastAvoided(j, zones, avoid, nil)
+func (l *Leader) machineInZone(job *jobs.Job, capacity *freeCapacity) (*machine, string) {
+	spec := &job.Spec
+	zones := l.zonesOf(job)
+	avoid := capacity.avoidedMachines(l, job)
+	best := capacity.leastAvoided(job, zones, avoid, capacity.bound)
+	if best == nil && capacity.bound != nil && !capacity.waitsForPending(job) {
+		best = capacity.leastAvoided(job, zones, avoid, nil)
 	}
 	switch {
 	case best == nil:
@@ -62,12 +62,12 @@
 // leastAvoided returns the machine to avoid least, among those within the bound, for a job whose tasks restrict each
 // other's placement.
 func (c *freeCapacity) leastAvoided(
-	j *jobs.Job, zones jobZones, avoid map[string]int, bound *loadBound,
+	job *jobs.Job, zones jobZones, avoid map[string]int, bound *loadBound,
 ) (best *machine) {
-	spec := &j.Spec
+	spec := &job.Spec
 	for _, list := range [][]*machine{c.byImage[spec.Image], c.machines} {
 		for _, m := range list {
-			if !m.fits(spec) || !m.allowed(c.now, j) || !zones.allows(m.option.Zone) || j.AvoidsMachine(c.now, m.name) ||
+			if !m.fits(spec) || !m.allowed(c.now, job) || !zones.allows(m.option.Zone) || job.AvoidsMachine(c.now, m.name) ||
 				!bound.allows(m, spec) {
 				continue
 			}
--- a/internal/leader/machines.go
+++ b/internal/leader/machines.go
@@ -116,21 +116,21 @@
 	}
 	slices.SortFunc(tasks, func(a, b peer.Task) int { return cmp.Or(strings.Compare(a.Job, b.Job), a.Index-b.Index) })
 	for _, t := range tasks {
-		task, j := lease.tasks[t], l.jobs.Get(t.Job)
+		task, job := lease.tasks[t], l.jobs.Get(t.Job)
 		// A replica moves at once if there is free capacity for it elsewhere. Otherwise it runs here until the machine
 		// ends.
 		moves := false
-		if j.Spec.IsService() && m.state.PreemptionNotice {
+		if job.Spec.IsService() && m.state.PreemptionNotice {
 			if capacity == nil {
 				capacity = l.freeCapacity(now)
 			}
-			target, _ := l.machineFor(j, capacity)
+			target, _ := l.machineFor(job, capacity)
 			moves = target != nil && target != m
 		}
 		if moves {
 			task.stopReason, task.stoppedAt = "notice", now
 		}
-		if moves || j.Spec.CheckpointS > 0 && !j.Spec.IsService() {
+		if moves || job.Spec.CheckpointS > 0 && !job.Spec.IsService() {
 			lease.orders.Stop = append(lease.orders.Stop, peer.StopTask{Task: t, Checkpoint: true})
 		}
 	}
--- a/internal/leader/preemption.go
+++ b/internal/leader/preemption.go
@@ -74,10 +74,10 @@
 	pass := &preemptionPass{leader: l, now: now}
 	waiting := false
 	for _, queue := range queues {
-		for _, j := range queue.Preemptors() {
-			if j.Waiting() > 0 {
+		for _, job := range queue.Preemptors() {
+			if job.Waiting() > 0 {
 				waiting = true
-				pass.urgent = pass.urgent || j.Spec.Priority.Rank() == wire.PriorityProduction.Rank()
+				pass.urgent = pass.urgent || job.Spec.Priority.Rank() == wire.PriorityProduction.Rank()
 			}
 		}
 	}
@@ -90,8 +90,8 @@
 	}
 	pass.collectCandidates()
 	for _, queue := range queues {
-		for _, j := range queue.Preemptors() {
-			if pass.makeCapacityFor(queue, j); pass.preempted > maxPreemptions {
+		for _, job := range queue.Preemptors() {
+			if pass.makeCapacityFor(queue, job); pass.preempted > maxPreemptions {
 				return
 			}
 		}
@@ -102,12 +102,13 @@
 // production work.
 func (p *preemptionPass) findLongRunning() {
 	p.longRunning = map[string]float64{}
-	for j := range p.leader.jobs.All() {
-		if j.Dispatched() == 0 || j.Spec.Priority.Rank() == wire.PriorityProduction.Rank() {
+	for job := range p.leader.jobs.All() {
+		if job.Dispatched() == 0 || job.Spec.Priority.Rank() == wire.PriorityProduction.Rank() {
 			continue
 		}
-		if bootS := p.leader.bootTimeS(&j.Spec); j.Spec.IsService() || p.leader.jobs.RunSeconds(j) > minBootTimesLeft*bootS {
-			p.longRunning[j.Spec.Ref] = bootS
+		if bootS := p.leader.bootTimeS(&job.Spec); job.Spec.IsService() ||
+			p.leader.jobs.RunSeconds(job) > minBootTimesLeft*bootS {
+			p.longRunning[job.Spec.Ref] = bootS
 		}
 	}
 }
@@ -147,16 +148,16 @@
 	if !long && !p.urgent && !stopping {
 		return
 	}
-	candidate, j := byMachine[task.machine], p.leader.jobs.Get(t.Job)
-	if candidate == nil || j == nil {
+	candidate, job := byMachine[task.machine], p.leader.jobs.Get(t.Job)
+	if candidate == nil || job == nil {
 		return
 	}
 	if stopping {
 		candidate.cpus += task.cpus
-		candidate.memory += j.Spec.MemoryGB
+		candidate.memory += job.Spec.MemoryGB
 	}
-	v := p.leader.victim(p.now, t, task, j)
-	v.endsSoon = !long || !j.Spec.IsService() && p.leader.jobs.RunSeconds(j)-v.runtimeS < minBootTimesLeft*bootS
+	v := p.leader.victim(p.now, t, task, job)
+	v.endsSoon = !long || !job.Spec.IsService() && p.leader.jobs.RunSeconds(job)-v.runtimeS < minBootTimesLeft*bootS
 	if task.stopReason == "" && (p.urgent || !v.endsSoon) && v.rank > wire.PriorityProduction.Rank() {
 		candidate.victims = append(candidate.victims, v)
 	}
@@ -169,8 +170,8 @@
 }
 
 // victim describes a task that may be preempted. Its progress up to the last periodic checkpoint is not lost.
-func (l *Leader) victim(now clock.Micros, t peer.Task, task *grantedTask, j *jobs.Job) victim {
-	spec := &j.Spec
+func (l *Leader) victim(now clock.Micros, t peer.Task, task *grantedTask, job *jobs.Job) victim {
+	spec := &job.Spec
 	rank, runtimeS := spec.Priority.Rank(), 0.0
 	if task.running {
 		runtimeS = (now - task.runningSince).Seconds()
@@ -184,11 +185,11 @@
 }
 
 // makeCapacityFor frees capacity for the waiting tasks of one job, as far as its team may run them.
-func (p *preemptionPass) makeCapacityFor(queue *fairshare.TeamQueue, j *jobs.Job) {
-	spec := &j.Spec
-	zones := p.leader.zonesOf(j)
+func (p *preemptionPass) makeCapacityFor(queue *fairshare.TeamQueue, job *jobs.Job) {
+	spec := &job.Spec
+	zones := p.leader.zonesOf(job)
 	serviceCPUs := queue.ServiceCPUs()
-	for n := min(j.Waiting(), maxPreemptions); n > 0; n-- {
+	for n := min(job.Waiting(), maxPreemptions); n > 0; n-- {
 		if !queue.ServiceFits(spec, serviceCPUs) {
 			return
 		}
@@ -196,7 +197,7 @@
 		if !ok {
 			return
 		}
-		candidate, victims := p.cheapestCandidate(j, zones, c)
+		candidate, victims := p.cheapestCandidate(job, zones, c)
 		if candidate == nil {
 			return
 		}
@@ -241,13 +242,13 @@
 
 // cheapestCandidate returns the machine on which one more task costs least to fit, and its victims' indexes.
 func (p *preemptionPass) cheapestCandidate(
-	j *jobs.Job, zones jobZones, c claim,
+	job *jobs.Job, zones jobZones, c claim,
 ) (best *preemptionCandidate, victims []int) {
-	spec := &j.Spec
+	spec := &job.Spec
 	leastCost := 0.0
 	for _, candidate := range p.candidates {
 		m := candidate.machine
-		if !m.allowed(p.now, j) || !zones.allows(m.option.Zone) || j.AvoidsMachine(p.now, m.name) ||
+		if !m.allowed(p.now, job) || !zones.allows(m.option.Zone) || job.AvoidsMachine(p.now, m.name) ||
 			m.state.GPUs+1e-9 < spec.GPUs {
 			continue
 		}
--- a/internal/leader/rebalancing.go
+++ b/internal/leader/rebalancing.go
@@ -43,13 +43,15 @@
 
 // migrationTarget returns the machine to which the next task of a job migrates, if that machine has free capacity
 // within the load bound, and nil otherwise.
-func (l *Leader) migrationTarget(j *jobs.Job, capacity *freeCapacity) *machine {
+func (l *Leader) migrationTarget(job *jobs.Job, capacity *freeCapacity) *machine {
 	if l.rebalancing == nil {
 		return nil
 	}
-	m := l.inventory.machines[l.rebalancing.PreferredMachine(rebalancer.TaskID{Job: j.Spec.Ref, Index: j.FirstWaiting()})]
-	spec := &j.Spec
-	if m == nil || !capacity.isOfferable(m) || !m.fits(spec) || !m.allowed(capacity.now, j) ||
+	m := l.inventory.machines[l.rebalancing.PreferredMachine(rebalancer.TaskID{
+		Job: job.Spec.Ref, Index: job.FirstWaiting(),
+	})]
+	spec := &job.Spec
+	if m == nil || !capacity.isOfferable(m) || !m.fits(spec) || !m.allowed(capacity.now, job) ||
 		!capacity.bound.allows(m, spec) {
 		return nil
 	}
--- a/internal/leader/rebalancing_view.go
+++ b/internal/leader/rebalancing_view.go
@@ -47,11 +47,11 @@
 		}
 	}
 	atLimit := map[string]bool{}
-	for j := range l.jobs.All() {
-		spec := &j.Spec
+	for job := range l.jobs.All() {
+		spec := &job.Spec
 		team := l.teams[spec.Team]
 		switch {
-		case j.Waiting() <= migrating[j.Spec.Ref] || j.IsCancelled() || j.Failures.InBackoff(now):
+		case job.Waiting() <= migrating[job.Spec.Ref] || job.IsCancelled() || job.Failures.InBackoff(now):
 		case l.usage.Of(spec.Team).FitsLimit(spec, team):
 			view.WorkWaiting = true
 		default:
@@ -85,8 +85,8 @@
 func (l *Leader) plannerTasks(now clock.Micros, tasks []placedTask, atLimit map[string]bool) []rebalancer.Task {
 	var described []rebalancer.Task
 	for _, t := range tasks {
-		if j := l.jobs.Get(t.id.Job); j != nil {
-			described = append(described, l.plannerTask(now, t.id, t.granted, j, atLimit[t.granted.team]))
+		if job := l.jobs.Get(t.id.Job); job != nil {
+			described = append(described, l.plannerTask(now, t.id, t.granted, job, atLimit[t.granted.team]))
 		}
 	}
 	slices.SortFunc(described, rebalancer.Task.Compare)
@@ -95,24 +95,24 @@
 
 // plannerTask describes a task to the rebalancer.
 func (l *Leader) plannerTask(
-	now clock.Micros, t peer.Task, task *grantedTask, j *jobs.Job, atLimit bool,
+	now clock.Micros, t peer.Task, task *grantedTask, job *jobs.Job, atLimit bool,
 ) rebalancer.Task {
-	spec := &j.Spec
+	spec := &job.Spec
 	described := rebalancer.Task{
 		ID: taskID(t), Team: spec.Team, Request: resourcesOf(spec), Image: spec.Image, ImageGB: spec.ImageGB,
 		CheckpointS:    spec.SaveS,
 		Checkpoints:    spec.CheckpointS > 0,
 		PlacementBound: spec.OneZone || spec.Spread, Service: spec.IsService(),
-		Stopping: task.stopReason != "" || j.IsCancelled(), TeamAtLimit: atLimit,
+		Stopping: task.stopReason != "" || job.IsCancelled(), TeamAtLimit: atLimit,
 		Allows: func(m *rebalancer.Machine) bool {
 			target := l.inventory.machines[m.Name]
-			_, failedOnTarget := j.Failures.FailedOn(m.Name)
-			return !failedOnTarget && target.allowed(now, j)
+			_, failedOnTarget := job.Failures.FailedOn(m.Name)
+			return !failedOnTarget && target.allowed(now, job)
 		},
 	}
 	if task.running {
 		described.RunningSince = task.runningSince
-		described.RemainingS = l.jobs.RunSeconds(j) - (now - task.runningSince).Seconds()
+		described.RemainingS = l.jobs.RunSeconds(job) - (now - task.runningSince).Seconds()
 	}
 	return described
 }
--- a/internal/leader/schedule.go
+++ b/internal/leader/schedule.go
@@ -78,35 +78,35 @@
 
 // offerTurn offers tasks of the job whose turn it is on one machine and returns how many it offered.
 func (o *offerRound) offerTurn(turn fairshare.Turn) (offered int) {
-	j := turn.Job
-	spec := &j.Spec
-	target, zone := o.migrationTarget(j, o.capacity), ""
+	job := turn.Job
+	spec := &job.Spec
+	target, zone := o.migrationTarget(job, o.capacity), ""
 	isMigration := target != nil
 	if !isMigration {
-		if target, zone = o.machineFor(j, o.capacity); target == nil {
+		if target, zone = o.machineFor(job, o.capacity); target == nil {
 			return 0
 		}
 	}
 	limit := tasksPerTurn
-	if isMigration || turn.Single || o.isPlacedOneByOne(j) {
+	if isMigration || turn.Single || o.isPlacedOneByOne(job) {
 		limit = 1
 	}
 	if spec.IsService() {
-		o.capacity.avoidedMachines(o.Leader, j)[target.name] = avoidReplica
+		o.capacity.avoidedMachines(o.Leader, job)[target.name] = avoidReplica
 	}
-	if j.Failures.Suspect() {
-		j.Failures.ProbeStarted(o.capacity.now)
+	if job.Failures.Suspect() {
+		job.Failures.ProbeStarted(o.capacity.now)
 	}
-	if !j.WasDispatched() {
-		o.traceQueued(o.now, j)
+	if !job.WasDispatched() {
+		o.traceQueued(o.now, job)
 	}
 	target.includeInScheduling()
 	for offered < limit && target.fits(spec) && turn.Queue.Fits(spec) && (offered == 0 || o.mayOfferMore(target, spec)) {
-		task := j.DispatchFirst()
+		task := job.DispatchFirst()
 		if task < 0 {
 			break
 		}
-		o.offer(j, task, target, zone)
+		o.offer(job, task, target, zone)
 		offered++
 	}
 	return offered
@@ -123,8 +123,8 @@
 
 // isPlacedOneByOne reports whether a turn offers only one task of the job: each of its tasks changes where the next
 // may run, or is a probe.
-func (o *offerRound) isPlacedOneByOne(j *jobs.Job) bool {
-	return j.Spec.OneZone || j.Spec.Spread || j.Spec.IsService() || j.Failures.Suspect()
+func (o *offerRound) isPlacedOneByOne(job *jobs.Job) bool {
+	return job.Spec.OneZone || job.Spec.Spread || job.Spec.IsService() || job.Failures.Suspect()
 }
 
 // mayOfferMore reports whether a machine may get more than the first task of a turn.
@@ -133,8 +133,8 @@
 }
 
 // offer adds a task to the offers to the shard of a machine, bound to a zone if one is given.
-func (o *offerRound) offer(j *jobs.Job, index int, m *machine, zone string) {
-	spec, lease := &j.Spec, m.shard
+func (o *offerRound) offer(job *jobs.Job, index int, m *machine, zone string) {
+	spec, lease := &job.Spec, m.shard
 	o.capacity.bound.reserve(m, spec)
 	task := &grantedTask{team: spec.Team, cpus: spec.CPUs, gpus: spec.GPUs, zone: zone}
 	lease.tasks[peer.Task{Job: spec.Ref, Index: index}] = task
@@ -147,7 +147,7 @@
 		lease.orders.Offers = append(lease.orders.Offers, peer.TaskOffer{Job: *spec, Zone: zone})
 	}
 	lease.orders.Offers[position].TaskIndexes = append(lease.orders.Offers[position].TaskIndexes, index)
-	j.SetUnservedSince(o.now)
+	job.SetUnservedSince(o.now)
 }
 
 // queues returns the teams' waiting jobs in the order of their turns.
--- a/internal/leader/shard_grants.go
+++ b/internal/leader/shard_grants.go
@@ -129,8 +129,8 @@
 	}
 	// A task without an attempt record cannot have been started: the condition of the record's write would fail now.
 	for t := range old {
-		if j := l.jobs.OfTask(t); j != nil && lease.tasks[t] == nil {
-			j.Requeue(t.Index)
+		if job := l.jobs.OfTask(t); job != nil && lease.tasks[t] == nil {
+			job.Requeue(t.Index)
 		}
 	}
 }
@@ -150,11 +150,11 @@
 	}
 	lease.tasks[t] = task
 	l.usage.Charge(task.team, task.resources())
-	j := l.jobs.OfTask(t)
-	if old[t] == nil && j != nil {
-		j.MarkDispatched(t.Index)
+	job := l.jobs.OfTask(t)
+	if old[t] == nil && job != nil {
+		job.MarkDispatched(t.Index)
 	}
-	if j == nil || j.IsCancelled() {
+	if job == nil || job.IsCancelled() {
 		lease.orders.Stop = append(lease.orders.Stop, peer.StopTask{Task: t})
 	}
 }
--- a/internal/leader/state_log.go
+++ b/internal/leader/state_log.go
@@ -27,14 +27,14 @@
 }
 
 func (l *Leader) summariseJobs(s *stateSummary) {
-	for j := range l.jobs.All() {
-		s.waiting += j.Waiting()
-		if j.Spec.IsService() {
-			s.replicas += j.Running()
+	for job := range l.jobs.All() {
+		s.waiting += job.Waiting()
+		if job.Spec.IsService() {
+			s.replicas += job.Running()
 		}
-		team := l.teams[j.Spec.Team]
-		if !l.usage.Of(team.Name).FitsLimit(&j.Spec, team) {
-			s.waitingAtLimit += j.Waiting()
+		team := l.teams[job.Spec.Team]
+		if !l.usage.Of(team.Name).FitsLimit(&job.Spec, team) {
+			s.waitingAtLimit += job.Waiting()
 		}
 	}
 }
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -118,15 +118,15 @@
 	for name, team := range l.teams {
 		byTeam[name] = &peer.TeamStatus{Team: name, CPUs: l.usage.Of(name).CPUs, Limit: team.CPUsMax}
 	}
-	for j := range l.jobs.All() {
-		spec := &j.Spec
+	for job := range l.jobs.All() {
+		spec := &job.Spec
 		status := byTeam[spec.Team]
 		if status == nil {
 			continue
 		}
-		status.Waiting += j.Waiting()
+		status.Waiting += job.Waiting()
 		if team := l.teams[spec.Team]; !l.usage.Of(spec.Team).FitsLimit(spec, team) {
-			status.AtLimit += j.Waiting()
+			status.AtLimit += job.Waiting()
 		}
 	}
 	var statuses []peer.TeamStatus
--- a/internal/leader/task_events.go
+++ b/internal/leader/task_events.go
@@ -8,7 +8,7 @@
 
 // taskEvent handles an event of a task that its shard holder reports.
 func (l *Leader) taskEvent(now clock.Micros, lease *shardLease, event peer.TaskEvent) {
-	j := l.jobs.OfTask(event.Task)
+	job := l.jobs.OfTask(event.Task)
 	switch event.Kind {
 	case peer.EventAssigned:
 		if task := lease.tasks[event.Task]; task != nil {
@@ -22,10 +22,10 @@
 		if task := lease.tasks[event.Task]; task != nil && !task.running {
 			task.running, task.runningSince, task.machine = true, now, event.Machine
 			l.attemptRunning(now, event.Task, task)
-			if j != nil {
-				j.MarkRunning()
-				if j.Spec.IsService() {
-					l.replicaStarted(now, j, event.Task, task)
+			if job != nil {
+				job.MarkRunning()
+				if job.Spec.IsService() {
+					l.replicaStarted(now, job, event.Task, task)
 				}
 			}
 		}
@@ -34,45 +34,45 @@
 			task.otherAttemptMayRun = true
 		}
 	case peer.EventUnplaced, peer.EventReleased, peer.EventFailed, peer.EventCompleted:
-		if j != nil && j.Spec.IsService() {
-			l.replicaEnded(now, lease, j, event)
+		if job != nil && job.Spec.IsService() {
+			l.replicaEnded(now, lease, job, event)
 		} else {
-			l.taskEnded(now, lease, j, event)
+			l.taskEnded(now, lease, job, event)
 		}
 	}
 }
 
 // taskEnded handles the end of an attempt of a batch task, or of a task whose job is no longer known.
-func (l *Leader) taskEnded(now clock.Micros, lease *shardLease, j *jobs.Job, event peer.TaskEvent) {
+func (l *Leader) taskEnded(now clock.Micros, lease *shardLease, job *jobs.Job, event peer.TaskEvent) {
 	task := l.releaseTask(lease, event.Task)
-	if task != nil && task.running && j != nil {
-		j.MarkStopped()
+	if task != nil && task.running && job != nil {
+		job.MarkStopped()
 	}
 	l.attemptEnded(now, event, task)
 	switch {
 	case event.Kind == peer.EventCompleted:
-		l.taskCompleted(now, lease, j, event)
-		if task != nil && j != nil {
-			j.ClearDispatched(event.Index)
+		l.taskCompleted(now, lease, job, event)
+		if task != nil && job != nil {
+			job.ClearDispatched(event.Index)
 		}
-	case task != nil && j != nil:
-		j.Requeue(event.Index)
+	case task != nil && job != nil:
+		job.Requeue(event.Index)
 	}
-	if event.Kind == peer.EventFailed && j != nil {
-		l.taskFailed(now, j, event, task)
+	if event.Kind == peer.EventFailed && job != nil {
+		l.taskFailed(now, job, event, task)
 	}
 }
 
 // replicaEnded handles the end of an attempt of a service task. A service task never completes for good, so it waits
 // to run again, but only once none of its attempts may still run.
-func (l *Leader) replicaEnded(now clock.Micros, lease *shardLease, j *jobs.Job, event peer.TaskEvent) {
+func (l *Leader) replicaEnded(now clock.Micros, lease *shardLease, job *jobs.Job, event peer.TaskEvent) {
 	if task := lease.tasks[event.Task]; task != nil && task.otherAttemptMayRun && event.Kind == peer.EventCompleted {
 		task.otherAttemptMayRun = false
 		return
 	}
 	task := l.releaseTask(lease, event.Task)
 	if task != nil && task.running {
-		j.MarkStopped()
+		job.MarkStopped()
 	}
 	if event.Kind == peer.EventCompleted {
 		// The attempt stays listed until its machine has confirmed a higher fencing token, as a delayed copy of its
@@ -81,28 +81,28 @@
 		lease.orders.Persisted = append(lease.orders.Persisted, event.Task)
 	}
 	if task != nil {
-		j.Requeue(event.Index)
+		job.Requeue(event.Index)
 		if event.Kind != peer.EventUnplaced {
-			l.replicaStopped(now, j, event, task)
+			l.replicaStopped(now, job, event, task)
 		}
 	}
 	if event.Kind == peer.EventFailed {
-		l.taskFailed(now, j, event, task)
+		l.taskFailed(now, job, event, task)
 	}
 }
 
 // taskCompleted records the completion of a task, which is acknowledged to the holder once it is persisted.
-func (l *Leader) taskCompleted(now clock.Micros, lease *shardLease, j *jobs.Job, event peer.TaskEvent) {
-	if j != nil {
-		l.creditCompletion(now, j, event)
+func (l *Leader) taskCompleted(now clock.Micros, lease *shardLease, job *jobs.Job, event peer.TaskEvent) {
+	if job != nil {
+		l.creditCompletion(now, job, event)
 	}
-	if j == nil || j.IsCancelled() || j.IsPersisted(event.Index) {
+	if job == nil || job.IsCancelled() || job.IsPersisted(event.Index) {
 		lease.orders.Persisted = append(lease.orders.Persisted, event.Task)
 		return
 	}
 	lease.unpersisted = append(lease.unpersisted, event.Task)
-	if j.MarkCompleted(event.Index) {
-		l.jobs.ObserveRunTime(j, event.RunSeconds)
+	if job.MarkCompleted(event.Index) {
+		l.jobs.ObserveRunTime(job, event.RunSeconds)
 	}
-	l.writeFinalState(j)
+	l.writeFinalState(job)
 }
--- a/internal/leader/tick.go
+++ b/internal/leader/tick.go
@@ -16,12 +16,12 @@
 		l.scheduling.requested = true
 	}
 	l.assignShards(now)
-	for j := range l.jobs.Sorted() {
-		l.writeFinalState(j)
-		if j.RetryDelayed(now) {
+	for job := range l.jobs.Sorted() {
+		l.writeFinalState(job)
+		if job.RetryDelayed(now) {
 			l.scheduling.requestUrgently()
 		}
-		l.clearSuspicion(now, j)
+		l.clearSuspicion(now, job)
 	}
 	l.writeProgress(now)
 	l.rebalance(now)
--- a/internal/leader/trace.go
+++ b/internal/leader/trace.go
@@ -20,15 +20,15 @@
 }
 
 // acceptedAt returns when a job was accepted, in steady time.
-func (l *Leader) acceptedAt(j *jobs.Job) clock.Micros { return j.AcceptedAt - l.wallOffset }
+func (l *Leader) acceptedAt(job *jobs.Job) clock.Micros { return job.AcceptedAt - l.wallOffset }
 
 // traceQueued records how long a job waited until its first task was dispatched.
-func (l *Leader) traceQueued(now clock.Micros, j *jobs.Job) {
+func (l *Leader) traceQueued(now clock.Micros, job *jobs.Job) {
 	l.recordSpan(trace.Span{
-		Job: j.Spec.Ref, Name: "queue", Begin: l.acceptedAt(j), End: now,
+		Job: job.Spec.Ref, Name: "queue", Begin: l.acceptedAt(job), End: now,
 		Attributes: []trace.Attribute{
-			{Key: "team", Value: j.Spec.Team},
-			{Key: "tasks", Value: strconv.Itoa(j.Spec.Tasks)},
+			{Key: "team", Value: job.Spec.Team},
+			{Key: "tasks", Value: strconv.Itoa(job.Spec.Tasks)},
 		},
 	})
 }
@@ -45,9 +45,9 @@
 }
 
 // traceJob records a job from its acceptance to its end.
-func (l *Leader) traceJob(now clock.Micros, j *jobs.Job, state wire.JobState) {
+func (l *Leader) traceJob(now clock.Micros, job *jobs.Job, state wire.JobState) {
 	l.recordSpan(trace.Span{
-		Job: j.Spec.Ref, Name: "job", Begin: l.acceptedAt(j), End: now,
+		Job: job.Spec.Ref, Name: "job", Begin: l.acceptedAt(job), End: now,
 		Attributes: []trace.Attribute{{Key: "state", Value: string(state)}},
 	})
 }
--- a/internal/leader/zones.go
+++ b/internal/leader/zones.go
@@ -13,20 +13,20 @@
 }
 
 // zonesOf counts the granted tasks of a job by zone, if they restrict where its other tasks may run.
-func (l *Leader) zonesOf(j *jobs.Job) jobZones {
-	zones := jobZones{&j.Spec, map[string]int{}}
+func (l *Leader) zonesOf(job *jobs.Job) jobZones {
+	zones := jobZones{&job.Spec, map[string]int{}}
 	if !zones.job.OneZone && !zones.job.Spread {
 		return zones
 	}
-	l.eachDispatched(j, func(_ peer.Task, task *grantedTask) { zones.taskCounts[task.zone]++ })
+	l.eachDispatched(job, func(_ peer.Task, task *grantedTask) { zones.taskCounts[task.zone]++ })
 	return zones
 }
 
 // eachDispatched calls f for each of the job's tasks that is in a shard grant.
-func (l *Leader) eachDispatched(j *jobs.Job, f func(peer.Task, *grantedTask)) {
-	for index := range j.DispatchedTasks() {
+func (l *Leader) eachDispatched(job *jobs.Job, f func(peer.Task, *grantedTask)) {
+	for index := range job.DispatchedTasks() {
 		for _, lease := range l.shards.all {
-			t := peer.Task{Job: j.Spec.Ref, Index: index}
+			t := peer.Task{Job: job.Spec.Ref, Index: index}
 			if task := lease.tasks[t]; task != nil {
 				f(t, task)
 			}
