--- a/internal/leader/state_log.go
+++ b/internal/leader/state_log.go
@@ -2,10 +2,10 @@
 
 import "swiftledge/internal/clock"
 
-// stateLogInterval is the pause between two lines that sum up the state.
+// stateLogInterval is the time between two log lines that summarise the state.
 const stateLogInterval = 10 * clock.Second
 
-// stateSummary sums up queues and free capacity for whoever reads a debug log.
+// stateSummary summarises queues and free capacity for the debug log.
 type stateSummary struct {
 	waiting, waitingAtLimit, replicas int
 	onDemand, idle, schedulable       int
@@ -27,14 +27,14 @@
 }
 
 func (l *Leader) summariseJobs(s *stateSummary) {
-	for j := range l.jobs.All() {
-		s.waiting += j.Waiting()
-		if j.Spec.IsService() {
-			s.replicas += j.Running()
+	for job := range l.jobs.All() {
+		s.waiting += job.Waiting()
+		if job.Spec.IsService() {
+			s.replicas += job.Running()
 		}
-		team := l.teams[j.Spec.Team]
-		if !l.usage.Of(team.Name).FitsLimit(&j.Spec, team) {
-			s.waitingAtLimit += j.Waiting()
+		team := l.teams[job.Spec.Team]
+		if !l.usage.Of(team.Name).FitsLimit(&job.Spec, team) {
+			s.waitingAtLimit += job.Waiting()
 		}
 	}
 }
--- a/internal/leader/task_events.go
+++ b/internal/leader/task_events.go
@@ -6,101 +6,103 @@
 	"swiftledge/internal/peer"
 )
 
-func (l *Leader) taskEvent(now clock.Micros, lease *shardLease, e peer.TaskEvent) {
-	j := l.jobs.OfTask(e.Task)
-	switch e.Kind {
+// taskEvent handles an event of a task that its shard holder reports.
+func (l *Leader) taskEvent(now clock.Micros, lease *shardLease, event peer.TaskEvent) {
+	job := l.jobs.OfTask(event.Task)
+	switch event.Kind {
 	case peer.EventAssigned:
-		if h := lease.tasks[e.Task]; h != nil {
-			h.machine = e.Machine
-			if m := l.inventory.machines[e.Machine]; m != nil {
-				h.zone = m.option.Zone
+		if task := lease.tasks[event.Task]; task != nil {
+			task.machine = event.Machine
+			if m := l.inventory.machines[event.Machine]; m != nil {
+				task.zone = m.option.Zone
 			}
-			l.attemptAssigned(now, e.Task, h)
+			l.attemptAssigned(now, event.Task, task)
 		}
 	case peer.EventRunning:
-		if h := lease.tasks[e.Task]; h != nil && !h.running {
-			h.running, h.runningSince, h.machine = true, now, e.Machine
-			l.attemptRunning(now, e.Task, h)
-			if j != nil {
-				j.MarkRunning()
-				if j.Spec.IsService() {
-					l.replicaStarted(now, j, e.Task, h)
+		if task := lease.tasks[event.Task]; task != nil && !task.running {
+			task.running, task.runningSince, task.machine = true, now, event.Machine
+			l.attemptRunning(now, event.Task, task)
+			if job != nil {
+				job.MarkRunning()
+				if job.Spec.IsService() {
+					l.replicaStarted(now, job, event.Task, task)
 				}
 			}
 		}
 	case peer.EventAttemptRemains:
-		if h := lease.tasks[e.Task]; h != nil {
-			h.otherAttemptLeft = true
+		if task := lease.tasks[event.Task]; task != nil {
+			task.otherAttemptMayRun = true
 		}
 	case peer.EventUnplaced, peer.EventReleased, peer.EventFailed, peer.EventCompleted:
-		if j != nil && j.Spec.IsService() {
-			l.replicaEnded(now, lease, j, e)
+		if job != nil && job.Spec.IsService() {
+			l.replicaEnded(now, lease, job, event)
 		} else {
-			l.taskEnded(now, lease, j, e)
+			l.taskEnded(now, lease, job, event)
 		}
 	}
 }
 
-// taskEnded takes in the end of a batch's task, or of one whose job is not known any more.
-func (l *Leader) taskEnded(now clock.Micros, lease *shardLease, j *jobs.Job, e peer.TaskEvent) {
-	h := l.release(lease, e.Task)
-	if h != nil && h.running && j != nil {
-		j.MarkStopped()
+// taskEnded handles the end of an attempt of a batch task, or of a task whose job is no longer known.
+func (l *Leader) taskEnded(now clock.Micros, lease *shardLease, job *jobs.Job, event peer.TaskEvent) {
+	task := l.releaseTask(lease, event.Task)
+	if task != nil && task.running && job != nil {
+		job.MarkStopped()
 	}
-	l.attemptEnded(now, e, h)
+	l.attemptEnded(now, event, task)
 	switch {
-	case e.Kind == peer.EventCompleted:
-		l.taskCompleted(now, lease, j, e)
-		if h != nil && j != nil {
-			j.ClearDispatched(e.Index)
+	case event.Kind == peer.EventCompleted:
+		l.taskCompleted(now, lease, job, event)
+		if task != nil && job != nil {
+			job.ClearDispatched(event.Index)
 		}
-	case h != nil && j != nil:
-		j.Requeue(e.Index)
+	case task != nil && job != nil:
+		job.Requeue(event.Index)
 	}
-	if e.Kind == peer.EventFailed && j != nil {
-		l.taskFailed(now, j, e, h)
+	if event.Kind == peer.EventFailed && job != nil {
+		l.taskFailed(now, job, event, task)
 	}
 }
 
-// replicaEnded takes in the end of a service's task. None is its last, so the task waits again, but
-// only when none of its attempts may run.
-func (l *Leader) replicaEnded(now clock.Micros, lease *shardLease, j *jobs.Job, e peer.TaskEvent) {
-	if h := lease.tasks[e.Task]; h != nil && h.otherAttemptLeft && e.Kind == peer.EventCompleted {
-		h.otherAttemptLeft = false
+// replicaEnded handles the end of an attempt of a service task. A service task never completes for good, so it waits
+// to run again, but only once none of its attempts may still run.
+func (l *Leader) replicaEnded(now clock.Micros, lease *shardLease, job *jobs.Job, event peer.TaskEvent) {
+	if task := lease.tasks[event.Task]; task != nil && task.otherAttemptMayRun && event.Kind == peer.EventCompleted {
+		task.otherAttemptMayRun = false
 		return
 	}
-	h := l.release(lease, e.Task)
-	if h != nil && h.running {
-		j.MarkStopped()
+	task := l.releaseTask(lease, event.Task)
+	if task != nil && task.running {
+		job.MarkStopped()
 	}
-	if e.Kind == peer.EventCompleted {
-		// It stays listed until its machine has shown a higher token: a late copy of its order would
-		// start it anew.
-		lease.orders.Stop = append(lease.orders.Stop, peer.StopTask{Task: e.Task})
-		lease.orders.Persisted = append(lease.orders.Persisted, e.Task)
+	if event.Kind == peer.EventCompleted {
+		// The attempt stays listed until its machine has confirmed a higher fencing token, as a delayed copy of its
+		// run command would start it again.
+		lease.orders.Stop = append(lease.orders.Stop, peer.StopTask{Task: event.Task})
+		lease.orders.Persisted = append(lease.orders.Persisted, event.Task)
 	}
-	if h != nil {
-		j.Requeue(e.Index)
-		if e.Kind != peer.EventUnplaced {
-			l.replicaStopped(now, j, e, h)
+	if task != nil {
+		job.Requeue(event.Index)
+		if event.Kind != peer.EventUnplaced {
+			l.replicaStopped(now, job, event, task)
 		}
 	}
-	if e.Kind == peer.EventFailed {
-		l.taskFailed(now, j, e, h)
+	if event.Kind == peer.EventFailed {
+		l.taskFailed(now, job, event, task)
 	}
 }
 
-func (l *Leader) taskCompleted(now clock.Micros, lease *shardLease, j *jobs.Job, e peer.TaskEvent) {
-	if j != nil {
-		l.creditCompletion(now, j, e)
+// taskCompleted records the completion of a task, which is acknowledged to the holder once it is persisted.
+func (l *Leader) taskCompleted(now clock.Micros, lease *shardLease, job *jobs.Job, event peer.TaskEvent) {
+	if job != nil {
+		l.creditCompletion(now, job, event)
 	}
-	if j == nil || j.IsCancelled() || j.IsPersisted(e.Index) {
-		lease.orders.Persisted = append(lease.orders.Persisted, e.Task)
+	if job == nil || job.IsCancelled() || job.IsPersisted(event.Index) {
+		lease.orders.Persisted = append(lease.orders.Persisted, event.Task)
 		return
 	}
-	lease.unpersisted = append(lease.unpersisted, e.Task)
-	if j.MarkCompleted(e.Index) {
-		l.jobs.ObserveRunTime(j, e.RunSeconds)
+	lease.unpersisted = append(lease.unpersisted, event.Task)
+	if job.MarkCompleted(event.Index) {
+		l.jobs.ObserveRunTime(job, event.RunSeconds)
 	}
-	l.writeFinalState(j)
+	l.writeFinalState(job)
 }
--- a/internal/leader/tick.go
+++ b/internal/leader/tick.go
@@ -3,11 +3,11 @@
 import "swiftledge/internal/clock"
 
 const (
-	// countsReportInterval is the pause between two reports of the jobs' task counts to the controllers.
+	// countsReportInterval is the time between two reports of task counts to the controllers.
 	countsReportInterval = clock.Second
 )
 
-// tick does what is due with the passing of time.
+// tick performs the periodic work that is due.
 func (l *Leader) tick(now clock.Micros) {
 	if !l.loaded || !l.authorised(now) {
 		return
@@ -16,12 +16,12 @@
 		l.scheduling.requested = true
 	}
 	l.assignShards(now)
-	for j := range l.jobs.Sorted() {
-		l.writeFinalState(j)
-		if j.RetryDelayed(now) {
+	for job := range l.jobs.Sorted() {
+		l.writeFinalState(job)
+		if job.RetryDelayed(now) {
 			l.scheduling.requestUrgently()
 		}
-		l.clearSuspicion(now, j)
+		l.clearSuspicion(now, job)
 	}
 	l.writeProgress(now)
 	l.rebalance(now)
