--- a/internal/leader/assignment/assignment.go
+++ b/internal/leader/assignment/assignment.go
@@ -17,8 +17,8 @@
 const (
 	// storeRefusalTolerance is how long the store may refuse a controller before it gets no shards.
 	storeRefusalTolerance = 3 * clock.Second
-	// noAgentContactTime is how long a controller that heard no agent is left without shards.
-	noAgentContactTime = 30 * clock.Second
+	// noAgentContactBackoff is how long a controller that heard no agent is left without shards.
+	noAgentContactBackoff = 30 * clock.Second
 )
 
 // Phase is how far the lease of a shard has come.
@@ -50,15 +50,15 @@
 	ConnectedAt      clock.Micros
 	NoAgentContactAt clock.Micros // when it last heard no agent; 0: never
 	RefusedSince     clock.Micros // since when the store refuses it; 0: it does not
-	triedAt          clock.Micros // when it was last given a shard after it had heard no agent
-	busyUntil        clock.Micros // until when it is busy with the agents of the shard that it took over last
+	trialAssignedAt  clock.Micros // when it was last given a shard after it had heard no agent
+	takeoverUntil    clock.Micros // until when it is busy with the agents of the shard that it took over last
 }
 
-// unable reports whether the controller should hold no shard: one that the store alone refuses cannot record starts,
+// unfit reports whether the controller should hold no shard: one that the store alone refuses cannot record starts,
 // one that hears no agent cannot keep the leases of agents.
-func (c *Controller) unable(now clock.Micros) bool {
+func (c *Controller) unfit(now clock.Micros) bool {
 	refused := c.RefusedSince > 0 && now-c.RefusedSince > storeRefusalTolerance
-	silent := c.NoAgentContactAt > 0 && now-c.NoAgentContactAt < noAgentContactTime
+	silent := c.NoAgentContactAt > 0 && now-c.NoAgentContactAt < noAgentContactBackoff
 	return refused || silent
 }
 
@@ -74,7 +74,7 @@
 // Assign finds holders for shards that have none, and evens out. It returns the shards whose holder has changed, and
 // those whose attempts have to be read though no controller can take them.
 func Assign(r Round) []*Shard {
-	a := &assigner{Round: r, eligible: eligible(r), owned: map[string]int{}}
+	a := &assigner{Round: r, eligible: eligible(r), shardCounts: map[string]int{}}
 	a.distribute(a.returnToFormerHolders(a.unassigned()))
 	if len(a.changed) == 0 {
 		a.rebalance()
@@ -85,7 +85,7 @@
 // eligible names the controllers that may hold shards. If none is able, all of them have to do.
 func eligible(r Round) []string {
 	names := slices.Sorted(maps.Keys(r.Controllers))
-	able := slices.DeleteFunc(slices.Clone(names), func(name string) bool { return r.Controllers[name].unable(r.Now) })
+	able := slices.DeleteFunc(slices.Clone(names), func(name string) bool { return r.Controllers[name].unfit(r.Now) })
 	if len(able) > 0 {
 		return able
 	}
@@ -95,9 +95,9 @@
 // assigner is the state of a round under way.
 type assigner struct {
 	Round
-	eligible []string
-	owned    map[string]int // shards by controller, with those that it gets in this round
-	changed  []*Shard
+	eligible    []string
+	shardCounts map[string]int // shards by controller, with those that it gets in this round
+	changed     []*Shard
 }
 
 // unassigned returns the shards that need a holder, and counts the others for theirs.
@@ -109,7 +109,7 @@
 		held := s.Phase == Granted && s.HolderConnected && slices.Contains(a.eligible, s.Holder)
 		switch {
 		case held || moving && inTouch:
-			a.owned[s.Holder]++
+			a.shardCounts[s.Holder]++
 		case !moving:
 			found = append(found, s)
 		}
@@ -126,7 +126,7 @@
 		if s.UnassignedSince == 0 {
 			s.UnassignedSince = a.Now
 		}
-		if slices.Contains(a.eligible, s.Holder) && a.owned[s.Holder] < fair {
+		if slices.Contains(a.eligible, s.Holder) && a.shardCounts[s.Holder] < fair {
 			a.assign(s, s.Holder)
 		} else {
 			left = append(left, s)
@@ -137,7 +137,7 @@
 
 func (a *assigner) assign(s *Shard, holder string) {
 	s.Holder = holder
-	a.owned[holder]++
+	a.shardCounts[holder]++
 	a.changed = append(a.changed, s)
 }
 
@@ -145,9 +145,9 @@
 func (a *assigner) leastLoaded() string {
 	weight := func(name string) int {
 		if name == a.Leader {
-			return 2*a.owned[name] + 1
+			return 2*a.shardCounts[name] + 1
 		}
-		return 2 * a.owned[name]
+		return 2 * a.shardCounts[name]
 	}
 	return slices.MinFunc(a.eligible, func(x, y string) int { return weight(x) - weight(y) })
 }
@@ -158,9 +158,9 @@
 	for _, s := range shards {
 		holder := a.leastLoaded()
 		c := a.Controllers[holder]
-		full := a.owned[holder] >= most && a.Now-s.UnassignedSince < a.Capacity.reassignDelay()
-		if a.Now >= c.busyUntil && !full {
-			c.busyUntil = a.Now + a.Capacity.takeoverTime(len(a.Shards))
+		full := a.shardCounts[holder] >= most && a.Now-s.UnassignedSince < a.Capacity.reassignDelay()
+		if a.Now >= c.takeoverUntil && !full {
+			c.takeoverUntil = a.Now + a.Capacity.takeoverTime(len(a.Shards))
 			a.assign(s, holder)
 			continue
 		}
@@ -178,20 +178,20 @@
 	holder := a.leastLoaded()
 	c := a.Controllers[holder]
 	onTrial := c.NoAgentContactAt > 0
-	if a.Now-c.ConnectedAt <= MinConnectedTime || onTrial && a.Now-c.triedAt < noAgentContactTime/2 {
+	if a.Now-c.ConnectedAt <= MinConnectedTime || onTrial && a.Now-c.trialAssignedAt < noAgentContactBackoff/2 {
 		return
 	}
 	for _, s := range a.Shards {
 		// Through the store a grant may take longer than the leases of its agents last.
-		if c.ViaStore && a.owned[s.Holder] <= a.Capacity.answerable(len(a.Shards)) {
+		if c.ViaStore && a.shardCounts[s.Holder] <= a.Capacity.serviceableShards(len(a.Shards)) {
 			continue
 		}
-		if s.Phase != Granted || a.owned[s.Holder] < a.owned[holder]+2 {
+		if s.Phase != Granted || a.shardCounts[s.Holder] < a.shardCounts[holder]+2 {
 			continue
 		}
-		a.owned[s.Holder]--
+		a.shardCounts[s.Holder]--
 		a.assign(s, holder)
-		c.triedAt = a.Now
+		c.trialAssignedAt = a.Now
 		// One that heard no agent for a while is tried with a single shard first.
 		if onTrial || c.ViaStore {
 			return
--- a/internal/leader/assignment/capacity.go
+++ b/internal/leader/assignment/capacity.go
@@ -3,13 +3,13 @@
 import "swiftledge/internal/clock"
 
 const (
-	// heartbeatCost is what one heartbeat a second takes of a core, with all that follows from it: 600 machines
+	// heartbeatCoreSeconds is what one heartbeat a second takes of a core, with all that follows from it: 600 machines
 	// with a heartbeat every 3 s take three controllers 0.022 of a core, 0.00011 for each heartbeat. What is more is
 	// left for the leader's work besides.
-	heartbeatCost = 0.00015
-	// takeoverCost is what it takes of a core-second to take over one machine: its agent connects, sends a
+	heartbeatCoreSeconds = 0.00015
+	// takeoverCoreSeconds is what it takes of a core-second to take over one machine: its agent connects, sends a
 	// heartbeat, learns the new fencing token, sends another, and is told of its tasks.
-	takeoverCost = 0.0003
+	takeoverCoreSeconds = 0.0003
 	// takeoversPerLease bounds how many shards a controller takes over within the lease of an agent.
 	takeoversPerLease = 16
 )
@@ -29,12 +29,12 @@
 func (c Capacity) MaxShards(shards int) int {
 	size := max(c.Controllers, 1)
 	share := (shards+size-1)/size + max(1, shards/6)
-	return max(share, c.answerable(shards))
+	return max(share, c.serviceableShards(shards))
 }
 
-// answerable is of how many of the shards one controller can answer all agents.
-func (c Capacity) answerable(shards int) int {
-	able := c.CPU / heartbeatCost * c.HeartbeatS / max(1, float64(c.Machines)) * float64(shards)
+// serviceableShards is of how many of the shards one controller can answer all agents.
+func (c Capacity) serviceableShards(shards int) int {
+	able := c.CPU / heartbeatCoreSeconds * c.HeartbeatS / max(1, float64(c.Machines)) * float64(shards)
 	return int(min(able, float64(shards)))
 }
 
@@ -42,7 +42,7 @@
 // would make it late with every answer and cost a leader its lease.
 func (c Capacity) takeoverTime(shards int) clock.Micros {
 	machines := float64(c.Machines) / float64(shards)
-	busy := machines * takeoverCost / c.CPU
+	busy := machines * takeoverCoreSeconds / c.CPU
 	return clock.FromSeconds(min(busy, c.AgentLease.Seconds()/takeoversPerLease))
 }
 
--- a/internal/leader/fairshare/order.go
+++ b/internal/leader/fairshare/order.go
@@ -6,8 +6,8 @@
 
 // jobOrder is a job's place among those of its team.
 type jobOrder struct {
-	late bool // it cannot be in time any more
-	rank int  // of its priority, the most important first
+	late         bool // it cannot be in time any more
+	priorityRank int  // of its priority, the most important first
 	// With a deadline, the time that is left before it has to begin; without one, what is left to do.
 	slack float64
 	age   float64
@@ -18,7 +18,7 @@
 func (o jobOrder) compare(other jobOrder) int {
 	return cmp.Or(
 		falseFirst(o.late, other.late),
-		cmp.Compare(o.rank, other.rank),
+		cmp.Compare(o.priorityRank, other.priorityRank),
 		cmp.Compare(o.slack, other.slack),
 		cmp.Compare(other.age, o.age),
 	)
@@ -26,17 +26,17 @@
 
 // teamOrder is a team's place among the others.
 type teamOrder struct {
-	belated        bool // a job of it has not begun in time: it goes first
+	startOverdue   bool // a job of it has not begun in time: it goes first
 	overGuarantee  bool // its next task would be beyond what it is guaranteed
-	rank           int  // of its most important job
+	priorityRank   int  // of its most important job
 	guaranteeInUse float64
 }
 
 func (o teamOrder) compare(other teamOrder) int {
 	return cmp.Or(
-		falseFirst(other.belated, o.belated),
+		falseFirst(other.startOverdue, o.startOverdue),
 		falseFirst(o.overGuarantee, other.overGuarantee),
-		cmp.Compare(o.rank, other.rank),
+		cmp.Compare(o.priorityRank, other.priorityRank),
 		cmp.Compare(o.guaranteeInUse, other.guaranteeInUse),
 	)
 }
--- a/internal/leader/fairshare/policy.go
+++ b/internal/leader/fairshare/policy.go
@@ -43,7 +43,7 @@
 		age := (at.TimeOfDay - j.AcceptedAt).Seconds()
 		isOld := age > p.StartWithinS
 		q.countDispatched(j, isOld)
-		noteUnserved(at.Now, q, j)
+		updateUnservedSince(at.Now, q, j)
 		if j.Waiting() > 0 && !j.Failures.InBackoff(at.Now) && !j.IsCancelled() {
 			q.entries = append(q.entries,
 				&entry{job: j, order: p.order(age, j, table), waitedLong: isOld && !j.Failures.Suspect()})
@@ -66,15 +66,15 @@
 	if j.Spec.IsService() {
 		q.serviceCPUs += cpus
 	} else {
-		q.mixed = true
+		q.hasOtherJobs = true
 	}
 	if isOld {
 		q.cpusByClass[longWaiting] += cpus
 	}
 }
 
-// noteUnserved notes since when a job waits for free capacity, and not for its team's limit.
-func noteUnserved(now clock.Micros, q *TeamQueue, j *jobs.Job) {
+// updateUnservedSince notes since when a job waits for free capacity, and not for its team's limit.
+func updateUnservedSince(now clock.Micros, q *TeamQueue, j *jobs.Job) {
 	switch {
 	case j.Waiting() == 0 || j.Failures.InBackoff(now):
 		j.SetUnservedSince(0)
@@ -121,5 +121,5 @@
 	if s.DeadlineS == nil {
 		slack = need
 	}
-	return jobOrder{late: rank >= wire.PriorityStandard.Rank() && age+need > due, rank: rank, slack: slack, age: age}
+	return jobOrder{late: rank >= wire.PriorityStandard.Rank() && age+need > due, priorityRank: rank, slack: slack, age: age}
 }
--- a/internal/leader/fairshare/queue.go
+++ b/internal/leader/fairshare/queue.go
@@ -30,14 +30,14 @@
 	// cpusByClass is what the team's classes use; longWaiting stands for the jobs that have waited long.
 	cpusByClass map[string]float64
 	// serviceCPUs is what services use, and mixed that the team has other jobs: neither may shut out the other.
-	serviceCPUs float64
-	mixed       bool
-
-	// turn is whose turn it is within the team; it changes only when the team is served.
-	turn    *entry
-	single  bool // it is the turn of one task alone
-	order   teamOrder
-	settled bool // turn, single and order hold
+	serviceCPUs  float64
+	hasOtherJobs bool
+
+	// nextEntry is whose nextEntry it is within the team; it changes only when the team is served.
+	nextEntry   *entry
+	oneTaskOnly bool // it is the turn of one task alone
+	order       teamOrder
+	selected    bool // turn, single and order hold
 }
 
 // Team returns the team's quota.
@@ -61,7 +61,7 @@
 // ServiceFits reports whether one more task of the job leaves the team's other jobs their least share if services use
 // that many processors. It holds for every job that is no service.
 func (q *TeamQueue) ServiceFits(job *wire.Job, serviceCPUs float64) bool {
-	return !job.IsService() || !q.mixed ||
+	return !job.IsService() || !q.hasOtherJobs ||
 		serviceCPUs+job.CPUs <= q.team.CPULimit()*(1-q.leastShare)+tolerance
 }
 
@@ -94,37 +94,37 @@
 	return q.entries[0], false
 }
 
-// settle finds whose turn it is within the team, and the team's place among the others.
-func (q *TeamQueue) settle() {
-	if q.settled {
+// selectNext finds whose turn it is within the team, and the team's place among the others.
+func (q *TeamQueue) selectNext() {
+	if q.selected {
 		return
 	}
-	q.settled = true
-	q.turn, q.single = q.next()
-	for q.turn != nil && !q.Fits(&q.turn.job.Spec) {
-		q.holdBack(q.turn)
-		q.turn, q.single = q.next()
+	q.selected = true
+	q.nextEntry, q.oneTaskOnly = q.next()
+	for q.nextEntry != nil && !q.Fits(&q.nextEntry.job.Spec) {
+		q.skip(q.nextEntry)
+		q.nextEntry, q.oneTaskOnly = q.next()
 	}
-	if q.turn == nil {
+	if q.nextEntry == nil {
 		return
 	}
 	q.order = teamOrder{
-		belated:        q.single,
-		overGuarantee:  !q.Usage().FitsGuarantee(&q.turn.job.Spec, q.team),
-		rank:           q.entries[0].order.rank,
+		startOverdue:   q.oneTaskOnly,
+		overGuarantee:  !q.Usage().FitsGuarantee(&q.nextEntry.job.Spec, q.team),
+		priorityRank:   q.entries[0].order.priorityRank,
 		guaranteeInUse: q.Usage().CPUs / max(q.team.CPUs, 1),
 	}
 }
 
-// holdBack leaves out a job that does not fit. What the team's limit holds back must not be passed by smaller tasks of
+// skip leaves out a job that does not fit. What the team's limit holds back must not be passed by smaller tasks of
 // less important jobs, which would take every bit of capacity that comes free.
-func (q *TeamQueue) holdBack(held *entry) {
+func (q *TeamQueue) skip(held *entry) {
 	held.exhausted = true
 	if q.Usage().FitsLimit(&held.job.Spec, q.team) {
 		return
 	}
 	for _, e := range q.entries {
-		e.exhausted = e.exhausted || e.order.rank > held.order.rank
+		e.exhausted = e.exhausted || e.order.priorityRank > held.order.priorityRank
 	}
 }
 
@@ -140,21 +140,21 @@
 func Next(queues []*TeamQueue) (Turn, bool) {
 	var best *TeamQueue
 	for _, q := range queues {
-		q.settle()
-		if q.turn != nil && (best == nil || q.order.compare(best.order) < 0) {
+		q.selectNext()
+		if q.nextEntry != nil && (best == nil || q.order.compare(best.order) < 0) {
 			best = q
 		}
 	}
 	if best == nil {
 		return Turn{}, false
 	}
-	return Turn{Queue: best, Job: best.turn.job, Single: best.single, entry: best.turn}, true
+	return Turn{Queue: best, Job: best.nextEntry.job, Single: best.oneTaskOnly, entry: best.nextEntry}, true
 }
 
 // Done ends a turn in which that many tasks were dispatched.
 func (t Turn) Done(dispatched int) {
 	q, s := t.Queue, &t.Job.Spec
-	q.settled = false
+	q.selected = false
 	t.entry.exhausted = dispatched == 0 || t.Job.Failures.Suspect()
 	cpus := float64(dispatched) * s.CPUs
 	if s.IsService() {
--- a/internal/leader/fairshare/queue_test.go
+++ b/internal/leader/fairshare/queue_test.go
@@ -38,7 +38,7 @@
 
 // What would always come last has its turn: a job that has not begun in time goes first, and each class, and what has
 // waited long, has a least share.
-func TestQueueStarvesNobody(t *testing.T) {
+func TestQueueStarvesNoJob(t *testing.T) {
 	newEntry := func(class string, waitedLong, begun bool) *entry {
 		j := newJob("j-000001", func(s *wire.Job) { s.Class = class })
 		if begun {
@@ -68,8 +68,8 @@
 	}
 }
 
-// refs returns the jobs that get turns, each of which dispatches as many tasks as it may.
-func refs(queues []*TeamQueue, usage *Usage) (out []string) {
+// dispatchOrder returns the jobs that get turns, each of which dispatches as many tasks as it may.
+func dispatchOrder(queues []*TeamQueue, usage *Usage) (out []string) {
 	for {
 		turn, ok := Next(queues)
 		if !ok {
@@ -85,7 +85,7 @@
 	}
 }
 
-func TestTurns(t *testing.T) {
+func TestOrderOfTurns(t *testing.T) {
 	deadline := 100.0
 	teams := map[string]config.Team{"red": {Name: "red", CPUs: 4, CPUsMax: 8}, "blue": {Name: "blue", CPUs: 4, CPUsMax: 8}}
 	for _, c := range []struct {
@@ -114,7 +114,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			usage := NewUsage()
 			queues := Policy{Teams: teams, StartWithinS: 600, LeastShare: 0}.Queues(Clock{}, newTable(c.jobs...), usage)
-			got := refs(queues, usage)
+			got := dispatchOrder(queues, usage)
 			if len(got) != len(c.want) {
 				t.Fatalf("turns of %v, want %v", got, c.want)
 			}
@@ -128,7 +128,7 @@
 }
 
 // Services, which never end, leave a least share of the limit to the team's other jobs.
-func TestServicesLeaveALeastShare(t *testing.T) {
+func TestServicesLeaveMinimumShare(t *testing.T) {
 	service := newJob("j-1", func(s *wire.Job) { s.Shape, s.Tasks = wire.ShapeService, 20 })
 	batch := newJob("j-2", nil)
 	policy := Policy{Teams: map[string]config.Team{"red": {Name: "red", CPUsMax: 10}}, StartWithinS: 600, LeastShare: 0.2}
--- a/internal/leader/jobs/job.go
+++ b/internal/leader/jobs/job.go
@@ -97,11 +97,11 @@
 // AwaitAll lets all tasks wait that have neither completed nor are dispatched.
 func (j *Job) AwaitAll() {
 	for task := range j.Spec.Tasks {
-		j.awaitIfDue(task)
+		j.enqueueIfDue(task)
 	}
 }
 
-func (j *Job) awaitIfDue(task int) bool {
+func (j *Job) enqueueIfDue(task int) bool {
 	due := !j.IsCompleted(task) && j.dispatched[task] == 0
 	if due {
 		j.waiting.add(task)
@@ -120,7 +120,7 @@
 
 // DispatchFirst dispatches the first task that waits and returns it, or -1.
 func (j *Job) DispatchFirst() int {
-	task := j.waiting.takeFirst()
+	task := j.waiting.popFirst()
 	if task >= 0 {
 		j.dispatched[task]++
 	}
@@ -143,7 +143,7 @@
 // Requeue notes that a task has left a shard's grant and lets it wait again if that was the last one.
 func (j *Job) Requeue(task int) {
 	j.ClearDispatched(task)
-	j.awaitIfDue(task)
+	j.enqueueIfDue(task)
 }
 
 // Dispatched returns how many tasks are in shards' grants.
@@ -180,7 +180,7 @@
 			continue
 		}
 		delete(j.delayed, task)
-		retried = j.awaitIfDue(task) || retried
+		retried = j.enqueueIfDue(task) || retried
 	}
 	return retried
 }
--- a/internal/leader/jobs/job_test.go
+++ b/internal/leader/jobs/job_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-func TestDelayedTaskIsRetriedInTime(t *testing.T) {
+func TestDelayedTaskIsQueuedAfterItsDelay(t *testing.T) {
 	j := addJob(NewTable(), "j-000001", 1)
 	if j.Delay(0, clock.Second); j.IsWaiting(0) {
 		t.Error("waits while it is delayed")
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestFinishing(t *testing.T) {
+func TestJobFinishesOnce(t *testing.T) {
 	j := addJob(NewTable(), "j-000001", 1)
 	if j.StartFinishing() {
 		t.Error("finishes before its task has completed")
@@ -73,7 +73,7 @@
 	}
 }
 
-func TestUnservedJob(t *testing.T) {
+func TestJobIsUnservedAfterLimit(t *testing.T) {
 	j := addJob(NewTable(), "j-000001", 1)
 	if j.IsUnserved(clock.Minute) {
 		t.Error("unserved though it does not wait")
@@ -86,7 +86,7 @@
 
 // A replica that keeps ending by itself waits before it runs again, longer each time; one that ran for long, or that
 // was stopped from outside, does not.
-func TestReplicaThatKeepsEndingIsDelayed(t *testing.T) {
+func TestReplicaThatKeepsExitingIsDelayed(t *testing.T) {
 	j := New(wire.Job{Ref: "j-000001", Shape: wire.ShapeService, Tasks: 1}, 0, 3)
 	j.AwaitAll()
 	ends := func(now, ran clock.Micros, released bool) bool {
@@ -106,7 +106,7 @@
 		{clock.Second, false, true},
 		{clock.Second, true, false},
 		{clock.Second, false, true},
-		{endsForgottenAfter + 1, false, false},
+		{exitCountResetAfter + 1, false, false},
 		{clock.Second, false, true},
 	} {
 		if got := ends(now, c.ran, c.released); got != c.delayed {
@@ -145,7 +145,7 @@
 func TestRunSecondsLearnsFromRunTimes(t *testing.T) {
 	table := NewTable()
 	j := addJob(table, "j-000001", 8)
-	for i := range leastRunTimes {
+	for i := range minRunTimeSamples {
 		if got := table.RunSeconds(j); got != 11 {
 			t.Errorf("%g s after %d run times, want the estimate", got, i)
 		}
@@ -156,7 +156,7 @@
 	}
 }
 
-func TestTableFindsJobsOfTasks(t *testing.T) {
+func TestTableFindsJobOfTask(t *testing.T) {
 	table := NewTable()
 	j := addJob(table, "j-000001", 2)
 	for task, want := range map[peer.Task]*Job{
--- a/internal/leader/jobs/pages.go
+++ b/internal/leader/jobs/pages.go
@@ -11,10 +11,10 @@
 
 // ProgressPages owns the pages on which completed tasks are stored, many jobs on one page.
 type ProgressPages struct {
-	term      cluster.Term
-	made      int // how many pages this term has made
-	pages     []*progressPage
-	writtenAt clock.Micros
+	term         cluster.Term
+	pagesCreated int // how many pages this term has made
+	pages        []*progressPage
+	writtenAt    clock.Micros
 }
 
 // NewProgressPages returns the pages of a term, to which those that are stored are to be added with Load.
@@ -53,12 +53,12 @@
 		c := id.chunk()
 		c.completed.merge(u.Completed)
 		c.persisted.merge(u.Completed)
-		if c.page == nil && len(c.former) == 0 {
-			page.put(id)
+		if c.page == nil && len(c.formerPages) == 0 {
+			page.add(id)
 			continue
 		}
 		// On several pages: one is enough, once it has what all had.
-		c.keepOn(page)
+		c.addFormerPage(page)
 	}
 	if page.size > valueBytes {
 		page.split()
@@ -69,7 +69,7 @@
 func (p *ProgressPages) Forget(j *Job) {
 	for i := range j.progress {
 		c := &j.progress[i]
-		c.leaveFormer()
+		c.releaseFormerPages()
 		if c.page == nil {
 			continue
 		}
@@ -92,7 +92,7 @@
 	}
 	writes := p.deleteEmpty()
 	for _, page := range p.pages {
-		if !page.busy && page.dirty && page.moving == 0 {
+		if !page.inFlight && page.dirty && page.pendingMoves == 0 {
 			writes = append(writes, page.write())
 		}
 	}
@@ -118,22 +118,22 @@
 func (p *ProgressPages) place(id chunkID, valueBytes int) {
 	need := id.chunk().storedBytes()
 	for _, page := range p.pages {
-		if page.moving == 0 && page.size+need <= valueBytes {
-			page.put(id)
+		if page.pendingMoves == 0 && page.size+need <= valueBytes {
+			page.add(id)
 			return
 		}
 	}
-	p.made++
-	key := ProgressPrefix + strconv.FormatUint(uint64(p.term), 10) + "-" + strconv.Itoa(p.made)
+	p.pagesCreated++
+	key := ProgressPrefix + strconv.FormatUint(uint64(p.term), 10) + "-" + strconv.Itoa(p.pagesCreated)
 	page := &progressPage{key: key, size: emptyPageBytes}
 	p.pages = append(p.pages, page)
-	page.put(id)
+	page.add(id)
 }
 
 // deleteEmpty drops the pages that hold nothing any more, and returns the deletions of those that are stored.
 func (p *ProgressPages) deleteEmpty() (writes []PageWrite) {
 	p.pages = slices.DeleteFunc(p.pages, func(page *progressPage) bool {
-		if page.busy || !page.dirty || len(page.chunks) > 0 || page.moving > 0 {
+		if page.inFlight || !page.dirty || len(page.chunks) > 0 || page.pendingMoves > 0 {
 			return false
 		}
 		if page.version > 0 {
@@ -147,7 +147,7 @@
 // write begins the write of a page. It is conditional on the page's version: a late copy of an older write must not
 // take back what was said to be stored.
 func (p *progressPage) write() PageWrite {
-	p.busy, p.dirty = true, false
+	p.inFlight, p.dirty = true, false
 	w := PageWrite{Key: p.key, Version: p.version, page: p, written: slices.Clone(p.chunks)}
 	for _, id := range p.chunks {
 		c := id.chunk()
@@ -160,13 +160,13 @@
 
 // Committed takes in that a write succeeded, and returns the jobs, by reference, of which it stored completed tasks.
 func (p *ProgressPages) Committed(w PageWrite, revision uint64) map[string]*Job {
-	w.page.busy, w.page.version = false, revision
+	w.page.inFlight, w.page.version = false, revision
 	stored := map[string]*Job{}
 	for i, id := range w.written {
 		c := id.chunk()
 		copy(c.persisted, w.Record.Chunks[i].Completed)
 		if c.page == w.page {
-			c.leaveFormer()
+			c.releaseFormerPages()
 		}
 		stored[id.job.Spec.Ref] = id.job
 	}
@@ -182,18 +182,18 @@
 	}
 	page.dirty = true
 	if result.Rejected && !result.Ambiguous && page.size > valueBytes {
-		page.busy = false
+		page.inFlight = false
 		page.split()
 		return false
 	}
 	if len(result.FailedKeys) > 0 {
 		return true
 	}
-	page.busy = false
+	page.inFlight = false
 	return false
 }
 
 // ReadBack takes in the version of a page's key, which is 0 if there is none.
 func (p *ProgressPages) ReadBack(w PageWrite, version uint64) {
-	w.page.busy, w.page.version = false, version
+	w.page.inFlight, w.page.version = false, version
 }
--- a/internal/leader/jobs/pages_test.go
+++ b/internal/leader/jobs/pages_test.go
@@ -10,7 +10,7 @@
 	"swiftledge/wire"
 )
 
-const valueBytes = 1800
+const maxValueBytes = 1800
 
 var committed = store.TxnResult{Committed: true, Revision: 30}
 
@@ -24,20 +24,20 @@
 
 // progressStore is a store that holds progress pages alone.
 type progressStore struct {
-	pages map[string]ProgressRecord
-	late  []PageWrite // writes that are not carried out yet
+	pages   map[string]ProgressRecord
+	delayed []PageWrite // writes that are not carried out yet
 }
 
-// carryOut carries out writes and tells their outcome; those that hold picks come later.
-func (s *progressStore) carryOut(pages *ProgressPages, writes []PageWrite, hold func(PageWrite) bool) {
-	due := append(s.late, writes...)
-	s.late = nil
+// apply carries out writes and tells their outcome; those that hold picks come later.
+func (s *progressStore) apply(pages *ProgressPages, writes []PageWrite, hold func(PageWrite) bool) {
+	due := append(s.delayed, writes...)
+	s.delayed = nil
 	for _, w := range due {
 		switch {
 		case w.Delete:
 			delete(s.pages, w.Key)
 		case hold(w):
-			s.late = append(s.late, w)
+			s.delayed = append(s.delayed, w)
 		default:
 			s.pages[w.Key] = w.Record
 			pages.Committed(w, committed.Revision)
@@ -60,7 +60,7 @@
 // A chunk is on three pages, as leaders ended while they moved it. None of the three may be written without it or
 // deleted before one page has what all of them had: the completions that only that page names would be lost, and their
 // tasks would run again.
-func TestChunkOnThreePagesKeepsItsBits(t *testing.T) {
+func TestChunkOnThreePagesKeepsItsCompletions(t *testing.T) {
 	keys := []string{ProgressPrefix + "1-1", ProgressPrefix + "1-2", ProgressPrefix + "1-3"}
 	for _, large := range append([]string{""}, keys...) {
 		table, pages := NewTable(), NewProgressPages(5)
@@ -69,16 +69,16 @@
 		for i, key := range keys {
 			r := ProgressRecord{Chunks: []ProgressChunk{{Job: j.Spec.Ref, Completed: []byte{1 << i}}}}
 			stored.pages[key] = r
-			limit := valueBytes
+			limit := maxValueBytes
 			if key == large {
 				limit = 50 // it was written when values could be larger
 			}
 			pages.Load(StoredPage{Key: key, Version: 7, Record: r}, table, limit)
 		}
 		for round := 1; round <= 6; round++ {
-			writes := pages.DueWrites(clock.Micros(round)*ProgressInterval, table, valueBytes)
+			writes := pages.DueWrites(clock.Micros(round)*ProgressInterval, table, maxValueBytes)
 			// What no longer has the chunk comes through at once, what has it after a while.
-			stored.carryOut(pages, writes, func(w PageWrite) bool { return round <= 2 && len(w.Record.Chunks) > 0 })
+			stored.apply(pages, writes, func(w PageWrite) bool { return round <= 2 && len(w.Record.Chunks) > 0 })
 			if got := stored.bits(j.Spec.Ref); got != 7 {
 				t.Fatalf("with %q too large: the store has bits %03b after round %d, and had 111", large, got, round)
 			}
@@ -91,15 +91,15 @@
 
 // Progress that was stored when values could be larger is neither lost nor written as it is: its chunks go to pages
 // that fit, and the old one is deleted only when all are there.
-func TestPageOfTheOldSizeIsSplit(t *testing.T) {
+func TestOversizedPageIsSplit(t *testing.T) {
 	table, pages := NewTable(), NewProgressPages(5)
 	old := StoredPage{Key: ProgressPrefix + "1-1", Version: 7}
 	for i := range 40 {
 		j := addJob(table, fmt.Sprintf("j-2000%02d", i), 300)
 		old.Record.Chunks = append(old.Record.Chunks, ProgressChunk{Job: j.Spec.Ref, Completed: []byte{5}})
 	}
-	pages.Load(old, table, valueBytes)
-	first := pages.DueWrites(ProgressInterval, table, valueBytes)
+	pages.Load(old, table, maxValueBytes)
+	first := pages.DueWrites(ProgressInterval, table, maxValueBytes)
 	if len(first) < 2 {
 		t.Fatalf("%d pages are written", len(first))
 	}
@@ -108,17 +108,17 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if w.Delete || w.Key == old.Key || len(value) > valueBytes {
+		if w.Delete || w.Key == old.Key || len(value) > maxValueBytes {
 			t.Errorf("%s is written with %d bytes, deleted: %t", w.Key, len(value), w.Delete)
 		}
 	}
 	for i, w := range first {
-		if again := pages.DueWrites(clock.Micros(2+i)*ProgressInterval, table, valueBytes); len(again) > 0 {
+		if again := pages.DueWrites(clock.Micros(2+i)*ProgressInterval, table, maxValueBytes); len(again) > 0 {
 			t.Fatalf("%s is written before all chunks of the old page are stored elsewhere", again[0].Key)
 		}
 		pages.Committed(w, committed.Revision)
 	}
-	last := pages.DueWrites(100*ProgressInterval, table, valueBytes)
+	last := pages.DueWrites(100*ProgressInterval, table, maxValueBytes)
 	if len(last) != 1 || !last[0].Delete || last[0].Key != old.Key {
 		t.Errorf("written are %+v, want the deletion of the old page", last)
 	}
@@ -143,15 +143,15 @@
 			table, pages := NewTable(), NewProgressPages(5)
 			j := addJob(table, "j-000001", 8)
 			j.MarkCompleted(3)
-			first := pages.DueWrites(ProgressInterval, table, valueBytes)
+			first := pages.DueWrites(ProgressInterval, table, maxValueBytes)
 			if len(first) != 1 || first[0].Version != 0 {
 				t.Fatalf("writes %+v", first)
 			}
 			j.MarkCompleted(4)
-			if more := pages.DueWrites(2*ProgressInterval, table, valueBytes); len(more) > 0 {
+			if more := pages.DueWrites(2*ProgressInterval, table, maxValueBytes); len(more) > 0 {
 				t.Errorf("written twice at once: %+v", more)
 			}
-			if read := pages.Failed(first[0], c.result, valueBytes); read != c.read {
+			if read := pages.Failed(first[0], c.result, maxValueBytes); read != c.read {
 				t.Errorf("read %t, want %t", read, c.read)
 			}
 			version := uint64(0)
@@ -159,7 +159,7 @@
 				version = 12
 				pages.ReadBack(first[0], version)
 			}
-			again := pages.DueWrites(3*ProgressInterval, table, valueBytes)
+			again := pages.DueWrites(3*ProgressInterval, table, maxValueBytes)
 			if len(again) != 1 || again[0].Version != version || again[0].Record.Chunks[0].Completed[0] != 1<<3|1<<4 {
 				t.Errorf("writes %+v", again)
 			}
@@ -175,11 +175,11 @@
 	table, pages := NewTable(), NewProgressPages(5)
 	j := addJob(table, "j-000001", 8)
 	j.MarkCompleted(3)
-	w := pages.DueWrites(ProgressInterval, table, valueBytes)[0]
+	w := pages.DueWrites(ProgressInterval, table, maxValueBytes)[0]
 	pages.Committed(w, committed.Revision)
 	table.Remove(j.Spec.Ref)
 	pages.Forget(j)
-	writes := pages.DueWrites(2*ProgressInterval, table, valueBytes)
+	writes := pages.DueWrites(2*ProgressInterval, table, maxValueBytes)
 	if len(writes) != 1 || !writes[0].Delete || writes[0].Key != w.Key {
 		t.Errorf("writes %+v, want the deletion of %s", writes, w.Key)
 	}
@@ -192,7 +192,7 @@
 	j := New(wire.Job{Ref: "j-400000", Shape: wire.ShapeService, Tasks: 2}, 0, 3)
 	table.Add(j)
 	r := ProgressRecord{Chunks: []ProgressChunk{{Job: j.Spec.Ref, Completed: []byte{3}}}}
-	pages.Load(StoredPage{Key: ProgressPrefix + "1-1", Version: 7, Record: r}, table, valueBytes)
+	pages.Load(StoredPage{Key: ProgressPrefix + "1-1", Version: 7, Record: r}, table, maxValueBytes)
 	if j.IsCompleted(0) || j.IsCompleted(1) {
 		t.Error("replicas count as completed")
 	}
--- a/internal/leader/jobs/progress.go
+++ b/internal/leader/jobs/progress.go
@@ -47,7 +47,7 @@
 	completed, persisted taskBitmap
 	dirty                bool
 	page                 *progressPage   // where it is written
-	former               []*progressPage // others that hold it, and stay as they are until that one is stored
+	formerPages          []*progressPage // others that hold it, and stay as they are until that one is stored
 }
 
 func newChunks(tasks int) []chunk {
@@ -62,21 +62,21 @@
 // storedBytes is about what the chunk takes on a page.
 func (c *chunk) storedBytes() int { return (len(c.completed)+2)/3*4 + 48 }
 
-// keepOn notes that a page holds the chunk and is to lose it, once another is stored that has all that is known of it.
-func (c *chunk) keepOn(page *progressPage) {
-	c.former = append(c.former, page)
+// addFormerPage notes that a page holds the chunk and is to lose it, once another is stored that has all that is known of it.
+func (c *chunk) addFormerPage(page *progressPage) {
+	c.formerPages = append(c.formerPages, page)
 	c.dirty = true
-	page.moving++
+	page.pendingMoves++
 	page.dirty = true
 }
 
-// leaveFormer notes that the former pages need not hold the chunk any more.
-func (c *chunk) leaveFormer() {
-	for _, page := range c.former {
-		page.moving--
+// releaseFormerPages notes that the former pages need not hold the chunk any more.
+func (c *chunk) releaseFormerPages() {
+	for _, page := range c.formerPages {
+		page.pendingMoves--
 		page.dirty = true
 	}
-	c.former = nil
+	c.formerPages = nil
 }
 
 // emptyPageBytes is about what a page without chunks takes.
@@ -85,14 +85,14 @@
 // progressPage is one key of progress. It holds chunks of several jobs, so that what one write costs does not grow
 // with the number of jobs.
 type progressPage struct {
-	key     string
-	version uint64
-	chunks  []chunkID
-	size    int // in bytes, about
-	dirty   bool
-	busy    bool // a write or read is under way
-	// moving is how many chunks that it is to lose are not stored elsewhere yet; it is left as it is until then.
-	moving int
+	key      string
+	version  uint64
+	chunks   []chunkID
+	size     int // in bytes, about
+	dirty    bool
+	inFlight bool // a write or read is under way
+	// pendingMoves is how many chunks that it is to lose are not stored elsewhere yet; it is left as it is until then.
+	pendingMoves int
 }
 
 // chunkID names a chunk of a job.
@@ -103,7 +103,7 @@
 
 func (id chunkID) chunk() *chunk { return &id.job.progress[id.index] }
 
-func (p *progressPage) put(id chunkID) {
+func (p *progressPage) add(id chunkID) {
 	p.chunks = append(p.chunks, id)
 	p.size += id.chunk().storedBytes()
 	id.chunk().page = p
@@ -115,7 +115,7 @@
 	p.dirty = true
 	for _, id := range p.chunks {
 		id.chunk().page = nil
-		id.chunk().keepOn(p)
+		id.chunk().addFormerPage(p)
 	}
 	p.chunks = nil
 }
--- a/internal/leader/jobs/replica.go
+++ b/internal/leader/jobs/replica.go
@@ -8,17 +8,17 @@
 // StableAfter is how long a replica runs before it is taken for sound.
 const StableAfter = 10 * clock.Second
 
-// endsForgottenAfter is how long a replica runs for its earlier ends to be forgotten.
-const endsForgottenAfter = 6 * StableAfter
+// exitCountResetAfter is how long a replica runs for its earlier ends to be forgotten.
+const exitCountResetAfter = 6 * StableAfter
 
 // avoidMachineFor is how long a service's replicas stay away from a machine where one failed.
 const avoidMachineFor = 30 * clock.Second
 
 // replica is what is remembered of a service's task between its attempts.
 type replica struct {
-	ends    int          // how often it ended by itself soon after its start
-	endedAt clock.Micros // when it was last seen to end; 0: it runs
-	cause   string
+	quickExits int          // how often it ended by itself soon after its start
+	endedAt    clock.Micros // when it was last seen to end; 0: it runs
+	cause      string
 }
 
 // ReplicaAttempt is an attempt of a replica that has ended.
@@ -46,11 +46,11 @@
 	if attempt.Released {
 		return wasUp
 	}
-	if attempt.Running && now-attempt.RunningSince > endsForgottenAfter {
-		r.ends = 0
+	if attempt.Running && now-attempt.RunningSince > exitCountResetAfter {
+		r.quickExits = 0
 	}
-	if r.ends++; r.ends > 1 {
-		j.Delay(attempt.Task, now+failures.Backoff(r.ends-1))
+	if r.quickExits++; r.quickExits > 1 {
+		j.Delay(attempt.Task, now+failures.Backoff(r.quickExits-1))
 	}
 	return wasUp
 }
--- a/internal/leader/jobs/table.go
+++ b/internal/leader/jobs/table.go
@@ -10,32 +10,32 @@
 
 // Table holds the jobs that are not over, and what is known of their classes.
 type Table struct {
-	byRef       map[string]*Job
-	runTimes    map[string]*runTimeRatio // by class
-	classesSeen map[string]bool          // classes of which a job has come in this term
-	reported    map[string]peer.TaskCount
+	byRef          map[string]*Job
+	runTimes       map[string]*runTimeRatio // by class
+	classesSeen    map[string]bool          // classes of which a job has come in this term
+	reportedCounts map[string]peer.TaskCount
 }
 
 // runTimeRatio learns how long tasks of a class really run against their estimate.
 type runTimeRatio struct {
-	ratio float64
-	n     int
+	ratio   float64
+	samples int
 }
 
 const (
-	// leastRunTimes is how many run times have to be known of a class for its ratio to count.
-	leastRunTimes = 5
-	// mostRunTimes is how many run times the ratio of a class is the mean of, about.
-	mostRunTimes = 50
-	// leastRunSeconds is the least run time that tells anything.
-	leastRunSeconds = 1
+	// minRunTimeSamples is how many run times have to be known of a class for its ratio to count.
+	minRunTimeSamples = 5
+	// maxRunTimeSamples is how many run times the ratio of a class is the mean of, about.
+	maxRunTimeSamples = 50
+	// minRunSeconds is the least run time that tells anything.
+	minRunSeconds = 1
 )
 
 // NewTable returns a table without jobs.
 func NewTable() *Table {
 	return &Table{
 		byRef: map[string]*Job{}, runTimes: map[string]*runTimeRatio{}, classesSeen: map[string]bool{},
-		reported: map[string]peer.TaskCount{},
+		reportedCounts: map[string]peer.TaskCount{},
 	}
 }
 
@@ -48,7 +48,7 @@
 // Remove drops a job that is over.
 func (t *Table) Remove(ref string) {
 	delete(t.byRef, ref)
-	delete(t.reported, ref)
+	delete(t.reportedCounts, ref)
 }
 
 // Get returns a job, or nil if it is not known.
@@ -88,7 +88,7 @@
 
 // ObserveRunTime learns from how long a completed task of the job ran.
 func (t *Table) ObserveRunTime(j *Job, seconds float64) {
-	if seconds <= leastRunSeconds || j.Spec.EstimateS <= 0 {
+	if seconds <= minRunSeconds || j.Spec.EstimateS <= 0 {
 		return
 	}
 	c := t.runTimes[j.Spec.Class]
@@ -96,14 +96,14 @@
 		c = &runTimeRatio{ratio: 1}
 		t.runTimes[j.Spec.Class] = c
 	}
-	c.n++
-	c.ratio += (seconds/j.Spec.EstimateS - c.ratio) / float64(min(c.n, mostRunTimes))
+	c.samples++
+	c.ratio += (seconds/j.Spec.EstimateS - c.ratio) / float64(min(c.samples, maxRunTimeSamples))
 }
 
 // RunSeconds estimates how long a task of the job runs, from its owner's estimate and its class's history.
 func (t *Table) RunSeconds(j *Job) float64 {
 	estimate := j.Spec.EstimateS
-	if c := t.runTimes[j.Spec.Class]; c != nil && c.n >= leastRunTimes {
+	if c := t.runTimes[j.Spec.Class]; c != nil && c.samples >= minRunTimeSamples {
 		estimate *= c.ratio
 	}
 	return estimate + 1
@@ -115,8 +115,8 @@
 	var changed []peer.TaskCount
 	for j := range t.Sorted() {
 		count := peer.TaskCount{Job: j.Spec.Ref, Done: j.completed, Running: j.running}
-		if t.reported[count.Job] != count {
-			t.reported[count.Job] = count
+		if t.reportedCounts[count.Job] != count {
+			t.reportedCounts[count.Job] = count
 			changed = append(changed, count)
 		}
 	}
--- a/internal/leader/jobs/waiting.go
+++ b/internal/leader/jobs/waiting.go
@@ -45,8 +45,8 @@
 	return -1
 }
 
-// takeFirst removes the first task and returns it, or -1.
-func (w *waitingTasks) takeFirst() int {
+// popFirst removes the first task and returns it, or -1.
+func (w *waitingTasks) popFirst() int {
 	task := w.first()
 	if task >= 0 {
 		w.remove(task)
