--- a/internal/leader/fairshare/queue_test.go
+++ b/internal/leader/fairshare/queue_test.go
@@ -16,7 +16,7 @@
 		change(&spec)
 	}
 	j := jobs.New(spec, 0, 1)
-	j.AwaitAll()
+	j.EnqueueAll()
 	return j
 }
 
--- a/internal/leader/job_lifecycle.go
+++ b/internal/leader/job_lifecycle.go
@@ -49,7 +49,7 @@
 	if !ok {
 		return
 	}
-	l.addJob(r, e.Version).AwaitAll()
+	l.addJob(r, e.Version).EnqueueAll()
 	l.scheduling.requestUrgently()
 }
 
--- a/internal/leader/jobs/job.go
+++ b/internal/leader/jobs/job.go
@@ -91,11 +91,11 @@
 			j.Failures.MarkSound()
 		}
 	}
-	j.AwaitAll()
+	j.EnqueueAll()
 }
 
-// AwaitAll lets all tasks wait that have neither completed nor are dispatched.
-func (j *Job) AwaitAll() {
+// EnqueueAll lets all tasks wait that have neither completed nor are dispatched.
+func (j *Job) EnqueueAll() {
 	for task := range j.Spec.Tasks {
 		j.enqueueIfDue(task)
 	}
--- a/internal/leader/jobs/job_test.go
+++ b/internal/leader/jobs/job_test.go
@@ -88,7 +88,7 @@
 // was stopped from outside, does not.
 func TestReplicaThatKeepsExitingIsDelayed(t *testing.T) {
 	j := New(wire.Job{Ref: "j-000001", Shape: wire.ShapeService, Tasks: 1}, 0, 3)
-	j.AwaitAll()
+	j.EnqueueAll()
 	ends := func(now, ran clock.Micros, released bool) bool {
 		j.ReplicaEnded(now, ReplicaAttempt{Running: true, RunningSince: now - ran, Released: released, Cause: "failed"})
 		delayed := !j.IsWaiting(0)
--- a/internal/leader/jobs/pages_test.go
+++ b/internal/leader/jobs/pages_test.go
@@ -18,7 +18,7 @@
 func addJob(table *Table, ref string, tasks int) *Job {
 	j := New(wire.Job{Ref: ref, Class: "batch", Tasks: tasks, CPUs: 1, EstimateS: 10}, 0, 3)
 	table.Add(j)
-	j.AwaitAll()
+	j.EnqueueAll()
 	return j
 }
 
--- a/internal/leader/preemption_test.go
+++ b/internal/leader/preemption_test.go
@@ -43,7 +43,7 @@
 // evictedTasks gives the indexes of the tasks that waiting work stops.
 func evictedTasks(t *testing.T, l *Leader, waiting wire.Job) (out []int) {
 	t.Helper()
-	l.addJob(JobRecord{Spec: waiting}, 4).AwaitAll()
+	l.addJob(JobRecord{Spec: waiting}, 4).EnqueueAll()
 	l.preemption.ranAt = 0
 	l.preempt(began, l.queues(began))
 	for _, b := range l.shards.all {
@@ -114,7 +114,7 @@
 	if !j.Failures.Suspect() {
 		t.Fatal("not suspect")
 	}
-	j.AwaitAll()
+	j.EnqueueAll()
 	l.preempt(began+clock.Minute, l.queues(began+clock.Minute))
 	for _, b := range l.shards.all {
 		if len(b.orders.Stop) > 0 {
--- a/internal/leader/rebalancing_test.go
+++ b/internal/leader/rebalancing_test.go
@@ -114,14 +114,14 @@
 	waiting := wire.Job{Ref: "j-000003", Team: "red", Priority: wire.PriorityBestEffort, Tasks: 1, CPUs: 1, MemoryGB: 1,
 		Types: []string{"not to be had"}, Spot: true, EstimateS: 10}
 	l := unevenFleet(t, true)
-	l.addJob(JobRecord{Spec: waiting}, 31).AwaitAll()
+	l.addJob(JobRecord{Spec: waiting}, 31).EnqueueAll()
 	if got, _ := stops(l); len(got) != 0 || l.rebalancing.Refusals()[0].Reason != rebalancer.WorkWaiting {
 		t.Errorf("stops %v, refusals %v", got, l.rebalancing.Refusals())
 	}
 	// At the team's limit its own other work would take the place.
 	l = unevenFleet(t, true)
 	waiting.CPUs = 13
-	l.addJob(JobRecord{Spec: waiting}, 31).AwaitAll()
+	l.addJob(JobRecord{Spec: waiting}, 31).EnqueueAll()
 	if got, _ := stops(l); len(got) != 0 || l.rebalancing.Refusals()[0].Reason != rebalancer.TeamAtLimit {
 		t.Errorf("stops %v, refusals %v", got, l.rebalancing.Refusals())
 	}
@@ -202,7 +202,7 @@
 // ordersForNewJob submits a job of one task and gives what holders are told at once.
 func ordersForNewJob(l *Leader, now clock.Micros, j wire.Job) []peer.ShardOrders {
 	j.Ref, j.Team, j.Priority, j.Tasks, j.Spot = "j-000003", "red", wire.PriorityStandard, 1, true
-	l.addJob(JobRecord{Spec: j}, 31).AwaitAll()
+	l.addJob(JobRecord{Spec: j}, 31).EnqueueAll()
 	return ordersOfPass(l, now)
 }
 
