--- a/internal/leader/fairshare/policy.go
+++ b/internal/leader/fairshare/policy.go
@@ -22,15 +22,15 @@
 	LeastShare float64
 }
 
-// Clock is the time of a scheduling pass.
-type Clock struct {
+// PassTime is the time of a scheduling pass.
+type PassTime struct {
 	Now       clock.Micros
 	TimeOfDay clock.Micros
 }
 
 // Queues returns the teams that have jobs waiting, by name. It notes for each job since when it waits for free
 // capacity.
-func (p Policy) Queues(at Clock, table *jobs.Table, usage *Usage) []*TeamQueue {
+func (p Policy) Queues(at PassTime, table *jobs.Table, usage *Usage) []*TeamQueue {
 	byTeam := map[string]*TeamQueue{}
 	for j := range table.Sorted() {
 		q := byTeam[j.Spec.Team]
--- a/internal/leader/fairshare/queue_test.go
+++ b/internal/leader/fairshare/queue_test.go
@@ -113,7 +113,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			usage := NewUsage()
-			queues := Policy{Teams: teams, StartWithinS: 600, LeastShare: 0}.Queues(Clock{}, newTable(c.jobs...), usage)
+			queues := Policy{Teams: teams, StartWithinS: 600, LeastShare: 0}.Queues(PassTime{}, newTable(c.jobs...), usage)
 			got := dispatchOrder(queues, usage)
 			if len(got) != len(c.want) {
 				t.Fatalf("turns of %v, want %v", got, c.want)
@@ -133,11 +133,11 @@
 	batch := newJob("j-2", nil)
 	policy := Policy{Teams: map[string]config.Team{"red": {Name: "red", CPUsMax: 10}}, StartWithinS: 600, LeastShare: 0.2}
 	usage := NewUsage()
-	q := policy.Queues(Clock{}, newTable(service, batch), usage)[0]
+	q := policy.Queues(PassTime{}, newTable(service, batch), usage)[0]
 	if !q.ServiceFits(&service.Spec, 7) || q.ServiceFits(&service.Spec, 8) || !q.ServiceFits(&batch.Spec, 8) {
 		t.Error("services may take another part than 8 of 10 processors")
 	}
-	alone := policy.Queues(Clock{}, newTable(service), usage)[0]
+	alone := policy.Queues(PassTime{}, newTable(service), usage)[0]
 	if !alone.ServiceFits(&service.Spec, 9) {
 		t.Error("a share is kept for jobs that there are not")
 	}
@@ -153,14 +153,14 @@
 		usage *Usage
 		want  clock.Micros
 	}{{5, full, 5}, {7, full, 7}, {9, free, 7}, {11, free, 7}} {
-		policy.Queues(Clock{Now: c.now}, newTable(j), c.usage)
+		policy.Queues(PassTime{Now: c.now}, newTable(j), c.usage)
 		if got := j.UnservedSince(); got != c.want {
 			t.Errorf("at %d: unserved since %d, want %d", c.now, got, c.want)
 		}
 	}
 	j.DispatchFirst()
 	j.DispatchFirst()
-	if policy.Queues(Clock{Now: 13}, newTable(j), free); j.UnservedSince() != 0 {
+	if policy.Queues(PassTime{Now: 13}, newTable(j), free); j.UnservedSince() != 0 {
 		t.Error("unserved though no task waits")
 	}
 }
@@ -173,7 +173,7 @@
 		want      int
 	}{{0, 1}, {4, 2}} {
 		policy := Policy{Teams: map[string]config.Team{"red": {Name: "red", CPUs: c.guarantee}}}
-		q := policy.Queues(Clock{}, newTable(high, standard), NewUsage())[0]
+		q := policy.Queues(PassTime{}, newTable(high, standard), NewUsage())[0]
 		if got := q.Preemptors(); len(got) != c.want || got[0] != high {
 			t.Errorf("with a guarantee of %g: %d jobs may stop others, want %d", c.guarantee, len(got), c.want)
 		}
--- a/internal/leader/schedule.go
+++ b/internal/leader/schedule.go
@@ -151,7 +151,7 @@
 func (l *Leader) queues(now clock.Micros) []*fairshare.TeamQueue {
 	policy := fairshare.Policy{Teams: l.teams, CompletionSLO: l.completionSLO,
 		StartWithinS: l.cfg.Tuning.Queues.StartTargetS, LeastShare: l.cfg.Tuning.Queues.MinShare}
-	return policy.Queues(fairshare.Clock{Now: now, TimeOfDay: now + l.wallOffset}, l.jobs, l.usage)
+	return policy.Queues(fairshare.PassTime{Now: now, TimeOfDay: now + l.wallOffset}, l.jobs, l.usage)
 }
 
 func (l *Leader) shardOfMachine(machine string) *shardLease {
