--- a/internal/leader/assignment/assignment.go
+++ b/internal/leader/assignment/assignment.go
@@ -45,19 +45,19 @@
 
 // Controller is a controller in touch, which may hold shards.
 type Controller struct {
-	Name             string
-	ViaStore         bool // messages to it take seconds
-	ConnectedAt      clock.Micros
-	NoAgentContactAt clock.Micros // when it last heard no agent; 0: never
-	RefusedSince     clock.Micros // since when the store refuses it; 0: it does not
-	trialAssignedAt  clock.Micros // when it was last given a shard after it had heard no agent
-	takeoverUntil    clock.Micros // until when it is busy with the agents of the shard that it took over last
+	Name              string
+	ViaStore          bool // messages to it take seconds
+	ConnectedAt       clock.Micros
+	NoAgentContactAt  clock.Micros // when it last heard no agent; 0: never
+	StoreRefusedSince clock.Micros // since when the store refuses it; 0: it does not
+	trialAssignedAt   clock.Micros // when it was last given a shard after it had heard no agent
+	takeoverUntil     clock.Micros // until when it is busy with the agents of the shard that it took over last
 }
 
 // unfit reports whether the controller should hold no shard: one that the store alone refuses cannot record starts,
 // one that hears no agent cannot keep the leases of agents.
 func (c *Controller) unfit(now clock.Micros) bool {
-	refused := c.RefusedSince > 0 && now-c.RefusedSince > storeRefusalTolerance
+	refused := c.StoreRefusedSince > 0 && now-c.StoreRefusedSince > storeRefusalTolerance
 	silent := c.NoAgentContactAt > 0 && now-c.NoAgentContactAt < noAgentContactBackoff
 	return refused || silent
 }
--- a/internal/leader/assignment/assignment_test.go
+++ b/internal/leader/assignment/assignment_test.go
@@ -58,7 +58,7 @@
 		{"but not to one that has just connected", []string{"n0", "n0", "n0", "n0"}, []string{"n0", "n1"},
 			func(r Round) { r.Controllers["n1"].ConnectedAt = now - MinConnectedTime }, []string{"n0", "n0", "n0", "n0"}},
 		{"a controller that the store refuses loses its shards", []string{"n0", "n1"}, []string{"n0", "n1"},
-			func(r Round) { r.Controllers["n1"].RefusedSince = now - storeRefusalTolerance - 1 }, []string{"n0", "n0"}},
+			func(r Round) { r.Controllers["n1"].StoreRefusedSince = now - storeRefusalTolerance - 1 }, []string{"n0", "n0"}},
 		{"one that hears no agent loses its shards", []string{"n0", "n1"}, []string{"n0", "n1"},
 			func(r Round) { r.Controllers["n1"].NoAgentContactAt = now - clock.Second }, []string{"n0", "n0"}},
 		{"if none is able, all of them have to do", []string{"n0"}, []string{"n0"},
--- a/internal/leader/shard_table.go
+++ b/internal/leader/shard_table.go
@@ -32,9 +32,9 @@
 		c.NoAgentContactAt = now
 	}
 	if message.StoreOK {
-		c.RefusedSince = 0
-	} else if c.RefusedSince == 0 {
-		c.RefusedSince = now
+		c.StoreRefusedSince = 0
+	} else if c.StoreRefusedSince == 0 {
+		c.StoreRefusedSince = now
 	}
 }
 
