--- a/internal/leader/jobs/job.go
+++ b/internal/leader/jobs/job.go
@@ -149,8 +149,8 @@
 // Dispatched returns how many tasks are in shards' grants.
 func (j *Job) Dispatched() int { return len(j.dispatched) }
 
-// Grants returns in how many shards' grants a task is.
-func (j *Job) Grants(task int) int { return j.dispatched[task] }
+// GrantCount returns in how many shards' grants a task is.
+func (j *Job) GrantCount(task int) int { return j.dispatched[task] }
 
 // DispatchedTasks returns the tasks that are in shards' grants, in no order.
 func (j *Job) DispatchedTasks() iter.Seq[int] { return maps.Keys(j.dispatched) }
--- a/internal/leader/jobs/job_test.go
+++ b/internal/leader/jobs/job_test.go
@@ -30,10 +30,10 @@
 	j := addJob(NewTable(), "j-000001", 2)
 	j.MarkDispatched(0)
 	j.MarkDispatched(0)
-	if j.Requeue(0); j.IsWaiting(0) || j.Grants(0) != 1 {
+	if j.Requeue(0); j.IsWaiting(0) || j.GrantCount(0) != 1 {
 		t.Error("waits while it is in a grant")
 	}
-	if j.Requeue(0); !j.IsWaiting(0) || j.Grants(0) != 0 {
+	if j.Requeue(0); !j.IsWaiting(0) || j.GrantCount(0) != 0 {
 		t.Error("does not wait")
 	}
 	j.MarkDispatched(1)
--- a/internal/leader/proofs_test.go
+++ b/internal/leader/proofs_test.go
@@ -60,12 +60,12 @@
 	}
 	j := l.jobs.Get(spec.Ref)
 	l.Step(began, saying(l.shards.all[0], l.shards.all[0].token, eventOf(peer.EventReleased)))
-	if j.Grants(0) != 1 || j.IsWaiting(0) {
-		t.Errorf("in %d grants, waits %v: want one, and not to wait", j.Grants(0), j.IsWaiting(0))
+	if j.GrantCount(0) != 1 || j.IsWaiting(0) {
+		t.Errorf("in %d grants, waits %v: want one, and not to wait", j.GrantCount(0), j.IsWaiting(0))
 	}
 	l.Step(began, saying(l.shards.all[1], l.shards.all[1].token, eventOf(peer.EventReleased)))
-	if j.Grants(0) != 0 || !j.IsWaiting(0) {
-		t.Errorf("in %d grants, waits %v: want none, and to wait", j.Grants(0), j.IsWaiting(0))
+	if j.GrantCount(0) != 0 || !j.IsWaiting(0) {
+		t.Errorf("in %d grants, waits %v: want none, and to wait", j.GrantCount(0), j.IsWaiting(0))
 	}
 	j.MarkCompleted(1)
 	j.MarkDispatched(1)
@@ -82,8 +82,8 @@
 	j := l.jobs.Get(spec.Ref)
 	b.state = reading
 	l.Step(began, AttemptsLoaded{Term: 5, Shard: b.ID, FencingToken: b.token, Pages: recordsOf(names[0], 1)})
-	if j.Grants(0) != 0 || !j.IsWaiting(0) || j.Grants(1) != 1 || j.IsWaiting(1) {
-		t.Errorf("in %d and %d grants, waiting %t and %t: want task 1 in one and task 0 to wait", j.Grants(0), j.Grants(1), j.IsWaiting(0), j.IsWaiting(1))
+	if j.GrantCount(0) != 0 || !j.IsWaiting(0) || j.GrantCount(1) != 1 || j.IsWaiting(1) {
+		t.Errorf("in %d and %d grants, waiting %t and %t: want task 1 in one and task 0 to wait", j.GrantCount(0), j.GrantCount(1), j.IsWaiting(0), j.IsWaiting(1))
 	}
 }
 
--- a/internal/leader/unconfirmed_machines_test.go
+++ b/internal/leader/unconfirmed_machines_test.go
@@ -162,7 +162,7 @@
 		Attempts: []int{900, 1, 0, -1, 2, 0, 1, 3, 0}}}}
 	l := granting(t, map[string]peer.AttemptPage{"p": page})
 	b := l.shards.all[shard.ForMachine(names[0], 2)]
-	if len(b.tasks) != 3 || l.jobs.Get(spec.Ref).Grants(1) != 1 || l.jobs.Get(spec.Ref).Dispatched() != 1 {
+	if len(b.tasks) != 3 || l.jobs.Get(spec.Ref).GrantCount(1) != 1 || l.jobs.Get(spec.Ref).Dispatched() != 1 {
 		t.Errorf("%d tasks counted, %d dispatched: want all three, of which the job has one", len(b.tasks), l.jobs.Get(spec.Ref).Dispatched())
 	}
 	var events []peer.TaskEvent
