--- a/internal/leader/fairshare/queue.go
+++ b/internal/leader/fairshare/queue.go
@@ -130,10 +130,10 @@
 
 // Turn is the right of a job to have tasks dispatched.
 type Turn struct {
-	Queue  *TeamQueue
-	Job    *jobs.Job
-	Single bool // of one task alone
-	entry  *entry
+	Queue       *TeamQueue
+	Job         *jobs.Job
+	OneTaskOnly bool // of one task alone
+	entry       *entry
 }
 
 // Next returns whose turn it is among all teams; false: nobody's whose tasks could be dispatched.
@@ -148,7 +148,7 @@
 	if best == nil {
 		return Turn{}, false
 	}
-	return Turn{Queue: best, Job: best.nextEntry.job, Single: best.oneTaskOnly, entry: best.nextEntry}, true
+	return Turn{Queue: best, Job: best.nextEntry.job, OneTaskOnly: best.oneTaskOnly, entry: best.nextEntry}, true
 }
 
 // Done ends a turn in which that many tasks were dispatched.
--- a/internal/leader/schedule.go
+++ b/internal/leader/schedule.go
@@ -87,7 +87,7 @@
 		}
 	}
 	limit := tasksPerTurn
-	if isMigration || turn.Single || o.isPlacedOneByOne(j) {
+	if isMigration || turn.OneTaskOnly || o.isPlacedOneByOne(j) {
 		limit = 1
 	}
 	if s.IsService() {
