--- a/internal/leader/assignment/assignment.go
+++ b/internal/leader/assignment/assignment.go
@@ -1,7 +1,7 @@
-// Package assignment decides which controller holds the lease of which shard. It owns what a leader knows of the
-// shards' holders and of the controllers' fitness to hold any; the state of both and the time go in, and the shards
-// whose holder has changed come out. It does no I/O, and it writes no keys and grants nothing: that is the leader's
-// part.
+// Package assignment decides which controller holds the lease of which shard. It owns the leader's knowledge of the
+// shard holders and of which controllers are fit to hold shards. Its input is the state of both and the time, its
+// output the shards whose holder has changed. It does no I/O, writes no keys and grants no shards: the leader does
+// that.
 package assignment
 
 import (
@@ -11,68 +11,69 @@
 	"swiftledge/internal/clock"
 )
 
-// MinConnectedTime is how long a controller must have been connected before shards move to it.
+// MinConnectedTime is how long a controller must be connected before rebalancing moves shards to it.
 const MinConnectedTime = clock.Second
 
 const (
-	// storeRefusalTolerance is how long the store may refuse a controller before it gets no shards.
+	// storeRefusalTolerance is how long the store may refuse a controller before the controller gets no shards.
 	storeRefusalTolerance = 3 * clock.Second
-	// noAgentContactBackoff is how long a controller that heard no agent is left without shards.
+	// noAgentContactBackoff is how long a controller gets no shards after it reported that no agent contacted it.
 	noAgentContactBackoff = 30 * clock.Second
 )
 
-// Phase is how far the lease of a shard has come.
+// Phase is the state of a shard's lease.
 type Phase int
 
 // Phases of a shard's lease.
 const (
 	Unassigned Phase = iota // no controller holds it
 	Moving                  // its key is being written, or its attempt records are being read
-	Granted                 // it was granted to its holder
+	Granted                 // it is granted to its holder
 )
 
 // Shard is a shard and its holder.
 type Shard struct {
 	ID              int
-	Holder          string // the present one or the last; "": none
+	Holder          string // current or last holder; "" if none
 	UnassignedSince clock.Micros
-	AttemptsRead    bool // what may run in it is known
-	// Phase and HolderConnected are as of this round. The holder is connected if the link is up over which the shard
-	// was granted.
+	AttemptsRead    bool // the tasks that may run in it are known
+	// Phase and HolderConnected describe the current round. The holder is connected if the link is up over which the
+	// shard was granted.
 	Phase           Phase
 	HolderConnected bool
 }
 
-// Controller is a controller in touch, which may hold shards.
+// Controller is a connected controller, which may hold shards.
 type Controller struct {
 	Name              string
-	ViaStore          bool // messages to it take seconds
+	ViaStore          bool // linked through the store, which delays messages by seconds
 	ConnectedAt       clock.Micros
-	NoAgentContactAt  clock.Micros // when it last heard no agent; 0: never
-	StoreRefusedSince clock.Micros // since when the store refuses it; 0: it does not
-	trialAssignedAt   clock.Micros // when it was last given a shard after it had heard no agent
-	takeoverUntil     clock.Micros // until when it is busy with the agents of the shard that it took over last
+	NoAgentContactAt  clock.Micros // last report that no agent contacts it; 0 if never
+	StoreRefusedSince clock.Micros // start of the store's refusals; 0 if it is not refused
+	trialAssignedAt   clock.Micros // time of the last assignment on trial
+	takeoverUntil     clock.Micros // end of its work for the last shard taken over
 }
 
-// unfit reports whether the controller should hold no shard: one that the store alone refuses cannot record starts,
-// one that hears no agent cannot keep the leases of agents.
+// unfit reports whether the controller should hold no shards. A controller that is connected to the leader but
+// refused by the store cannot record attempts. A controller without contact to any agent cannot renew the agents'
+// leases.
 func (c *Controller) unfit(now clock.Micros) bool {
 	refused := c.StoreRefusedSince > 0 && now-c.StoreRefusedSince > storeRefusalTolerance
-	silent := c.NoAgentContactAt > 0 && now-c.NoAgentContactAt < noAgentContactBackoff
-	return refused || silent
+	noContact := c.NoAgentContactAt > 0 && now-c.NoAgentContactAt < noAgentContactBackoff
+	return refused || noContact
 }
 
-// Round is what one round of assignment goes by.
+// Round is the input of one round of assignment.
 type Round struct {
 	Now         clock.Micros
-	Leader      string // the controller that leads
+	Leader      string // name of the leading controller
 	Shards      []*Shard
-	Controllers map[string]*Controller // those in touch, by name: at least one
+	Controllers map[string]*Controller // connected controllers by name, at least one
 	Capacity    Capacity
 }
 
-// Assign finds holders for shards that have none, and evens out. It returns the shards whose holder has changed, and
-// those whose attempts have to be read though no controller can take them.
+// Assign finds holders for shards without one, and rebalances shards if there are none. It returns the shards whose
+// holder has changed, and the shards whose attempts must be read although no controller can take them.
 func Assign(r Round) []*Shard {
 	a := &assigner{Round: r, eligible: eligible(r), shardCounts: map[string]int{}}
 	a.distribute(a.returnToFormerHolders(a.unassigned()))
@@ -82,57 +83,57 @@
 	return a.changed
 }
 
-// eligible names the controllers that may hold shards. If none is able, all of them have to do.
+// eligible returns the names of the controllers that may hold shards. If none is fit, all are eligible.
 func eligible(r Round) []string {
 	names := slices.Sorted(maps.Keys(r.Controllers))
-	able := slices.DeleteFunc(slices.Clone(names), func(name string) bool { return r.Controllers[name].unfit(r.Now) })
-	if len(able) > 0 {
-		return able
+	fit := slices.DeleteFunc(slices.Clone(names), func(name string) bool { return r.Controllers[name].unfit(r.Now) })
+	if len(fit) > 0 {
+		return fit
 	}
 	return names
 }
 
-// assigner is the state of a round under way.
+// assigner is the state of a round in progress.
 type assigner struct {
 	Round
 	eligible    []string
-	shardCounts map[string]int // shards by controller, with those that it gets in this round
+	shardCounts map[string]int // shards by controller, including those assigned in this round
 	changed     []*Shard
 }
 
-// unassigned returns the shards that need a holder, and counts the others for theirs.
+// unassigned returns the shards that need a holder, and counts the other shards for their holders.
 func (a *assigner) unassigned() []*Shard {
-	var found []*Shard
+	var unassigned []*Shard
 	for _, s := range a.Shards {
-		_, inTouch := a.Controllers[s.Holder]
+		_, connected := a.Controllers[s.Holder]
 		moving := s.Phase == Moving
 		held := s.Phase == Granted && s.HolderConnected && slices.Contains(a.eligible, s.Holder)
 		switch {
-		case held || moving && inTouch:
+		case held || moving && connected:
 			a.shardCounts[s.Holder]++
 		case !moving:
-			found = append(found, s)
+			unassigned = append(unassigned, s)
 		}
 	}
-	return found
+	return unassigned
 }
 
-// returnToFormerHolders gives shards back to their last holders, which still know the machines, and returns the
-// shards that are left.
+// returnToFormerHolders assigns shards to their last holders, which still know the machines, and returns the
+// remaining shards.
 func (a *assigner) returnToFormerHolders(shards []*Shard) []*Shard {
-	fair := (len(a.Shards) + len(a.eligible) - 1) / len(a.eligible)
-	var left []*Shard
+	evenShare := (len(a.Shards) + len(a.eligible) - 1) / len(a.eligible)
+	var remaining []*Shard
 	for _, s := range shards {
 		if s.UnassignedSince == 0 {
 			s.UnassignedSince = a.Now
 		}
-		if slices.Contains(a.eligible, s.Holder) && a.shardCounts[s.Holder] < fair {
+		if slices.Contains(a.eligible, s.Holder) && a.shardCounts[s.Holder] < evenShare {
 			a.assign(s, s.Holder)
 		} else {
-			left = append(left, s)
+			remaining = append(remaining, s)
 		}
 	}
-	return left
+	return remaining
 }
 
 func (a *assigner) assign(s *Shard, holder string) {
@@ -141,7 +142,8 @@
 	a.changed = append(a.changed, s)
 }
 
-// leastLoaded names the controller with the fewest shards. The leader gets fewer, as it has more to do.
+// leastLoaded returns the name of the controller with the fewest shards. Between equal controllers the leader comes
+// last, because it has more other work.
 func (a *assigner) leastLoaded() string {
 	weight := func(name string) int {
 		if name == a.Leader {
@@ -152,19 +154,19 @@
 	return slices.MinFunc(a.eligible, func(x, y string) int { return weight(x) - weight(y) })
 }
 
-// distribute gives shards to the controllers with the fewest, as many as these can take over now.
+// distribute assigns shards to the controllers with the fewest, as many as these can take over now.
 func (a *assigner) distribute(shards []*Shard) {
-	most := a.Capacity.MaxShards(len(a.Shards))
+	maxShards := a.Capacity.MaxShards(len(a.Shards))
 	for _, s := range shards {
 		holder := a.leastLoaded()
 		c := a.Controllers[holder]
-		full := a.shardCounts[holder] >= most && a.Now-s.UnassignedSince < a.Capacity.reassignDelay()
+		full := a.shardCounts[holder] >= maxShards && a.Now-s.UnassignedSince < a.Capacity.reassignDelay()
 		if a.Now >= c.takeoverUntil && !full {
 			c.takeoverUntil = a.Now + a.Capacity.takeoverTime(len(a.Shards))
 			a.assign(s, holder)
 			continue
 		}
-		// Without a holder, all that is needed now is what may run there, as it counts against quotas.
+		// Even without a holder the attempts must be read: tasks that may run in the shard count against quotas.
 		if !s.AttemptsRead {
 			s.Holder = ""
 			a.changed = append(a.changed, s)
@@ -172,8 +174,8 @@
 	}
 }
 
-// rebalance moves shards to the controller with the fewest, from those that have at least two more. They move
-// together, as a controller that has many is often overloaded by them.
+// rebalance moves shards to the controller with the fewest, from controllers that have at least two more. All of them
+// move in one round, because a controller with many shards is often overloaded by them.
 func (a *assigner) rebalance() {
 	holder := a.leastLoaded()
 	c := a.Controllers[holder]
@@ -182,7 +184,7 @@
 		return
 	}
 	for _, s := range a.Shards {
-		// Through the store a grant may take longer than the leases of its agents last.
+		// A grant through the store may take longer than the leases of the shard's agents last.
 		if c.ViaStore && a.shardCounts[s.Holder] <= a.Capacity.serviceableShards(len(a.Shards)) {
 			continue
 		}
@@ -192,7 +194,7 @@
 		a.shardCounts[s.Holder]--
 		a.assign(s, holder)
 		c.trialAssignedAt = a.Now
-		// One that heard no agent for a while is tried with a single shard first.
+		// A controller that had no contact to agents first gets a single shard on trial.
 		if onTrial || c.ViaStore {
 			return
 		}
--- a/internal/leader/assignment/assignment_test.go
+++ b/internal/leader/assignment/assignment_test.go
@@ -9,17 +9,17 @@
 
 const now = 100 * clock.Second
 
-// round has shards with the given last holders, granted where the holder is in touch, and controllers in touch that
-// connected long ago.
-func round(holders, inTouch []string) Round {
+// round returns a round with connected controllers that connected long ago, and shards with the given last holders. A
+// shard is granted if its holder is connected.
+func round(holders, connected []string) Round {
 	r := Round{Now: now, Leader: "n0", Controllers: map[string]*Controller{},
 		Capacity: Capacity{Controllers: 3, CPU: 0.1, HeartbeatS: 3, AgentLease: 20 * clock.Second, Machines: 30}}
-	for _, name := range inTouch {
+	for _, name := range connected {
 		r.Controllers[name] = &Controller{Name: name, ConnectedAt: clock.Second}
 	}
 	for i, holder := range holders {
 		s := &Shard{ID: i, Holder: holder, AttemptsRead: true}
-		if slices.Contains(inTouch, holder) {
+		if slices.Contains(connected, holder) {
 			s.Phase, s.HolderConnected = Granted, true
 		}
 		r.Shards = append(r.Shards, s)
@@ -36,36 +36,36 @@
 
 func TestAssign(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		holders []string
-		inTouch []string
-		change  func(r Round)
-		want    []string
+		name      string
+		holders   []string
+		connected []string
+		change    func(r Round)
+		want      []string
 	}{
-		{"holders in touch keep their shards", []string{"n0", "n1", "n2"}, []string{"n0", "n1", "n2"}, nil, []string{"n0", "n1", "n2"}},
-		{"a shard without a holder goes to the one with the fewest", []string{"n0", "n1", "n1", ""}, []string{"n0", "n1", "n2"}, nil,
+		{"connected holders keep their shards", []string{"n0", "n1", "n2"}, []string{"n0", "n1", "n2"}, nil, []string{"n0", "n1", "n2"}},
+		{"shard without a holder goes to the least loaded controller", []string{"n0", "n1", "n1", ""}, []string{"n0", "n1", "n2"}, nil,
 			[]string{"n0", "n1", "n1", "n2"}},
-		{"the leader gets fewer", []string{"", ""}, []string{"n0", "n1"}, nil, []string{"n1", "n0"}},
-		{"a holder that is back gets its shards again", []string{"n0", "n1"}, []string{"n0", "n1"}, func(r Round) { r.Shards[1].HolderConnected = false },
+		{"leader is chosen last", []string{"", ""}, []string{"n0", "n1"}, nil, []string{"n1", "n0"}},
+		{"reconnected holder gets its shards back", []string{"n0", "n1"}, []string{"n0", "n1"}, func(r Round) { r.Shards[1].HolderConnected = false },
 			[]string{"n0", "n1"}},
-		{"a shard that is moving is left alone", []string{"n0", "n0", "n0"}, []string{"n0", "n1"}, func(r Round) {
+		{"moving shard keeps its holder", []string{"n0", "n0", "n0"}, []string{"n0", "n1"}, func(r Round) {
 			for _, s := range r.Shards {
 				s.Phase = Moving
 			}
 		}, []string{"n0", "n0", "n0"}},
-		{"shards even out to a controller that is connected long enough", []string{"n0", "n0", "n0", "n0"}, []string{"n0", "n1"}, nil,
+		{"shards move to a controller connected for long enough", []string{"n0", "n0", "n0", "n0"}, []string{"n0", "n1"}, nil,
 			[]string{"n1", "n1", "n0", "n0"}},
-		{"but not to one that has just connected", []string{"n0", "n0", "n0", "n0"}, []string{"n0", "n1"},
+		{"no shard moves to a controller that has just connected", []string{"n0", "n0", "n0", "n0"}, []string{"n0", "n1"},
 			func(r Round) { r.Controllers["n1"].ConnectedAt = now - MinConnectedTime }, []string{"n0", "n0", "n0", "n0"}},
-		{"a controller that the store refuses loses its shards", []string{"n0", "n1"}, []string{"n0", "n1"},
+		{"controller refused by the store loses its shards", []string{"n0", "n1"}, []string{"n0", "n1"},
 			func(r Round) { r.Controllers["n1"].StoreRefusedSince = now - storeRefusalTolerance - 1 }, []string{"n0", "n0"}},
-		{"one that hears no agent loses its shards", []string{"n0", "n1"}, []string{"n0", "n1"},
+		{"controller without agent contact loses its shards", []string{"n0", "n1"}, []string{"n0", "n1"},
 			func(r Round) { r.Controllers["n1"].NoAgentContactAt = now - clock.Second }, []string{"n0", "n0"}},
-		{"if none is able, all of them have to do", []string{"n0"}, []string{"n0"},
+		{"if no controller is fit, all are eligible", []string{"n0"}, []string{"n0"},
 			func(r Round) { r.Controllers["n0"].NoAgentContactAt = now - clock.Second }, []string{"n0"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := round(c.holders, c.inTouch)
+			r := round(c.holders, c.connected)
 			if c.change != nil {
 				c.change(r)
 			}
--- a/internal/leader/assignment/capacity.go
+++ b/internal/leader/assignment/capacity.go
@@ -3,51 +3,51 @@
 import "swiftledge/internal/clock"
 
 const (
-	// heartbeatCoreSeconds is what one heartbeat a second takes of a core, with all that follows from it: 600 machines
-	// with a heartbeat every 3 s take three controllers 0.022 of a core, 0.00011 for each heartbeat. What is more is
-	// left for the leader's work besides.
+	// heartbeatCoreSeconds is the processor time that one heartbeat and its handling take. 600 machines with a
+	// heartbeat every 3 s take 0.022 of a core on three controllers, 0.00011 core-seconds for each heartbeat. The
+	// constant is higher to leave capacity for the leader's other work.
 	heartbeatCoreSeconds = 0.00015
-	// takeoverCoreSeconds is what it takes of a core-second to take over one machine: its agent connects, sends a
-	// heartbeat, learns the new fencing token, sends another, and is told of its tasks.
+	// takeoverCoreSeconds is the processor time to take over one machine: its agent connects, sends a heartbeat,
+	// receives the new fencing token, sends another heartbeat, and receives its commands.
 	takeoverCoreSeconds = 0.0003
-	// takeoversPerLease bounds how many shards a controller takes over within the lease of an agent.
+	// takeoversPerLease is the minimum number of shards that a controller takes over within one agent lease.
 	takeoversPerLease = 16
 )
 
-// Capacity is what controllers are able to do.
+// Capacity holds the figures that determine how many shards a controller can hold.
 type Capacity struct {
-	Controllers int          // of the site, in touch or not
-	CPU         float64      // of one controller, as a share of a core
-	HeartbeatS  float64      // seconds between two heartbeats of an agent
-	AgentLease  clock.Micros // how long an agent goes on without an answer
+	Controllers int          // number of controllers of the site, connected or not
+	CPU         float64      // processor time of one controller, as a share of a core
+	HeartbeatS  float64      // heartbeat interval of an agent in seconds
+	AgentLease  clock.Micros // how long an agent keeps running without an answer
 	Machines    int
 }
 
-// MaxShards is how many of the shards one controller takes at once while others are out of touch: it must be able to
-// answer the agents of all. More would make it late with every answer, so that the agents of its own shards would
-// lose their leases, too.
+// MaxShards returns how many of the shards one controller takes while others are disconnected. It must be able to
+// answer the agents of all its shards. With more shards every answer would be late, and the agents of its original
+// shards would lose their leases, too.
 func (c Capacity) MaxShards(shards int) int {
-	size := max(c.Controllers, 1)
-	share := (shards+size-1)/size + max(1, shards/6)
+	controllers := max(c.Controllers, 1)
+	share := (shards+controllers-1)/controllers + max(1, shards/6)
 	return max(share, c.serviceableShards(shards))
 }
 
-// serviceableShards is of how many of the shards one controller can answer all agents.
+// serviceableShards returns for how many of the shards one controller can answer all agents.
 func (c Capacity) serviceableShards(shards int) int {
-	able := c.CPU / heartbeatCoreSeconds * c.HeartbeatS / max(1, float64(c.Machines)) * float64(shards)
-	return int(min(able, float64(shards)))
+	serviceable := c.CPU / heartbeatCoreSeconds * c.HeartbeatS / max(1, float64(c.Machines)) * float64(shards)
+	return int(min(serviceable, float64(shards)))
 }
 
-// takeoverTime is how long a controller is busy with the agents of a shard that it takes over. Several shards at once
-// would make it late with every answer and cost a leader its lease.
+// takeoverTime returns how long a controller is busy with the agents of a shard that it takes over. Taking over
+// several shards at once would delay every answer and cost a leader its lease.
 func (c Capacity) takeoverTime(shards int) clock.Micros {
 	machines := float64(c.Machines) / float64(shards)
 	busy := machines * takeoverCoreSeconds / c.CPU
 	return clock.FromSeconds(min(busy, c.AgentLease.Seconds()/takeoversPerLease))
 }
 
-// reassignDelay is how long shards beyond MaxShards wait for a holder to come back: the last answers of the former
-// one hold the leases of its agents for longer.
+// reassignDelay returns how long shards beyond MaxShards wait for a former holder to reconnect. The last answers of
+// the former holder keep the leases of its agents valid for longer than that.
 func (c Capacity) reassignDelay() clock.Micros {
 	if c.Controllers <= 1 {
 		return 0
--- a/internal/leader/fairshare/order.go
+++ b/internal/leader/fairshare/order.go
@@ -4,17 +4,17 @@
 	"cmp"
 )
 
-// jobOrder is a job's place among those of its team.
+// jobOrder is the sort key of a job within its team.
 type jobOrder struct {
-	late         bool // it cannot be in time any more
-	priorityRank int  // of its priority, the most important first
-	// With a deadline, the time that is left before it has to begin; without one, what is left to do.
+	late         bool // it can no longer meet its deadline
+	priorityRank int  // rank of its priority, 0 for the most important
+	// With a deadline: seconds until the latest start that meets it. Without one: seconds of remaining work.
 	slack float64
 	age   float64
 }
 
-// compare orders those that can still be in time before those that cannot, then by priority, then by the latest start
-// that is in time, then by submission.
+// compare orders jobs that can still meet their deadline before those that cannot, then by priority, then by slack,
+// then by submission time.
 func (o jobOrder) compare(other jobOrder) int {
 	return cmp.Or(
 		falseFirst(o.late, other.late),
@@ -24,12 +24,12 @@
 	)
 }
 
-// teamOrder is a team's place among the others.
+// teamOrder is the sort key of a team among the teams.
 type teamOrder struct {
-	startOverdue   bool // a job of it has not begun in time: it goes first
-	overGuarantee  bool // its next task would be beyond what it is guaranteed
-	priorityRank   int  // of its most important job
-	guaranteeInUse float64
+	startOverdue   bool    // one of its jobs has not started in time; such a team goes first
+	overGuarantee  bool    // its next task would exceed its guarantee
+	priorityRank   int     // priority rank of its most important job
+	guaranteeInUse float64 // used processors as a share of the guaranteed ones
 }
 
 func (o teamOrder) compare(other teamOrder) int {
@@ -41,7 +41,7 @@
 	)
 }
 
-// falseFirst compares two booleans for a sort order that puts false before true.
+// falseFirst compares two booleans so that false sorts before true.
 func falseFirst(a, b bool) int {
 	switch {
 	case a == b:
--- a/internal/leader/fairshare/policy.go
+++ b/internal/leader/fairshare/policy.go
@@ -11,14 +11,14 @@
 	"swiftledge/wire"
 )
 
-// Policy is what the operators set for the order of work.
+// Policy is the operators' scheduling policy.
 type Policy struct {
 	Teams map[string]config.Team
-	// CompletionSLO is in how many seconds the jobs of a class are expected to be completed.
+	// CompletionSLO maps a class to the seconds within which its jobs should complete.
 	CompletionSLO map[string]float64
-	// StartWithinS is in how many seconds every job is to have begun.
+	// StartWithinS is the number of seconds within which every job should start.
 	StartWithinS float64
-	// LeastShare is the part of what its team uses that each class, and what has waited long, is given at least.
+	// LeastShare is the minimum share of a team's usage for each class, and for the jobs that have waited long.
 	LeastShare float64
 }
 
@@ -28,9 +28,9 @@
 	TimeOfDay clock.Micros
 }
 
-// Queues returns the teams that have jobs waiting, by name. It notes for each job since when it waits for free
-// capacity.
-func (p Policy) Queues(at PassTime, table *jobs.Table, usage *Usage) []*TeamQueue {
+// Queues returns the queues of the teams with waiting jobs, sorted by team name. It also records for each job since
+// when it waits for free capacity.
+func (p Policy) Queues(pass PassTime, table *jobs.Table, usage *Usage) []*TeamQueue {
 	byTeam := map[string]*TeamQueue{}
 	for j := range table.Sorted() {
 		q := byTeam[j.Spec.Team]
@@ -40,13 +40,13 @@
 			q = &TeamQueue{team: team, usage: usage, leastShare: p.LeastShare, cpusByClass: map[string]float64{}}
 			byTeam[j.Spec.Team] = q
 		}
-		age := (at.TimeOfDay - j.AcceptedAt).Seconds()
-		isOld := age > p.StartWithinS
-		q.countDispatched(j, isOld)
-		updateUnservedSince(at.Now, q, j)
-		if j.Waiting() > 0 && !j.Failures.InBackoff(at.Now) && !j.IsCancelled() {
+		age := (pass.TimeOfDay - j.AcceptedAt).Seconds()
+		waitedLong := age > p.StartWithinS
+		q.countDispatched(j, waitedLong)
+		updateUnservedSince(pass.Now, q, j)
+		if j.Waiting() > 0 && !j.Failures.InBackoff(pass.Now) && !j.IsCancelled() {
 			q.entries = append(q.entries,
-				&entry{job: j, order: p.order(age, j, table), waitedLong: isOld && !j.Failures.Suspect()})
+				&entry{job: j, order: p.order(age, j, table), waitedLong: waitedLong && !j.Failures.Suspect()})
 		}
 	}
 	var queues []*TeamQueue
@@ -59,8 +59,8 @@
 	return queues
 }
 
-// countDispatched counts what the dispatched tasks of a job take.
-func (q *TeamQueue) countDispatched(j *jobs.Job, isOld bool) {
+// countDispatched adds the usage of a job's dispatched tasks to the totals of the team.
+func (q *TeamQueue) countDispatched(j *jobs.Job, waitedLong bool) {
 	cpus := float64(j.Dispatched()) * j.Spec.CPUs
 	q.cpusByClass[j.Spec.Class] += cpus
 	if j.Spec.IsService() {
@@ -68,12 +68,12 @@
 	} else {
 		q.hasOtherJobs = true
 	}
-	if isOld {
+	if waitedLong {
 		q.cpusByClass[longWaiting] += cpus
 	}
 }
 
-// updateUnservedSince notes since when a job waits for free capacity, and not for its team's limit.
+// updateUnservedSince updates since when a job waits for free capacity. Waiting for the team's limit does not count.
 func updateUnservedSince(now clock.Micros, q *TeamQueue, j *jobs.Job) {
 	switch {
 	case j.Waiting() == 0 || j.Failures.InBackoff(now):
@@ -83,7 +83,7 @@
 	}
 }
 
-// sort puts the team's jobs in order and finds those that may stop other tasks.
+// sort sorts the team's jobs and collects those that may preempt other tasks.
 func (q *TeamQueue) sort() {
 	slices.SortStableFunc(q.entries, func(a, b *entry) int { return a.order.compare(b.order) })
 	for _, e := range q.entries {
@@ -93,7 +93,7 @@
 	}
 }
 
-// mayPreempt reports whether tasks of the job may ever stop others.
+// mayPreempt reports whether the job may preempt other tasks.
 func (q *TeamQueue) mayPreempt(j *jobs.Job) bool {
 	if j.Failures.Suspect() {
 		return false
@@ -101,25 +101,28 @@
 	return j.Spec.Priority.Rank() <= wire.PriorityHigh.Rank() || q.team.CPUs > 0
 }
 
-// order returns a job's place in its team's queue. A job without a deadline of its own has that of its class's
-// completion SLO.
+// order returns the sort key of a job in its team's queue. For a job without a deadline, lateness is judged by the
+// completion SLO of its class.
 func (p Policy) order(age float64, j *jobs.Job, table *jobs.Table) jobOrder {
 	s := &j.Spec
-	due := math.Inf(1)
+	dueS := math.Inf(1)
 	if s.DeadlineS != nil {
-		due = *s.DeadlineS
+		dueS = *s.DeadlineS
 	} else if slo, ok := p.CompletionSLO[s.Class]; ok {
-		due = slo
+		dueS = slo
 	}
-	// The least time in which the rest can be done within the team's limit.
-	need := table.RunSeconds(j)
+	// The minimum time to complete the remaining tasks within the team's limit.
+	remainingS := table.RunSeconds(j)
 	if limit := p.Teams[s.Team].CPUsMax; limit > 0 {
-		need = max(need, float64(s.Tasks-j.Completed())*s.CPUs*need/limit)
+		remainingS = max(remainingS, float64(s.Tasks-j.Completed())*s.CPUs*remainingS/limit)
 	}
 	rank := s.Priority.Rank()
-	slack := due - age - need
+	slack := dueS - age - remainingS
 	if s.DeadlineS == nil {
-		slack = need
+		slack = remainingS
+	}
+	return jobOrder{
+		late:         rank >= wire.PriorityStandard.Rank() && age+remainingS > dueS,
+		priorityRank: rank, slack: slack, age: age,
 	}
-	return jobOrder{late: rank >= wire.PriorityStandard.Rank() && age+need > due, priorityRank: rank, slack: slack, age: age}
 }
--- a/internal/leader/fairshare/queue.go
+++ b/internal/leader/fairshare/queue.go
@@ -12,79 +12,81 @@
 type entry struct {
 	job        *jobs.Job
 	order      jobOrder
-	waitedLong bool // it has waited long: its kind of job has a least share
-	exhausted  bool // nothing of it can be dispatched in this pass
+	waitedLong bool // longer than StartWithinS: such jobs have a minimum share
+	exhausted  bool // no more of its tasks can be dispatched in this pass
 }
 
-// longWaiting stands among the classes for all jobs that have waited long.
+// longWaiting is the key in cpusByClass for all jobs that have waited long, whatever their class.
 const longWaiting = ""
 
-// TeamQueue holds one team's waiting jobs in their order, for one scheduling pass.
+// TeamQueue holds the waiting jobs of one team in order, for one scheduling pass.
 type TeamQueue struct {
 	team       config.Team
 	usage      *Usage
 	leastShare float64
 	entries    []*entry
-	// preemptors are the jobs that wait and may stop other tasks.
+	// preemptors are the waiting jobs that may preempt other tasks.
 	preemptors []*jobs.Job
-	// cpusByClass is what the team's classes use; longWaiting stands for the jobs that have waited long.
+	// cpusByClass is the processors used by each class, and by the jobs that have waited long under longWaiting.
 	cpusByClass map[string]float64
-	// serviceCPUs is what services use, and mixed that the team has other jobs: neither may shut out the other.
+	// serviceCPUs is the processors used by services. hasOtherJobs is set if the team also has jobs that are no
+	// services. Neither kind may starve the other.
 	serviceCPUs  float64
 	hasOtherJobs bool
 
-	// nextEntry is whose nextEntry it is within the team; it changes only when the team is served.
+	// nextEntry is the job whose turn it is within the team. It changes only after a turn of the team.
 	nextEntry   *entry
-	oneTaskOnly bool // it is the turn of one task alone
+	oneTaskOnly bool // the turn covers a single task
 	order       teamOrder
-	selected    bool // turn, single and order hold
+	selected    bool // nextEntry, oneTaskOnly and order are up to date
 }
 
 // Team returns the team's quota.
 func (q *TeamQueue) Team() config.Team { return q.team }
 
-// Usage returns what the team's tasks take now.
+// Usage returns the current usage of the team's tasks.
 func (q *TeamQueue) Usage() ResourceUsage { return q.usage.Of(q.team.Name) }
 
-// Preemptors returns the jobs that wait and may stop other tasks, in their order.
+// Preemptors returns the waiting jobs that may preempt other tasks, in queue order.
 func (q *TeamQueue) Preemptors() []*jobs.Job { return q.preemptors }
 
-// ServiceCPUs returns what the team's services use.
+// ServiceCPUs returns the processors used by the team's services.
 func (q *TeamQueue) ServiceCPUs() float64 { return q.serviceCPUs }
 
-// Fits reports whether the team may run one more task of the job: within its limit, and with the least share left to
-// its other jobs if the job is a service, which never ends by itself.
+// Fits reports whether the team may run one more task of the job: it stays within its limit and, if the job is a
+// service, leaves the minimum share to its other jobs, because a service never ends by itself.
 func (q *TeamQueue) Fits(job *wire.Job) bool {
 	return q.ServiceFits(job, q.serviceCPUs) && q.Usage().FitsLimit(job, q.team)
 }
 
-// ServiceFits reports whether one more task of the job leaves the team's other jobs their least share if services use
-// that many processors. It holds for every job that is no service.
+// ServiceFits reports whether one more task of the job leaves the minimum share to the team's other jobs when its
+// services use serviceCPUs processors. It is always true for a job that is no service.
 func (q *TeamQueue) ServiceFits(job *wire.Job, serviceCPUs float64) bool {
 	return !job.IsService() || !q.hasOtherJobs ||
 		serviceCPUs+job.CPUs <= q.team.CPULimit()*(1-q.leastShare)+tolerance
 }
 
-// next returns the job whose turn it is, and whether it is the turn of one task alone. Order alone would starve what
-// always comes last: the largest, those already late, a class of low priority. So a job that has not begun in time goes
-// first with one task, and each class, and what has waited long, has a least share of what its team uses.
-func (q *TeamQueue) next() (next *entry, single bool) {
+// next returns the job whose turn it is, and whether the turn covers a single task. The sort order alone would starve
+// the jobs that always sort last: the largest, those already late, and classes of low priority. Therefore a job that
+// has not started in time goes first with one task, and each class, as well as the jobs that have waited long, has a
+// minimum share of the team's usage.
+func (q *TeamQueue) next() (next *entry, oneTaskOnly bool) {
 	q.entries = slices.DeleteFunc(q.entries, func(e *entry) bool { return e.exhausted || e.job.Waiting() == 0 })
 	for _, e := range q.entries {
 		if e.waitedLong && !e.job.WasDispatched() {
 			return e, true
 		}
 	}
-	var seen []string // a few classes
-	starves := func(class string) bool {
-		if slices.Contains(seen, class) {
+	var checked []string // a small set of classes
+	isBelowShare := func(class string) bool {
+		if slices.Contains(checked, class) {
 			return false
 		}
-		seen = append(seen, class)
+		checked = append(checked, class)
 		return q.cpusByClass[class] < q.leastShare*q.Usage().CPUs
 	}
 	for _, e := range q.entries {
-		if starves(e.job.Spec.Class) || e.waitedLong && starves(longWaiting) {
+		if isBelowShare(e.job.Spec.Class) || e.waitedLong && isBelowShare(longWaiting) {
 			return e, false
 		}
 	}
@@ -94,7 +96,7 @@
 	return q.entries[0], false
 }
 
-// selectNext finds whose turn it is within the team, and the team's place among the others.
+// selectNext selects the next job of the team and computes the team's sort key.
 func (q *TeamQueue) selectNext() {
 	if q.selected {
 		return
@@ -116,27 +118,27 @@
 	}
 }
 
-// skip leaves out a job that does not fit. What the team's limit holds back must not be passed by smaller tasks of
-// less important jobs, which would take every bit of capacity that comes free.
-func (q *TeamQueue) skip(held *entry) {
-	held.exhausted = true
-	if q.Usage().FitsLimit(&held.job.Spec, q.team) {
+// skip excludes a job that does not fit from this pass. If the team's limit is the reason, it also excludes all less
+// important jobs of the team: their smaller tasks would otherwise take all capacity that becomes free.
+func (q *TeamQueue) skip(unfit *entry) {
+	unfit.exhausted = true
+	if q.Usage().FitsLimit(&unfit.job.Spec, q.team) {
 		return
 	}
 	for _, e := range q.entries {
-		e.exhausted = e.exhausted || e.order.priorityRank > held.order.priorityRank
+		e.exhausted = e.exhausted || e.order.priorityRank > unfit.order.priorityRank
 	}
 }
 
-// Turn is the right of a job to have tasks dispatched.
+// Turn permits a job to have tasks dispatched.
 type Turn struct {
 	Queue       *TeamQueue
 	Job         *jobs.Job
-	OneTaskOnly bool // of one task alone
+	OneTaskOnly bool // for a single task
 	entry       *entry
 }
 
-// Next returns whose turn it is among all teams; false: nobody's whose tasks could be dispatched.
+// Next returns the next turn among all teams, or false if no job has a task that can be dispatched.
 func Next(queues []*TeamQueue) (Turn, bool) {
 	var best *TeamQueue
 	for _, q := range queues {
@@ -151,16 +153,16 @@
 	return Turn{Queue: best, Job: best.nextEntry.job, OneTaskOnly: best.oneTaskOnly, entry: best.nextEntry}, true
 }
 
-// Done ends a turn in which that many tasks were dispatched.
+// Done ends a turn and accounts for the tasks dispatched in it.
 func (t Turn) Done(dispatched int) {
-	q, s := t.Queue, &t.Job.Spec
+	q, spec := t.Queue, &t.Job.Spec
 	q.selected = false
 	t.entry.exhausted = dispatched == 0 || t.Job.Failures.Suspect()
-	cpus := float64(dispatched) * s.CPUs
-	if s.IsService() {
+	cpus := float64(dispatched) * spec.CPUs
+	if spec.IsService() {
 		q.serviceCPUs += cpus
 	}
-	q.cpusByClass[s.Class] += cpus
+	q.cpusByClass[spec.Class] += cpus
 	if t.entry.waitedLong {
 		q.cpusByClass[longWaiting] += cpus
 	}
--- a/internal/leader/fairshare/queue_test.go
+++ b/internal/leader/fairshare/queue_test.go
@@ -9,7 +9,7 @@
 	"swiftledge/wire"
 )
 
-// newJob returns a job all of whose tasks wait; change may alter it before.
+// newJob returns a job whose tasks all wait. change, if not nil, alters its specification first.
 func newJob(ref string, change func(*wire.Job)) *jobs.Job {
 	spec := wire.Job{Ref: ref, Team: "red", Class: "batch", Priority: wire.PriorityStandard, Tasks: 2, CPUs: 1, EstimateS: 10}
 	if change != nil {
@@ -20,7 +20,7 @@
 	return j
 }
 
-// newTable returns a table of jobs.
+// newTable returns a table with the given jobs.
 func newTable(all ...*jobs.Job) *jobs.Table {
 	table := jobs.NewTable()
 	for _, j := range all {
@@ -29,53 +29,54 @@
 	return table
 }
 
-// usageOf returns the usage of one team.
+// usageOf returns a usage in which one team uses the given processors.
 func usageOf(team string, cpus float64) *Usage {
 	u := NewUsage()
 	u.Charge(team, ResourceUsage{CPUs: cpus})
 	return u
 }
 
-// What would always come last has its turn: a job that has not begun in time goes first, and each class, and what has
-// waited long, has a least share.
+// Jobs that would always sort last have their turn: a job that has not started in time goes first, and each class, as
+// well as the jobs that have waited long, has a minimum share.
 func TestQueueStarvesNoJob(t *testing.T) {
-	newEntry := func(class string, waitedLong, begun bool) *entry {
+	newEntry := func(class string, waitedLong, started bool) *entry {
 		j := newJob("j-000001", func(s *wire.Job) { s.Class = class })
-		if begun {
+		if started {
 			j.DispatchFirst()
 		}
 		return &entry{job: j, waitedLong: waitedLong}
 	}
 	first, second := newEntry("a", false, true), newEntry("b", false, true)
-	old, never := newEntry("a", true, true), newEntry("a", true, false)
+	waitedLong, unstarted := newEntry("a", true, true), newEntry("a", true, false)
 	q := &TeamQueue{team: config.Team{Name: "red"}, usage: usageOf("red", 100), leastShare: 0.1,
-		entries: []*entry{first, second, old, never}, cpusByClass: map[string]float64{"a": 60, "b": 30, longWaiting: 30}}
+		entries: []*entry{first, second, waitedLong, unstarted}, cpusByClass: map[string]float64{"a": 60, "b": 30, longWaiting: 30}}
 	for _, c := range []struct {
-		what string
-		set  func()
-		want *entry
+		name   string
+		change func()
+		want   *entry
 	}{
-		{"not begun in time", func() {}, never},
-		{"nothing starves", func() { never.exhausted = true }, first},
-		{"a class below its least share", func() { q.cpusByClass["b"] = 5 }, second},
-		{"long waits below their least share", func() { q.cpusByClass["b"], q.cpusByClass[longWaiting] = 30, 5 }, old},
-		{"nothing of it can be handed out", func() { old.exhausted = true }, first},
+		{"job not started in time", func() {}, unstarted},
+		{"no job starves", func() { unstarted.exhausted = true }, first},
+		{"class below its minimum share", func() { q.cpusByClass["b"] = 5 }, second},
+		{"long-waiting jobs below their minimum share", func() { q.cpusByClass["b"], q.cpusByClass[longWaiting] = 30, 5 }, waitedLong},
+		{"no task of the long-waiting job can be dispatched", func() { waitedLong.exhausted = true }, first},
 	} {
-		c.set()
+		c.change()
 		if got, _ := q.next(); got != c.want {
-			t.Errorf("%s: job of class %s, waiting for long: %t, is next", c.what, got.job.Spec.Class, got.waitedLong)
+			t.Errorf("%s: next is a job of class %s that has waited long: %t", c.name, got.job.Spec.Class, got.waitedLong)
 		}
 	}
 }
 
-// dispatchOrder returns the jobs that get turns, each of which dispatches as many tasks as it may.
-func dispatchOrder(queues []*TeamQueue, usage *Usage) (out []string) {
+// dispatchOrder returns the references of the jobs in the order of their turns. Each job dispatches as many tasks as
+// fit.
+func dispatchOrder(queues []*TeamQueue, usage *Usage) (refs []string) {
 	for {
 		turn, ok := Next(queues)
 		if !ok {
-			return out
+			return refs
 		}
-		out = append(out, turn.Job.Spec.Ref)
+		refs = append(refs, turn.Job.Spec.Ref)
 		dispatched := 0
 		for turn.Queue.Fits(&turn.Job.Spec) && turn.Job.DispatchFirst() >= 0 {
 			usage.Charge(turn.Job.Spec.Team, ResourceUsage{CPUs: turn.Job.Spec.CPUs})
@@ -93,21 +94,21 @@
 		jobs []*jobs.Job
 		want []string
 	}{
-		{"the more important first", []*jobs.Job{
+		{"higher priority first", []*jobs.Job{
 			newJob("j-1", nil), newJob("j-2", func(s *wire.Job) { s.Priority = wire.PriorityHigh }),
 		}, []string{"j-2", "j-1"}},
-		{"the shorter first", []*jobs.Job{
+		{"shorter job first", []*jobs.Job{
 			newJob("j-1", func(s *wire.Job) { s.EstimateS = 60 }), newJob("j-2", nil),
 		}, []string{"j-2", "j-1"}},
-		{"what cannot be in time last", []*jobs.Job{
+		{"job that misses its deadline last", []*jobs.Job{
 			newJob("j-1", func(s *wire.Job) { s.DeadlineS, s.EstimateS = &deadline, 200 }),
 			newJob("j-2", func(s *wire.Job) { s.EstimateS = 300 }),
 		}, []string{"j-2", "j-1"}},
-		{"teams in turn, within their guarantees first", []*jobs.Job{
+		{"team within its guarantee first", []*jobs.Job{
 			newJob("j-1", func(s *wire.Job) { s.Tasks = 4 }), newJob("j-2", func(s *wire.Job) { s.EstimateS = 60 }),
 			newJob("j-3", func(s *wire.Job) { s.Team = "blue" }),
 		}, []string{"j-3", "j-1", "j-2"}},
-		{"what the limit holds back is not passed by what is less important", []*jobs.Job{
+		{"job over the limit blocks less important jobs", []*jobs.Job{
 			newJob("j-1", func(s *wire.Job) { s.CPUs, s.Priority = 9, wire.PriorityHigh }), newJob("j-2", nil),
 		}, nil},
 	} {
@@ -116,18 +117,18 @@
 			queues := Policy{Teams: teams, StartWithinS: 600, LeastShare: 0}.Queues(PassTime{}, newTable(c.jobs...), usage)
 			got := dispatchOrder(queues, usage)
 			if len(got) != len(c.want) {
-				t.Fatalf("turns of %v, want %v", got, c.want)
+				t.Fatalf("turns %v, want %v", got, c.want)
 			}
 			for i := range got {
 				if got[i] != c.want[i] {
-					t.Fatalf("turns of %v, want %v", got, c.want)
+					t.Fatalf("turns %v, want %v", got, c.want)
 				}
 			}
 		})
 	}
 }
 
-// Services, which never end, leave a least share of the limit to the team's other jobs.
+// Services, which never end, leave a minimum share of the team's limit to its other jobs.
 func TestServicesLeaveMinimumShare(t *testing.T) {
 	service := newJob("j-1", func(s *wire.Job) { s.Shape, s.Tasks = wire.ShapeService, 20 })
 	batch := newJob("j-2", nil)
@@ -135,15 +136,15 @@
 	usage := NewUsage()
 	q := policy.Queues(PassTime{}, newTable(service, batch), usage)[0]
 	if !q.ServiceFits(&service.Spec, 7) || q.ServiceFits(&service.Spec, 8) || !q.ServiceFits(&batch.Spec, 8) {
-		t.Error("services may take another part than 8 of 10 processors")
+		t.Error("services may not use exactly 8 of 10 processors")
 	}
-	alone := policy.Queues(PassTime{}, newTable(service), usage)[0]
-	if !alone.ServiceFits(&service.Spec, 9) {
-		t.Error("a share is kept for jobs that there are not")
+	servicesOnly := policy.Queues(PassTime{}, newTable(service), usage)[0]
+	if !servicesOnly.ServiceFits(&service.Spec, 9) {
+		t.Error("minimum share reserved although the team has no other jobs")
 	}
 }
 
-// A job waits for free capacity from when its tasks wait and its team's limit does not hold them back.
+// A job counts as waiting for free capacity while its tasks wait and the team's limit permits them.
 func TestUnservedSince(t *testing.T) {
 	j := newJob("j-1", nil)
 	policy := Policy{Teams: map[string]config.Team{"red": {Name: "red", CPUsMax: 4}}}
@@ -161,7 +162,7 @@
 	j.DispatchFirst()
 	j.DispatchFirst()
 	if policy.Queues(PassTime{Now: 13}, newTable(j), free); j.UnservedSince() != 0 {
-		t.Error("unserved though no task waits")
+		t.Error("unserved although no task waits")
 	}
 }
 
@@ -175,7 +176,7 @@
 		policy := Policy{Teams: map[string]config.Team{"red": {Name: "red", CPUs: c.guarantee}}}
 		q := policy.Queues(PassTime{}, newTable(high, standard), NewUsage())[0]
 		if got := q.Preemptors(); len(got) != c.want || got[0] != high {
-			t.Errorf("with a guarantee of %g: %d jobs may stop others, want %d", c.guarantee, len(got), c.want)
+			t.Errorf("guarantee of %g: %d jobs may preempt others, want %d", c.guarantee, len(got), c.want)
 		}
 	}
 }
--- a/internal/leader/fairshare/usage.go
+++ b/internal/leader/fairshare/usage.go
@@ -1,7 +1,7 @@
-// Package fairshare decides whose tasks are dispatched next. It owns what the teams' tasks take of the cluster,
-// compares that with the teams' quotas, and orders the jobs that wait: the teams by their guarantees, the jobs of a
-// team by lateness, priority and slack, with a least share for what would always come last. It knows no machines and
-// does no I/O; the leader asks it for the next turn and tells it how many tasks were dispatched.
+// Package fairshare decides which job's tasks are dispatched next. It owns the resource usage of the teams, compares
+// it with the teams' quotas, and orders the waiting jobs: teams by their guarantees, the jobs of a team by lateness,
+// priority and slack, with a minimum share for the jobs that would always sort last. It knows no machines and does no
+// I/O. The leader asks it for the next turn and reports how many tasks it dispatched.
 package fairshare
 
 import (
@@ -12,10 +12,10 @@
 	"swiftledge/wire"
 )
 
-// tolerance is by how much sums of fractions of processors may be off.
+// tolerance is the permitted rounding error in sums of fractional resources.
 const tolerance = 1e-9
 
-// ResourceUsage is what tasks take.
+// ResourceUsage is the resources that tasks use.
 type ResourceUsage struct{ CPUs, GPUs float64 }
 
 // Plus returns the sum of two usages.
@@ -23,7 +23,7 @@
 	return ResourceUsage{u.CPUs + v.CPUs, u.GPUs + v.GPUs}
 }
 
-// Minus returns the usage without v.
+// Minus returns the usage reduced by v.
 func (u ResourceUsage) Minus(v ResourceUsage) ResourceUsage {
 	return ResourceUsage{u.CPUs - v.CPUs, u.GPUs - v.GPUs}
 }
@@ -33,7 +33,7 @@
 	return u.fits(job, team.CPULimit(), team.GPULimit())
 }
 
-// FitsGuarantee reports whether one more task of the job keeps the usage within what the team is guaranteed.
+// FitsGuarantee reports whether one more task of the job keeps the usage within the team's guarantee.
 func (u ResourceUsage) FitsGuarantee(job *wire.Job, team config.Team) bool {
 	return u.fits(job, team.CPUs, team.GPUs)
 }
@@ -42,22 +42,22 @@
 	return u.CPUs+job.CPUs <= cpus+tolerance && u.GPUs+job.GPUs <= gpus+tolerance
 }
 
-// Usage is what each team's tasks take.
+// Usage is the resource usage of each team's tasks.
 type Usage struct {
 	byTeam map[string]ResourceUsage
 }
 
-// NewUsage returns the usage of teams that run nothing.
+// NewUsage returns an empty usage.
 func NewUsage() *Usage { return &Usage{byTeam: map[string]ResourceUsage{}} }
 
 // Of returns the usage of a team.
 func (u *Usage) Of(team string) ResourceUsage { return u.byTeam[team] }
 
-// All returns the usage of all teams that a task was ever charged for, in no order.
+// All returns the usage of every team that was ever charged, in no particular order.
 func (u *Usage) All() iter.Seq2[string, ResourceUsage] { return maps.All(u.byTeam) }
 
-// Charge counts a task for its team.
+// Charge adds a task to its team's usage.
 func (u *Usage) Charge(team string, task ResourceUsage) { u.byTeam[team] = u.byTeam[team].Plus(task) }
 
-// Release takes back what Charge counted.
+// Release removes a task that Charge added.
 func (u *Usage) Release(team string, task ResourceUsage) { u.byTeam[team] = u.byTeam[team].Minus(task) }
--- a/internal/leader/jobs/job.go
+++ b/internal/leader/jobs/job.go
@@ -1,8 +1,8 @@
-// Package jobs holds the leader's view of the jobs that are not over: which of a job's tasks have completed, which
-// wait for a machine and which are dispatched to shards, what is remembered of a service's replicas between their
-// attempts, how long tasks of a class really run, and the pages on which completed tasks are stored. It owns that state
-// alone and decides nothing about machines: the leader tells it what happens to tasks, and turns the writes of progress
-// pages that it returns into transactions. It does no I/O and reads no clock.
+// Package jobs holds the leader's view of the unfinished jobs: which tasks of a job have completed, which wait for a
+// machine and which are dispatched to shards, what is known of a service's replicas between their attempts, how long
+// tasks of a class run compared with their estimates, and the pages on which completed tasks are stored. It owns only
+// this state and makes no decisions about machines. The leader reports task events to it, and turns the progress page
+// writes that it returns into transactions. It does no I/O and reads no clock.
 package jobs
 
 import (
@@ -15,35 +15,35 @@
 	"swiftledge/wire"
 )
 
-// Job is a job that is not over.
+// Job is a job whose final state is not stored yet.
 type Job struct {
 	Spec       wire.Job
-	AcceptedAt clock.Micros  // time of day
-	KeyVersion uint64        // of the job's key in the store
-	Shape      Shape         // of its tasks
-	Failures   *failures.Job // which of its tasks failed where
+	AcceptedAt clock.Micros  // wall clock time
+	KeyVersion uint64        // version of the job's key in the store
+	Shape      Shape         // resources and placement that its tasks need
+	Failures   *failures.Job // task failures by machine
 
 	progress   []chunk
 	completed  int
 	running    int
 	waiting    waitingTasks
-	dispatched map[int]int          // tasks in shards' grants, and in how many
-	delayed    map[int]clock.Micros // tasks that wait until then to be tried again
-	replicas   map[int]*replica     // of a service, those that have ended before
+	dispatched map[int]int          // tasks in shard grants, with the number of grants
+	delayed    map[int]clock.Micros // tasks in backoff, with the time of the next try
+	replicas   map[int]*replica     // replicas of a service that have ended at least once
 
 	unservedSince clock.Micros // see SetUnservedSince
 	cancelled     bool
-	finishing     bool // the write of its final state is under way
+	finishing     bool // the write of its final state is in flight
 }
 
-// Shape is what a job's tasks take and where they may be; jobs of the same shape compare equal.
+// Shape is the resources and the placement that a job's tasks need. Jobs of the same shape compare equal.
 type Shape struct {
 	cpus, gpus, memory float64
 	types, zone        string
 	spot               bool
 }
 
-// New returns a job none of whose tasks waits yet: what of it has completed, or may run, is to be taken in first.
+// New returns a job without waiting tasks. The caller first loads which tasks have completed and which may run.
 func New(spec wire.Job, acceptedAt clock.Micros, keyVersion uint64) *Job {
 	return &Job{
 		Spec: spec, AcceptedAt: acceptedAt, KeyVersion: keyVersion,
@@ -70,7 +70,7 @@
 // Completed returns how many tasks have completed.
 func (j *Job) Completed() int { return j.completed }
 
-// MarkCompleted notes that a task has completed, and reports whether that is new.
+// MarkCompleted records that a task has completed, and reports whether it was not recorded before.
 func (j *Job) MarkCompleted(task int) bool {
 	if j.IsCompleted(task) {
 		return false
@@ -83,7 +83,7 @@
 	return true
 }
 
-// FinishLoading counts the completed tasks that were read from the store, and lets all others wait.
+// FinishLoading counts the completed tasks that were read from the store, and queues all other tasks.
 func (j *Job) FinishLoading() {
 	for task := range j.Spec.Tasks {
 		if j.IsCompleted(task) {
@@ -94,7 +94,7 @@
 	j.EnqueueAll()
 }
 
-// EnqueueAll lets all tasks wait that have neither completed nor are dispatched.
+// EnqueueAll queues all tasks that are neither completed nor dispatched.
 func (j *Job) EnqueueAll() {
 	for task := range j.Spec.Tasks {
 		j.enqueueIfDue(task)
@@ -109,16 +109,16 @@
 	return due
 }
 
-// Waiting returns how many tasks wait to be offered to a shard.
+// Waiting returns how many tasks wait for dispatch to a shard.
 func (j *Job) Waiting() int { return j.waiting.count }
 
-// IsWaiting reports whether a task waits to be offered to a shard.
+// IsWaiting reports whether a task waits for dispatch to a shard.
 func (j *Job) IsWaiting(task int) bool { return j.waiting.has(task) }
 
-// FirstWaiting returns the first task that waits, or -1.
+// FirstWaiting returns the first waiting task, or -1 if none waits.
 func (j *Job) FirstWaiting() int { return j.waiting.first() }
 
-// DispatchFirst dispatches the first task that waits and returns it, or -1.
+// DispatchFirst dispatches the first waiting task and returns it, or -1 if none waits.
 func (j *Job) DispatchFirst() int {
 	task := j.waiting.popFirst()
 	if task >= 0 {
@@ -127,53 +127,54 @@
 	return task
 }
 
-// MarkDispatched notes that a task is in one more shard's grant.
+// MarkDispatched records that one more shard grant contains a task.
 func (j *Job) MarkDispatched(task int) {
 	j.dispatched[task]++
 	j.waiting.remove(task)
 }
 
-// ClearDispatched notes that a task has left a shard's grant.
+// ClearDispatched records that a shard grant no longer contains a task.
 func (j *Job) ClearDispatched(task int) {
 	if j.dispatched[task]--; j.dispatched[task] <= 0 {
 		delete(j.dispatched, task)
 	}
 }
 
-// Requeue notes that a task has left a shard's grant and lets it wait again if that was the last one.
+// Requeue records that a shard grant no longer contains a task, and queues the task again if no other grant contains
+// it.
 func (j *Job) Requeue(task int) {
 	j.ClearDispatched(task)
 	j.enqueueIfDue(task)
 }
 
-// Dispatched returns how many tasks are in shards' grants.
+// Dispatched returns how many tasks are in shard grants.
 func (j *Job) Dispatched() int { return len(j.dispatched) }
 
-// GrantCount returns in how many shards' grants a task is.
+// GrantCount returns how many shard grants contain a task.
 func (j *Job) GrantCount(task int) int { return j.dispatched[task] }
 
-// DispatchedTasks returns the tasks that are in shards' grants, in no order.
+// DispatchedTasks returns the tasks in shard grants, in no particular order.
 func (j *Job) DispatchedTasks() iter.Seq[int] { return maps.Keys(j.dispatched) }
 
 // WasDispatched reports whether a task of the job was ever dispatched.
 func (j *Job) WasDispatched() bool { return j.completed > 0 || len(j.dispatched) > 0 }
 
-// Running returns how many tasks run.
+// Running returns how many tasks are running.
 func (j *Job) Running() int { return j.running }
 
-// MarkRunning notes that one more task runs.
+// MarkRunning records that one more task is running.
 func (j *Job) MarkRunning() { j.running++ }
 
-// MarkStopped notes that a task that ran runs no more.
+// MarkStopped records that a running task has stopped.
 func (j *Job) MarkStopped() { j.running-- }
 
-// Delay has a task wait until then before it is offered again.
+// Delay takes a task out of the queue until the given time.
 func (j *Job) Delay(task int, until clock.Micros) {
 	j.delayed[task] = until
 	j.waiting.remove(task)
 }
 
-// RetryDelayed ends the delays that are over, and reports whether a task waits to be offered that did not before.
+// RetryDelayed queues the tasks whose delay has passed, and reports whether it queued any.
 func (j *Job) RetryDelayed(now clock.Micros) (retried bool) {
 	for task, until := range j.delayed {
 		if now < until {
@@ -185,22 +186,23 @@
 	return retried
 }
 
-// unservedLimit is how long a job's tasks may wait, and none be dispatched, before they go to machines not worth their
-// price as well: nothing is to be left waiting for 90 s beside free capacity.
+// unservedLimit is how long a job may wait without a dispatched task before its tasks may also go to machines that
+// are not worth their price. No job may wait 90 s while there is free capacity.
 const unservedLimit = 45 * clock.Second
 
-// SetUnservedSince notes since when the job's tasks wait for free capacity and none was dispatched; 0: none waits.
-func (j *Job) SetUnservedSince(at clock.Micros) { j.unservedSince = at }
+// SetUnservedSince records since when the job waits for free capacity without a dispatched task. 0 means that it does
+// not wait.
+func (j *Job) SetUnservedSince(since clock.Micros) { j.unservedSince = since }
 
-// UnservedSince returns what SetUnservedSince noted.
+// UnservedSince returns the time set by SetUnservedSince.
 func (j *Job) UnservedSince() clock.Micros { return j.unservedSince }
 
-// IsUnserved reports whether the job has waited so long that it goes to machines not worth their price.
+// IsUnserved reports whether the job has waited so long that it may use machines that are not worth their price.
 func (j *Job) IsUnserved(now clock.Micros) bool {
 	return j.unservedSince > 0 && now-j.unservedSince > unservedLimit
 }
 
-// Cancel notes that the job was cancelled. What failed of it is no evidence against machines any more.
+// Cancel marks the job as cancelled. Its failures no longer count against machines.
 func (j *Job) Cancel() {
 	j.cancelled = true
 	j.Failures.Cancel()
@@ -209,7 +211,8 @@
 // IsCancelled reports whether the job was cancelled.
 func (j *Job) IsCancelled() bool { return j.cancelled }
 
-// StartFinishing reports whether all tasks have completed and the job's final state is to be written now.
+// StartFinishing marks the job as finishing and returns true if all tasks have completed and no write of its final
+// state is in flight. The caller then writes the final state.
 func (j *Job) StartFinishing() bool {
 	if j.finishing || j.cancelled || j.completed < j.Spec.Tasks {
 		return false
@@ -218,8 +221,8 @@
 	return true
 }
 
-// StopFinishing notes that the write of the job's final state is under way no more.
+// StopFinishing records that the write of the job's final state is no longer in flight.
 func (j *Job) StopFinishing() { j.finishing = false }
 
-// IsFinishing reports whether the write of the job's final state is under way.
+// IsFinishing reports whether the write of the job's final state is in flight.
 func (j *Job) IsFinishing() bool { return j.finishing }
--- a/internal/leader/jobs/job_test.go
+++ b/internal/leader/jobs/job_test.go
@@ -13,83 +13,83 @@
 	j := addJob(NewTable(), "j-000001", 130)
 	for want := range 130 {
 		if got := j.DispatchFirst(); got != want {
-			t.Fatalf("task %d, want %d", got, want)
+			t.Fatalf("dispatched task %d, want %d", got, want)
 		}
 	}
 	if got := j.DispatchFirst(); got != -1 || j.Waiting() != 0 || j.Dispatched() != 130 {
-		t.Errorf("task %d, %d wait, %d dispatched", got, j.Waiting(), j.Dispatched())
+		t.Errorf("dispatched task %d, then %d waiting and %d dispatched, want -1, 0 and 130", got, j.Waiting(), j.Dispatched())
 	}
 	j.Requeue(70)
 	if got := j.FirstWaiting(); got != 70 || j.Waiting() != 1 {
-		t.Errorf("task %d waits first, %d in all", got, j.Waiting())
+		t.Errorf("first waiting task is %d of %d, want 70 of 1", got, j.Waiting())
 	}
 }
 
-// A task that is in two grants waits again only when it has left both, and not at all once it has completed.
+// A task in two grants waits again only once it has left both. A completed task never waits again.
 func TestRequeue(t *testing.T) {
 	j := addJob(NewTable(), "j-000001", 2)
 	j.MarkDispatched(0)
 	j.MarkDispatched(0)
 	if j.Requeue(0); j.IsWaiting(0) || j.GrantCount(0) != 1 {
-		t.Error("waits while it is in a grant")
+		t.Error("task waits while a grant contains it")
 	}
 	if j.Requeue(0); !j.IsWaiting(0) || j.GrantCount(0) != 0 {
-		t.Error("does not wait")
+		t.Error("task does not wait after it has left its last grant")
 	}
 	j.MarkDispatched(1)
 	if !j.MarkCompleted(1) || j.MarkCompleted(1) || j.Completed() != 1 {
-		t.Error("the completion counts other than once")
+		t.Error("completion is not counted exactly once")
 	}
 	if j.Requeue(1); j.IsWaiting(1) {
-		t.Error("a completed task waits again")
+		t.Error("completed task waits again")
 	}
 }
 
 func TestDelayedTaskIsQueuedAfterItsDelay(t *testing.T) {
 	j := addJob(NewTable(), "j-000001", 1)
 	if j.Delay(0, clock.Second); j.IsWaiting(0) {
-		t.Error("waits while it is delayed")
+		t.Error("task waits for dispatch during its delay")
 	}
 	if j.RetryDelayed(clock.Second-1) || j.IsWaiting(0) {
-		t.Error("retried too early")
+		t.Error("task queued before its delay has passed")
 	}
 	if !j.RetryDelayed(clock.Second) || !j.IsWaiting(0) {
-		t.Error("not retried")
+		t.Error("task not queued after its delay")
 	}
 }
 
 func TestJobFinishesOnce(t *testing.T) {
 	j := addJob(NewTable(), "j-000001", 1)
 	if j.StartFinishing() {
-		t.Error("finishes before its task has completed")
+		t.Error("job finishes before its task has completed")
 	}
 	j.MarkCompleted(0)
 	if !j.StartFinishing() || j.StartFinishing() || !j.IsFinishing() {
-		t.Error("does not finish once")
+		t.Error("job with completed tasks does not finish exactly once")
 	}
 	j.StopFinishing()
 	if j.Cancel(); j.StartFinishing() || !j.IsCancelled() {
-		t.Error("a cancelled job finishes")
+		t.Error("cancelled job finishes")
 	}
 }
 
 func TestJobIsUnservedAfterLimit(t *testing.T) {
 	j := addJob(NewTable(), "j-000001", 1)
 	if j.IsUnserved(clock.Minute) {
-		t.Error("unserved though it does not wait")
+		t.Error("job is unserved although it does not wait")
 	}
 	j.SetUnservedSince(clock.Second)
 	if j.IsUnserved(clock.Second+unservedLimit) || !j.IsUnserved(clock.Second+unservedLimit+1) {
-		t.Error("unserved at another time than after the limit")
+		t.Error("job does not become unserved just after the limit")
 	}
 }
 
-// A replica that keeps ending by itself waits before it runs again, longer each time; one that ran for long, or that
-// was stopped from outside, does not.
+// A replica that keeps exiting by itself waits before it runs again, longer each time. A replica that ran for long or
+// was stopped from outside does not.
 func TestReplicaThatKeepsExitingIsDelayed(t *testing.T) {
 	j := New(wire.Job{Ref: "j-000001", Shape: wire.ShapeService, Tasks: 1}, 0, 3)
 	j.EnqueueAll()
-	ends := func(now, ran clock.Micros, released bool) bool {
+	endAttempt := func(now, ran clock.Micros, released bool) bool {
 		j.ReplicaEnded(now, ReplicaAttempt{Running: true, RunningSince: now - ran, Released: released, Cause: "failed"})
 		delayed := !j.IsWaiting(0)
 		j.RetryDelayed(now + clock.Minute*60)
@@ -109,8 +109,8 @@
 		{exitCountResetAfter + 1, false, false},
 		{clock.Second, false, true},
 	} {
-		if got := ends(now, c.ran, c.released); got != c.delayed {
-			t.Errorf("end %d: delayed %t, want %t", i, got, c.delayed)
+		if got := endAttempt(now, c.ran, c.released); got != c.delayed {
+			t.Errorf("attempt %d: replica delayed %t, want %t", i, got, c.delayed)
 		}
 	}
 }
@@ -118,13 +118,13 @@
 func TestReplicaOutage(t *testing.T) {
 	j := New(wire.Job{Ref: "j-000001", Shape: wire.ShapeService, Tasks: 1}, 0, 3)
 	if _, ended := j.ReplicaRunning(0); ended {
-		t.Error("an outage before the first attempt")
+		t.Error("outage reported before the first attempt ended")
 	}
 	if !j.ReplicaEnded(5, ReplicaAttempt{Running: true, Cause: "released", Released: true}) {
-		t.Error("was not up")
+		t.Error("replica counts as down before its first end")
 	}
 	if j.ReplicaEnded(7, ReplicaAttempt{Cause: "failed"}) {
-		t.Error("was up while it was down")
+		t.Error("replica counts as up during an outage")
 	}
 	if outage, ended := j.ReplicaRunning(0); !ended || outage != (Outage{Since: 5, Cause: "released"}) {
 		t.Errorf("outage %+v, ended %t", outage, ended)
@@ -135,10 +135,10 @@
 	j := New(wire.Job{Ref: "j-000001", Shape: wire.ShapeService, Tasks: 1}, 0, 3)
 	j.Failures.TaskFailed(clock.Second, &failures.Machine{}, failures.Failure{Machine: "m"})
 	if !j.AvoidsMachine(2*clock.Second, "m") || j.AvoidsMachine(2*clock.Second, "other") {
-		t.Error("avoids another machine than the one where it failed")
+		t.Error("service does not avoid exactly the machine on which a replica failed")
 	}
 	if j.AvoidsMachine(clock.Second+avoidMachineFor, "m") {
-		t.Error("avoids it for too long")
+		t.Error("service avoids the machine for too long")
 	}
 }
 
@@ -147,12 +147,12 @@
 	j := addJob(table, "j-000001", 8)
 	for i := range minRunTimeSamples {
 		if got := table.RunSeconds(j); got != 11 {
-			t.Errorf("%g s after %d run times, want the estimate", got, i)
+			t.Errorf("estimate of %g s after %d run times, want the owner's 11 s", got, i)
 		}
 		table.ObserveRunTime(j, 20)
 	}
 	if got := table.RunSeconds(j); got != 21 {
-		t.Errorf("%g s, want what its class takes", got)
+		t.Errorf("estimate of %g s, want the 21 s of its class", got)
 	}
 }
 
@@ -164,7 +164,7 @@
 		{Job: "j-000002"}: nil,
 	} {
 		if got := table.OfTask(task); got != want {
-			t.Errorf("%v: job %v", task, got)
+			t.Errorf("job of task %v is %v", task, got)
 		}
 	}
 }
@@ -173,13 +173,13 @@
 	table := NewTable()
 	j := addJob(table, "j-000001", 2)
 	if got := table.ChangedCounts(); len(got) != 1 {
-		t.Errorf("counts %v of a new job", got)
+		t.Errorf("changed counts %v after a job was added, want one", got)
 	}
 	if got := table.ChangedCounts(); len(got) != 0 {
-		t.Errorf("counts %v though nothing changed", got)
+		t.Errorf("changed counts %v although nothing changed", got)
 	}
 	j.MarkRunning()
 	if got := table.ChangedCounts(); len(got) != 1 || got[0].Running != 1 {
-		t.Errorf("counts %v", got)
+		t.Errorf("changed counts %v, want one with one running task", got)
 	}
 }
--- a/internal/leader/jobs/pages.go
+++ b/internal/leader/jobs/pages.go
@@ -9,63 +9,63 @@
 	"swiftledge/internal/store"
 )
 
-// ProgressPages owns the pages on which completed tasks are stored, many jobs on one page.
+// ProgressPages owns the progress pages, which store the completed tasks of many jobs each.
 type ProgressPages struct {
 	term         cluster.Term
-	pagesCreated int // how many pages this term has made
+	pagesCreated int // number of pages created in this term
 	pages        []*progressPage
 	writtenAt    clock.Micros
 }
 
-// NewProgressPages returns the pages of a term, to which those that are stored are to be added with Load.
+// NewProgressPages returns an empty set of pages for a term. Load adds the stored ones.
 func NewProgressPages(term cluster.Term) *ProgressPages { return &ProgressPages{term: term} }
 
-// StoredPage is a page as an earlier leader stored it.
+// StoredPage is a progress page as an earlier leader stored it.
 type StoredPage struct {
 	Key     string
 	Version uint64
 	Record  ProgressRecord
 }
 
-// PageWrite is a transaction that stores a page, or deletes one that is empty.
+// PageWrite is a transaction that stores a progress page or deletes an empty one.
 type PageWrite struct {
 	Key     string
-	Version uint64 // of the key, on which a write that stores is conditional
+	Version uint64 // expected version of the key, the condition of a write that stores a page
 	Record  ProgressRecord
 	Delete  bool
 
 	page    *progressPage
-	written []chunkID // the chunks of Record
+	written []chunkID // chunks in Record, in the same order
 }
 
-// Load takes in a stored page; valueBytes is the most that a value may hold.
-func (p *ProgressPages) Load(stored StoredPage, table *Table, valueBytes int) {
+// Load adds a stored page. maxValueBytes is the maximum size of a value.
+func (p *ProgressPages) Load(stored StoredPage, table *Table, maxValueBytes int) {
 	page := &progressPage{key: stored.Key, version: stored.Version, size: emptyPageBytes}
 	p.pages = append(p.pages, page)
-	for _, u := range stored.Record.Chunks {
-		j := table.Get(u.Job)
-		// A service that an older version held for a batch has no progress either.
-		if j == nil || j.Spec.IsService() || u.Chunk < 0 || u.Chunk >= len(j.progress) {
-			page.dirty = true // of a job that is over
+	for _, storedChunk := range stored.Record.Chunks {
+		j := table.Get(storedChunk.Job)
+		// A service has no progress, even if an older version treated it as a batch job and stored some.
+		if j == nil || j.Spec.IsService() || storedChunk.Chunk < 0 || storedChunk.Chunk >= len(j.progress) {
+			page.dirty = true // the job is finished
 			continue
 		}
-		id := chunkID{j, u.Chunk}
+		id := chunkID{j, storedChunk.Chunk}
 		c := id.chunk()
-		c.completed.merge(u.Completed)
-		c.persisted.merge(u.Completed)
+		c.completed.merge(storedChunk.Completed)
+		c.persisted.merge(storedChunk.Completed)
 		if c.page == nil && len(c.formerPages) == 0 {
 			page.add(id)
 			continue
 		}
-		// On several pages: one is enough, once it has what all had.
+		// Several pages hold the chunk. One of them is enough once it holds the completions of all.
 		c.addFormerPage(page)
 	}
-	if page.size > valueBytes {
+	if page.size > maxValueBytes {
 		page.split()
 	}
 }
 
-// Forget takes a job that is over off its pages; they are written without it in time.
+// Forget removes a finished job from its pages. Later writes of the pages omit it.
 func (p *ProgressPages) Forget(j *Job) {
 	for i := range j.progress {
 		c := &j.progress[i]
@@ -80,15 +80,15 @@
 	}
 }
 
-// DueWrites returns the writes of pages that are due, deletions first; valueBytes is the most that a value may hold.
-// The outcome of those that store is to be told with Committed or Failed.
-func (p *ProgressPages) DueWrites(now clock.Micros, table *Table, valueBytes int) []PageWrite {
+// DueWrites returns the page writes that are due, deletions first. maxValueBytes is the maximum size of a value. The
+// caller reports the outcome of each write that stores a page with Committed or Failed.
+func (p *ProgressPages) DueWrites(now clock.Micros, table *Table, maxValueBytes int) []PageWrite {
 	if now-p.writtenAt < ProgressInterval {
 		return nil
 	}
 	p.writtenAt = now
 	for j := range table.Sorted() {
-		p.placeDirtyChunks(j, valueBytes)
+		p.placeDirtyChunks(j, maxValueBytes)
 	}
 	writes := p.deleteEmpty()
 	for _, page := range p.pages {
@@ -99,26 +99,27 @@
 	return writes
 }
 
-// placeDirtyChunks marks the pages to be written that hold the job's changed chunks. What ends now needs no progress.
-func (p *ProgressPages) placeDirtyChunks(j *Job, valueBytes int) {
+// placeDirtyChunks marks the pages that hold changed chunks of the job as dirty. A finishing job needs no more
+// progress writes.
+func (p *ProgressPages) placeDirtyChunks(j *Job, maxValueBytes int) {
 	for i := range j.progress {
 		c := &j.progress[i]
 		if !c.dirty || j.finishing {
 			continue
 		}
 		if c.page == nil {
-			p.place(chunkID{j, i}, valueBytes)
+			p.place(chunkID{j, i}, maxValueBytes)
 		}
 		c.page.dirty = true
 	}
 }
 
-// place puts a chunk on a page that has space for it. One that waits for chunks to be stored elsewhere, maybe this
-// one, is not written before they are.
-func (p *ProgressPages) place(id chunkID, valueBytes int) {
-	need := id.chunk().storedBytes()
+// place adds a chunk to a page with enough space. It skips pages with pending moves: these are not written until
+// their former chunks, possibly including this one, are stored elsewhere.
+func (p *ProgressPages) place(id chunkID, maxValueBytes int) {
+	neededBytes := id.chunk().storedBytes()
 	for _, page := range p.pages {
-		if page.pendingMoves == 0 && page.size+need <= valueBytes {
+		if page.pendingMoves == 0 && page.size+neededBytes <= maxValueBytes {
 			page.add(id)
 			return
 		}
@@ -130,7 +131,7 @@
 	page.add(id)
 }
 
-// deleteEmpty drops the pages that hold nothing any more, and returns the deletions of those that are stored.
+// deleteEmpty drops the pages without chunks, and returns the deletions of those that are stored.
 func (p *ProgressPages) deleteEmpty() (writes []PageWrite) {
 	p.pages = slices.DeleteFunc(p.pages, func(page *progressPage) bool {
 		if page.inFlight || !page.dirty || len(page.chunks) > 0 || page.pendingMoves > 0 {
@@ -144,8 +145,8 @@
 	return writes
 }
 
-// write begins the write of a page. It is conditional on the page's version: a late copy of an older write must not
-// take back what was said to be stored.
+// write returns the transaction that stores the page, and marks it as in flight. The transaction is conditional on
+// the page's version: a delayed copy of an older write must not revert completions that were reported as stored.
 func (p *progressPage) write() PageWrite {
 	p.inFlight, p.dirty = true, false
 	w := PageWrite{Key: p.key, Version: p.version, page: p, written: slices.Clone(p.chunks)}
@@ -158,7 +159,7 @@
 	return w
 }
 
-// Committed takes in that a write succeeded, and returns the jobs, by reference, of which it stored completed tasks.
+// Committed records that a write succeeded, and returns the jobs, by reference, whose completed tasks it stored.
 func (p *ProgressPages) Committed(w PageWrite, revision uint64) map[string]*Job {
 	w.page.inFlight, w.page.version = false, revision
 	stored := map[string]*Job{}
@@ -173,15 +174,15 @@
 	return stored
 }
 
-// Failed takes in that a write was not carried out, or may not have been. It reports whether the page's key has to be
-// read before it can be written again: an unanswered write of ours may have changed it. See ReadBack.
-func (p *ProgressPages) Failed(w PageWrite, result store.TxnResult, valueBytes int) (read bool) {
+// Failed records that a write did not succeed, or that its outcome is unknown. It reports whether the page's key must
+// be read before the next write, because an unanswered write of this leader may have changed it. See ReadBack.
+func (p *ProgressPages) Failed(w PageWrite, result store.TxnResult, maxValueBytes int) (mustRead bool) {
 	page := w.page
 	for _, id := range w.written {
 		id.chunk().dirty = true
 	}
 	page.dirty = true
-	if result.Rejected && !result.Ambiguous && page.size > valueBytes {
+	if result.Rejected && !result.Ambiguous && page.size > maxValueBytes {
 		page.inFlight = false
 		page.split()
 		return false
@@ -193,7 +194,7 @@
 	return false
 }
 
-// ReadBack takes in the version of a page's key, which is 0 if there is none.
+// ReadBack records the version of a page's key that was read after a failed write. 0 means that there is no such key.
 func (p *ProgressPages) ReadBack(w PageWrite, version uint64) {
 	w.page.inFlight, w.page.version = false, version
 }
--- a/internal/leader/jobs/progress.go
+++ b/internal/leader/jobs/progress.go
@@ -4,29 +4,29 @@
 	"swiftledge/internal/clock"
 )
 
-// ProgressPrefix begins the keys of progress pages.
+// ProgressPrefix is the key prefix of progress pages.
 const ProgressPrefix = "prog/"
 
-// TasksPerChunk is how many tasks' bits are stored as one.
+// TasksPerChunk is the number of tasks in one chunk, the unit in which progress is stored.
 const TasksPerChunk = 8192
 
-// ProgressRecord is the value of a progress page: completed tasks of several jobs.
+// ProgressRecord is the value of a progress page: the completed tasks of several jobs.
 type ProgressRecord struct {
 	Chunks []ProgressChunk `json:"u"`
 }
 
-// ProgressChunk has a bit for each completed task of a range of a job's tasks.
+// ProgressChunk is the stored bitmap of the completed tasks in one range of a job's tasks.
 type ProgressChunk struct {
 	Job       string `json:"j"`
 	Chunk     int    `json:"c,omitempty"`
 	Completed []byte `json:"b"`
 }
 
-// ProgressInterval is how long completed tasks may wait for their progress write; until then they stay listed on their
-// agents, so nothing is lost.
+// ProgressInterval is the interval between progress writes. A completed task stays listed on its agent until its
+// completion is stored, so a delayed write loses nothing.
 const ProgressInterval = 5 * clock.Second
 
-// taskBitmap has a bit for each task of a chunk.
+// taskBitmap has one bit for each task of a chunk.
 type taskBitmap []byte
 
 func newTaskBitmap(tasks int) taskBitmap { return make(taskBitmap, (tasks+7)/8) }
@@ -35,34 +35,35 @@
 
 func (b taskBitmap) set(task int) { b[task/8] |= 1 << (task % 8) }
 
-// merge adds the tasks of a stored bitmap, which may be of another length.
+// merge adds the tasks of a stored bitmap, whose length may differ.
 func (b taskBitmap) merge(stored []byte) {
 	for i := range b[:min(len(b), len(stored))] {
 		b[i] |= stored[i]
 	}
 }
 
-// chunk is a range of a job's tasks whose progress is stored as one.
+// chunk is a range of a job's tasks whose progress is stored as a unit.
 type chunk struct {
 	completed, persisted taskBitmap
 	dirty                bool
-	page                 *progressPage   // where it is written
-	formerPages          []*progressPage // others that hold it, and stay as they are until that one is stored
+	page                 *progressPage   // page that holds the chunk
+	formerPages          []*progressPage // other pages that hold it; not rewritten until page is stored
 }
 
 func newChunks(tasks int) []chunk {
 	var chunks []chunk
-	for left := tasks; left > 0; left -= TasksPerChunk {
-		n := min(left, TasksPerChunk)
+	for remaining := tasks; remaining > 0; remaining -= TasksPerChunk {
+		n := min(remaining, TasksPerChunk)
 		chunks = append(chunks, chunk{completed: newTaskBitmap(n), persisted: newTaskBitmap(n)})
 	}
 	return chunks
 }
 
-// storedBytes is about what the chunk takes on a page.
+// storedBytes returns the approximate size of the chunk on a page.
 func (c *chunk) storedBytes() int { return (len(c.completed)+2)/3*4 + 48 }
 
-// addFormerPage notes that a page holds the chunk and is to lose it, once another is stored that has all that is known of it.
+// addFormerPage records that a page holds the chunk and must drop it once another page with all its known completions
+// is stored.
 func (c *chunk) addFormerPage(page *progressPage) {
 	c.formerPages = append(c.formerPages, page)
 	c.dirty = true
@@ -70,7 +71,7 @@
 	page.dirty = true
 }
 
-// releaseFormerPages notes that the former pages need not hold the chunk any more.
+// releaseFormerPages records that the former pages no longer need to hold the chunk.
 func (c *chunk) releaseFormerPages() {
 	for _, page := range c.formerPages {
 		page.pendingMoves--
@@ -79,23 +80,24 @@
 	c.formerPages = nil
 }
 
-// emptyPageBytes is about what a page without chunks takes.
+// emptyPageBytes is the approximate size of a page without chunks.
 const emptyPageBytes = 32
 
-// progressPage is one key of progress. It holds chunks of several jobs, so that what one write costs does not grow
-// with the number of jobs.
+// progressPage is the content of one progress key. It holds chunks of several jobs, so that the cost of a write does
+// not grow with the number of jobs.
 type progressPage struct {
 	key      string
 	version  uint64
 	chunks   []chunkID
-	size     int // in bytes, about
+	size     int // approximate, in bytes
 	dirty    bool
-	inFlight bool // a write or read is under way
-	// pendingMoves is how many chunks that it is to lose are not stored elsewhere yet; it is left as it is until then.
+	inFlight bool // a write or read is in flight
+	// pendingMoves counts the chunks that this page gives up and that are not stored elsewhere yet. The page is not
+	// written while there are any.
 	pendingMoves int
 }
 
-// chunkID names a chunk of a job.
+// chunkID identifies a chunk of a job.
 type chunkID struct {
 	job   *Job
 	index int
@@ -109,8 +111,8 @@
 	id.chunk().page = p
 }
 
-// split gives up a page that was written when values could be larger: as it is, it could not be written again. Its
-// chunks go to others, and it stays until they are stored there.
+// split empties a page that was written when the maximum value size was larger, and that can no longer be written as
+// it is. Its chunks move to other pages, and it stays in the store until they are stored there.
 func (p *progressPage) split() {
 	p.dirty = true
 	for _, id := range p.chunks {
--- a/internal/leader/jobs/replica.go
+++ b/internal/leader/jobs/replica.go
@@ -5,34 +5,34 @@
 	"swiftledge/internal/failures"
 )
 
-// StableAfter is how long a replica runs before it is taken for sound.
+// StableAfter is how long a replica must run to count as stable.
 const StableAfter = 10 * clock.Second
 
-// exitCountResetAfter is how long a replica runs for its earlier ends to be forgotten.
+// exitCountResetAfter is how long a replica must run to reset the count of its earlier exits.
 const exitCountResetAfter = 6 * StableAfter
 
-// avoidMachineFor is how long a service's replicas stay away from a machine where one failed.
+// avoidMachineFor is how long a service avoids a machine on which one of its replicas failed.
 const avoidMachineFor = 30 * clock.Second
 
-// replica is what is remembered of a service's task between its attempts.
+// replica is the state of a service's task that is kept between its attempts.
 type replica struct {
-	quickExits int          // how often it ended by itself soon after its start
-	endedAt    clock.Micros // when it was last seen to end; 0: it runs
+	quickExits int          // exits of its own since its last long run
+	endedAt    clock.Micros // end of the last attempt; 0 while it runs
 	cause      string
 }
 
-// ReplicaAttempt is an attempt of a replica that has ended.
+// ReplicaAttempt is an ended attempt of a replica.
 type ReplicaAttempt struct {
 	Task         int
-	Running      bool         // it was seen to run
-	RunningSince clock.Micros // since when, if it was
-	Inherited    bool         // it is known from the attempt records of an earlier grant
-	Released     bool         // it was stopped from outside, and did not end by itself
+	Running      bool         // it was reported as running
+	RunningSince clock.Micros // start of the run, if Running
+	Inherited    bool         // known only from the attempt records of an earlier grant
+	Released     bool         // it was stopped and did not exit by itself
 	Cause        string
 }
 
-// ReplicaEnded notes that a replica has ended and is to run again elsewhere; one that keeps ending by itself waits
-// longer each time. It reports whether the replica was up until now.
+// ReplicaEnded records that a replica has ended and must run again elsewhere. A replica that keeps exiting by itself
+// waits longer each time. ReplicaEnded reports whether the replica was up until now.
 func (j *Job) ReplicaEnded(now clock.Micros, attempt ReplicaAttempt) (wasUp bool) {
 	r := j.replicas[attempt.Task]
 	if r == nil {
@@ -55,13 +55,13 @@
 	return wasUp
 }
 
-// Outage is a time in which a replica did not run.
+// Outage is a period in which a replica did not run.
 type Outage struct {
 	Since clock.Micros
 	Cause string
 }
 
-// ReplicaRunning notes that a replica runs, and returns the outage that ends with that, if there was one.
+// ReplicaRunning records that a replica runs, and returns the outage that this ends, if there was one.
 func (j *Job) ReplicaRunning(task int) (Outage, bool) {
 	r := j.replicas[task]
 	if r == nil || r.endedAt == 0 {
@@ -72,8 +72,8 @@
 	return outage, true
 }
 
-// AvoidsMachine reports whether a service had better wait than try a machine again where one of its replicas failed.
+// AvoidsMachine reports whether a service avoids a machine because one of its replicas failed there recently.
 func (j *Job) AvoidsMachine(now clock.Micros, machine string) bool {
-	at, failed := j.Failures.FailedOn(machine)
-	return failed && j.Spec.IsService() && now-at < avoidMachineFor
+	failedAt, failed := j.Failures.FailedOn(machine)
+	return failed && j.Spec.IsService() && now-failedAt < avoidMachineFor
 }
--- a/internal/leader/jobs/table.go
+++ b/internal/leader/jobs/table.go
@@ -8,26 +8,26 @@
 	"swiftledge/internal/peer"
 )
 
-// Table holds the jobs that are not over, and what is known of their classes.
+// Table holds the unfinished jobs and the run time history of their classes.
 type Table struct {
 	byRef          map[string]*Job
 	runTimes       map[string]*runTimeRatio // by class
-	classesSeen    map[string]bool          // classes of which a job has come in this term
+	classesSeen    map[string]bool          // classes with a job in this term
 	reportedCounts map[string]peer.TaskCount
 }
 
-// runTimeRatio learns how long tasks of a class really run against their estimate.
+// runTimeRatio is the mean ratio of actual to estimated run time of a class's tasks.
 type runTimeRatio struct {
 	ratio   float64
 	samples int
 }
 
 const (
-	// minRunTimeSamples is how many run times have to be known of a class for its ratio to count.
+	// minRunTimeSamples is the number of run times from which on the ratio of a class is used.
 	minRunTimeSamples = 5
-	// maxRunTimeSamples is how many run times the ratio of a class is the mean of, about.
+	// maxRunTimeSamples is the approximate number of run times over which the ratio of a class averages.
 	maxRunTimeSamples = 50
-	// minRunSeconds is the least run time that tells anything.
+	// minRunSeconds is the run time above which a run time is used for the ratio: shorter ones carry no information.
 	minRunSeconds = 1
 )
 
@@ -39,22 +39,22 @@
 	}
 }
 
-// Add takes in a job.
+// Add adds a job.
 func (t *Table) Add(j *Job) {
 	t.byRef[j.Spec.Ref] = j
 	t.classesSeen[j.Spec.Class] = true
 }
 
-// Remove drops a job that is over.
+// Remove removes a finished job.
 func (t *Table) Remove(ref string) {
 	delete(t.byRef, ref)
 	delete(t.reportedCounts, ref)
 }
 
-// Get returns a job, or nil if it is not known.
+// Get returns a job, or nil if the table has no such job.
 func (t *Table) Get(ref string) *Job { return t.byRef[ref] }
 
-// OfTask returns the job of a task, or nil if there is none that has such a task.
+// OfTask returns the job of a task, or nil if the table has no such job or the job has no such task.
 func (t *Table) OfTask(task peer.Task) *Job {
 	j := t.byRef[task.Job]
 	if j == nil || task.Index < 0 || task.Index >= j.Spec.Tasks {
@@ -63,16 +63,16 @@
 	return j
 }
 
-// Len returns how many jobs there are.
+// Len returns the number of jobs.
 func (t *Table) Len() int { return len(t.byRef) }
 
 // Refs returns the references of all jobs, sorted.
 func (t *Table) Refs() []string { return slices.Sorted(maps.Keys(t.byRef)) }
 
-// All returns all jobs in no order.
+// All returns all jobs in no particular order.
 func (t *Table) All() iter.Seq[*Job] { return maps.Values(t.byRef) }
 
-// Sorted returns all jobs in the order of their references.
+// Sorted returns all jobs, sorted by reference.
 func (t *Table) Sorted() iter.Seq[*Job] {
 	return func(yield func(*Job) bool) {
 		for _, ref := range t.Refs() {
@@ -83,24 +83,24 @@
 	}
 }
 
-// HasSeenClass reports whether a job of the class has come in this term.
+// HasSeenClass reports whether a job of the class was added in this term.
 func (t *Table) HasSeenClass(class string) bool { return t.classesSeen[class] }
 
-// ObserveRunTime learns from how long a completed task of the job ran.
+// ObserveRunTime updates the ratio of the job's class with the run time of a completed task.
 func (t *Table) ObserveRunTime(j *Job, seconds float64) {
 	if seconds <= minRunSeconds || j.Spec.EstimateS <= 0 {
 		return
 	}
-	c := t.runTimes[j.Spec.Class]
-	if c == nil {
-		c = &runTimeRatio{ratio: 1}
-		t.runTimes[j.Spec.Class] = c
+	class := t.runTimes[j.Spec.Class]
+	if class == nil {
+		class = &runTimeRatio{ratio: 1}
+		t.runTimes[j.Spec.Class] = class
 	}
-	c.samples++
-	c.ratio += (seconds/j.Spec.EstimateS - c.ratio) / float64(min(c.samples, maxRunTimeSamples))
+	class.samples++
+	class.ratio += (seconds/j.Spec.EstimateS - class.ratio) / float64(min(class.samples, maxRunTimeSamples))
 }
 
-// RunSeconds estimates how long a task of the job runs, from its owner's estimate and its class's history.
+// RunSeconds estimates the run time of a task of the job from its owner's estimate and its class's history.
 func (t *Table) RunSeconds(j *Job) float64 {
 	estimate := j.Spec.EstimateS
 	if c := t.runTimes[j.Spec.Class]; c != nil && c.samples >= minRunTimeSamples {
@@ -109,8 +109,8 @@
 	return estimate + 1
 }
 
-// ChangedCounts returns the task counts of the jobs whose counts have changed since the last call, in the order of
-// their references.
+// ChangedCounts returns the task counts of the jobs whose counts have changed since the last call, sorted by
+// reference.
 func (t *Table) ChangedCounts() []peer.TaskCount {
 	var changed []peer.TaskCount
 	for j := range t.Sorted() {
--- a/internal/leader/jobs/waiting.go
+++ b/internal/leader/jobs/waiting.go
@@ -2,14 +2,14 @@
 
 import "math/bits"
 
-// wordBits is how many tasks a word of waitingTasks holds.
+// wordBits is the number of tasks in one word of waitingTasks.
 const wordBits = 64
 
-// waitingTasks is the set of a job's tasks that wait, in their order.
+// waitingTasks is the set of a job's waiting tasks, ordered by index.
 type waitingTasks struct {
 	words []uint64
 	count int
-	head  int // no task before it waits
+	head  int // lower bound: no task before it waits
 }
 
 func newWaitingTasks(tasks int) waitingTasks {
@@ -35,7 +35,7 @@
 	w.count--
 }
 
-// first returns the first task, or -1.
+// first returns the first task, or -1 if the set is empty.
 func (w *waitingTasks) first() int {
 	for i := w.head / wordBits; i < len(w.words); i++ {
 		if w.words[i] != 0 {
@@ -45,7 +45,7 @@
 	return -1
 }
 
-// popFirst removes the first task and returns it, or -1.
+// popFirst removes the first task and returns it, or -1 if the set is empty.
 func (w *waitingTasks) popFirst() int {
 	task := w.first()
 	if task >= 0 {
