--- a/internal/leader/failure_attribution_test.go
+++ b/internal/leader/failure_attribution_test.go
@@ -11,110 +11,112 @@
 	"swiftledge/wire"
 )
 
-// A job that becomes suspect has those of its tasks stopped that have not begun to run; those that run go on, and
-// one that runs for long ends the suspicion.
-func TestSuspectJobsUnstartedTasksAreStopped(t *testing.T) {
-	l := granting(t, nil)
-	s := spec
-	s.Ref, s.Tasks = "j-000300", 8
-	j := l.addJob(JobRecord{Spec: s}, 5)
-	b := l.shards.all[shard.ForMachine(names[0], 2)]
+// When a job becomes suspect, its tasks that are not running yet are stopped. Its running tasks continue, and one
+// that runs for long enough clears the suspicion.
+func TestUnstartedTasksOfSuspectJobAreStopped(t *testing.T) {
+	l := newGrantedLeader(t, nil)
+	jobSpec := testJob
+	jobSpec.Ref, jobSpec.Tasks = "j-000300", 8
+	j := l.addJob(JobRecord{Spec: jobSpec}, 5)
+	lease := l.shards.all[shard.ForMachine(machineNames[0], 2)]
 	for i := range 4 {
-		task := peer.Task{Job: s.Ref, Index: i}
-		b.tasks[task] = &grantedTask{team: s.Team, cpus: 1, running: i == 3, runningSince: began, machine: names[0]}
+		task := peer.Task{Job: jobSpec.Ref, Index: i}
+		lease.tasks[task] = &grantedTask{team: jobSpec.Team, cpus: 1, running: i == 3, runningSince: startTime, machine: machineNames[0]}
 		j.MarkDispatched(i)
 	}
-	for i, name := range names[:2] {
-		l.taskFailed(began, j, peer.TaskEvent{Task: peer.Task{Job: s.Ref, Index: 4 + i}, Machine: name}, &grantedTask{})
+	for i, name := range machineNames[:2] {
+		l.taskFailed(startTime, j, peer.TaskEvent{Task: peer.Task{Job: jobSpec.Ref, Index: 4 + i}, Machine: name}, &grantedTask{})
 	}
 	if want := (taskOutcomes{failed: 1, failedSuspect: 1}); l.outcomes != want {
-		t.Errorf("counted %+v, want %+v", l.outcomes, want)
+		t.Errorf("task outcomes %+v, want %+v", l.outcomes, want)
 	}
 	var stopped []int
-	for _, stop := range b.orders.Stop {
+	for _, stop := range lease.orders.Stop {
 		stopped = append(stopped, stop.Task.Index)
 	}
 	if !slices.Equal(stopped, []int{0, 1, 2}) {
-		t.Errorf("stopped %v, want the three that do not run", stopped)
+		t.Errorf("stopped tasks %v, want the three that are not running", stopped)
 	}
-	if l.clearSuspicion(began+jobs.StableAfter-1, j); !j.Failures.Suspect() {
-		t.Error("cleared by a short run")
+	if l.clearSuspicion(startTime+jobs.StableAfter-1, j); !j.Failures.Suspect() {
+		t.Error("suspicion cleared by a short run")
 	}
-	if l.clearSuspicion(began+jobs.StableAfter, j); j.Failures.Suspect() {
-		t.Error("not cleared by a long run")
+	if l.clearSuspicion(startTime+jobs.StableAfter, j); j.Failures.Suspect() {
+		t.Error("suspicion not cleared by a long run")
 	}
 }
 
-// A job that completes a task after others of it failed makes those failures count against their machines.
-func TestCompletionJudgesTheMachinesWhereItsJobFailed(t *testing.T) {
-	l := granting(t, nil)
-	j := l.jobs.Get(spec.Ref)
-	fail := func() {
-		l.taskFailed(began, j, peer.TaskEvent{Task: peer.Task{Job: spec.Ref, Index: 0}, Machine: names[1]}, &grantedTask{})
+// When a job completes a task, earlier failures of its other tasks count against the machines on which they failed.
+func TestCompletionCountsEarlierFailuresAgainstMachines(t *testing.T) {
+	l := newGrantedLeader(t, nil)
+	j := l.jobs.Get(testJob.Ref)
+	failTask := func() {
+		l.taskFailed(startTime, j, peer.TaskEvent{Task: peer.Task{Job: testJob.Ref, Index: 0}, Machine: machineNames[1]}, &grantedTask{})
 	}
-	if fail(); l.inventory.machines[names[1]].draining {
-		t.Error("drained for a job of which nothing is known")
+	if failTask(); l.inventory.machines[machineNames[1]].draining {
+		t.Error("machine drained before a task of the job has completed")
 	}
-	if fail(); l.inventory.machines[names[1]].draining {
-		t.Error("drained for a job of which nothing is known")
+	if failTask(); l.inventory.machines[machineNames[1]].draining {
+		t.Error("machine drained before a task of the job has completed")
 	}
-	if l.creditCompletion(began, j, peer.TaskEvent{Task: peer.Task{Job: spec.Ref, Index: 1}, Machine: names[2]}); !l.inventory.machines[names[1]].draining {
-		t.Error("not drained when its job has completed elsewhere")
+	if l.creditCompletion(startTime, j, peer.TaskEvent{
+		Task: peer.Task{Job: testJob.Ref, Index: 1}, Machine: machineNames[2],
+	}); !l.inventory.machines[machineNames[1]].draining {
+		t.Error("machine not drained after the job has completed a task elsewhere")
 	}
 }
 
-// What failed of a job that was cancelled before anything was known of it is no evidence against a machine.
-func TestCancelledJobTaintsNoMachine(t *testing.T) {
-	l := granting(t, nil)
+// Failures of a job that is cancelled before it completes a task do not count against a machine.
+func TestFailuresOfCancelledJobDoNotCountAgainstMachine(t *testing.T) {
+	l := newGrantedLeader(t, nil)
 	for i := range 3 {
-		s := spec
-		s.Ref = []string{"j-000401", "j-000402", "j-000403"}[i]
-		j := l.addJob(JobRecord{Spec: s}, 5)
-		l.taskFailed(began, j, peer.TaskEvent{Task: peer.Task{Job: s.Ref}, Machine: names[1]}, &grantedTask{})
+		jobSpec := testJob
+		jobSpec.Ref = []string{"j-000401", "j-000402", "j-000403"}[i]
+		j := l.addJob(JobRecord{Spec: jobSpec}, 5)
+		l.taskFailed(startTime, j, peer.TaskEvent{Task: peer.Task{Job: jobSpec.Ref}, Machine: machineNames[1]}, &grantedTask{})
 		if i == 0 {
-			l.cancelJob(began, j)
+			l.cancelJob(startTime, j)
 		}
 	}
-	if l.inventory.machines[names[1]].draining {
-		t.Error("drained")
+	if l.inventory.machines[machineNames[1]].draining {
+		t.Error("machine drained although one of the three failed jobs was cancelled")
 	}
 }
 
-// A machine that the list calls running and whose worker never reports is given up, and machines that do not come
-// up make their option's boot time count for more, until one does.
-func TestMachinesThatNeverWork(t *testing.T) {
-	l := granting(t, nil)
-	silent, booting, healthy := l.inventory.machines[names[0]], l.inventory.machines[names[1]], l.inventory.machines[names[2]]
+// A machine that the cloud lists as running but whose agent never reports is given up. Machines that do not come up
+// increase the expected boot delay of their option until one comes up.
+func TestBootingMachinesAreGivenUp(t *testing.T) {
+	l := newGrantedLeader(t, nil)
+	silent, booting, healthy := l.inventory.machines[machineNames[0]], l.inventory.machines[machineNames[1]], l.inventory.machines[machineNames[2]]
 	for _, m := range []*machine{silent, booting, healthy} {
 		m.up, m.option.Type.BootS = false, 20
 	}
-	list := func(at clock.Micros) {
+	listMachines := func(at clock.Micros) {
 		l.machinesListed(at, []wire.Machine{{Name: silent.name, State: wire.MachineRunning}, {Name: booting.name,
 			State: wire.MachineStarting}, {Name: healthy.name, State: wire.MachineRunning}})
 	}
-	list(began)
-	l.machineReported(began+clock.Second, peer.MachineState{Name: healthy.name, Type: "small", Schedulable: true})
-	late := clock.FromSeconds(20 * l.cfg.Tuning.Fleet.BootTimeoutFactor)
+	listMachines(startTime)
+	l.machineReported(startTime+clock.Second, peer.MachineState{Name: healthy.name, Type: "small", Schedulable: true})
+	bootTimeout := clock.FromSeconds(20 * l.cfg.Tuning.Fleet.BootTimeoutFactor)
 	for _, c := range []struct {
 		at   clock.Micros
 		m    *machine
 		want giveUpReason
 	}{
-		{began + late, silent, giveUpNone},
-		{began + l.silentBootTimeout(late) + clock.Second, silent, giveUpNeverReported},
-		{began + late + clock.Second, booting, giveUpNeverCameUp},
-		{began + 10*late, healthy, giveUpNone},
+		{startTime + bootTimeout, silent, giveUpNone},
+		{startTime + l.silentBootTimeout(bootTimeout) + clock.Second, silent, giveUpNeverReported},
+		{startTime + bootTimeout + clock.Second, booting, giveUpNeverCameUp},
+		{startTime + 10*bootTimeout, healthy, giveUpNone},
 	} {
 		if reason := l.giveUpReason(c.at, c.m, shardSilence{up: 3, silent: 1}); reason != c.want {
-			t.Errorf("%s after %.0f s: %q, want %q", c.m.name, (c.at - began).Seconds(), reason, c.want)
+			t.Errorf("%s after %.0f s: reason to give up is %q, want %q", c.m.name, (c.at - startTime).Seconds(), reason, c.want)
 		}
 	}
-	l.machinesToGiveUp(began + late + clock.Second)
-	if late := l.withExpectedDelay(booting.option).DelayS; late != 20 {
-		t.Errorf("expected %g s late after one that did not come up", late)
+	l.machinesToGiveUp(startTime + bootTimeout + clock.Second)
+	if delayS := l.withExpectedDelay(booting.option).DelayS; delayS != 20 {
+		t.Errorf("expected boot delay is %g s after a machine did not come up, want 20", delayS)
 	}
-	l.machineReported(began+late+2*clock.Second, peer.MachineState{Name: booting.name, Type: "small", Schedulable: true})
-	if late := l.withExpectedDelay(booting.option).DelayS; late != 0 {
-		t.Errorf("expected %g s late after one came up", late)
+	l.machineReported(startTime+bootTimeout+2*clock.Second, peer.MachineState{Name: booting.name, Type: "small", Schedulable: true})
+	if delayS := l.withExpectedDelay(booting.option).DelayS; delayS != 0 {
+		t.Errorf("expected boot delay is %g s after a machine came up, want 0", delayS)
 	}
 }
--- a/internal/leader/jobs/pages_test.go
+++ b/internal/leader/jobs/pages_test.go
@@ -161,7 +161,7 @@
 			}
 			again := pages.DueWrites(3*ProgressInterval, table, maxValueBytes)
 			if len(again) != 1 || again[0].Version != version || again[0].Record.Chunks[0].Completed[0] != 1<<3|1<<4 {
-				t.Errorf("writes %+v, want one at version %d with tasks 3 and 4", again, version)
+				t.Errorf("writes %+v, want one at the version read, with tasks 3 and 4", again)
 			}
 			if j.IsPersisted(3) {
 				t.Error("task counts as persisted after a failed write")
--- a/internal/leader/keys_test.go
+++ b/internal/leader/keys_test.go
@@ -10,18 +10,18 @@
 	"swiftledge/wire"
 )
 
-// Keys that are made of a term and a count: a leader of another version finds what they hold by their
-// beginning, and must never make one that is there already.
-func TestKeysOfAnEpoch(t *testing.T) {
+// Some keys consist of a term and a counter. A leader of another version finds them by their prefix, and a leader
+// must never create a key that already exists.
+func TestKeysContainTerm(t *testing.T) {
 	cases := []struct {
 		name, want string
 		key        func(l *Leader) string
 	}{
 		{"progress page", "prog/5-1", func(l *Leader) string {
-			l.jobs.Get(spec.Ref).MarkCompleted(0)
-			return l.progress.DueWrites(began+jobs.ProgressInterval, l.jobs, l.valueBytes)[0].Key
+			l.jobs.Get(testJob.Ref).MarkCompleted(0)
+			return l.progress.DueWrites(startTime+jobs.ProgressInterval, l.jobs, l.valueBytes)[0].Key
 		}},
-		{"found machines", "fleet/found-5-1", func(l *Leader) string {
+		{"discovered machines", "fleet/found-5-1", func(l *Leader) string {
 			l.inventory.discovered["host-000009"] = wire.Machine{Name: "host-000009", Type: "small", Zone: "a"}
 			l.effects = nil
 			l.adoptDiscovered()
@@ -30,14 +30,14 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			if got := c.key(leading(t)); got != c.want {
-				t.Errorf("the key is %s, want %s", got, c.want)
+			if got := c.key(newLeader(t)); got != c.want {
+				t.Errorf("key %s, want %s", got, c.want)
 			}
 		})
 	}
 }
 
-// putKeys are the first keys that the effects' transactions put.
+// putKeys returns the first key that each transaction among the effects writes.
 func putKeys(effects []Effect) (keys []string) {
 	for _, e := range effects {
 		if c, ok := e.(CommitTxn); ok && c.Txn.Writes[0].Put != "" {
@@ -47,19 +47,19 @@
 	return keys
 }
 
-// A leader of a site without machines writes these keys, in this order, before it asks the cloud.
+// A leader of a site without machines writes these keys, in this order, before it provisions machines.
 func TestKeysOfANewSite(t *testing.T) {
-	l := leading(t)
-	l.Step(began, LeadershipLost{})
-	l.Step(began, LeadershipAcquired{Term: 7})
-	l.Step(began, LeadershipExtended{Until: began + 100*clock.Second})
-	l.Step(began, PeerConnected{Controller: "n0", Link: testLink("link")})
+	l := newLeader(t)
+	l.Step(startTime, LeadershipLost{})
+	l.Step(startTime, LeadershipAcquired{Term: 7})
+	l.Step(startTime, LeadershipExtended{Until: startTime + 100*clock.Second})
+	l.Step(startTime, PeerConnected{Controller: "n0", Link: testLink("link")})
 	types := wire.Catalog{Types: []wire.MachineType{{Name: "small", CPUs: 4, MemoryGB: 8, Price: 1, SpotPrice: 0.5, BootS: 10, ZoneNames: []string{"a"}}}}
-	effects := l.Step(began, StateLoaded{Term: 7, RequestedAt: began, Items: []wire.Item{item(t, CatalogKey, 1, types),
-		item(t, JobPrefix+spec.Ref, 2, JobRecord{Spec: spec})}})
+	effects := l.Step(startTime, StateLoaded{Term: 7, RequestedAt: startTime, Items: []wire.Item{storeItem(t, CatalogKey, 1, types),
+		storeItem(t, JobPrefix+testJob.Ref, 2, JobRecord{Spec: testJob})}})
 	var keys []string
 	revision := uint64(10)
-	for at := began; at < began+5*clock.Second; at += clock.Second / 4 {
+	for at := startTime; at < startTime+5*clock.Second; at += clock.Second / 4 {
 		for len(effects) > 0 {
 			e := effects[0]
 			effects = effects[1:]
@@ -73,6 +73,6 @@
 		effects = l.Step(at, Tick{})
 	}
 	if want := []string{"layout", "block/000", "fleet/r-7-1"}; !slices.Equal(keys, want) {
-		t.Errorf("the keys are %v, want %v", keys, want)
+		t.Errorf("written keys %v, want %v", keys, want)
 	}
 }
--- a/internal/leader/limits_test.go
+++ b/internal/leader/limits_test.go
@@ -9,9 +9,9 @@
 	"swiftledge/wire"
 )
 
-// regrant has a shard granted anew, at a revision of the store, and gives its token; false when
-// the leader resigned instead.
-func regrant(l *Leader, now clock.Micros, revision uint64) (wire.FencingToken, bool) {
+// regrantFirstShard makes the leader grant the first shard again at a store revision, and returns the new fencing
+// token, or false if the leader resigned instead.
+func regrantFirstShard(l *Leader, now clock.Micros, revision uint64) (wire.FencingToken, bool) {
 	l.shards.all[0].state = unassigned
 	for _, e := range l.Step(now, Tick{}) {
 		if _, resigned := e.(Resign); resigned {
@@ -28,53 +28,53 @@
 	return 0, false
 }
 
-// Workers that begin anew take a token each. With thousands of machines a term needs more of them than
-// its tokens have bits for, and a leader that resigned for that would do so again and again.
-func TestTokensOutlastTheirBits(t *testing.T) {
-	l := leading(t)
-	now, revision, last := began, uint64(20), wire.FencingToken(0)
+// Each agent that restarts takes a fencing token. With thousands of machines a term needs more tokens than its
+// counter bits can hold, and a leader that resigned because of that would do so again and again.
+func TestTokensSurviveCounterOverflow(t *testing.T) {
+	l := newLeader(t)
+	now, revision, lastToken := startTime, uint64(20), wire.FencingToken(0)
 	for i := range 3 << tokenBits {
 		revision++
-		// Nothing but the tokens holds up the next grant.
+		// Only a lack of tokens can prevent the next grant.
 		l.shards.all[0].UnassignedSince = 0
 		n0 := l.shards.controllers["n0"]
 		n0.lastHeartbeat, n0.Controller = now, assignment.Controller{Name: "n0"}
-		token, ok := regrant(l, now, revision)
+		token, ok := regrantFirstShard(l, now, revision)
 		if !ok {
 			t.Fatalf("no token for grant %d", i)
 		}
-		if token <= last {
-			t.Fatalf("token %d after %d", token, last)
+		if token <= lastToken {
+			t.Fatalf("token %d is not higher than the one before, %d", token, lastToken)
 		}
 		// The next leader's key has a later revision than any write of this term.
 		if next := wire.FencingToken(revision+1) << tokenBits; token > next {
-			t.Fatalf("token %d is higher than a later leader's %d", token, next)
+			t.Fatalf("token %d is higher than the first one of a later leader, %d", token, next)
 		}
-		last = token
+		lastToken = token
 	}
 }
 
-// While no write of the term is known to have succeeded, a later term may be the next revision: no
-// token reaches that far.
-func TestTokensStayBelowALaterEpoch(t *testing.T) {
-	l := leading(t)
+// While no write of this term is known to have succeeded, the next revision may be a later term. No token may reach
+// the tokens of that term.
+func TestTokensStayBelowLaterTerm(t *testing.T) {
+	l := newLeader(t)
 	l.shards.tokensIssued, l.highestRevision = 1<<tokenBits-1, 0
-	if token, ok := regrant(l, began, 30); ok {
-		t.Errorf("token %d reaches epoch %d", token, l.term+1)
+	if token, ok := regrantFirstShard(l, startTime, 30); ok {
+		t.Errorf("token %d reaches the tokens of term %d", token, l.term+1)
 	}
 }
 
-// The pages of a machine list leave the cloud's calls to instance groups, however many machines there are.
-func TestMachineListsLeaveCallsToRentals(t *testing.T) {
+// The pages of machine lists leave enough cloud calls for provisioning, however many machines there are.
+func TestMachineListsLeaveCallsForProvisioning(t *testing.T) {
 	for _, machines := range []int{500, 6000} {
-		l := leading(t)
+		l := newLeader(t)
 		l.cfg.Facts.Cloud.RPS = 2
 		for i := len(l.inventory.machines); i < machines; i++ {
-			l.addMachine(began, "extra-"+string(rune('a'+i%26))+string(rune(0x4e00+i)),
+			l.addMachine(startTime, "extra-"+string(rune('a'+i%26))+string(rune(0x4e00+i)),
 				&instanceGroup{record: InstanceGroupRecord{Request: wire.ProvisionRequest{Type: "small", Zone: "a"}}})
 		}
-		lists, spell := 0, 60*clock.Second
-		for now := began; now < began+spell; now += clock.Second / 4 {
+		lists, period := 0, 60*clock.Second
+		for now := startTime; now < startTime+period; now += clock.Second / 4 {
 			l.authorityEnds, l.jobsViewedAt, l.shards.controllers["n0"].lastHeartbeat = now+clock.Minute, now, now
 			for _, e := range l.Step(now, Tick{}) {
 				if _, ok := e.(ListMachines); ok {
@@ -84,8 +84,8 @@
 			}
 		}
 		calls := lists * (machines/listPage + 1)
-		if most := int(listShare*2*spell.Seconds()) + machines/listPage + 1; calls > most || lists == 0 {
-			t.Errorf("%d machines: %d lists of %d calls in a minute, want at most %d calls", machines, lists, calls, most)
+		if maxCalls := int(listShare*2*period.Seconds()) + machines/listPage + 1; calls > maxCalls || lists == 0 {
+			t.Errorf("%d machines: %d lists with %d calls in a minute, want at most %d calls", machines, lists, calls, maxCalls)
 		}
 	}
 }
--- a/internal/leader/process_pause_test.go
+++ b/internal/leader/process_pause_test.go
@@ -7,41 +7,41 @@
 	"swiftledge/internal/clock"
 )
 
-// A leader that stood still and leads on has the words of the other controllers in its queues yet: none of them
-// counts as gone, or all blocks would change hands for it.
-func TestNobodyIsGoneForAPauseOfTheLeader(t *testing.T) {
-	l := leading(t)
-	thawed := began + controllerTimeout + clock.Second
-	l.Step(began+clock.Second/2, Tick{})
-	l.jobsViewedAt, l.authorityEnds = thawed, thawed+clock.Second
-	effects := l.Step(thawed, Tick{})
+// After a process pause, a leader that still leads has the messages of the other controllers in its queue. It must
+// not treat any of them as disconnected, or all shards would change holders.
+func TestProcessPauseDisconnectsNoController(t *testing.T) {
+	l := newLeader(t)
+	resumed := startTime + controllerTimeout + clock.Second
+	l.Step(startTime+clock.Second/2, Tick{})
+	l.jobsViewedAt, l.authorityEnds = resumed, resumed+clock.Second
+	effects := l.Step(resumed, Tick{})
 	if l.shards.controllers["n0"] == nil {
-		t.Error("a controller counts as gone for a pause of ours")
+		t.Error("controller disconnected because of the leader's own pause")
 	}
 	if !slices.ContainsFunc(effects, func(e Effect) bool { _, ok := e.(PauseDetected); return ok }) {
-		t.Error("the pause was not noticed")
+		t.Error("process pause was not detected")
 	}
-	for at := thawed; at < thawed+2*controllerTimeout; at += clock.Second / 2 {
+	for at := resumed; at < resumed+2*controllerTimeout; at += clock.Second / 2 {
 		l.authorityEnds = at + clock.Second
 		l.Step(at, Tick{})
 	}
 	if l.shards.controllers["n0"] != nil {
-		t.Error("silence after the pause does not count")
+		t.Error("controller that stays silent after the pause is still connected")
 	}
 }
 
-// What ran out during a pause is told.
-func TestPauseTellsWhatRanOut(t *testing.T) {
-	l := leading(t)
-	l.Step(began+clock.Second, Tick{})
-	l.authorityEnds = began + 3*clock.Second
-	for _, e := range l.Step(began+10*clock.Second, Tick{}) {
+// A detected process pause reports what expired during it.
+func TestProcessPauseReportsExpiredLeases(t *testing.T) {
+	l := newLeader(t)
+	l.Step(startTime+clock.Second, Tick{})
+	l.authorityEnds = startTime + 3*clock.Second
+	for _, e := range l.Step(startTime+10*clock.Second, Tick{}) {
 		if p, ok := e.(PauseDetected); ok {
 			if want := []string{"authority of epoch 5", "view of the jobs"}; !slices.Equal(p.Pause.Expired, want) {
-				t.Errorf("%v, want %v", p.Pause.Expired, want)
+				t.Errorf("expired %v, want %v", p.Pause.Expired, want)
 			}
 			return
 		}
 	}
-	t.Error("the pause was not noticed")
+	t.Error("process pause was not detected")
 }
--- a/internal/leader/rebalancing_test.go
+++ b/internal/leader/rebalancing_test.go
@@ -12,280 +12,285 @@
 	"swiftledge/wire"
 )
 
-// savable is a job of four tasks that save their progress.
-var savable = wire.Job{Ref: "j-000002", Team: "red", Priority: wire.PriorityStandard, Tasks: 4, CPUs: 1, MemoryGB: 1, EstimateS: 1000, Spot: true,
+// checkpointJob is a job of four tasks with checkpoints.
+var checkpointJob = wire.Job{Ref: "j-000002", Team: "red", Priority: wire.PriorityStandard, Tasks: 4, CPUs: 1, MemoryGB: 1, EstimateS: 1000, Spot: true,
 	CheckpointS: 5, SaveS: 1, Image: "img", ImageGB: 1}
 
-// unevenFleet leads six machines of four processors, of which the first holds all four tasks of savable.
-func unevenFleet(t *testing.T, spread bool) *Leader {
+// newUnbalancedLeader returns a leader of six machines with four processors each. The first machine runs all four
+// tasks of checkpointJob.
+func newUnbalancedLeader(t *testing.T, rebalance bool) *Leader {
 	t.Helper()
 	tuning := config.DefaultTuning()
-	tuning.Spread.Enabled = spread
+	tuning.Spread.Enabled = rebalance
 	tuning.Fleet.Reserve = 10
-	l := leadingWith(t, tuning)
+	l := newLeaderWithTuning(t, tuning)
 	l.cfg.Facts.Cloud.RPS = 5
 	for _, m := range l.inventory.machines {
-		m.option.Spot = true // of which the autoscaler keeps a reserve
+		m.option.Spot = true // the autoscaler keeps a reserve of spot machines
 	}
-	l.finishJob(began, l.jobs.Get(spec.Ref))
-	l.addJob(JobRecord{Spec: savable}, 30)
-	first := shard.ForMachine(names[0], 2)
-	starts := []int{}
-	for i := range savable.Tasks {
-		starts = append(starts, i, i+1, 0)
+	l.finishJob(startTime, l.jobs.Get(testJob.Ref))
+	l.addJob(JobRecord{Spec: checkpointJob}, 30)
+	firstShard := shard.ForMachine(machineNames[0], 2)
+	attempts := []int{}
+	for i := range checkpointJob.Tasks {
+		attempts = append(attempts, i, i+1, 0)
 	}
-	page := peer.AttemptPage{FencingToken: 1, Machines: names[:1], Groups: []peer.AttemptGroup{{Job: savable.Ref,
-		Team: "red", CPUs: 1, MemoryGB: 1, CheckpointS: 5, Attempts: starts}}}
-	l.Step(began, AttemptsLoaded{Term: 5, Shard: first, FencingToken: l.shards.all[first].token, Pages: map[string]peer.AttemptPage{"p": page}})
-	l.Step(began, AttemptsLoaded{Term: 5, Shard: 1 - first, FencingToken: l.shards.all[1-first].token})
+	page := peer.AttemptPage{FencingToken: 1, Machines: machineNames[:1], Groups: []peer.AttemptGroup{{Job: checkpointJob.Ref,
+		Team: "red", CPUs: 1, MemoryGB: 1, CheckpointS: 5, Attempts: attempts}}}
+	l.Step(startTime, AttemptsLoaded{Term: 5, Shard: firstShard, FencingToken: l.shards.all[firstShard].token, Pages: map[string]peer.AttemptPage{"p": page}})
+	l.Step(startTime, AttemptsLoaded{Term: 5, Shard: 1 - firstShard, FencingToken: l.shards.all[1-firstShard].token})
 	var events []peer.TaskEvent
-	for i := range savable.Tasks {
-		events = append(events, peer.TaskEvent{Task: peer.Task{Job: savable.Ref, Index: i}, Kind: peer.EventRunning, Machine: names[0]})
+	for i := range checkpointJob.Tasks {
+		events = append(events, peer.TaskEvent{Task: peer.Task{Job: checkpointJob.Ref, Index: i}, Kind: peer.EventRunning, Machine: machineNames[0]})
 	}
-	tell(l, began, events, func(s *peer.MachineState) {
-		if s.Name == names[0] {
+	reportMachines(l, startTime, events, func(s *peer.MachineState) {
+		if s.Name == machineNames[0] {
 			s.CPUs, s.MemoryGB, s.Tasks, s.Images = 0, 4, 4, []string{"img"}
 		}
 	})
 	return l
 }
 
-// tell brings word of all machines, which are free but for what change says, and of events.
-func tell(l *Leader, now clock.Micros, events []peer.TaskEvent, change func(*peer.MachineState)) []Effect {
-	up := &peer.ToLeader{Term: 5, StoreOK: true}
-	for b := range l.shards.all {
-		u := peer.ShardUpdate{Shard: b, FencingToken: l.shards.all[b].token, SettledOfferSeq: l.shards.all[b].offerSeq}
-		if b == shard.ForMachine(names[0], 2) {
-			u.Events = events
+// reportMachines sends the leader a holder message with all machines and the given events. The machines are empty
+// unless change alters their state.
+func reportMachines(l *Leader, now clock.Micros, events []peer.TaskEvent, change func(*peer.MachineState)) []Effect {
+	message := &peer.ToLeader{Term: 5, StoreOK: true}
+	for shardID := range l.shards.all {
+		update := peer.ShardUpdate{Shard: shardID, FencingToken: l.shards.all[shardID].token, SettledOfferSeq: l.shards.all[shardID].offerSeq}
+		if shardID == shard.ForMachine(machineNames[0], 2) {
+			update.Events = events
 		}
-		for _, n := range names {
-			if shard.ForMachine(n, 2) == b {
-				s := peer.MachineState{Name: n, Type: "small", Zone: "a", Schedulable: true, TokenConfirmed: true, CPUs: 4, MemoryGB: 8}
-				change(&s)
-				u.Machines = append(u.Machines, s)
+		for _, n := range machineNames {
+			if shard.ForMachine(n, 2) == shardID {
+				state := peer.MachineState{Name: n, Type: "small", Zone: "a", Schedulable: true, TokenConfirmed: true, CPUs: 4, MemoryGB: 8}
+				change(&state)
+				update.Machines = append(update.Machines, state)
 			}
 		}
-		up.Updates = append(up.Updates, u)
+		message.Updates = append(message.Updates, update)
 	}
-	return l.Step(now, HolderMessage{Controller: "n0", Link: testLink("link"), Message: up})
+	return l.Step(now, HolderMessage{Controller: "n0", Link: testLink("link"), Message: message})
 }
 
-// stops lets time pass until tasks may be moved, and gives those that are told to stop.
-func stops(l *Leader) (out []peer.StopTask, effects []Effect) {
-	for now := began + 90*clock.Second; now < began+94*clock.Second; now += clock.Second / 2 {
+// collectStops advances the time until tasks may be migrated, and returns the stop orders and all effects.
+func collectStops(l *Leader) (stops []peer.StopTask, effects []Effect) {
+	for now := startTime + 90*clock.Second; now < startTime+94*clock.Second; now += clock.Second / 2 {
 		l.authorityEnds, l.jobsViewedAt, l.shards.controllers["n0"].lastHeartbeat = now+clock.Minute, now, now
-		step := l.Step(now, Tick{})
-		effects = append(effects, step...)
-		for _, o := range ordersOf(step) {
-			out = append(out, o.Stop...)
+		tickEffects := l.Step(now, Tick{})
+		effects = append(effects, tickEffects...)
+		for _, orders := range sentOrders(tickEffects) {
+			stops = append(stops, orders.Stop...)
 		}
 	}
-	return out, effects
+	return stops, effects
 }
 
-func TestTaskIsToldToSaveAndStop(t *testing.T) {
-	l := unevenFleet(t, true)
-	got, _ := stops(l)
-	if len(got) != 1 || !got[0].Checkpoint || got[0].Job != savable.Ref {
-		t.Fatalf("stops %v, want one task with time to save", got)
+func TestMigratedTaskIsCheckpointedAndStopped(t *testing.T) {
+	l := newUnbalancedLeader(t, true)
+	stops, _ := collectStops(l)
+	if len(stops) != 1 || !stops[0].Checkpoint || stops[0].Job != checkpointJob.Ref {
+		t.Fatalf("stop orders %v, want one with time for a checkpoint", stops)
 	}
-	// Nothing starts elsewhere before the old attempt is proven gone; then the task is offered to the shard of
-	// the machine that it is to move to.
-	id := taskID(got[0].Task)
-	to := l.inventory.machines[l.rebalancing.InFlight()[0].To]
-	now := began + 95*clock.Second
+	// The task is not started elsewhere before its old attempt has provably ended. Then it is offered to the shard of
+	// the target machine.
+	migrated := taskID(stops[0].Task)
+	target := l.inventory.machines[l.rebalancing.InFlight()[0].To]
+	now := startTime + 95*clock.Second
 	l.authorityEnds, l.jobsViewedAt = now+clock.Minute, now
-	effects := tell(l, now, nil, func(*peer.MachineState) {})
+	effects := reportMachines(l, now, nil, func(*peer.MachineState) {})
 	if n := countOffers(effects); n != 0 {
-		t.Errorf("%d tasks offered before the old attempt is gone", n)
+		t.Errorf("%d tasks offered before the old attempt has ended", n)
 	}
-	effects = tell(l, now, []peer.TaskEvent{{Task: got[0].Task, Kind: peer.EventReleased, Machine: names[0]}}, func(*peer.MachineState) {})
-	told := ordersOf(effects)
-	if len(told) != 1 || told[0].Shard != to.shard.ID || len(told[0].Offers) != 1 || told[0].Offers[0].TaskIndexes[0] != id.Index {
-		t.Errorf("told %+v, want the task offered to block %d", told, to.shard.ID)
+	effects = reportMachines(l, now, []peer.TaskEvent{{Task: stops[0].Task, Kind: peer.EventReleased, Machine: machineNames[0]}}, func(*peer.MachineState) {})
+	orders := sentOrders(effects)
+	if len(orders) != 1 || orders[0].Shard != target.shard.ID || len(orders[0].Offers) != 1 || orders[0].Offers[0].TaskIndexes[0] != migrated.Index {
+		t.Errorf("orders %+v, want an offer of the task to shard %d", orders, target.shard.ID)
 	}
-	if told[0].Offers[0].Job.FleetLoad <= 0 {
-		t.Error("the offer does not tell the mean load")
+	if orders[0].Offers[0].Job.FleetLoad <= 0 {
+		t.Error("offer lacks the mean load")
 	}
 }
 
-// A move never puts a task aside for other work: while any waits that could take its free capacity, nothing moves.
-func TestNothingIsMovedWhileWorkWaits(t *testing.T) {
+// A migration must not displace waiting work: while a task waits that could use the free capacity, no task is
+// migrated.
+func TestNoTaskIsMigratedWhileTasksWait(t *testing.T) {
 	waiting := wire.Job{Ref: "j-000003", Team: "red", Priority: wire.PriorityBestEffort, Tasks: 1, CPUs: 1, MemoryGB: 1,
 		Types: []string{"not to be had"}, Spot: true, EstimateS: 10}
-	l := unevenFleet(t, true)
+	l := newUnbalancedLeader(t, true)
 	l.addJob(JobRecord{Spec: waiting}, 31).EnqueueAll()
-	if got, _ := stops(l); len(got) != 0 || l.rebalancing.Refusals()[0].Reason != rebalancer.WorkWaiting {
-		t.Errorf("stops %v, refusals %v", got, l.rebalancing.Refusals())
+	if got, _ := collectStops(l); len(got) != 0 || l.rebalancing.Refusals()[0].Reason != rebalancer.WorkWaiting {
+		t.Errorf("stop orders %v, refusals %v", got, l.rebalancing.Refusals())
 	}
-	// At the team's limit its own other work would take the place.
-	l = unevenFleet(t, true)
+	// A task that waits at its team's limit would take the quota that a migrated task of the team releases.
+	l = newUnbalancedLeader(t, true)
 	waiting.CPUs = 13
 	l.addJob(JobRecord{Spec: waiting}, 31).EnqueueAll()
-	if got, _ := stops(l); len(got) != 0 || l.rebalancing.Refusals()[0].Reason != rebalancer.TeamAtLimit {
-		t.Errorf("stops %v, refusals %v", got, l.rebalancing.Refusals())
+	if got, _ := collectStops(l); len(got) != 0 || l.rebalancing.Refusals()[0].Reason != rebalancer.TeamAtLimit {
+		t.Errorf("stop orders %v, refusals %v", got, l.rebalancing.Refusals())
 	}
 }
 
-func TestNothingIsMovedWithoutSpreading(t *testing.T) {
-	l := unevenFleet(t, false)
-	if got, _ := stops(l); len(got) != 0 {
-		t.Errorf("stops %v", got)
+func TestNoTaskIsMigratedWithRebalancingDisabled(t *testing.T) {
+	l := newUnbalancedLeader(t, false)
+	if got, _ := collectStops(l); len(got) != 0 {
+		t.Errorf("stop orders %v, want none", got)
 	}
-	if s := l.status(began); s.Rebalancing || len(s.Machines) != len(names) || s.Machines[0].Load != 1 {
-		t.Errorf("status %+v", s)
+	if s := l.status(startTime); s.Rebalancing || len(s.Machines) != len(machineNames) || s.Machines[0].Load != 1 {
+		t.Errorf("status %+v, want rebalancing disabled and all machines with their loads", s)
 	}
 }
 
-// A holder that says a task is on a machine of another shard costs only itself: the task is not moved, and
-// the leader goes on.
-func TestTaskOnAnotherBlocksMachineIsNotMoved(t *testing.T) {
-	l := unevenFleet(t, true)
-	for _, h := range l.inventory.machines[names[0]].shard.tasks {
-		for _, n := range names {
-			if l.inventory.machines[n].shard != l.inventory.machines[names[0]].shard {
-				h.machine = n
-				l.inventory.machines[n].state.CPUs, l.inventory.machines[names[0]].state.CPUs = 0, 4
+// A holder that reports a task on a machine of another shard affects only that task: the task is not migrated, and
+// the leader continues.
+func TestTaskOnMachineOfAnotherShardIsNotMigrated(t *testing.T) {
+	l := newUnbalancedLeader(t, true)
+	for _, grant := range l.inventory.machines[machineNames[0]].shard.tasks {
+		for _, name := range machineNames {
+			if l.inventory.machines[name].shard != l.inventory.machines[machineNames[0]].shard {
+				grant.machine = name
+				l.inventory.machines[name].state.CPUs, l.inventory.machines[machineNames[0]].state.CPUs = 0, 4
 				break
 			}
 		}
 	}
-	if got, _ := stops(l); len(got) != 0 {
-		t.Errorf("stops %v", got)
+	if got, _ := collectStops(l); len(got) != 0 {
+		t.Errorf("stop orders %v, want none", got)
 	}
 }
 
-// A machine that a task is to move to is not returned meanwhile, though it is idle and not needed.
-func TestTargetOfAMoveIsKept(t *testing.T) {
-	l := unevenFleet(t, true)
-	stops(l)
-	to := l.rebalancing.InFlight()[0].To
+// The target machine of a migration is not deleted meanwhile, even if it is idle and not needed.
+func TestMigrationTargetIsNotDeleted(t *testing.T) {
+	l := newUnbalancedLeader(t, true)
+	collectStops(l)
+	target := l.rebalancing.InFlight()[0].To
 	l.cfg.Tuning.Fleet.Reserve = 0
-	returned := map[string]bool{}
-	for now := began + 95*clock.Second; now < began+125*clock.Second; now += clock.Second {
+	deleted := map[string]bool{}
+	for now := startTime + 95*clock.Second; now < startTime+125*clock.Second; now += clock.Second {
 		l.authorityEnds, l.jobsViewedAt, l.shards.controllers["n0"].lastHeartbeat = now+clock.Minute, now, now
 		for _, e := range l.Step(now, Tick{}) {
 			if d, ok := e.(DeleteMachines); ok {
-				for _, n := range d.Machines {
-					returned[n] = true
+				for _, name := range d.Machines {
+					deleted[name] = true
 				}
 				l.inventory.deletionsInFlight = 0
 			}
 		}
 	}
-	if len(returned) == 0 || returned[to] {
-		t.Errorf("returned %v, want others than %s", returned, to)
+	if len(deleted) == 0 || deleted[target] {
+		t.Errorf("deleted %v, want machines other than %s", deleted, target)
 	}
 }
 
-// The autoscaler goes before rebalancing: a machine that it wants empty takes no task, neither a new one nor
-// one that is moved, though it has the least load.
-func TestMachinesAtRestAreNotFilled(t *testing.T) {
-	l := unevenFleet(t, true)
-	for _, n := range names[1:] {
-		l.inventory.machines[n].deprioritized = true
+// The autoscaler takes precedence over rebalancing: a machine that the autoscaler wants to empty gets no new or
+// migrated task, even if it has the lowest load.
+func TestDeprioritizedMachinesGetNoTasks(t *testing.T) {
+	l := newUnbalancedLeader(t, true)
+	for _, name := range machineNames[1:] {
+		l.inventory.machines[name].deprioritized = true
 	}
-	l.autoscaler.plannedAt = began + clock.Minute*10 // the autoscaler's word stays as it is
-	if got, _ := stops(l); len(got) != 0 {
-		t.Errorf("stops %v to move to machines at rest", got)
+	l.autoscaler.plannedAt = startTime + clock.Minute*10 // no new autoscaler decision
+	if got, _ := collectStops(l); len(got) != 0 {
+		t.Errorf("stop orders %v for migrations to deprioritized machines", got)
 	}
-	// One that is not at rest has free capacity, but over the bound: it goes before those at rest all the same.
+	// A machine that is not deprioritized has free capacity, but beyond the load bound. It is still preferred to the
+	// deprioritized ones.
 	l.rebalancing.bound.MaxRelativeLoad = 1.05
-	m := l.inventory.machines[names[1]]
+	m := l.inventory.machines[machineNames[1]]
 	m.deprioritized, m.state.CPUs, m.state.MemoryGB = false, 1, 7
-	told := ordersForNewJob(l, began+95*clock.Second, wire.Job{CPUs: 1, MemoryGB: 7})
-	if len(told) != 1 || told[0].Shard != m.shard.ID || len(told[0].Include) != 0 {
-		t.Errorf("told %+v, want the task offered for the fuller machine that is not at rest", told)
+	orders := ordersForNewJob(l, startTime+95*clock.Second, wire.Job{CPUs: 1, MemoryGB: 7})
+	if len(orders) != 1 || orders[0].Shard != m.shard.ID || len(orders[0].Include) != 0 {
+		t.Errorf("orders %+v, want an offer for the fuller machine that is not deprioritized", orders)
 	}
 }
 
-// ordersForNewJob submits a job of one task and gives what holders are told at once.
+// ordersForNewJob submits a job of one task and returns the orders of the next scheduling pass.
 func ordersForNewJob(l *Leader, now clock.Micros, j wire.Job) []peer.ShardOrders {
 	j.Ref, j.Team, j.Priority, j.Tasks, j.Spot = "j-000003", "red", wire.PriorityStandard, 1, true
 	l.addJob(JobRecord{Spec: j}, 31).EnqueueAll()
-	return ordersOfPass(l, now)
+	return ordersOfSchedulingPass(l, now)
 }
 
-// ordersOfPass gives what holders are told when the leader looks for free capacity.
-func ordersOfPass(l *Leader, now clock.Micros) []peer.ShardOrders {
+// ordersOfSchedulingPass triggers a scheduling pass and returns its orders.
+func ordersOfSchedulingPass(l *Leader, now clock.Micros) []peer.ShardOrders {
 	l.scheduling.requested, l.authorityEnds, l.jobsViewedAt = true, now+clock.Minute, now
-	return ordersOf(l.Step(now, PeerConnected{Controller: "n9", Link: testLink("other")}))
+	return sentOrders(l.Step(now, PeerConnected{Controller: "n9", Link: testLink("other")}))
 }
 
-// Room within the bound in a shard that has an offer out is waited for, but not for long.
-func TestRoomWithinTheBoundIsWaitedFor(t *testing.T) {
-	l := unevenFleet(t, true)
-	full := l.inventory.machines[names[0]].shard
+// A task waits for free capacity within the load bound in a shard that has a pending offer, but only for a short
+// time.
+func TestTaskWaitsForPendingOfferWithinLoadBound(t *testing.T) {
+	l := newUnbalancedLeader(t, true)
+	loadedShard := l.inventory.machines[machineNames[0]].shard
 	for _, m := range l.inventory.machines {
-		if m.shard != full {
+		if m.shard != loadedShard {
 			m.shard.offerPending = true
-		} else if m.name != names[0] {
-			m.state.CPUs = 1 // with one task more it is over the bound
+		} else if m.name != machineNames[0] {
+			m.state.CPUs = 1 // one more task exceeds the bound
 		}
 	}
-	now := began + 95*clock.Second
-	if told := ordersForNewJob(l, now, wire.Job{CPUs: 1, MemoryGB: 1}); len(told) != 0 {
-		t.Fatalf("told %+v while another block has room within the bound in a moment", told)
+	now := startTime + 95*clock.Second
+	if orders := ordersForNewJob(l, now, wire.Job{CPUs: 1, MemoryGB: 1}); len(orders) != 0 {
+		t.Fatalf("orders %+v while another shard may soon have free capacity within the bound", orders)
 	}
-	if told := ordersOfPass(l, now+pendingPatience+clock.Millisecond); len(told) != 1 || told[0].Shard != full.ID {
-		t.Errorf("told %+v, want the task offered beyond the bound after %v", told, pendingPatience)
+	if orders := ordersOfSchedulingPass(l, now+pendingPatience+clock.Millisecond); len(orders) != 1 || orders[0].Shard != loadedShard.ID {
+		t.Errorf("orders %+v, want an offer beyond the bound after %v", orders, pendingPatience)
 	}
 }
 
-// A machine whose figures cannot be true is excluded from migrations, and is logged once.
-func TestImpossibleFiguresAreLoggedOnce(t *testing.T) {
+// A machine that reports impossible resources is excluded from migrations, which is logged once.
+func TestImpossibleResourcesAreLoggedOnce(t *testing.T) {
 	for name, c := range map[string]struct {
-		change func(*peer.MachineState)
-		logs   int
+		change   func(*peer.MachineState)
+		wantLogs int
 	}{
-		"more free than there is":     {func(s *peer.MachineState) { s.MemoryGB = 900 }, 1},
-		"not the type that was hired": {func(s *peer.MachineState) { s.Type = "other" }, 1},
-		// After a takeover stale records count beside live ones.
-		"more taken than there is": {func(s *peer.MachineState) { s.CPUs = -3 }, 0},
+		"more free than the machine has": {func(s *peer.MachineState) { s.MemoryGB = 900 }, 1},
+		"not the provisioned type":       {func(s *peer.MachineState) { s.Type = "other" }, 1},
+		// After a takeover stale attempt records count in addition to running attempts.
+		"more in use than the machine has": {func(s *peer.MachineState) { s.CPUs = -3 }, 0},
 	} {
-		l := unevenFleet(t, true)
-		tell(l, began, nil, func(s *peer.MachineState) {
-			if s.Name == names[0] {
+		l := newUnbalancedLeader(t, true)
+		reportMachines(l, startTime, nil, func(s *peer.MachineState) {
+			if s.Name == machineNames[0] {
 				s.CPUs, s.MemoryGB, s.Tasks = 0, 4, 4
 				c.change(s)
 			}
 		})
-		got, effects := stops(l)
+		stops, effects := collectStops(l)
 		logged := 0
 		for _, e := range effects {
-			if x, ok := e.(Log); ok && x.Message == "machine excluded from migrations" && fmt.Sprint(x.Attributes[1]) == names[0] {
+			if entry, ok := e.(Log); ok && entry.Message == "machine excluded from migrations" && fmt.Sprint(entry.Attributes[1]) == machineNames[0] {
 				logged++
 			}
 		}
-		if len(got) != 0 || logged != c.logs {
-			t.Errorf("%s: stops %v, logged %d times", name, got, logged)
+		if len(stops) != 0 || logged != c.wantLogs {
+			t.Errorf("%s: stop orders %v, logged %d times", name, stops, logged)
 		}
 	}
 }
 
-// What operators are told: loads, why a machine takes no work, moves and refusals.
+// The status shows loads, why a machine gets no tasks, migrations and refusals.
 func TestStatus(t *testing.T) {
-	l := unevenFleet(t, true)
-	l.inventory.machines[names[5]].draining, l.inventory.machines[names[5]].state.Tasks = true, 1
-	stops(l)
-	s := l.status(began + 95*clock.Second)
-	if !s.Leading || !s.Rebalancing || len(s.Shards) != 2 || len(s.Machines) != len(names) || len(s.Migrations) != 1 || s.MigrationOutcomes.Begun != 1 {
-		t.Fatalf("status %+v", s)
+	l := newUnbalancedLeader(t, true)
+	l.inventory.machines[machineNames[5]].draining, l.inventory.machines[machineNames[5]].state.Tasks = true, 1
+	collectStops(l)
+	s := l.status(startTime + 95*clock.Second)
+	if !s.Leading || !s.Rebalancing || len(s.Shards) != 2 || len(s.Machines) != len(machineNames) || len(s.Migrations) != 1 || s.MigrationOutcomes.Begun != 1 {
+		t.Fatalf("status %+v, want the leader's shards, machines and one migration", s)
 	}
 	if m := s.Machines[0]; m.Load != 1 || m.OverMean < 2 || !m.TakesWork {
-		t.Errorf("the full machine: %+v", m)
+		t.Errorf("status of the full machine: %+v", m)
 	}
 	if m := s.Machines[5]; m.TakesWork || m.WhyNot != "drained" {
-		t.Errorf("the drained machine: %+v", m)
+		t.Errorf("status of the drained machine: %+v", m)
 	}
-	if s.Migrations[0].From != names[0] || s.Migrations[0].Stage != "stopping" || len(s.Refusals) == 0 {
-		t.Errorf("moves %+v, refusals %+v", s.Migrations, s.Refusals)
+	if s.Migrations[0].From != machineNames[0] || s.Migrations[0].Stage != "stopping" || len(s.Refusals) == 0 {
+		t.Errorf("migrations %+v, refusals %+v", s.Migrations, s.Refusals)
 	}
 	if len(s.Teams) != 1 || s.Teams[0].CPUs != 4 {
-		t.Errorf("teams %+v", s.Teams)
+		t.Errorf("team status %+v, want one team with 4 processors", s.Teams)
 	}
-	l.Step(began+96*clock.Second, LeadershipLost{})
-	if s := l.status(began + 96*clock.Second); s.Leading || len(s.Machines) > 0 {
-		t.Errorf("status %+v of a controller that does not lead", s)
+	l.Step(startTime+96*clock.Second, LeadershipLost{})
+	if s := l.status(startTime + 96*clock.Second); s.Leading || len(s.Machines) > 0 {
+		t.Errorf("status %+v of a controller that is not the leader", s)
 	}
 }
--- a/internal/leader/reconcile_test.go
+++ b/internal/leader/reconcile_test.go
@@ -13,182 +13,182 @@
 	"swiftledge/wire"
 )
 
-// A machine that is only heard of may be a late copy's ghost: it is not taken into
-// the roster before it is listed or has shown a holder's token.
-func TestGhostIsNotAdopted(t *testing.T) {
-	l := leading(t)
-	s := peer.MachineState{Name: "host-000900", Type: "small", Zone: "a"}
-	if l.machineReported(began, s); len(l.inventory.discovered) != 0 {
-		t.Error("a machine that no token reached counts as found")
-	}
-	s.TokenConfirmed = true
-	if l.machineReported(began, s); len(l.inventory.discovered) != 1 {
-		t.Error("a machine that has shown its holder's token is not found")
+// A machine that is only reported may be an artifact of a delayed message. It is not added to the inventory before
+// the cloud lists it or it has confirmed a holder's fencing token.
+func TestUnconfirmedMachineIsNotDiscovered(t *testing.T) {
+	l := newLeader(t)
+	state := peer.MachineState{Name: "host-000900", Type: "small", Zone: "a"}
+	if l.machineReported(startTime, state); len(l.inventory.discovered) != 0 {
+		t.Error("machine without a confirmed token counts as discovered")
+	}
+	state.TokenConfirmed = true
+	if l.machineReported(startTime, state); len(l.inventory.discovered) != 1 {
+		t.Error("machine with a confirmed token is not discovered")
 	}
 }
 
-// What a former leader has deleted leaves the roster on its holder's word.
-func TestHolderTellsOfDeletedMachine(t *testing.T) {
-	l := leading(t)
-	l.machineReported(began, peer.MachineState{Name: names[0], Terminated: true})
-	if l.inventory.machines[names[0]] != nil || !l.inventory.terminated[names[0]] || l.inventory.machines[names[1]] == nil {
-		t.Error("the deleted machine, and no other, must leave the books")
+// A machine that a former leader has deleted leaves the inventory when its holder reports it as terminated.
+func TestHolderReportsDeletedMachine(t *testing.T) {
+	l := newLeader(t)
+	l.machineReported(startTime, peer.MachineState{Name: machineNames[0], Terminated: true})
+	if l.inventory.machines[machineNames[0]] != nil || !l.inventory.terminated[machineNames[0]] || l.inventory.machines[machineNames[1]] == nil {
+		t.Error("inventory does not lack exactly the deleted machine")
 	}
 }
 
-// Ordinary machines that the queue is not worth get no work, so that they can be
-// returned; while the cloud answers nothing they serve like those at rest, or all would
-// wait beside idle machines.
-func TestOrdinaryMachinesServeWhileTheCloudIsAway(t *testing.T) {
-	b := &shardLease{state: granted}
-	m := &machine{name: "m", shard: b}
+// On-demand machines that are not worth their price for the queue get no tasks, so that they can be deleted. While
+// the cloud does not answer they are used like deprioritized machines, because otherwise all tasks would wait
+// although machines are idle.
+func TestOnDemandMachinesAreUsedDuringCloudOutage(t *testing.T) {
+	lease := &shardLease{state: granted}
+	m := &machine{name: "m", shard: lease}
 	l := &Leader{termState: termState{inventory: inventory{machines: map[string]*machine{"m": m}}}}
-	d := autoscaler.Decision{Cordon: []string{"m"}}
-	if l.applyExclusions(d, false); !m.cordoned || m.deprioritized {
-		t.Errorf("cordoned %v, at rest %v; want cordoned", m.cordoned, m.deprioritized)
+	decision := autoscaler.Decision{Cordon: []string{"m"}}
+	if l.applyExclusions(decision, false); !m.cordoned || m.deprioritized {
+		t.Errorf("cordoned: %v, deprioritized: %v, want cordoned", m.cordoned, m.deprioritized)
 	}
-	if l.applyExclusions(d, true); m.cordoned || !m.deprioritized {
-		t.Errorf("cordoned %v, at rest %v while the cloud is away; want at rest", m.cordoned, m.deprioritized)
+	if l.applyExclusions(decision, true); m.cordoned || !m.deprioritized {
+		t.Errorf("cordoned: %v, deprioritized: %v during a cloud outage, want deprioritized", m.cordoned, m.deprioritized)
 	}
 }
 
-// Room for services is rented before they come: for what came lately while a machine boots,
-// and some for a class that is expected sooner than that and of which nothing is known.
-func TestRoomIsRentedAheadForServices(t *testing.T) {
-	l := leading(t)
+// Capacity for services is provisioned before they are submitted: for as much as arrived lately within a machine's
+// boot time, and some for a class that must start sooner than a machine boots and of which no job has arrived yet.
+func TestCapacityIsReservedForServices(t *testing.T) {
+	l := newLeader(t)
 	l.setTypes([]wire.MachineType{{Name: "small", CPUs: 4, MemoryGB: 8, BootS: 30, ZoneNames: []string{"a"}}})
 	if l.unseenClassReserve() != nil {
-		t.Error("room is kept though nothing is awaited")
+		t.Error("capacity reserved although no class must start soon")
 	}
 	cfg := *l.cfg
 	cfg.Facts.Objectives = []config.Objective{{Kind: "wait", Class: "web", WithinS: 20}, {Kind: "wait", Class: "batch",
 		WithinS: 4}, {Kind: "deadline", Class: "batch"}}
 	l.startSLO = New(&cfg, l.storeOK).startSLO
 	if l.unseenClassReserve() != nil {
-		t.Error("room is kept on a site where nothing runs")
+		t.Error("capacity reserved on a site without running tasks")
 	}
 	l.usage.Charge("red", fairshare.ResourceUsage{CPUs: 1000})
-	if w := l.unseenClassReserve(); w == nil || w.Tasks != unseenClassCPUs {
-		t.Errorf("room kept for an awaited class: %+v", w)
+	if reserve := l.unseenClassReserve(); reserve == nil || reserve.Tasks != unseenClassCPUs {
+		t.Errorf("reserve for a class without jobs: %+v", reserve)
 	}
-	s := spec
-	s.Ref, s.Class, s.Shape, s.Tasks = "j-300000", "web", wire.ShapeService, 6
-	j := l.addJob(JobRecord{Spec: s, AcceptedAt: began}, 3)
+	service := testJob
+	service.Ref, service.Class, service.Shape, service.Tasks = "j-300000", "web", wire.ShapeService, 6
+	j := l.addJob(JobRecord{Spec: service, AcceptedAt: startTime}, 3)
 	if l.unseenClassReserve() != nil {
-		t.Error("room is kept for a class that has come")
+		t.Error("capacity reserved for a class that has a job")
 	}
-	n := &demandSet{byKey: map[demandKey]*autoscaler.Demand{}}
-	if l.addArrivalReserve(began, n); len(n.list) != 1 || n.list[0].Tasks <= 6 {
-		t.Errorf("room kept for services like one of 6 replicas that has just come: %+v, want for more than as many", n.list)
+	demands := &demandSet{byKey: map[demandKey]*autoscaler.Demand{}}
+	if l.addArrivalReserve(startTime, demands); len(demands.list) != 1 || demands.list[0].Tasks <= 6 {
+		t.Errorf("reserve after a service of 6 replicas has arrived: %+v, want more than 6 tasks", demands.list)
 	}
 	total := 0
-	for _, need := range l.capacityDemand(began) {
-		total += need.Tasks
+	for _, demand := range l.capacityDemand(startTime) {
+		total += demand.Tasks
 	}
-	if total <= 6+spec.Tasks {
-		t.Errorf("%d slots wanted in all", total)
+	if total <= 6+testJob.Tasks {
+		t.Errorf("total demand of %d slots, want more than those of both jobs", total)
 	}
-	// What must be spread over zones needs room in each.
+	// A service that is spread over zones needs capacity in each zone.
 	l.setTypes([]wire.MachineType{{Name: "small", CPUs: 4, MemoryGB: 8, BootS: 30, ZoneNames: []string{"a", "b", "c"}}})
 	j.Spec.Spread = true
-	n = &demandSet{byKey: map[demandKey]*autoscaler.Demand{}}
-	l.addServiceDemand(began, n, j, 6)
-	for _, need := range n.list {
-		if need.Tasks != 2 || need.Zone == "" {
-			t.Errorf("%d slots wanted in zone %q, want 2 in each of three", need.Tasks, need.Zone)
+	demands = &demandSet{byKey: map[demandKey]*autoscaler.Demand{}}
+	l.addServiceDemand(startTime, demands, j, 6)
+	for _, demand := range demands.list {
+		if demand.Tasks != 2 || demand.Zone == "" {
+			t.Errorf("demand of %d slots in zone %q, want 2 in each of three zones", demand.Tasks, demand.Zone)
 		}
 	}
-	if len(n.list) != 3 {
-		t.Errorf("%d needs, want one for each zone", len(n.list))
+	if len(demands.list) != 3 {
+		t.Errorf("%d demands, want one for each zone", len(demands.list))
 	}
 }
 
-// Roster records fit into a value: what is found is taken in pieces, and one of the time when
-// values could be larger is left alone until less is left of it.
-func TestRosterRecordsFit(t *testing.T) {
-	l := granting(t, nil)
+// Instance group records fit into a value. Discovered machines are recorded in several groups, and a record from when
+// the maximum value size was larger is not written before enough of its machines are gone.
+func TestInstanceGroupRecordsFitIntoValue(t *testing.T) {
+	l := newGrantedLeader(t, nil)
 	l.valueBytes = 1800
-	var many []string
+	var discovered []string
 	for i := range 200 {
 		name := fmt.Sprintf("host-%06d", 1000+i)
-		many = append(many, name)
+		discovered = append(discovered, name)
 		l.inventory.discovered[name] = wire.Machine{Name: name, Type: "small", Zone: "a"}
 	}
 	l.effects = nil
 	l.adoptDiscovered()
-	n := 0
+	records := 0
 	for _, e := range l.effects {
 		if c, ok := e.(CommitTxn); ok {
-			n++
+			records++
 			if len(c.Txn.Writes[0].Value) > l.valueBytes {
-				t.Errorf("a record of %d bytes", len(c.Txn.Writes[0].Value))
+				t.Errorf("instance group record has %d bytes, which exceeds the maximum", len(c.Txn.Writes[0].Value))
 			}
 		}
 	}
-	if n < 2 {
-		t.Errorf("%d records for 200 machines", n)
+	if records < 2 {
+		t.Errorf("%d records for 200 machines, want several", records)
 	}
-	rt := &instanceGroup{key: "fleet/old", keyVersion: 3, record: InstanceGroupRecord{Machines: many, Answered: true}}
-	l.inventory.terminated[many[0]] = true
+	group := &instanceGroup{key: "fleet/old", keyVersion: 3, record: InstanceGroupRecord{Machines: discovered, Answered: true}}
+	l.inventory.terminated[discovered[0]] = true
 	l.effects = nil
-	if l.pruneInstanceGroup(began+clock.Minute, rt); len(l.effects) > 0 {
-		t.Error("a record that is too large is written as it is")
+	if l.pruneInstanceGroup(startTime+clock.Minute, group); len(l.effects) > 0 {
+		t.Error("record that is too large was written")
 	}
-	for _, name := range many[:150] {
+	for _, name := range discovered[:150] {
 		l.inventory.terminated[name] = true
 	}
-	if l.pruneInstanceGroup(began+2*clock.Minute, rt); len(l.effects) != 1 || len(rt.record.Machines) != 50 {
-		t.Errorf("%d machines left in the record, written %d times", len(rt.record.Machines), len(l.effects))
+	if l.pruneInstanceGroup(startTime+2*clock.Minute, group); len(l.effects) != 1 || len(group.record.Machines) != 50 {
+		t.Errorf("record has %d machines and was written %d times, want 50 and once", len(group.record.Machines), len(l.effects))
 	}
 }
 
-// A rental that a former leader recorded, and whose answer was lost with it, is asked for again
-// under its name, which gives the same machines: they may be up already and have shown themselves.
-func TestRentalOfAFormerLeaderIsAskedAgain(t *testing.T) {
-	l := leading(t)
-	rental := wire.ProvisionRequest{RequestID: "r-3-1", Type: "small", Zone: "a", Spot: true, Count: 2}
-	l.Step(began, LeadershipLost{})
-	l.Step(began, LeadershipAcquired{Term: 7})
-	l.Step(began, LeadershipExtended{Until: began + 100*clock.Second})
-	effects := l.Step(began, StateLoaded{Term: 7, RequestedAt: began, Items: []wire.Item{item(t, LayoutKey, 1, LayoutRecord{Shards: 2}),
-		item(t, InstanceGroupPrefix+rental.RequestID, 3, InstanceGroupRecord{Request: rental})}})
-	asked := 0
+// A provision request that a former leader recorded, and whose answer was lost with that leader, is repeated under
+// the same request ID, which returns the same machines: they may be up already and may have reported.
+func TestUnansweredProvisionRequestIsRepeated(t *testing.T) {
+	l := newLeader(t)
+	request := wire.ProvisionRequest{RequestID: "r-3-1", Type: "small", Zone: "a", Spot: true, Count: 2}
+	l.Step(startTime, LeadershipLost{})
+	l.Step(startTime, LeadershipAcquired{Term: 7})
+	l.Step(startTime, LeadershipExtended{Until: startTime + 100*clock.Second})
+	effects := l.Step(startTime, StateLoaded{Term: 7, RequestedAt: startTime, Items: []wire.Item{storeItem(t, LayoutKey, 1, LayoutRecord{Shards: 2}),
+		storeItem(t, InstanceGroupPrefix+request.RequestID, 3, InstanceGroupRecord{Request: request})}})
+	repeats := 0
 	for _, e := range effects {
-		if r, ok := e.(ProvisionMachines); ok && r.Request == rental {
-			asked++
+		if r, ok := e.(ProvisionMachines); ok && r.Request == request {
+			repeats++
 		}
 	}
-	if asked != 1 {
-		t.Errorf("asked %d times for what a former leader has rented", asked)
+	if repeats != 1 {
+		t.Errorf("request of the former leader repeated %d times, want once", repeats)
 	}
-	// Its machines are in the roster once they are written there, and not before.
-	l.Step(began, MachinesProvisioned{Term: 7, RequestID: rental.RequestID, Machines: names[:2]})
-	if l.inventory.machines[names[0]] != nil {
-		t.Error("used before the roster has it")
+	// Its machines are in the inventory only once their record is stored.
+	l.Step(startTime, MachinesProvisioned{Term: 7, RequestID: request.RequestID, Machines: machineNames[:2]})
+	if l.inventory.machines[machineNames[0]] != nil {
+		t.Error("machine used before its record is stored")
 	}
-	l.Step(began, TxnCompleted{Term: 7, Tag: instanceGroupTag{InstanceGroupPrefix + rental.RequestID}, Result: store.TxnResult{Committed: true, Revision: 9}})
-	if l.inventory.machines[names[0]] == nil || l.inventory.machines[names[1]] == nil {
-		t.Error("not in the roster once that is written")
+	l.Step(startTime, TxnCompleted{Term: 7, Tag: instanceGroupTag{InstanceGroupPrefix + request.RequestID}, Result: store.TxnResult{Committed: true, Revision: 9}})
+	if l.inventory.machines[machineNames[0]] == nil || l.inventory.machines[machineNames[1]] == nil {
+		t.Error("machines not in the inventory after their record is stored")
 	}
 }
 
-// Lists that contradict each other, or that lack a machine for long, cost none that runs work and reports; an idle one
-// is given up when no list has it any more, and a silent one soon.
-func TestListsAloneCostNoMachineThatRunsWork(t *testing.T) {
-	l := granting(t, nil)
-	works, idle, silent := l.inventory.machines[names[0]], l.inventory.machines[names[1]], l.inventory.machines[names[2]]
-	all := []wire.Machine{{Name: works.name, State: wire.MachineRunning}, {Name: idle.name, State: wire.MachineRunning},
+// Machine lists that contradict each other, or that lack a machine for long, do not cost a machine that runs tasks
+// and reports. An idle machine is given up once no list contains it any more, and a silent machine soon.
+func TestBusyMachineIsNotGivenUpBecauseOfLists(t *testing.T) {
+	l := newGrantedLeader(t, nil)
+	busy, idle, silent := l.inventory.machines[machineNames[0]], l.inventory.machines[machineNames[1]], l.inventory.machines[machineNames[2]]
+	all := []wire.Machine{{Name: busy.name, State: wire.MachineRunning}, {Name: idle.name, State: wire.MachineRunning},
 		{Name: silent.name, State: wire.MachineRunning}}
-	l.machinesListed(began, all)
-	for _, m := range []*machine{works, idle, silent} {
+	l.machinesListed(startTime, all)
+	for _, m := range []*machine{busy, idle, silent} {
 		m.up, m.state.Silent = true, m == silent
 	}
-	works.state.Tasks, silent.state.Tasks = 3, 3
-	at := began
+	busy.state.Tasks, silent.state.Tasks = 3, 3
+	at := startTime
 	for i := range 20 {
 		at += 4 * clock.Second
-		if i%5 == 4 && at < began+40*clock.Second {
-			l.machinesListed(at, all) // an older list once more
+		if i%5 == 4 && at < startTime+40*clock.Second {
+			l.machinesListed(at, all) // an older list, delivered again
 		} else {
 			l.machinesListed(at, nil)
 		}
@@ -196,9 +196,9 @@
 	for _, c := range []struct {
 		m    *machine
 		want giveUpReason
-	}{{works, giveUpNone}, {idle, giveUpUnlisted}, {silent, giveUpUnlisted}} {
+	}{{busy, giveUpNone}, {idle, giveUpUnlisted}, {silent, giveUpUnlisted}} {
 		if reason := l.giveUpReason(at, c.m, shardSilence{up: 2, silent: 2}); reason != c.want {
-			t.Errorf("%s: %q, want %q", c.m.name, reason, c.want)
+			t.Errorf("%s: reason to give up is %q, want %q", c.m.name, reason, c.want)
 		}
 	}
 }
--- a/internal/leader/service_test.go
+++ b/internal/leader/service_test.go
@@ -10,76 +10,78 @@
 	"swiftledge/wire"
 )
 
-// Start records name two attempts of a replica, as those of a former grant are erased late. That one
-// of them has completed is no end of the other: the replica is not offered again, and what runs of
-// it is not told to stop, before the holder says that the last attempt has ended.
-func TestReplicaWaitsForItsLastAttempt(t *testing.T) {
-	page := peer.AttemptPage{Machines: names[:1], Groups: []peer.AttemptGroup{{Job: spec.Ref, Team: "red", CPUs: 1, Attempts: []int{0, 1, 0, 0, 2, 0, 1, 3, 0}}}}
-	l := granting(t, map[string]peer.AttemptPage{"p": page})
-	l.jobs.Get(spec.Ref).Spec.Shape = wire.ShapeService
-	b := l.shards.all[shard.ForMachine(names[0], 2)]
-	one := peer.Task{Job: spec.Ref, Index: 0}
-	say := func(kinds ...peer.EventKind) []Effect {
-		u := peer.ShardUpdate{Shard: b.ID, FencingToken: b.token}
+// Attempt records can name two attempts of a replica, because those of a former grant are erased late. When one
+// attempt completes, the other may still run: the replica is not offered again and its running attempt is not stopped
+// before the holder reports that the last attempt has ended.
+func TestReplicaIsNotOfferedBeforeItsLastAttemptEnds(t *testing.T) {
+	page := peer.AttemptPage{Machines: machineNames[:1], Groups: []peer.AttemptGroup{{
+		Job: testJob.Ref, Team: "red", CPUs: 1, Attempts: []int{0, 1, 0, 0, 2, 0, 1, 3, 0}}}}
+	l := newGrantedLeader(t, map[string]peer.AttemptPage{"p": page})
+	l.jobs.Get(testJob.Ref).Spec.Shape = wire.ShapeService
+	lease := l.shards.all[shard.ForMachine(machineNames[0], 2)]
+	replica := peer.Task{Job: testJob.Ref, Index: 0}
+	reportEvents := func(kinds ...peer.EventKind) []Effect {
+		update := peer.ShardUpdate{Shard: lease.ID, FencingToken: lease.token}
 		for _, kind := range kinds {
-			u.Events = append(u.Events, peer.TaskEvent{Task: one, Kind: kind, Machine: names[0]})
+			update.Events = append(update.Events, peer.TaskEvent{Task: replica, Kind: kind, Machine: machineNames[0]})
 		}
-		return l.Step(began+clock.Second, HolderMessage{Controller: "n0", Link: testLink("link"), Message: &peer.ToLeader{Term: 5, Updates: []peer.ShardUpdate{u}}})
+		return l.Step(startTime+clock.Second, HolderMessage{Controller: "n0", Link: testLink("link"),
+			Message: &peer.ToLeader{Term: 5, Updates: []peer.ShardUpdate{update}}})
 	}
-	effects := say(peer.EventAttemptRemains, peer.EventCompleted)
+	effects := reportEvents(peer.EventAttemptRemains, peer.EventCompleted)
 	stops := 0
-	for _, o := range ordersOf(effects) {
+	for _, o := range sentOrders(effects) {
 		stops += len(o.Stop)
 	}
-	if n := countOffers(effects); n != 0 || stops != 0 || b.tasks[one] == nil {
-		t.Errorf("%d tasks offered, %d stopped, counted %v while another attempt may run", n, stops, b.tasks[one] != nil)
+	if n := countOffers(effects); n != 0 || stops != 0 || lease.tasks[replica] == nil {
+		t.Errorf("%d tasks offered, %d stopped, task in grant: %v, while another attempt may run", n, stops, lease.tasks[replica] != nil)
 	}
-	if n := countOffers(say(peer.EventReleased)); n != 1 {
-		t.Errorf("%d tasks offered after the last attempt, want the replica", n)
+	if n := countOffers(reportEvents(peer.EventReleased)); n != 1 {
+		t.Errorf("%d tasks offered after the last attempt has ended, want the replica", n)
 	}
 }
 
-// A replica that ends with done runs again, and its worker is told to forget it only after
-// a higher token: a late copy of its order would start it beside the new attempt.
+// A replica that ends as done runs again. Its agent is told to forget the ended attempt only after a higher fencing
+// token: otherwise a delayed copy of its command would start it in addition to the new attempt.
 func TestDoneReplicaRunsAgain(t *testing.T) {
-	page := peer.AttemptPage{Machines: names[:1], Groups: []peer.AttemptGroup{{Job: spec.Ref, Team: "red", CPUs: 1, Attempts: []int{0, 1, 0, 1, 2, 0}}}}
-	l := granting(t, map[string]peer.AttemptPage{"p": page})
-	j := l.jobs.Get(spec.Ref)
+	page := peer.AttemptPage{Machines: machineNames[:1], Groups: []peer.AttemptGroup{{Job: testJob.Ref, Team: "red", CPUs: 1, Attempts: []int{0, 1, 0, 1, 2, 0}}}}
+	l := newGrantedLeader(t, map[string]peer.AttemptPage{"p": page})
+	j := l.jobs.Get(testJob.Ref)
 	j.Spec.Shape = wire.ShapeService
-	b := l.shards.all[shard.ForMachine(names[0], 2)]
-	one := peer.Task{Job: spec.Ref, Index: 0}
-	effects := l.Step(began+clock.Second, HolderMessage{Controller: "n0", Link: testLink("link"),
-		Message: &peer.ToLeader{Term: 5, Updates: []peer.ShardUpdate{{Shard: b.ID, FencingToken: b.token,
-			Events: []peer.TaskEvent{{Task: one, Kind: peer.EventCompleted, Machine: names[0]}}}}}})
-	stopped, stored := false, false
-	for _, o := range ordersOf(effects) {
-		stopped = stopped || len(o.Stop) == 1 && o.Stop[0].Task == one
-		stored = stored || len(o.Persisted) == 1 && o.Persisted[0] == one
+	lease := l.shards.all[shard.ForMachine(machineNames[0], 2)]
+	replica := peer.Task{Job: testJob.Ref, Index: 0}
+	effects := l.Step(startTime+clock.Second, HolderMessage{Controller: "n0", Link: testLink("link"),
+		Message: &peer.ToLeader{Term: 5, Updates: []peer.ShardUpdate{{Shard: lease.ID, FencingToken: lease.token,
+			Events: []peer.TaskEvent{{Task: replica, Kind: peer.EventCompleted, Machine: machineNames[0]}}}}}})
+	stopped, persisted := false, false
+	for _, o := range sentOrders(effects) {
+		stopped = stopped || len(o.Stop) == 1 && o.Stop[0].Task == replica
+		persisted = persisted || len(o.Persisted) == 1 && o.Persisted[0] == replica
 	}
-	if !stopped || !stored || j.Completed() != 0 {
-		t.Errorf("told to keep it listed %v, that it is settled %v, %d tasks done", stopped, stored, j.Completed())
+	if !stopped || !persisted || j.Completed() != 0 {
+		t.Errorf("stopped: %v, persisted: %v, %d tasks completed, want the replica stopped, persisted and not completed", stopped, persisted, j.Completed())
 	}
 	if n := countOffers(effects); n != 1 {
 		t.Errorf("%d tasks offered, want the replica again", n)
 	}
 }
 
-// A machine is faulty that fails replicas of a service which run well elsewhere.
+// A machine on which replicas of a service fail that run well elsewhere is faulty.
 func TestMachineThatFailsReplicasIsDrained(t *testing.T) {
-	page := peer.AttemptPage{Machines: names[:1], Groups: []peer.AttemptGroup{{Job: spec.Ref, Team: "red", CPUs: 1, Attempts: []int{0, 1, 0}}}}
-	l := granting(t, map[string]peer.AttemptPage{"p": page})
-	j := l.jobs.Get(spec.Ref)
+	page := peer.AttemptPage{Machines: machineNames[:1], Groups: []peer.AttemptGroup{{Job: testJob.Ref, Team: "red", CPUs: 1, Attempts: []int{0, 1, 0}}}}
+	l := newGrantedLeader(t, map[string]peer.AttemptPage{"p": page})
+	j := l.jobs.Get(testJob.Ref)
 	j.Spec.Shape = wire.ShapeService
-	b := l.shards.all[shard.ForMachine(names[0], 2)]
-	l.Step(began, HolderMessage{Controller: "n0", Link: testLink("link"), Message: &peer.ToLeader{Term: 5,
-		Updates: []peer.ShardUpdate{{Shard: b.ID, FencingToken: b.token,
-			Events: []peer.TaskEvent{{Task: peer.Task{Job: spec.Ref, Index: 0}, Kind: peer.EventRunning, Machine: names[0]}}}}}})
-	l.taskFailed(began+2*jobs.StableAfter, j, peer.TaskEvent{Task: peer.Task{Job: spec.Ref, Index: 1}, Machine: names[1]}, &grantedTask{})
-	if l.inventory.machines[names[1]].draining {
-		t.Error("drained after a single failure")
+	lease := l.shards.all[shard.ForMachine(machineNames[0], 2)]
+	l.Step(startTime, HolderMessage{Controller: "n0", Link: testLink("link"), Message: &peer.ToLeader{Term: 5,
+		Updates: []peer.ShardUpdate{{Shard: lease.ID, FencingToken: lease.token,
+			Events: []peer.TaskEvent{{Task: peer.Task{Job: testJob.Ref, Index: 0}, Kind: peer.EventRunning, Machine: machineNames[0]}}}}}})
+	l.taskFailed(startTime+2*jobs.StableAfter, j, peer.TaskEvent{Task: peer.Task{Job: testJob.Ref, Index: 1}, Machine: machineNames[1]}, &grantedTask{})
+	if l.inventory.machines[machineNames[1]].draining {
+		t.Error("machine drained after a single failure")
 	}
-	l.taskFailed(began+2*jobs.StableAfter, j, peer.TaskEvent{Task: peer.Task{Job: spec.Ref, Index: 1}, Machine: names[1]}, &grantedTask{})
-	if !l.inventory.machines[names[1]].draining {
-		t.Error("not drained after two failures while another replica runs")
+	l.taskFailed(startTime+2*jobs.StableAfter, j, peer.TaskEvent{Task: peer.Task{Job: testJob.Ref, Index: 1}, Machine: machineNames[1]}, &grantedTask{})
+	if !l.inventory.machines[machineNames[1]].draining {
+		t.Error("machine not drained after two failures while another replica runs")
 	}
 }
