--- a/internal/leader/demand.go
+++ b/internal/leader/demand.go
@@ -13,7 +13,7 @@
 
 // demandKey tells demands apart.
 type demandKey struct {
-	shape   jobs.Shape
+	shape   jobs.TaskShape
 	service bool
 	zone    string // of those that are to be spread
 }
@@ -188,7 +188,7 @@
 
 // recentArrivals sums up the services that came lately, by shape, and says in how many seconds they came.
 func (l *Leader) recentArrivals(now clock.Micros) (arrivals []*recentArrivals, window float64) {
-	byShape := map[jobs.Shape]*recentArrivals{}
+	byShape := map[jobs.TaskShape]*recentArrivals{}
 	oldest := 0.0
 	for j := range l.jobs.Sorted() {
 		age := (now + l.wallOffset - j.AcceptedAt).Seconds()
--- a/internal/leader/free_capacity.go
+++ b/internal/leader/free_capacity.go
@@ -52,7 +52,7 @@
 // candidateKey names a list of machines as one shape of task sees it: all of them, or
 // those with an image.
 type candidateKey struct {
-	shape    jobs.Shape
+	shape    jobs.TaskShape
 	all      bool
 	image    string
 	unserved bool
--- a/internal/leader/jobs/job.go
+++ b/internal/leader/jobs/job.go
@@ -20,7 +20,7 @@
 	Spec       wire.Job
 	AcceptedAt clock.Micros  // wall clock time
 	KeyVersion uint64        // version of the job's key in the store
-	Shape      Shape         // resources and placement that its tasks need
+	Shape      TaskShape     // resources and placement that its tasks need
 	Failures   *failures.Job // task failures by machine
 
 	progress   []chunk
@@ -36,8 +36,8 @@
 	finishing     bool // the write of its final state is in flight
 }
 
-// Shape is the resources and the placement that a job's tasks need. Jobs of the same shape compare equal.
-type Shape struct {
+// TaskShape is the resources and the placement that a job's tasks need. Jobs of the same shape compare equal.
+type TaskShape struct {
 	cpus, gpus, memory float64
 	types, zone        string
 	spot               bool
@@ -47,7 +47,7 @@
 func New(spec wire.Job, acceptedAt clock.Micros, keyVersion uint64) *Job {
 	return &Job{
 		Spec: spec, AcceptedAt: acceptedAt, KeyVersion: keyVersion,
-		Shape:      Shape{spec.CPUs, spec.GPUs, spec.MemoryGB, fmt.Sprint(spec.Types), spec.Zone, spec.Spot},
+		Shape:      TaskShape{spec.CPUs, spec.GPUs, spec.MemoryGB, fmt.Sprint(spec.Types), spec.Zone, spec.Spot},
 		Failures:   &failures.Job{},
 		progress:   newChunks(spec.Tasks),
 		waiting:    newWaitingTasks(spec.Tasks),
