--- a/internal/leader/demand.go
+++ b/internal/leader/demand.go
@@ -28,7 +28,7 @@
 // of returns the demand of jobs like j in a zone; "": in any that j allows.
 func (d *demandSet) of(j *jobs.Job, zone string) *autoscaler.Demand {
 	spec := &j.Spec
-	key := demandKey{j.Shape, spec.IsService(), zone}
+	key := demandKey{j.TaskShape, spec.IsService(), zone}
 	if demand := d.byKey[key]; demand != nil {
 		return demand
 	}
@@ -196,10 +196,10 @@
 			continue
 		}
 		oldest = max(oldest, age)
-		a := byShape[j.Shape]
+		a := byShape[j.TaskShape]
 		if a == nil {
 			a = &recentArrivals{example: j}
-			byShape[j.Shape] = a
+			byShape[j.TaskShape] = a
 			arrivals = append(arrivals, a)
 		}
 		replicas := float64(j.Spec.Tasks)
--- a/internal/leader/jobs/job.go
+++ b/internal/leader/jobs/job.go
@@ -20,7 +20,7 @@
 	Spec       wire.Job
 	AcceptedAt clock.Micros  // wall clock time
 	KeyVersion uint64        // version of the job's key in the store
-	Shape      TaskShape     // resources and placement that its tasks need
+	TaskShape  TaskShape     // resources and placement that its tasks need
 	Failures   *failures.Job // task failures by machine
 
 	progress   []chunk
@@ -47,7 +47,7 @@
 func New(spec wire.Job, acceptedAt clock.Micros, keyVersion uint64) *Job {
 	return &Job{
 		Spec: spec, AcceptedAt: acceptedAt, KeyVersion: keyVersion,
-		Shape:      TaskShape{spec.CPUs, spec.GPUs, spec.MemoryGB, fmt.Sprint(spec.Types), spec.Zone, spec.Spot},
+		TaskShape:  TaskShape{spec.CPUs, spec.GPUs, spec.MemoryGB, fmt.Sprint(spec.Types), spec.Zone, spec.Spot},
 		Failures:   &failures.Job{},
 		progress:   newChunks(spec.Tasks),
 		waiting:    newWaitingTasks(spec.Tasks),
--- a/internal/leader/machine_choice.go
+++ b/internal/leader/machine_choice.go
@@ -9,11 +9,11 @@
 	if s.OneZone || s.Spread || s.IsService() {
 		return l.machineInZone(j, capacity)
 	}
-	withImage := candidateKey{shape: j.Shape, image: s.Image, unserved: j.IsUnserved(capacity.now)}
+	withImage := candidateKey{shape: j.TaskShape, image: s.Image, unserved: j.IsUnserved(capacity.now)}
 	if m := capacity.firstWithin(capacity.byImage[s.Image], withImage, j); m != nil {
 		return m, ""
 	}
-	all := candidateKey{shape: j.Shape, all: true, unserved: j.IsUnserved(capacity.now)}
+	all := candidateKey{shape: j.TaskShape, all: true, unserved: j.IsUnserved(capacity.now)}
 	if capacity.bound != nil {
 		allWithin := all
 		allWithin.image = s.Image // which decides how far the bound is widened
