--- a/internal/leader/assignment/assignment.go
+++ b/internal/leader/assignment/assignment.go
@@ -107,9 +107,9 @@
 	for _, s := range a.Shards {
 		_, connected := a.Controllers[s.Holder]
 		moving := s.Phase == Moving
-		held := s.Phase == Granted && s.HolderConnected && slices.Contains(a.eligible, s.Holder)
+		keepsHolder := s.Phase == Granted && s.HolderConnected && slices.Contains(a.eligible, s.Holder)
 		switch {
-		case held || moving && connected:
+		case keepsHolder || moving && connected:
 			a.shardCounts[s.Holder]++
 		case !moving:
 			unassigned = append(unassigned, s)
--- a/internal/leader/proofs_test.go
+++ b/internal/leader/proofs_test.go
@@ -113,7 +113,7 @@
 		key := shard.Key(lease.ID)
 		l.Step(startTime, TxnCompleted{Term: 5, Tag: tag, Result: store.TxnResult{Ambiguous: true, FailedKeys: []string{key}}})
 		if lease.state != writing {
-			t.Error("failed condition taken for a successful write")
+			t.Error("failed condition treated as a successful write")
 		}
 		record := ShardRecord{FencingToken: lease.token, Holder: "n0"}
 		if !isOwnWrite {
@@ -140,7 +140,7 @@
 		effects := l.Step(at, MachinesListed{Machines: list})
 		effects = append(effects, l.Step(at, Tick{})...)
 		if l.inventory.machines[machineNames[0]] == nil || l.inventory.terminated[machineNames[0]] {
-			t.Errorf("machine taken for terminated after list %d", i)
+			t.Errorf("machine treated as terminated after list %d", i)
 		}
 		deletes := slices.ContainsFunc(effects, func(e Effect) bool {
 			d, ok := e.(DeleteMachines)
@@ -155,7 +155,7 @@
 	}
 	if l.Step(startTime+8*clock.Second, MachinesDeleted{Term: 5, Machines: machineNames[:1]}); l.inventory.machines[machineNames[0]] != nil ||
 		!l.inventory.terminated[machineNames[0]] {
-		t.Error("machine not taken for terminated after a successful deletion")
+		t.Error("machine not treated as terminated after a successful deletion")
 	}
 }
 
@@ -208,6 +208,6 @@
 	}
 	l.Step(startTime, JobsChanged{Term: 5, RequestedAt: startTime, Events: []wire.Event{{Delete: JobPrefix + testJob.Ref, Version: 9}}})
 	if j.IsCancelled() {
-		t.Error("the job's own final state is taken for a cancellation")
+		t.Error("write of the job's final state treated as a cancellation")
 	}
 }
--- a/internal/leader/unconfirmed_machines_test.go
+++ b/internal/leader/unconfirmed_machines_test.go
@@ -98,7 +98,7 @@
 
 // A leader of the version in production may use machines whose record is not stored. While a provision request of a
 // former leader is unanswered, a machine that only attempt records name is granted as drained. Otherwise a holder
-// would take its tasks for ended, and they would be started elsewhere.
+// would consider its tasks ended, and they would be started elsewhere.
 func TestMachinesOfUnansweredProvisionRequestKeepTheirTasks(t *testing.T) {
 	unknown := "host-000009"
 	for _, answer := range []struct {
