--- a/internal/leader/demand.go
+++ b/internal/leader/demand.go
@@ -13,7 +13,7 @@
 
 // demandKey identifies the tasks that share one demand.
 type demandKey struct {
-	shape   jobs.Shape
+	shape   jobs.TaskShape
 	service bool
 	zone    string // of tasks that must be spread over zones
 }
@@ -29,7 +29,7 @@
 // allows.
 func (d *demandSet) demandFor(job *jobs.Job, zone string) *autoscaler.Demand {
 	spec := &job.Spec
-	key := demandKey{job.Shape, spec.IsService(), zone}
+	key := demandKey{job.TaskShape, spec.IsService(), zone}
 	if demand := d.byKey[key]; demand != nil {
 		return demand
 	}
@@ -191,7 +191,7 @@
 
 // recentArrivals sums up the recently accepted services by shape and returns the number of seconds that they span.
 func (l *Leader) recentArrivals(now clock.Micros) (arrivals []*arrivalStats, windowS float64) {
-	byShape := map[jobs.Shape]*arrivalStats{}
+	byShape := map[jobs.TaskShape]*arrivalStats{}
 	oldestS := 0.0
 	for job := range l.jobs.Sorted() {
 		ageS := (now + l.wallOffset - job.AcceptedAt).Seconds()
@@ -199,10 +199,10 @@
 			continue
 		}
 		oldestS = max(oldestS, ageS)
-		stats := byShape[job.Shape]
+		stats := byShape[job.TaskShape]
 		if stats == nil {
 			stats = &arrivalStats{sampleJob: job}
-			byShape[job.Shape] = stats
+			byShape[job.TaskShape] = stats
 			arrivals = append(arrivals, stats)
 		}
 		replicas := float64(job.Spec.Tasks)
--- a/internal/leader/free_capacity.go
+++ b/internal/leader/free_capacity.go
@@ -53,7 +53,7 @@
 // candidateKey identifies a list of machines as seen by one shape of task: all machines, or those that have an image
 // cached.
 type candidateKey struct {
-	shape    jobs.Shape
+	shape    jobs.TaskShape
 	all      bool
 	image    string
 	unserved bool
--- a/internal/leader/job_lifecycle.go
+++ b/internal/leader/job_lifecycle.go
@@ -50,7 +50,7 @@
 	if !ok {
 		return
 	}
-	l.addJob(record, event.Version).AwaitAll()
+	l.addJob(record, event.Version).EnqueueAll()
 	l.scheduling.requestUrgently()
 }
 
--- a/internal/leader/machine_choice.go
+++ b/internal/leader/machine_choice.go
@@ -9,11 +9,11 @@
 	if spec.OneZone || spec.Spread || spec.IsService() {
 		return l.machineInZone(job, capacity)
 	}
-	withImage := candidateKey{shape: job.Shape, image: spec.Image, unserved: job.IsUnserved(capacity.now)}
+	withImage := candidateKey{shape: job.TaskShape, image: spec.Image, unserved: job.IsUnserved(capacity.now)}
 	if m := capacity.firstFitWithinBound(capacity.byImage[spec.Image], withImage, job); m != nil {
 		return m, ""
 	}
-	all := candidateKey{shape: job.Shape, all: true, unserved: job.IsUnserved(capacity.now)}
+	all := candidateKey{shape: job.TaskShape, all: true, unserved: job.IsUnserved(capacity.now)}
 	if capacity.bound != nil {
 		allWithin := all
 		allWithin.image = spec.Image // the image decides how far the bound is widened
--- a/internal/leader/schedule.go
+++ b/internal/leader/schedule.go
@@ -88,7 +88,7 @@
 		}
 	}
 	limit := tasksPerTurn
-	if isMigration || turn.Single || o.isPlacedOneByOne(job) {
+	if isMigration || turn.OneTaskOnly || o.isPlacedOneByOne(job) {
 		limit = 1
 	}
 	if spec.IsService() {
@@ -154,7 +154,7 @@
 func (l *Leader) queues(now clock.Micros) []*fairshare.TeamQueue {
 	policy := fairshare.Policy{Teams: l.teams, CompletionSLO: l.completionSLO,
 		StartWithinS: l.cfg.Tuning.Queues.StartTargetS, LeastShare: l.cfg.Tuning.Queues.MinShare}
-	return policy.Queues(fairshare.Clock{Now: now, TimeOfDay: now + l.wallOffset}, l.jobs, l.usage)
+	return policy.Queues(fairshare.PassTime{Now: now, TimeOfDay: now + l.wallOffset}, l.jobs, l.usage)
 }
 
 // shardOfMachine returns the lease of the shard that a machine belongs to.
