--- a/internal/election/elector.go
+++ b/internal/election/elector.go
@@ -41,8 +41,8 @@
 	formerCampaignUnanswered bool // so did one under an earlier lease: a key of ours may be attached to it
 	retryAt                  clock.Micros
 
-	term  cluster.Term // this controller's own; 0: it does not lead
-	until clock.Micros // the term may be acted on until then
+	term          cluster.Term // this controller's own; 0: it does not lead
+	termExpiresAt clock.Micros // the term may be acted on until then
 
 	effects []Effect // of the present Step
 }
@@ -57,7 +57,7 @@
 // Step handles one message and returns what is to be done, in order.
 func (e *Elector) Step(now clock.Micros, message Message) []Effect {
 	e.effects = nil
-	if e.term > 0 && now >= e.until {
+	if e.term > 0 && now >= e.termExpiresAt {
 		e.loseLeadership()
 	}
 	switch m := message.(type) {
@@ -147,8 +147,8 @@
 		e.leaseRequested = max(e.leaseRequested, m.Sent)
 		if e.term > 0 {
 			// The term's time runs from when the renewal was sent, not from its answer.
-			e.until = max(e.until, m.Sent+e.ttl.Shorter())
-			e.emit(ExtendLeadership{Until: e.until})
+			e.termExpiresAt = max(e.termExpiresAt, m.Sent+e.ttl.Shorter())
+			e.emit(ExtendLeadership{Until: e.termExpiresAt})
 		}
 	case errors.Is(m.Err, store.ErrNotFound):
 		if e.term > 0 {
@@ -172,7 +172,7 @@
 		e.revokeLease() // the answer took so long that the lease may have expired
 		return
 	}
-	e.term, e.until = term, until
+	e.term, e.termExpiresAt = term, until
 	e.renewAt = now
 	e.emit(AcquireLeadership{Term: term, Until: until})
 	e.follow(term, e.self.Controller)
--- a/internal/election/elector_test.go
+++ b/internal/election/elector_test.go
@@ -55,7 +55,7 @@
 
 // A campaign without an answer may be carried out after its lease was given up for another: the key is then
 // attached to a lease that nobody renews, so it must not begin a term that is extended with the other.
-func TestLateCampaignUnderAnEarlierLeaseBeginsNoTerm(t *testing.T) {
+func TestLateCampaignUnderEarlierLeaseStartsNoTerm(t *testing.T) {
 	me := Record{Controller: "n0", Incarnation: 1}
 	e := New(me, 3*clock.Second)
 	e.Step(0, LeaderKeyObserved{Revision: 5})
--- a/internal/shard/agent_contact.go
+++ b/internal/shard/agent_contact.go
@@ -5,28 +5,28 @@
 	"swiftledge/wire"
 )
 
-// agentContact is what is known of the exchange of heartbeats with a machine's agent.
+// agentContact records the statuses and heartbeats exchanged with a machine's agent.
 type agentContact struct {
-	// epoch and seq are of the newest status, be it a heartbeat or the answer to a request of ours.
+	// epoch and seq identify the newest status, whether from a heartbeat or from the answer to a request.
 	epoch wire.AgentEpoch
 	seq   uint64
-	// epochSince is when a status first came from the epoch.
+	// epochSince is when the first status of the epoch arrived.
 	epochSince clock.Micros
-	// heartbeatEpoch and heartbeatSeq are of the newest heartbeat.
+	// heartbeatEpoch and heartbeatSeq identify the newest heartbeat.
 	heartbeatEpoch wire.AgentEpoch
 	heartbeatSeq   uint64
 
-	lastStatus   clock.Micros // when a status last came
-	lastReply    clock.Micros // when a heartbeat was last answered
-	lastOutdated clock.Micros // when a heartbeat last came that is not newer than the last
+	lastStatus   clock.Micros // when the last status arrived
+	lastReply    clock.Micros // when the last reply to a heartbeat was sent
+	lastOutdated clock.Micros // when the last outdated heartbeat arrived; see recordIfOutdated
 }
 
-// isNewer says whether a status is newer than all before; an older one proves nothing.
+// isNewer reports whether a status is newer than all earlier ones. An older one proves nothing.
 func (c *agentContact) isNewer(status *wire.Heartbeat) bool {
-	return isLater(status, c.epoch, c.seq)
+	return isNewerThan(status, c.epoch, c.seq)
 }
 
-// record takes in a status that is newer than all before.
+// record stores a status that is newer than all earlier ones.
 func (c *agentContact) record(now clock.Micros, status *wire.Heartbeat) {
 	if status.AgentEpoch > c.epoch {
 		c.epochSince = now
@@ -34,40 +34,40 @@
 	c.epoch, c.seq, c.lastStatus = status.AgentEpoch, status.Seq, now
 }
 
-// noteOutdated returns whether a heartbeat is not newer than the last, and remembers when such a one came. It is a
-// late copy, as an agent sends one heartbeat at a time: nobody waits for a reply, and it renews no lease. Or the
-// agent began anew under its name, and has its lease from then on: it hides that the machine is silent as far as
-// that is to prove something.
-func (c *agentContact) noteOutdated(now clock.Micros, heartbeat *wire.Heartbeat) bool {
-	if isLater(heartbeat, c.heartbeatEpoch, c.heartbeatSeq) {
+// recordIfOutdated reports whether a heartbeat is not newer than the last one, and records when an outdated one
+// arrived. Either it is a late copy, because an agent sends one heartbeat at a time: no agent waits for the reply,
+// and no lease is renewed. Or a restarted agent uses the machine's name, and its lease starts now. So an outdated
+// heartbeat postpones the time after which silence proves that the machine's attempts have ended.
+func (c *agentContact) recordIfOutdated(now clock.Micros, heartbeat *wire.Heartbeat) bool {
+	if isNewerThan(heartbeat, c.heartbeatEpoch, c.heartbeatSeq) {
 		return false
 	}
 	c.lastOutdated = now
 	return true
 }
 
-// recordHeartbeat takes in a heartbeat that is newer than the last.
+// recordHeartbeat stores a heartbeat that is newer than the last one.
 func (c *agentContact) recordHeartbeat(heartbeat *wire.Heartbeat) {
 	c.heartbeatEpoch, c.heartbeatSeq = heartbeat.AgentEpoch, heartbeat.Seq
 }
 
-func isLater(status *wire.Heartbeat, epoch wire.AgentEpoch, seq uint64) bool {
+func isNewerThan(status *wire.Heartbeat, epoch wire.AgentEpoch, seq uint64) bool {
 	return status.AgentEpoch > epoch || status.AgentEpoch == epoch && status.Seq > seq
 }
 
-// maxUnansweredCommands is how many requests in a row go without an answer before a machine counts as unreachable.
+// maxUnansweredCommands is the number of consecutive unanswered requests after which a machine counts as unreachable.
 const maxUnansweredCommands = 2
 
-// commandChannel is what is known of the way of commands to an agent, whose heartbeats may come all the same.
+// commandChannel tracks whether commands reach an agent. Its heartbeats may arrive even when commands do not.
 type commandChannel struct {
-	unanswered       int          // requests without an answer, in a row
-	unreachableSince clock.Micros // 0: commands arrive
+	unanswered       int          // consecutive requests without an answer
+	unreachableSince clock.Micros // 0: commands reach the agent
 }
 
 func (c *commandChannel) isUnreachable() bool { return c.unreachableSince > 0 }
 
-// markUnreachable notes that commands to a machine, or replies to its heartbeats, do not arrive: it gets no work until
-// it has answered a command. Its tasks end with its lease; the next epoch that it reports proves it.
+// markUnreachable marks a machine that commands, or replies to its heartbeats, do not reach. It gets no tasks until it
+// answers a command. Its tasks end when the agent's lease expires, which the next epoch that it reports proves.
 func (h *Holder) markUnreachable(now clock.Micros, s *heldShard, m *machine) {
 	if !m.commands.isUnreachable() {
 		m.commands.unreachableSince = now
@@ -75,14 +75,14 @@
 	}
 }
 
-// recordUnanswered notes that a request to a machine got no answer.
+// recordUnanswered counts a request to a machine that got no answer.
 func (h *Holder) recordUnanswered(now clock.Micros, s *heldShard, m *machine) {
 	if m.commands.unanswered++; m.commands.unanswered >= maxUnansweredCommands {
 		h.markUnreachable(now, s, m)
 	}
 }
 
-// recordAnswered notes that a command to a machine arrived.
+// recordAnswered marks a machine as reachable because it answered a command.
 func (s *heldShard) recordAnswered(m *machine) {
 	m.commands.unanswered = 0
 	if m.commands.isUnreachable() {
--- a/internal/shard/attempt_log.go
+++ b/internal/shard/attempt_log.go
@@ -10,31 +10,31 @@
 )
 
 const (
-	// emptyPageRetention is how long a page without attempts is kept to be written again.
+	// emptyPageRetention is how long a page without attempts is kept for reuse.
 	emptyPageRetention = 5 * clock.Second
-	// deletionInterval is the pause between two deletions of pages, unless they fill a transaction.
+	// deletionInterval is the minimum time between two page deletions, unless the deletions fill a transaction.
 	deletionInterval = 5 * clock.Second
 )
 
-// storeLimits is what the store takes.
+// storeLimits are the store's limits on the size of a value and on the operations of a transaction.
 type storeLimits struct{ valueBytes, txnOps int }
 
-// limits returns what the store takes, as far as is known now.
+// limits returns the store's limits as currently known.
 func (p *Params) limits() storeLimits { return storeLimits{p.MaxValueBytes, p.MaxTxnOps} }
 
-// attemptPage is one store key of attempt records. Pages of this lease are written over, live records first, so that
-// a placement cycle costs one put and no deletes; those of earlier leases, and those whose last write is uncertain,
-// are only deleted.
+// attemptPage is a page of attempt records, stored under one key. Pages of this lease are overwritten, live records
+// first, so that a placement cycle costs one put and no deletes. Pages of earlier leases, and pages whose last write
+// has an unknown outcome, are only ever deleted.
 type attemptPage struct {
-	key          string
-	version      uint64
-	fencingToken wire.FencingToken // of the lease whose attempts it names
-	attempts     []*taskAttempt    // that are not proven gone
-	sealed       bool              // never written again
-	compacting   bool              // it is being written in place of others
-	stored       int               // how many records its stored value has
-	replacedKeys []string          // keys that may hold its records, too
-	emptySince   clock.Micros
+	key           string
+	version       uint64
+	fencingToken  wire.FencingToken // of the lease that placed the attempts
+	attempts      []*taskAttempt    // that are not proven to have ended
+	sealed        bool              // never overwritten
+	compacting    bool              // being written to replace other pages
+	storedRecords int               // number of records in the stored value
+	replacedKeys  []string          // keys that may also hold its records
+	emptySince    clock.Micros
 }
 
 func (p *attemptPage) add(a *taskAttempt) {
@@ -49,7 +49,7 @@
 	a.page = nil
 }
 
-// addTo adds the page's records to a pager; false when not all of them fit.
+// addTo adds the page's records to a pager. It returns false if not all of them fit.
 func (p *attemptPage) addTo(pager *peer.AttemptPager) bool {
 	for _, a := range p.attempts {
 		if !pager.Add(a.group, a.task.Index, a.id, a.machine.name) {
@@ -59,56 +59,56 @@
 	return true
 }
 
-// staleRecords is how many records of the page's stored value name attempts that are gone.
-func (p *attemptPage) staleRecords() int { return p.stored - len(p.attempts) }
+// staleRecords returns how many records of the page's stored value belong to attempts that have ended.
+func (p *attemptPage) staleRecords() int { return p.storedRecords - len(p.attempts) }
 
-// attemptLog keeps the write-ahead records of a shard's attempts in pages. It has one write under way at a time.
+// attemptLog keeps the write-ahead records of a shard's attempts in pages. At most one write is in flight at a time.
 type attemptLog struct {
 	shard        int
 	fencingToken wire.FencingToken // of the lease
 	keyVersion   uint64
 
-	pages     []*attemptPage // in the order in which they came
-	pageCount int            // pages that were begun under the lease
-	writeSeq  int
-	write     *attemptWrite // under way
+	pages        []*attemptPage // in the order in which they were added
+	pageCount    int            // pages created under the lease
+	writeSeq     int
+	pendingWrite *attemptWrite // the write in flight; nil without one
 
-	compaction     *attemptPage // being written in place of others
+	compaction     *attemptPage // the page being written to replace others; nil without one
 	lastCompaction clock.Micros
 
-	deletions    []string // keys that are to be deleted
-	lastDeletion clock.Micros
+	pendingDeletions []string // keys still to be deleted
+	lastDeletion     clock.Micros
 }
 
-// attemptWrite is a write of attempt records that is under way.
+// attemptWrite is a write of attempt records that is in flight.
 type attemptWrite struct {
 	seq      int
 	pages    []*attemptPage
 	attempts []*taskAttempt
 }
 
-// newPage begins a page of this lease for records under its own or an earlier token.
+// newPage returns a new page of this lease for records under its own or an earlier token.
 func (l *attemptLog) newPage(token wire.FencingToken) *attemptPage {
 	l.pageCount++
 	key := AttemptPrefix(l.shard) + strconv.FormatUint(uint64(l.fencingToken), 10) + "-" + strconv.Itoa(l.pageCount)
 	return &attemptPage{key: key, fencingToken: token}
 }
 
-// isBeingWritten says whether a page is part of the write under way.
+// isBeingWritten reports whether a page is part of the write in flight.
 func (l *attemptLog) isBeingWritten(p *attemptPage) bool {
-	return l.write != nil && slices.Contains(l.write.pages, p)
+	return l.pendingWrite != nil && slices.Contains(l.pendingWrite.pages, p)
 }
 
-// completeWrite takes in the end of the write under way and returns its attempts; nil if it is another write's end.
+// completeWrite handles the result of the write in flight and returns its attempts, or nil for any other write.
 func (l *attemptLog) completeWrite(result AttemptsWritten) []*taskAttempt {
-	if l.write == nil || l.write.seq != result.Seq {
+	if l.pendingWrite == nil || l.pendingWrite.seq != result.Seq {
 		return nil
 	}
-	write := l.write
-	l.write = nil
+	write := l.pendingWrite
+	l.pendingWrite = nil
 	for _, p := range write.pages {
-		// Without the new version no condition would protect the next write: what the page holds, before or after
-		// this one, covers all that may run.
+		// Without the new version, no condition would protect the next write of the page. Its value, from before or
+		// after this write, covers every attempt that may run.
 		if result.Revision > 0 {
 			p.version = result.Revision
 		} else if !result.NeverExecuted {
@@ -118,7 +118,7 @@
 	return write.attempts
 }
 
-// dropEmptyPages takes pages that name no attempt any more out of use; their keys are to be deleted.
+// dropEmptyPages removes pages without attempts and queues their keys for deletion.
 func (l *attemptLog) dropEmptyPages(now clock.Micros) {
 	l.pages = slices.DeleteFunc(l.pages, func(p *attemptPage) bool {
 		switch {
@@ -129,22 +129,22 @@
 			p.emptySince = now
 		}
 		if p.sealed || now-p.emptySince > emptyPageRetention {
-			l.deletions = append(append(l.deletions, p.key), p.replacedKeys...)
+			l.pendingDeletions = append(append(l.pendingDeletions, p.key), p.replacedKeys...)
 			return true
 		}
 		return false
 	})
 }
 
-// nextDeletion returns the keys that are to be deleted now, if it is time.
+// nextDeletion returns the next batch of keys to delete. It returns false if none is due.
 func (l *attemptLog) nextDeletion(now clock.Micros, limits storeLimits) (effect DeletePages, ok bool) {
-	count := len(l.deletions)
+	count := len(l.pendingDeletions)
 	if count == 0 || count < limits.txnOps && now-l.lastDeletion <= deletionInterval {
 		return DeletePages{}, false
 	}
 	count = min(count, limits.txnOps)
-	effect = DeletePages{Shard: l.shard, KeyVersion: l.keyVersion, Keys: slices.Clone(l.deletions[:count])}
-	l.deletions = l.deletions[count:]
+	effect = DeletePages{Shard: l.shard, KeyVersion: l.keyVersion, Keys: slices.Clone(l.pendingDeletions[:count])}
+	l.pendingDeletions = l.pendingDeletions[count:]
 	l.lastDeletion = now
 	return effect, true
 }
--- a/internal/shard/attempt_log_test.go
+++ b/internal/shard/attempt_log_test.go
@@ -12,7 +12,7 @@
 
 // The key of an attempt page names the lease that wrote it, and its count there; leaders of any version find the
 // pages of a shard by the beginning of their keys.
-func TestKeyOfAnAttemptPage(t *testing.T) {
+func TestAttemptPageKey(t *testing.T) {
 	l := attemptLog{shard: 2, fencingToken: 7<<12 | 3}
 	cases := []struct {
 		name, want string
@@ -79,7 +79,7 @@
 
 // Pages that are full must not take the place of new ones in a transaction: with as many of them as it holds, nothing
 // could be launched until some task ended.
-func TestFullPagesDoNotHoldBackLaunches(t *testing.T) {
+func TestFullPagesDoNotBlockLaunches(t *testing.T) {
 	h := newTestHolder(t)
 	h.Step(now, fromLeader(peer.FromLeader{Term: testTerm,
 		Types: []wire.MachineType{{Name: "small", CPUs: 4000, MemoryGB: 8000}}}))
@@ -92,7 +92,7 @@
 			if err != nil || len(txn.Writes) > h.params.MaxTxnOps {
 				t.Fatalf("cycle %d: %d puts in a transaction, %v", seq, len(txn.Writes), err)
 			}
-			launched = len(h.shards[0].log.write.attempts)
+			launched = len(h.shards[0].log.pendingWrite.attempts)
 			h.Step(now, write.Result(store.TxnResult{Committed: true, Revision: 30 + seq}))
 		}
 		if launched != 250 {
@@ -101,9 +101,9 @@
 	}
 }
 
-// holderOfStalePages returns a holder under token 60 whose two pages name 30 attempts each on m1, of which the first
+// newHolderWithStalePages returns a holder under token 60 whose two pages name 30 attempts each on m1, of which the first
 // one runs, and the status of those two.
-func holderOfStalePages(t *testing.T) (*Holder, []wire.TaskStatus) {
+func newHolderWithStalePages(t *testing.T) (*Holder, []wire.TaskStatus) {
 	t.Helper()
 	h := newTestHolder(t)
 	h.Step(now, LeaderConnected{Term: 10})
@@ -122,7 +122,7 @@
 	h.Step(now, fromLeader(peer.FromLeader{Term: 10, Grants: []peer.ShardGrant{
 		{Shard: 0, FencingToken: 60, KeyVersion: 8, Machines: testInventory[:1], Pages: pages}}}))
 	h.Step(now, renewal(h, 60))
-	h.Step(later(10), heartbeat("m1", 1, 60, tasks...))
+	h.Step(afterUpdateIntervals(10), heartbeat("m1", 1, 60, tasks...))
 	return h, tasks
 }
 
@@ -138,8 +138,8 @@
 		{"no answer", store.TxnResult{Ambiguous: true}, 3},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			h, tasks := holderOfStalePages(t)
-			compaction := onlyEffect[CompactPages](t, h.Step(later(11), Tick{}))
+			h, tasks := newHolderWithStalePages(t)
+			compaction := onlyEffect[CompactPages](t, h.Step(afterUpdateIntervals(11), Tick{}))
 			txn, err := compaction.Txn()
 			if err != nil || len(txn.Writes) != 3 || txn.Conditions[0] != (wire.Condition{Key: Key(0), Version: 8}) ||
 				txn.Conditions[1] != (wire.Condition{Key: compaction.Put.Key}) {
@@ -151,20 +151,20 @@
 				records[0].Attempt != tasks[0].Attempt || records[1].Attempt != tasks[1].Attempt {
 				t.Fatalf("the new page names %+v, want what runs", records)
 			}
-			h.Step(later(12), compaction.Result(c.outcome))
+			h.Step(afterUpdateIntervals(12), compaction.Result(c.outcome))
 			// Both end: whatever may hold their records is deleted.
 			for i := range tasks {
 				tasks[i].State, tasks[i].Cause = wire.TaskExited, wire.ExitStopped
 			}
-			h.Step(later(13), heartbeat("m1", 2, 60, tasks...))
+			h.Step(afterUpdateIntervals(13), heartbeat("m1", 2, 60, tasks...))
 			keys := map[string]bool{}
 			for i := range 60 {
-				for _, deletion := range effectsOf[DeletePages](h.Step(later(20+10*i), Tick{})) {
+				for _, deletion := range effectsOf[DeletePages](h.Step(afterUpdateIntervals(20+10*i), Tick{})) {
 					for _, key := range deletion.Keys {
 						keys[key] = true
 					}
 				}
-				h.Step(later(20+10*i), renewal(h, 60))
+				h.Step(afterUpdateIntervals(20+10*i), renewal(h, 60))
 			}
 			if !keys[compaction.Put.Key] || len(keys) != c.deleted {
 				t.Errorf("deleted %v, want %d keys", keys, c.deleted)
@@ -179,11 +179,11 @@
 		h := newTestHolder(t)
 		l := &h.shards[0].log
 		page := l.pages[0]
-		page.stored = 100
+		page.storedRecords = 100
 		if writing {
-			l.write = &attemptWrite{pages: []*attemptPage{page}}
+			l.pendingWrite = &attemptWrite{pages: []*attemptPage{page}}
 		}
-		h.maintainLog(later(1), h.shards[0])
+		h.maintainLog(afterUpdateIntervals(1), h.shards[0])
 		if (l.compaction == nil) != writing {
 			t.Errorf("being written %v: compacting %v", writing, l.compaction != nil)
 		}
@@ -191,7 +191,7 @@
 }
 
 // What the store refuses for its size is tried in smaller pieces, not for ever.
-func TestTooLargeWritesGetSmaller(t *testing.T) {
+func TestRejectedWriteReducesLimits(t *testing.T) {
 	h := newTestHolder(t)
 	h.Step(now, heartbeat("m1", 1, testToken))
 	effects := h.Step(now, offer(1, wire.Job{Ref: "j-000009", Team: "red", CPUs: 1, Spot: true, Tasks: 1}, 1))
@@ -206,7 +206,7 @@
 }
 
 // That a page's condition fails proves an earlier try only while the shard is ours.
-func TestFailedConditions(t *testing.T) {
+func TestWriteResultOnFailedConditions(t *testing.T) {
 	write := WriteAttempts{Shard: 0, FencingToken: testToken}
 	const page = "run/000/50-1"
 	for _, c := range []struct {
@@ -231,7 +231,7 @@
 
 // The attempts of a lease are as many as their bits; one more would be an attempt of the next token. A lease that runs
 // out of them places nothing more and asks for a new one.
-func TestLeaseOutOfAttemptsAsksForANewOne(t *testing.T) {
+func TestExhaustedAttemptIDsRequestRegrant(t *testing.T) {
 	for _, c := range []struct {
 		count        uint64
 		places, asks bool
@@ -244,7 +244,7 @@
 		h.Step(now, heartbeat("m1", 1, testToken))
 		h.Step(now, heartbeat("m1", 2, testToken))
 		attempts := &h.shards[0].attempts
-		attempts.count = c.count
+		attempts.issuedIDs = c.count
 		placed := 0
 		offered := offer(1, wire.Job{Ref: "j-000009", Team: "red", CPUs: 0.001, Spot: true}, 3)
 		for _, write := range effectsOf[WriteAttempts](h.Step(now, offered)) {
@@ -256,14 +256,14 @@
 		if (placed > 0) != c.places || asked != c.asks {
 			t.Errorf("%d attempts given out: %d tasks placed, a new grant asked for: %v", c.count, placed, asked)
 		}
-		if attempts.count >= 1<<peer.AttemptBits {
-			t.Errorf("attempt %d does not fit its bits", attempts.count)
+		if attempts.issuedIDs >= 1<<peer.AttemptBits {
+			t.Errorf("attempt %d does not fit its bits", attempts.issuedIDs)
 		}
 	}
 }
 
 // A log deletes its empty pages after a while, so that the next cycle may write them over.
-func TestEmptyPageIsKeptForTheNextCycle(t *testing.T) {
+func TestEmptyPageRetention(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		sealed bool
--- a/internal/shard/attempt_writer.go
+++ b/internal/shard/attempt_writer.go
@@ -6,21 +6,22 @@
 	"swiftledge/internal/peer"
 )
 
-// maxTxnBytes is what the values of one transaction may take together.
+// maxTxnBytes limits the total size of the values in one transaction.
 const maxTxnBytes = 56 << 10
 
-// attemptWriter fills pages of an attempt log with new records, those with the fewest attempts first.
+// attemptWriter adds new records to the pages of an attempt log, starting with the pages that have the fewest
+// attempts.
 type attemptWriter struct {
 	log      *attemptLog
 	limits   storeLimits
 	reusable []*attemptPage // emptiest first
 	write    *attemptWrite
 	puts     []PageWrite
-	pager    *peer.AttemptPager // of the last of the write's pages; nil when none is open
+	pager    *peer.AttemptPager // of the write's last page; nil if no page is open
 	added    int                // new records on the open page
 }
 
-// newWriter begins a write. There must be none under way, unless nothing is added.
+// newWriter returns a writer for the next write. Nothing may be added to it while another write is in flight.
 func (l *attemptLog) newWriter(limits storeLimits) *attemptWriter {
 	w := &attemptWriter{log: l, limits: limits, write: &attemptWrite{seq: l.writeSeq + 1}}
 	for _, p := range l.pages {
@@ -32,7 +33,7 @@
 	return w
 }
 
-// add finds a page for an attempt's record; false when the transaction holds no more.
+// add puts an attempt's record on a page. It returns false if the transaction is full.
 func (w *attemptWriter) add(a *taskAttempt) bool {
 	for {
 		if w.pager != nil {
@@ -51,22 +52,22 @@
 	}
 }
 
-// openPage returns the page that is being filled.
+// openPage returns the page that records are being added to.
 func (w *attemptWriter) openPage() *attemptPage { return w.write.pages[len(w.write.pages)-1] }
 
-// finishPage closes a page that takes no further record.
+// finishPage closes the open page, which has no space for another record.
 func (w *attemptWriter) finishPage() {
 	if w.added > 0 {
 		w.closePage()
 		return
 	}
-	// The page was full before. Written as it is it would only take the place of one with free space, and the others
-	// that are in use are fuller still.
+	// The page was already full. Writing it unchanged would only take the place of a page with free space, and the
+	// remaining reusable pages are even fuller.
 	w.reusable, w.pager = nil, nil
 	w.write.pages = w.write.pages[:len(w.write.pages)-1]
 }
 
-// nextPage opens the next page, with what it already holds.
+// nextPage opens the next page, with the records that it already has.
 func (w *attemptWriter) nextPage() {
 	w.added = 0
 	w.pager = w.newPager()
@@ -92,12 +93,12 @@
 // closePage adds the open page to the transaction.
 func (w *attemptWriter) closePage() {
 	page := w.openPage()
-	page.stored = w.pager.Len()
+	page.storedRecords = w.pager.Len()
 	w.puts = append(w.puts, PageWrite{Key: page.key, Version: page.version, Page: w.pager.Page()})
 	w.pager = nil
 }
 
-// finish begins the write and returns its effect; false when nothing was added.
+// finish starts the write and returns its effect. It returns false if nothing was added.
 func (w *attemptWriter) finish() (effect WriteAttempts, ok bool) {
 	if w.pager != nil {
 		w.closePage()
@@ -107,7 +108,7 @@
 	}
 	l := w.log
 	l.writeSeq++
-	l.write = w.write
+	l.pendingWrite = w.write
 	return WriteAttempts{
 		Shard:        l.shard,
 		FencingToken: l.fencingToken,
--- a/internal/shard/attempts.go
+++ b/internal/shard/attempts.go
@@ -8,17 +8,17 @@
 	"swiftledge/wire"
 )
 
-// attemptState is how far an attempt has come, as far as is known.
+// attemptState is the last known state of an attempt.
 type attemptState int
 
 const (
-	attemptRecording attemptState = iota // its record is being written: it was never launched
+	attemptRecording attemptState = iota // its record is being written; not launched yet
 	attemptLaunched                      // a run command may have been sent
-	attemptConfirmed                     // a status under our fencing token has listed it
+	attemptConfirmed                     // a status under this lease's fencing token has listed it
 	attemptExited
 )
 
-// stopMode says whether an attempt is to end; the later ones overrule the earlier.
+// stopMode says whether and how an attempt is to be stopped. A later mode overrides an earlier one.
 type stopMode int
 
 const (
@@ -34,11 +34,11 @@
 	notEnded attemptEnd = iota
 	endCompleted
 	endFailed
-	endReleased // it did not get to its end by itself: its task goes back
+	endReleased // did not finish by itself: its task is returned to the leader
 )
 
-// endOf returns the end that an exit's cause stands for. A cause that is not known is no failure.
-func endOf(cause wire.ExitCause) attemptEnd {
+// endForCause maps the cause of an exit to the attempt's end. An unrecognized cause is not a failure.
+func endForCause(cause wire.ExitCause) attemptEnd {
 	switch cause {
 	case wire.ExitDone:
 		return endCompleted
@@ -50,7 +50,7 @@
 	return endReleased
 }
 
-// eventKind returns the kind of event that tells the leader of an end.
+// eventKind returns the kind of the event that reports the end to the leader.
 func (e attemptEnd) eventKind() peer.EventKind {
 	switch e {
 	case endCompleted:
@@ -62,36 +62,36 @@
 	return peer.EventReleased
 }
 
-// taskAttempt is one attempt that may be on a machine.
+// taskAttempt is an attempt of a task that may exist on a machine.
 type taskAttempt struct {
 	task            peer.Task
 	id              wire.AttemptID
 	machine         *machine
-	group           *peer.AttemptGroup // what the task takes; its Attempts are unused
-	page            *attemptPage       // that holds its record; nil once it needs none
+	group           *peer.AttemptGroup // the task's resources and image; its Attempts are unused
+	page            *attemptPage       // the page with its record; nil once no record is needed
 	pageIndex       int                // in page.attempts
 	state           attemptState
-	inherited       bool // from an earlier lease
+	inherited       bool // launched under an earlier lease
 	running         bool
 	startedAt       clock.Micros
 	launch          attemptLaunch
 	stop            stopMode
 	stopRequestedAt clock.Micros
 	end             attemptEnd
-	// endReported says that the leader has been told of the end, endPersisted that what it proves is stored.
+	// endReported: the end has been reported to the leader. endPersisted: the outcome that it proves is stored.
 	endReported  bool
 	endPersisted bool
 }
 
-// attemptLaunch is how an attempt was launched.
+// attemptLaunch describes the launch of an attempt.
 type attemptLaunch struct {
-	at         clock.Micros    // 0: under an earlier lease
-	agentEpoch wire.AgentEpoch // that the run command was meant for
-	sent       bool            // a run command under our token went out by SendCommands: a copy of it may come late
-	unanswered int             // such commands without an answer: they may still be carried out
+	launchedAt    clock.Micros    // 0: launched under an earlier lease
+	agentEpoch    wire.AgentEpoch // the epoch that the run command is for
+	sentInRequest bool            // a run command under this token went out by SendCommands; a copy may arrive late
+	unanswered    int             // such commands without an answer; they may still be executed
 }
 
-// requestStop notes that an attempt is to end, and returns whether its agent is to be told now.
+// requestStop marks an attempt to be stopped and returns whether to send its agent a kill command now.
 func (a *taskAttempt) requestStop(now clock.Micros, checkpoint bool) bool {
 	mode := stopImmediately
 	if checkpoint && a.group.CheckpointS > 0 {
@@ -102,57 +102,57 @@
 	}
 	a.stop = mode
 	if a.state == attemptExited {
-		return false // a late copy of its run command must find it listed still
+		return false // it must stay listed, so that a late copy of its run command has no effect
 	}
 	a.stopRequestedAt = now
 	return a.state != attemptRecording
 }
 
-// canForget says whether an agent may forget an exited attempt. After that, a late copy of its run command would
-// start it again. A completed task exits at once then, its result being kept, which harms nobody unless its job was
-// cancelled; any other stays listed until the agent has confirmed a higher token than the command's, which it obeys
-// no more.
+// canForget reports whether an agent may forget an exited attempt. Once forgotten, a late copy of the run command
+// would start the attempt again. A completed task then exits at once because its result is kept, which is harmless
+// unless its job was cancelled. Any other attempt stays listed until the agent has confirmed a token higher than the
+// command's, and so refuses the command.
 func (a *taskAttempt) canForget() bool {
 	harmlessIfRepeated := a.end == endCompleted && a.stop == keepRunning
-	return a.endPersisted && a.launch.unanswered == 0 && (!a.launch.sent || harmlessIfRepeated)
+	return a.endPersisted && a.launch.unanswered == 0 && (!a.launch.sentInRequest || harmlessIfRepeated)
 }
 
-// isRetained says whether an attempt is over but must stay listed by its agent.
+// isRetained reports whether an attempt has ended but must stay listed by its agent.
 func (a *taskAttempt) isRetained() bool {
 	return a.state == attemptExited && a.endPersisted && !a.canForget()
 }
 
-// persistEnd notes that what the attempt's end proves is stored: its record is needed no more.
+// persistEnd marks the attempt's end as stored and releases its record, which is no longer needed.
 func (a *taskAttempt) persistEnd() {
 	a.endPersisted = true
 	a.releaseRecord()
 }
 
-// releaseRecord gives up the write-ahead record of an attempt.
+// releaseRecord removes the attempt's write-ahead record from its page.
 func (a *taskAttempt) releaseRecord() {
 	if a.page != nil {
 		a.page.remove(a)
 	}
 }
 
-// maxAttempts is how many attempts a lease places at most. The IDs that are left of its fencing token's are more
-// than one placement cycle can record in a transaction: an ID beyond would belong to another token.
+// maxAttempts is the number of attempts at which a lease places no more. The attempt IDs then left under its fencing
+// token are more than one placement cycle can record in a transaction. An ID past them would belong to another token.
 const maxAttempts = 1<<peer.AttemptBits - attemptReserve
 
-// attemptReserve is how many attempt IDs are left of a lease when a new one is requested.
+// attemptReserve is the number of attempt IDs left under a lease when a new lease is requested.
 const attemptReserve = 1 << 14
 
-// attemptTable holds the attempts of a shard by task.
+// attemptTable indexes the attempts of a shard by task.
 type attemptTable struct {
-	count  uint64 // attempt IDs given out under the lease
-	byTask map[peer.Task][]*taskAttempt
-	// unreported counts, by task, the attempts whose end the leader has not been told. A stale record may stand
-	// beside a live attempt: only the last end gives the task back.
+	issuedIDs uint64 // attempt IDs issued under the lease
+	byTask    map[peer.Task][]*taskAttempt
+	// unreported counts, by task, the attempts whose end has not been reported to the leader. A task may have a stale
+	// record beside a live attempt, so only the last end returns the task to the leader.
 	unreported map[peer.Task]int
 }
 
-// isExhausted says whether the lease has too few attempt IDs left for a placement cycle.
-func (t *attemptTable) isExhausted() bool { return t.count >= maxAttempts }
+// isExhausted reports whether the lease has too few attempt IDs left for a placement cycle.
+func (t *attemptTable) isExhausted() bool { return t.issuedIDs >= maxAttempts }
 
 func (t *attemptTable) add(a *taskAttempt) {
 	t.byTask[a.task] = append(t.byTask[a.task], a)
@@ -160,16 +160,16 @@
 }
 
 func (t *attemptTable) remove(a *taskAttempt) {
-	left := slices.DeleteFunc(t.byTask[a.task], func(o *taskAttempt) bool { return o == a })
-	if len(left) > 0 {
-		t.byTask[a.task] = left
+	remaining := slices.DeleteFunc(t.byTask[a.task], func(other *taskAttempt) bool { return other == a })
+	if len(remaining) > 0 {
+		t.byTask[a.task] = remaining
 	} else {
 		delete(t.byTask, a.task)
 	}
 }
 
-// countEnd notes that an attempt's end is reported, and returns whether it was the task's last.
-func (t *attemptTable) countEnd(task peer.Task) (last bool) {
+// recordReportedEnd counts a reported end of an attempt and returns whether it was the task's last attempt.
+func (t *attemptTable) recordReportedEnd(task peer.Task) (last bool) {
 	t.unreported[task]--
 	if t.unreported[task] != 0 {
 		return false
--- a/internal/shard/attempts_test.go
+++ b/internal/shard/attempts_test.go
@@ -10,19 +10,19 @@
 
 // A stale record beside a live attempt of the same task: its end must not give the task back, or it would be launched
 // twice.
-func TestTaskComesBackWithItsLastAttemptOnly(t *testing.T) {
+func TestTaskReleasedOnlyWithLastAttempt(t *testing.T) {
 	h := newTestHolder(t)
-	if kinds := eventsOf(h.Step(later(1), heartbeat("m1", 1, testToken))); len(kinds) != 0 {
+	if kinds := eventsOf(h.Step(afterUpdateIntervals(1), heartbeat("m1", 1, testToken))); len(kinds) != 0 {
 		t.Errorf("events %v when a stale attempt is proven gone beside a live one", kinds)
 	}
-	kinds := eventsOf(h.Step(later(2), heartbeat("m2", 1, testToken, running(2))))
+	kinds := eventsOf(h.Step(afterUpdateIntervals(2), heartbeat("m2", 1, testToken, running(2))))
 	if len(kinds) != 1 || kinds[0] != peer.EventRunning {
 		t.Errorf("events %v, want running", kinds)
 	}
-	if kinds := eventsOf(h.Step(later(3), heartbeat("m2", 2, testToken))); len(kinds) != 0 {
+	if kinds := eventsOf(h.Step(afterUpdateIntervals(3), heartbeat("m2", 2, testToken))); len(kinds) != 0 {
 		t.Errorf("events %v: an attempt that was confirmed cannot vanish within an epoch", kinds)
 	}
-	kinds = eventsOf(h.Step(later(4), heartbeat("m2", 3, testToken).inEpoch(2)))
+	kinds = eventsOf(h.Step(afterUpdateIntervals(4), heartbeat("m2", 3, testToken).inEpoch(2)))
 	if len(kinds) != 1 || kinds[0] != peer.EventReleased {
 		t.Errorf("events %v after the agent's lease expired, want released", kinds)
 	}
@@ -30,13 +30,13 @@
 
 // The end of one attempt is reported as the completion of its task, but with the word that another may run yet: a
 // replica's task would be launched once more beside it.
-func TestCompletionBesideAnotherAttemptSaysSo(t *testing.T) {
+func TestCompletionReportsRemainingAttempt(t *testing.T) {
 	h := newTestHolder(t)
-	kinds := eventsOf(h.Step(later(1), heartbeat("m1", 1, testToken, exitedAs(1, wire.ExitDone))))
+	kinds := eventsOf(h.Step(afterUpdateIntervals(1), heartbeat("m1", 1, testToken, exitedWith(1, wire.ExitDone))))
 	if !slices.Equal(kinds, []peer.EventKind{peer.EventAttemptRemains, peer.EventCompleted}) {
 		t.Errorf("events %v when one of two attempts completed", kinds)
 	}
-	kinds = eventsOf(h.Step(later(2), heartbeat("m2", 1, testToken, exitedAs(2, wire.ExitDone))))
+	kinds = eventsOf(h.Step(afterUpdateIntervals(2), heartbeat("m2", 1, testToken, exitedWith(2, wire.ExitDone))))
 	if !slices.Equal(kinds, []peer.EventKind{peer.EventCompleted}) {
 		t.Errorf("events %v when the last attempt completed", kinds)
 	}
@@ -44,43 +44,43 @@
 
 // An end is reported once, however often the agent lists it: reported again, it would be taken for the end of the
 // attempt that the task has then.
-func TestAnEndIsReportedOnce(t *testing.T) {
+func TestAttemptEndReportedOnce(t *testing.T) {
 	h := newTestHolder(t)
 	h.Step(now, heartbeat("m1", 1, testToken)) // the other attempt's record is stale
-	first := eventsOf(h.Step(later(1), heartbeat("m2", 1, testToken, exitedAs(2, wire.ExitStopped))))
-	again := eventsOf(h.Step(later(2), heartbeat("m2", 2, testToken, exitedAs(2, wire.ExitStopped))))
+	first := eventsOf(h.Step(afterUpdateIntervals(1), heartbeat("m2", 1, testToken, exitedWith(2, wire.ExitStopped))))
+	again := eventsOf(h.Step(afterUpdateIntervals(2), heartbeat("m2", 2, testToken, exitedWith(2, wire.ExitStopped))))
 	if !slices.Equal(first, []peer.EventKind{peer.EventReleased}) || len(again) != 0 {
 		t.Errorf("events %v, then %v", first, again)
 	}
 }
 
 // An attempt whose end was reported is forgotten while the task runs as another one: that is no end of the other.
-func TestForgettingAnAttemptEndsNoOther(t *testing.T) {
+func TestForgettingAttemptDoesNotEndAnother(t *testing.T) {
 	h := newTestHolder(t)
 	s := h.shards[0]
 	h.Step(now, heartbeat("m1", 1, testToken))
-	h.Step(later(1), heartbeat("m2", 1, testToken, exitedAs(2, wire.ExitStopped)))
+	h.Step(afterUpdateIntervals(1), heartbeat("m2", 1, testToken, exitedWith(2, wire.ExitStopped)))
 	s.addAttempt(newAttempt(s.machines["m1"], task, 1, attemptConfirmed))
-	if kinds := eventsOf(h.Step(later(2), heartbeat("m2", 2, testToken))); len(kinds) != 0 {
+	if kinds := eventsOf(h.Step(afterUpdateIntervals(2), heartbeat("m2", 2, testToken))); len(kinds) != 0 {
 		t.Errorf("events %v as the former attempt is forgotten", kinds)
 	}
 }
 
 // An attempt whose end was reported goes on, as a late copy of its run command has come to an agent that began anew:
 // its task may run elsewhere, so it is ended.
-func TestAttemptThatGoesOnAfterItsEndIsKilled(t *testing.T) {
+func TestAttemptRestartedAfterItsEndIsKilled(t *testing.T) {
 	h := newTestHolder(t)
 	h.Step(now, heartbeat("m1", 1, testToken))
-	h.Step(later(1), heartbeat("m2", 1, testToken, exitedAs(2, wire.ExitStopped)))
-	commands := replyOf(t, h.Step(later(2), heartbeat("m2", 2, testToken, running(2)))).Body.Commands
+	h.Step(afterUpdateIntervals(1), heartbeat("m2", 1, testToken, exitedWith(2, wire.ExitStopped)))
+	commands := replyOf(t, h.Step(afterUpdateIntervals(2), heartbeat("m2", 2, testToken, running(2)))).Body.Commands
 	if len(commands) != 1 || commands[0].Verb != wire.VerbKill || *commands[0].GraceS != 0 {
 		t.Errorf("commands %v, want kill at once", commands)
 	}
 }
 
 // What a late copy of a run command could start again stays listed by its agent.
-func TestWhatMayBeForgotten(t *testing.T) {
-	sent, unanswered := attemptLaunch{sent: true}, attemptLaunch{sent: true, unanswered: 1}
+func TestCanForget(t *testing.T) {
+	sent, unanswered := attemptLaunch{sentInRequest: true}, attemptLaunch{sentInRequest: true, unanswered: 1}
 	for _, c := range []struct {
 		name    string
 		attempt taskAttempt
@@ -102,10 +102,10 @@
 }
 
 // Exits by completion are forgotten only after the store has them.
-func TestForgetsAfterStored(t *testing.T) {
+func TestCompletedAttemptForgottenOnceStored(t *testing.T) {
 	h := newTestHolder(t)
-	exit := exitedAs(2, wire.ExitDone)
-	effects := h.Step(later(1), heartbeat("m2", 1, testToken, exit))
+	exit := exitedWith(2, wire.ExitDone)
+	effects := h.Step(afterUpdateIntervals(1), heartbeat("m2", 1, testToken, exit))
 	want := []peer.EventKind{peer.EventAttemptRemains, peer.EventCompleted}
 	if kinds := eventsOf(effects); !slices.Equal(kinds, want) {
 		t.Errorf("events %v, want completed beside the record of another attempt", kinds)
@@ -122,16 +122,16 @@
 
 // An end whose cause is not known is no failure: its task is given back. A failure is reported once, however often it
 // is listed, and one of an attempt that is not ours not at all.
-func TestWhichEndsAreFailures(t *testing.T) {
+func TestFailureReportedOnceForKnownCauses(t *testing.T) {
 	h := newTestHolder(t)
-	failed := exitedAs(2, wire.ExitError)
+	failed := exitedWith(2, wire.ExitError)
 	h.Step(now, heartbeat("m1", 1, testToken, running(1)))
 	h.Step(now, heartbeat("m2", 1, testToken, running(2)))
-	h.Step(later(1), heartbeat("m1", 2, testToken, exitedAs(1, "struck by lightning")))
-	kinds := eventsOf(h.Step(later(2), heartbeat("m2", 2, testToken, failed)))
-	kinds = append(kinds, eventsOf(h.Step(later(3), heartbeat("m2", 3, testToken, failed)))...)
-	others := heartbeat("m2", 4, testToken, failed, exitedAs(77, wire.ExitError))
-	kinds = append(kinds, eventsOf(h.Step(later(4), others))...)
+	h.Step(afterUpdateIntervals(1), heartbeat("m1", 2, testToken, exitedWith(1, "struck by lightning")))
+	kinds := eventsOf(h.Step(afterUpdateIntervals(2), heartbeat("m2", 2, testToken, failed)))
+	kinds = append(kinds, eventsOf(h.Step(afterUpdateIntervals(3), heartbeat("m2", 3, testToken, failed)))...)
+	others := heartbeat("m2", 4, testToken, failed, exitedWith(77, wire.ExitError))
+	kinds = append(kinds, eventsOf(h.Step(afterUpdateIntervals(4), others))...)
 	count := 0
 	for _, kind := range kinds {
 		if kind == peer.EventFailed {
--- a/internal/shard/builders_test.go
+++ b/internal/shard/builders_test.go
@@ -46,11 +46,11 @@
 	return h
 }
 
-// later is a time at which the leader is told of all that came before.
-func later(n int) clock.Micros { return now + clock.Micros(n)*updateInterval }
+// afterUpdateIntervals is a time at which the leader is told of all that came before.
+func afterUpdateIntervals(n int) clock.Micros { return now + clock.Micros(n)*updateInterval }
 
-// seconds is a time so many seconds after now.
-func seconds(n clock.Micros) clock.Micros { return now + n*clock.Second }
+// secondsLater is a time so many secondsLater after now.
+func secondsLater(n clock.Micros) clock.Micros { return now + n*clock.Second }
 
 // Messages of the leader.
 
@@ -85,16 +85,16 @@
 
 // Messages of agents.
 
-// unusedResponder stands where an answer would go: tests read answers from the effects.
-type unusedResponder struct{}
+// discardResponder stands where an answer would go: tests read answers from the effects.
+type discardResponder struct{}
 
-func (unusedResponder) Respond(HeartbeatReply) {}
+func (discardResponder) Respond(HeartbeatReply) {}
 
 // heartbeat is of a machine's agent in its first epoch.
 func heartbeat(
 	machine string, seq uint64, token wire.FencingToken, tasks ...wire.TaskStatus,
 ) HeartbeatReceived {
-	return HeartbeatReceived{ReplyTo: unusedResponder{}, Heartbeat: &wire.Heartbeat{Machine: machine, Address: "a",
+	return HeartbeatReceived{ReplyTo: discardResponder{}, Heartbeat: &wire.Heartbeat{Machine: machine, Address: "a",
 		Type: "small", AgentEpoch: 1, Seq: seq, FencingToken: token, Tasks: tasks}}
 }
 
@@ -124,7 +124,7 @@
 	return wire.TaskStatus{Task: TaskName(task), Attempt: attempt, State: wire.TaskRunning}
 }
 
-func exitedAs(attempt wire.AttemptID, cause wire.ExitCause) wire.TaskStatus {
+func exitedWith(attempt wire.AttemptID, cause wire.ExitCause) wire.TaskStatus {
 	return wire.TaskStatus{Task: TaskName(task), Attempt: attempt, State: wire.TaskExited, Cause: cause}
 }
 
@@ -134,8 +134,8 @@
 		group: &peer.AttemptGroup{Job: task.Job}, state: state, launch: attemptLaunch{agentEpoch: 1}}
 }
 
-// firstIsSchedulable says whether m1 can be given tasks.
-func firstIsSchedulable(h *Holder, at clock.Micros) bool {
+// m1IsSchedulable says whether m1 can be given tasks.
+func m1IsSchedulable(h *Holder, at clock.Micros) bool {
 	return h.isSchedulable(at, h.shards[0], h.shards[0].machines["m1"])
 }
 
@@ -206,7 +206,7 @@
 	return false
 }
 
-// sentCommands counts the requests to agents.
-func sentCommands(effects []Effect) int {
+// countAgentRequests counts the requests to agents.
+func countAgentRequests(effects []Effect) int {
 	return len(effectsOf[SendCommands](effects)) + len(effectsOf[InspectAgent](effects))
 }
--- a/internal/shard/commands.go
+++ b/internal/shard/commands.go
@@ -7,8 +7,8 @@
 	"swiftledge/wire"
 )
 
-// maxCommandsPerMessage is how many commands one message to an agent holds: at some 100 bytes each they stay below
-// the 64 KiB that the protocol gives a body and a line of a reply.
+// maxCommandsPerMessage limits the commands in one message to an agent. At about 100 bytes each they stay below the
+// protocol's limit of 64 KiB for a body and for a line of a reply.
 const maxCommandsPerMessage = 500
 
 func (a *taskAttempt) killCommand() wire.Command {
@@ -27,8 +27,8 @@
 	return wire.Command{Verb: wire.VerbForget, Task: t.Task, Attempt: t.Attempt}
 }
 
-// cleanUpCommand is the command for a task without a record: its end was proven and stored, and only what is left of
-// it shows.
+// cleanUpCommand returns the command for a listed task without an attempt record. Its end was proven and stored, so
+// the agent only has to remove what is left of it.
 func cleanUpCommand(t *wire.TaskStatus) wire.Command {
 	if t.State == wire.TaskExited {
 		return forgetCommand(t)
@@ -37,24 +37,25 @@
 	return wire.Command{Verb: wire.VerbKill, Task: t.Task, Attempt: t.Attempt, GraceS: &grace}
 }
 
-// gracePeriod leaves a task more seconds than it says it needs to write a checkpoint.
+// gracePeriod returns the seconds that a task gets to write a checkpoint, somewhat more than it says it needs.
 func gracePeriod(checkpointS float64) float64 {
 	const factor, extraS = 1.5, 2
 	return checkpointS*factor + extraS
 }
 
-// limitToOneReply takes as many commands as one reply holds, those that end tasks first: the reply renews the lease
-// that keeps them going. The others are given with the next, as all are until they show.
+// limitToOneReply returns the commands that fit into one reply, kill commands first because the reply renews the lease
+// that keeps tasks running. The other commands go with the next reply, because a command is repeated until the agent's
+// status shows its effect.
 func limitToOneReply(commands []wire.Command) []wire.Command {
 	if len(commands) <= maxCommandsPerMessage {
 		return commands
 	}
-	kills := func(c wire.Command) bool { return c.Verb == wire.VerbKill }
-	first := slices.DeleteFunc(slices.Clone(commands), func(c wire.Command) bool { return !kills(c) })
-	return append(first, slices.DeleteFunc(commands, kills)...)[:maxCommandsPerMessage]
+	isKill := func(c wire.Command) bool { return c.Verb == wire.VerbKill }
+	kills := slices.DeleteFunc(slices.Clone(commands), func(c wire.Command) bool { return !isKill(c) })
+	return append(kills, slices.DeleteFunc(commands, isKill)...)[:maxCommandsPerMessage]
 }
 
-// commandBatches gathers commands by machine, in the order in which the machines came.
+// commandBatches groups commands by machine, with the machines in the order in which they were added.
 type commandBatches struct {
 	machines  []*machine
 	byMachine map[*machine][]wire.Command
@@ -76,7 +77,8 @@
 	}
 }
 
-// sendCommands sends commands to an agent, in as many messages as it takes; without any it only shows the token.
+// sendCommands sends commands to an agent, in several messages if necessary. An empty list only conveys the fencing
+// token.
 func (h *Holder) sendCommands(s *heldShard, m *machine, commands []wire.Command) {
 	if !m.acceptsCommands() {
 		return // the reply to the next heartbeat carries them
@@ -91,10 +93,10 @@
 	}
 }
 
-// handleCommandsAnswered takes in the end of commands that were sent.
+// handleCommandsAnswered handles the answer, or the lack of one, to commands sent to an agent.
 func (h *Holder) handleCommandsAnswered(now clock.Micros, answer CommandsAnswered) {
 	batch := &answer.Request.Body
-	s, m := h.machineUnder(answer.Request.Shard, batch.FencingToken, answer.Request.Machine)
+	s, m := h.machineWithToken(answer.Request.Shard, batch.FencingToken, answer.Request.Machine)
 	if m == nil {
 		return
 	}
@@ -109,7 +111,7 @@
 		return
 	}
 	if answer.Code == statusOK || answer.Code == statusConflict || answer.Code == NotSent {
-		// Answered or never sent: this copy is carried out or never will be.
+		// Answered or never sent: this copy has been executed or never will be.
 		m.settleRunCommands(batch.Commands)
 	}
 	if answer.Status == nil {
@@ -120,7 +122,7 @@
 	h.applyStatus(now, s, m, answer.Status, fromRequest)
 }
 
-// settleRunCommands notes that sent commands will not be carried out any more, unless they were.
+// settleRunCommands records that sent run commands have been executed or never will be.
 func (m *machine) settleRunCommands(commands []wire.Command) {
 	for _, c := range commands {
 		if c.Verb != wire.VerbRun {
--- a/internal/shard/commands_test.go
+++ b/internal/shard/commands_test.go
@@ -24,7 +24,7 @@
 
 // A machine may hold more tasks than one message to its agent has space for: what ends tasks goes first, and all goes
 // in time.
-func TestCommandsFitIntoAMessage(t *testing.T) {
+func TestCommandsFitMessageSizeLimit(t *testing.T) {
 	const tasks = 3 * maxCommandsPerMessage
 	h := newTestHolder(t)
 	h.Step(now, heartbeat("m1", 1, testToken))
--- a/internal/shard/compaction.go
+++ b/internal/shard/compaction.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	// compactionInterval is the pause between two compactions of a log.
+	// compactionInterval is the minimum time between two compactions of a log.
 	compactionInterval = clock.Second
-	// minStaleRecords is how many records of attempts that are gone make a compaction worth its puts.
+	// minStaleRecords is the number of records of ended attempts from which a compaction is worth its puts.
 	minStaleRecords = 24
 )
 
-// compact looks for pages of one lease, this or an earlier one, whose stored records are mostly stale, and puts what
-// is left of them on one page. It does not hold up the placement cycles: the pages that it takes are theirs no more.
+// compact merges pages of one lease, this or an earlier one, whose stored records are mostly stale into one new page.
+// It does not block placement cycles, because they no longer write to the merged pages.
 func (l *attemptLog) compact(now clock.Micros, limits storeLimits) (effect CompactPages, ok bool) {
 	if l.compaction != nil || now-l.lastCompaction < compactionInterval {
 		return CompactPages{}, false
@@ -37,7 +37,7 @@
 		return CompactPages{}, false
 	}
 	page := l.newPage(token)
-	page.stored, page.replacedKeys, page.compacting = pager.Len(), replacedKeys, true
+	page.storedRecords, page.replacedKeys, page.compacting = pager.Len(), replacedKeys, true
 	for _, p := range merged {
 		for _, a := range p.attempts {
 			page.add(a)
@@ -55,7 +55,8 @@
 	}, true
 }
 
-// mostlyStalePages returns the pages in use whose stored records are mostly stale, the worst first.
+// mostlyStalePages returns the pages in use whose stored records are mostly stale, those with the most stale records
+// first.
 func (l *attemptLog) mostlyStalePages() (pages []*attemptPage) {
 	for _, p := range l.pages {
 		if len(p.attempts) > 0 && p.staleRecords() > len(p.attempts) && !l.isBeingWritten(p) {
@@ -66,8 +67,8 @@
 	return pages
 }
 
-// mergePages adds pages of the first one's lease to a pager, as many as it and a transaction take. It returns these
-// pages and all keys that hold their records.
+// mergePages adds pages of the same lease as the first one to a pager, as many as fit into it and into a transaction.
+// It returns these pages and all keys that hold their records.
 func mergePages(
 	pages []*attemptPage, pager *peer.AttemptPager, limits storeLimits,
 ) (merged []*attemptPage, keys []string) {
@@ -76,7 +77,7 @@
 			continue
 		}
 		if !p.addTo(pager) {
-			break // part of it may be in the pager: that does no harm, a record more is an upper bound
+			break // the pager may have some of its records: harmless, because the records are an upper bound
 		}
 		merged = append(merged, p)
 		keys = append(append(keys, p.key), p.replacedKeys...)
@@ -84,14 +85,14 @@
 	return merged, keys
 }
 
-// completeCompaction takes in the end of the compaction.
+// completeCompaction handles the result of the compaction.
 func (l *attemptLog) completeCompaction(result PagesCompacted) {
 	page := l.compaction
 	if page == nil {
 		return
 	}
 	l.compaction, page.compacting = nil, false
-	// Unless the page is known to be there, and the others gone, all of them are deleted in the end.
+	// Unless the new page is known to be stored and the others deleted, all of their keys are deleted later.
 	if result.Committed {
 		page.replacedKeys = nil
 	}
--- a/internal/shard/effects.go
+++ b/internal/shard/effects.go
@@ -7,22 +7,22 @@
 	"swiftledge/wire"
 )
 
-// Effect is what a Holder asks to have done.
+// Effect is an action that a Holder asks its caller to carry out.
 //
 //sumtype:decl
 type Effect interface{ shardEffect() }
 
-// Responder is where the reply to a heartbeat goes.
+// Responder delivers the reply to a heartbeat.
 type Responder interface{ Respond(HeartbeatReply) }
 
 // HTTP statuses of a reply to a heartbeat.
 const (
 	statusOK          = 200
-	statusMisdirected = 421 // another controller answers the machine
-	statusUnavailable = 503 // the agent had better ask again
+	statusMisdirected = 421 // another controller is responsible for the machine
+	statusUnavailable = 503 // the agent should retry
 )
 
-// statusConflict is the HTTP status of an agent that refused commands, for their token or its epoch.
+// statusConflict is the HTTP status with which an agent refuses commands because of their token or epoch.
 const statusConflict = 409
 
 // Effects of a Holder.
@@ -36,22 +36,22 @@
 		Body     wire.HeartbeatResponse
 		Redirect wire.Redirect
 	}
-	// SendCommands sends commands to an agent without waiting for its heartbeat; CommandsAnswered is its end.
+	// SendCommands sends commands to an agent without waiting for its heartbeat. CommandsAnswered is its result.
 	SendCommands struct {
 		Shard   int
 		Machine string
 		Address string
 		Body    wire.CommandBatch
 	}
-	// InspectAgent asks an agent for its status; InspectionAnswered is its end.
+	// InspectAgent asks an agent for its status. InspectionAnswered is its result.
 	InspectAgent struct {
 		Shard        int
 		FencingToken wire.FencingToken
 		Machine      string
 		Address      string
 	}
-	// WriteAttempts writes the attempt records of a placement cycle before its tasks are launched;
-	// AttemptsWritten is its end.
+	// WriteAttempts writes the attempt records of a placement cycle before its tasks are launched.
+	// AttemptsWritten is its result.
 	WriteAttempts struct {
 		Shard        int
 		FencingToken wire.FencingToken
@@ -59,15 +59,15 @@
 		KeyVersion   uint64
 		Pages        []PageWrite
 	}
-	// PageWrite puts one page over what its key held at Version.
+	// PageWrite overwrites the page under Key if the key is still at Version.
 	PageWrite struct {
 		Key     string
 		Version uint64
 		Page    peer.AttemptPage
 	}
-	// CompactPages replaces pages by one that holds those of their records whose attempts are not proven gone;
-	// PagesCompacted is its end. A replica that runs for hours would else keep a page full of records of tasks
-	// long over, which count in full, are read at each failover and sent with each grant.
+	// CompactPages replaces pages by one page with those of their records whose attempts are not proven to have ended.
+	// PagesCompacted is its result. Without compaction, a replica that runs for hours would keep a page full of
+	// records of tasks that ended long ago, which count in full, are read at each failover and sent with each grant.
 	CompactPages struct {
 		Shard        int
 		FencingToken wire.FencingToken
@@ -75,17 +75,17 @@
 		Put          PageWrite
 		Delete       []string
 	}
-	// DeletePages deletes pages whose attempts are proven gone.
+	// DeletePages deletes pages whose attempts are proven to have ended.
 	DeletePages struct {
 		Shard      int
 		KeyVersion uint64
 		Keys       []string
 	}
-	// RecordSpan is a span for the trace.
+	// RecordSpan adds a span to the trace.
 	RecordSpan struct{ Span trace.Span }
-	// PauseDetected says that this process was paused.
+	// PauseDetected reports that this process was paused.
 	PauseDetected struct{ Pause pausedetect.Pause }
-	// Log is a warning for the log.
+	// Log writes a warning to the log.
 	Log struct {
 		Message    string
 		Attributes []any // alternating keys and values, as slog takes them
--- a/internal/shard/fencing.go
+++ b/internal/shard/fencing.go
@@ -7,23 +7,23 @@
 )
 
 const (
-	// fenceInterval is how long a machine may take to confirm our token, or to answer, before it is shown the token
-	// by a command, and shown it again.
+	// fenceInterval is how long a machine may take to confirm the fencing token, or to answer a command, before the
+	// token is sent to it, and the time between repeats.
 	fenceInterval = 4 * clock.Second
-	// maxFencesPerGrant is how many of a shard's machines are shown the token at once when it is granted.
+	// maxFencesPerGrant is the number of a shard's machines that are sent the token right after a grant.
 	maxFencesPerGrant = 24
 )
 
-// tokenFence is how far our fencing token has come to a machine. An agent obeys no older token than the newest that
-// it has seen.
+// tokenFence tracks whether a machine has confirmed the fencing token of this lease. An agent obeys no token older
+// than the newest that it has seen.
 type tokenFence struct {
-	confirmed   bool         // the agent has named our token
-	lastRequest clock.Micros // when the agent was last to be shown the token by a command
-	pending     bool         // that command has no answer yet
+	confirmed   bool         // the agent's status has shown the token
+	lastRequest clock.Micros // when sending the token was last attempted
+	pending     bool         // the last request has no answer yet
 }
 
-// fenceRetryInterval is fenceInterval, or twice as long under overload: then most heartbeats only wait for their
-// replies.
+// fenceRetryInterval returns fenceInterval, or twice as long under overload, when most heartbeats have arrived and
+// only wait for their replies.
 func (h *Holder) fenceRetryInterval(now clock.Micros) clock.Micros {
 	if h.overload.isActive(now) {
 		return 2 * fenceInterval
@@ -31,12 +31,12 @@
 	return fenceInterval
 }
 
-// fence shows a machine our token without waiting for its heartbeat, which an older holder that is cut off from the
-// others may go on answering until its lease expires. That holder turns the agent away as soon as it reports the
-// newer token.
+// fence sends a machine the fencing token without waiting for its heartbeat. A former holder that is partitioned from
+// the other controllers may keep answering its heartbeats until its lease expires, but redirects the agent as soon as
+// the agent reports the newer token.
 //
-// There is one request at a time: to machines that cannot be reached a command takes seconds to fail, and thousands
-// of those in line would hold up the commands to all others.
+// Each machine has at most one such request in flight. Commands to unreachable machines take seconds to fail, and
+// thousands of them in the queue would delay the commands to all other machines.
 func (h *Holder) fence(now clock.Micros, s *heldShard, m *machine) {
 	if m.info.address == "" || m.terminated {
 		return
@@ -53,12 +53,12 @@
 	h.emit(InspectAgent{Shard: s.id, FencingToken: s.lease.fencingToken, Machine: m.name, Address: m.info.address})
 }
 
-// sendToken sends a machine no commands, which shows it our token.
+// sendToken sends a machine an empty list of commands, which conveys the fencing token.
 func (h *Holder) sendToken(s *heldShard, m *machine) { h.sendCommands(s, m, []wire.Command{}) }
 
-// fenceAfterGrant shows some machines the new token at once. Most agents send a heartbeat within moments, which shows
-// it to them; a command to each of hundreds would cost more than all else in a failover. Those that send none are
-// fenced by handleTick.
+// fenceAfterGrant sends the new token to some machines at once. Most agents send a heartbeat within moments and get
+// the token with the reply. A command to each of hundreds of machines would cost more than the rest of a failover.
+// Machines that send no heartbeat are fenced by handleTick.
 func (h *Holder) fenceAfterGrant(now clock.Micros, s *heldShard, inventory []peer.InventoryMachine) {
 	for i, listed := range inventory {
 		if m := s.machines[listed.Name]; i < maxFencesPerGrant && !h.overload.isActive(now) {
@@ -69,7 +69,7 @@
 	}
 }
 
-// fenceIfOverdue shows the token once more to a machine that has not confirmed it, or whose commands do not arrive.
+// fenceIfOverdue resends the token to a machine that has not confirmed it or that commands do not reach.
 func (h *Holder) fenceIfOverdue(now clock.Micros, s *heldShard, m *machine) {
 	unconfirmed := !m.fence.confirmed && !m.leaseExpired && m.fence.lastRequest > 0
 	if (unconfirmed || m.commands.isUnreachable()) && now-m.fence.lastRequest > h.fenceRetryInterval(now) {
@@ -77,9 +77,9 @@
 	}
 }
 
-// handleInspectionAnswered takes in the status of an agent whose epoch was not known, and shows it our token.
+// handleInspectionAnswered applies the status of an agent whose epoch was unknown, and sends it the fencing token.
 func (h *Holder) handleInspectionAnswered(now clock.Micros, answer InspectionAnswered) {
-	s, m := h.machineUnder(answer.Request.Shard, answer.Request.FencingToken, answer.Request.Machine)
+	s, m := h.machineWithToken(answer.Request.Shard, answer.Request.FencingToken, answer.Request.Machine)
 	if m == nil {
 		return
 	}
--- a/internal/shard/fencing_test.go
+++ b/internal/shard/fencing_test.go
@@ -10,7 +10,7 @@
 
 // A new holder shows its token to the machines at once: an older holder that is cut off may answer their heartbeats
 // until its lease expires.
-func TestFencesWithoutAHeartbeat(t *testing.T) {
+func TestFencesWithoutHeartbeat(t *testing.T) {
 	h := newTestHolder(t)
 	status := heartbeat("m1", 1, testToken-1, running(1)).Heartbeat
 	effects := h.Step(now, inspected("m1", status))
@@ -35,7 +35,7 @@
 
 // Machines that cannot be reached are shown the token once at a time: the commands to all others go through the same
 // line.
-func TestFenceWaitsForItsAnswer(t *testing.T) {
+func TestOneFenceRequestAtATime(t *testing.T) {
 	h := newTestHolder(t)
 	at := now
 	inspections := func() (count int) {
@@ -69,7 +69,7 @@
 		inventory := []peer.InventoryMachine{{Name: "m1", Address: "a1"}, {Name: "m2", Address: "a2"}}
 		grant := peer.ShardGrant{Shard: 0, FencingToken: testToken + 1, KeyVersion: 8, Machines: inventory}
 		effects := h.Step(at, fromLeader(peer.FromLeader{Term: testTerm, Grants: []peer.ShardGrant{grant}}))
-		if n := sentCommands(effects); (n == 0) != overloaded {
+		if n := countAgentRequests(effects); (n == 0) != overloaded {
 			t.Errorf("overloaded %v: %d messages with commands", overloaded, n)
 		}
 	}
@@ -77,12 +77,12 @@
 
 // A run command may come once more, late: what it started and what was stopped stays listed until the machine has
 // confirmed a higher token, which refuses the copy.
-func TestStoppedTaskStaysListedUntilItsRunCommandIsRefused(t *testing.T) {
+func TestStoppedTaskRetainedUntilRunCommandIsFenced(t *testing.T) {
 	h := newTestHolder(t)
 	h.Step(now, heartbeat("m1", 1, testToken))
 	s := h.shards[0]
 	a := newAttempt(s.machines["m1"], peer.Task{Job: "j-000002"}, 1, attemptLaunched)
-	a.launch.sent, a.stop = true, stopImmediately
+	a.launch.sentInRequest, a.stop = true, stopImmediately
 	s.addAttempt(a)
 	exit := wire.TaskStatus{Task: TaskName(a.task), Attempt: a.id, State: wire.TaskExited, Cause: wire.ExitStopped}
 	if commands := replyOf(t, h.Step(now, heartbeat("m1", 2, testToken, exit))).Body.Commands; len(commands) != 0 {
@@ -98,18 +98,18 @@
 }
 
 // A shard with many of these asks for a higher token by itself.
-func TestAsksForAHigherToken(t *testing.T) {
+func TestRetainedAttemptsRequestRegrant(t *testing.T) {
 	h := newTestHolder(t)
 	s := h.shards[0]
 	for i := range minRetainedLimit + 1 {
 		a := newAttempt(s.machines["m1"], peer.Task{Job: "j-000002", Index: i}, uint64(i+1), attemptExited)
-		a.launch = attemptLaunch{sent: true}
+		a.launch = attemptLaunch{sentInRequest: true}
 		a.endReported, a.endPersisted = true, true
 		s.addAttempt(a)
 	}
 	asked := 0
 	for i := range 2 {
-		for _, update := range updatesOf(h.Step(later(i), Tick{})) {
+		for _, update := range updatesOf(h.Step(afterUpdateIntervals(i), Tick{})) {
 			if update.NeedsRegrant && update.FencingToken == testToken {
 				asked++
 			}
@@ -122,7 +122,7 @@
 
 // A machine that has not confirmed our token yet proves nothing, but a 200 renews its lease: the reply ends the tasks of
 // cancelled jobs, or they would go on for a lease more.
-func TestAnswerToAnUnfencedMachineEndsCancelledTasks(t *testing.T) {
+func TestReplyToUnfencedMachineKillsCancelledTasks(t *testing.T) {
 	h := newTestHolder(t)
 	h.Step(now, orders(peer.ShardOrders{Stop: []peer.StopTask{{Task: task}}}))
 	reply := replyOf(t, h.Step(now, heartbeat("m1", 1, testToken-9, running(1))))
@@ -138,10 +138,10 @@
 // A task that was confirmed and is listed no more within an epoch was lost by an agent that began anew under its name.
 // Its run command may come late and start it again, as the agent has lost the token, too: nothing is given back before
 // a higher token has been confirmed, and that is asked for.
-func TestVanishedTaskAsksForAHigherToken(t *testing.T) {
+func TestUnlistedConfirmedTaskRequestsRegrant(t *testing.T) {
 	h := newTestHolder(t)
-	h.Step(later(1), heartbeat("m2", 1, testToken, running(2)))
-	if kinds := eventsOf(h.Step(later(2), heartbeat("m2", 2, testToken))); len(kinds) != 0 {
+	h.Step(afterUpdateIntervals(1), heartbeat("m2", 1, testToken, running(2)))
+	if kinds := eventsOf(h.Step(afterUpdateIntervals(2), heartbeat("m2", 2, testToken))); len(kinds) != 0 {
 		t.Errorf("events %v: a late copy of the run command may start it again", kinds)
 	}
 	if requestsRegrant(h.Step(now+h.params.AgentLease/2, Tick{})) {
@@ -155,19 +155,19 @@
 // A task is told to stop, to free capacity, while its run command has had no answer. The command may be carried out at
 // any time and is not sent again, so no status ever settled it and the job never ended: a higher token is asked for,
 // which refuses the command.
-func TestStoppedLaunchWithoutAnAnswerAsksForAHigherToken(t *testing.T) {
+func TestStoppedUnansweredLaunchRequestsRegrant(t *testing.T) {
 	h := newTestHolder(t)
 	h.Step(now, heartbeat("m1", 1, testToken))
 	h.Step(now, heartbeat("m2", 1, testToken, running(2)))
 	s := h.shards[0]
-	launchTask(t, h, later(1))
+	launchTask(t, h, afterUpdateIntervals(1))
 	m := s.attempts.byTask[offeredTask][0].machine
 	others := []wire.TaskStatus{}
 	if m.name == "m2" {
 		others = append(others, running(2))
 	}
-	h.Step(later(2), orders(peer.ShardOrders{Stop: []peer.StopTask{{Task: offeredTask}}}))
-	h.Step(later(3), heartbeat(m.name, 2, testToken, others...))
+	h.Step(afterUpdateIntervals(2), orders(peer.ShardOrders{Stop: []peer.StopTask{{Task: offeredTask}}}))
+	h.Step(afterUpdateIntervals(3), heartbeat(m.name, 2, testToken, others...))
 	if requestsRegrant(h.Step(now+h.params.AgentLease+clock.Second, Tick{})) {
 		t.Error("asked for a token while the answer may come")
 	}
--- a/internal/shard/heartbeat.go
+++ b/internal/shard/heartbeat.go
@@ -12,7 +12,7 @@
 	h.emit(reply)
 }
 
-// replyTo takes in a heartbeat and returns the reply to it.
+// replyTo applies a heartbeat and returns the reply to it.
 func (h *Holder) replyTo(now clock.Micros, heartbeat *wire.Heartbeat) HeartbeatReply {
 	if len(h.holders) == 0 {
 		return HeartbeatReply{Status: statusUnavailable}
@@ -21,21 +21,21 @@
 	s := h.shards[id]
 	if s == nil || s.lease.hasExpired(now) {
 		if s != nil && s.machines[heartbeat.Machine] != nil {
-			s.machines[heartbeat.Machine].agent.noteOutdated(now, heartbeat)
+			s.machines[heartbeat.Machine].agent.recordIfOutdated(now, heartbeat)
 		}
 		return h.redirect(id)
 	}
 	if heartbeat.FencingToken > s.lease.fencingToken {
-		// A newer holder has spoken to this machine.
+		// A newer holder of the shard has sent its token to this machine.
 		h.dropShard(s)
 		return HeartbeatReply{Status: statusMisdirected}
 	}
 	m := s.ensureMachine(heartbeat.Machine)
-	if m.terminated || m.agent.noteOutdated(now, heartbeat) {
+	if m.terminated || m.agent.recordIfOutdated(now, heartbeat) {
 		return HeartbeatReply{Status: statusUnavailable}
 	}
 	m.agent.recordHeartbeat(heartbeat)
-	if h.lostItsLease(now, m, heartbeat) {
+	if h.agentLostLease(now, m, heartbeat) {
 		h.markUnreachable(now, s, m)
 	}
 	commands := limitToOneReply(h.applyStatus(now, s, m, heartbeat, fromHeartbeat))
@@ -44,7 +44,8 @@
 	return HeartbeatReply{Status: statusOK, Body: body}
 }
 
-// redirect sends an agent to the holder of its shard, or nowhere if none is known but this controller.
+// redirect returns a reply that names the holder of the agent's shard, or no holder if the only known one is this
+// controller.
 func (h *Holder) redirect(shard int) HeartbeatReply {
 	holder := h.holders[shard]
 	if holder == h.params.Controller {
@@ -53,20 +54,20 @@
 	return HeartbeatReply{Status: statusMisdirected, Redirect: wire.Redirect{Controller: holder}}
 }
 
-// lostItsLease says whether an agent's lease expired although its heartbeats were answered: the replies do not
-// arrive.
-func (h *Holder) lostItsLease(now clock.Micros, m *machine, heartbeat *wire.Heartbeat) bool {
+// agentLostLease reports whether an agent's lease expired although its heartbeats were answered, which shows that the
+// replies do not reach it.
+func (h *Holder) agentLostLease(now clock.Micros, m *machine, heartbeat *wire.Heartbeat) bool {
 	newEpoch := m.agent.epoch > 0 && heartbeat.AgentEpoch > m.agent.epoch
-	answeredLately := m.agent.lastReply > 0 && now-m.agent.lastReply < h.params.AgentLease
-	return newEpoch && answeredLately && m.fence.confirmed
+	answeredRecently := m.agent.lastReply > 0 && now-m.agent.lastReply < h.params.AgentLease
+	return newEpoch && answeredRecently && m.fence.confirmed
 }
 
-// recordStatus takes in what a status newer than all before says of the machine itself.
+// recordStatus stores what a status newer than all earlier ones says about the machine itself.
 func (h *Holder) recordStatus(now clock.Micros, s *heldShard, m *machine, status *wire.Heartbeat) {
 	info := infoFrom(status)
 	sameInfo := m.info.typeName == info.typeName && m.info.preemptionNotice == info.preemptionNotice
-	heardAgain := m.silent && !m.commands.isUnreachable()
-	if !sameInfo || m.leaseExpired || heardAgain {
+	noLongerSilent := m.silent && !m.commands.isUnreachable()
+	if !sameInfo || m.leaseExpired || noLongerSilent {
 		s.markChanged(m)
 		m.silent = m.silent && m.commands.isUnreachable()
 	}
--- a/internal/shard/heartbeat_test.go
+++ b/internal/shard/heartbeat_test.go
@@ -7,9 +7,9 @@
 	"swiftledge/internal/clock"
 )
 
-func TestAnswersOnlyUnderItsLease(t *testing.T) {
+func TestRepliesOnlyUnderValidLease(t *testing.T) {
 	h := newTestHolder(t)
-	if reply := replyOf(t, h.Step(seconds(25), heartbeat("m1", 1, testToken))); reply.Status == statusOK {
+	if reply := replyOf(t, h.Step(secondsLater(25), heartbeat("m1", 1, testToken))); reply.Status == statusOK {
 		t.Error("answers 200 under an expired lease")
 	}
 	if reply := replyOf(t, h.Step(now, heartbeat("m1", 2, testToken+1))); reply.Status == statusOK {
@@ -21,11 +21,11 @@
 }
 
 // A late copy of a heartbeat neither renews a lease nor hides silence.
-func TestLateCopyIsNotAnswered(t *testing.T) {
+func TestDuplicateHeartbeatIsNotAnswered(t *testing.T) {
 	h := newTestHolder(t)
 	h.Step(now, heartbeat("m1", 5, testToken))
 	m := h.shards[0].machines["m1"]
-	at := seconds(10)
+	at := secondsLater(10)
 	for _, seq := range []uint64{4, 5} {
 		if reply := replyOf(t, h.Step(at, heartbeat("m1", seq, testToken))); reply.Status == statusOK {
 			t.Errorf("a copy of heartbeat %d is answered with 200", seq)
@@ -42,17 +42,17 @@
 }
 
 // What a heartbeat costs must not grow with the number of machines: hundreds come a second.
-func TestHeartbeatCostsTheSameHoweverManyMachines(t *testing.T) {
+func TestHeartbeatCostIndependentOfMachineCount(t *testing.T) {
 	cost := func(machines int) float64 {
 		h := newTestHolder(t)
 		for i := range machines {
 			h.Step(now, heartbeat("x"+strconv.Itoa(i), 1, testToken))
 		}
-		h.Step(later(1), Tick{}) // the leader is told of them all
+		h.Step(afterUpdateIntervals(1), Tick{}) // the leader is told of them all
 		seq := uint64(1)
 		return testing.AllocsPerRun(100, func() {
 			seq++
-			h.Step(later(1), heartbeat("x3", seq, testToken))
+			h.Step(afterUpdateIntervals(1), heartbeat("x3", seq, testToken))
 		})
 	}
 	if few, many := cost(10), cost(2000); many > few+1 {
@@ -62,27 +62,27 @@
 
 // An agent whose lease expired between two holders is known from its answers to commands only. Its new epoch has a full
 // lease from its beginning: the silence of its heartbeats must not prove its tasks gone before that has expired.
-func TestNewEpochHasItsOwnLease(t *testing.T) {
+func TestNewEpochStartsFullAgentLease(t *testing.T) {
 	h := newTestHolder(t)
 	answer := answered(heartbeat("m2", 1, testToken).inEpoch(2))
 	answer.Request.Body.AgentEpoch = 2
-	h.Step(seconds(35), answer)
+	h.Step(secondsLater(35), answer)
 	s := h.shards[0]
 	m := s.machines["m2"]
 	a := newAttempt(m, task, 1, attemptConfirmed)
 	a.launch.agentEpoch = 2
 	s.addAttempt(a)
-	if h.Step(seconds(54), Tick{}); len(m.attempts) != 1 {
+	if h.Step(secondsLater(54), Tick{}); len(m.attempts) != 1 {
 		t.Error("taken for gone while the new epoch's lease may hold")
 	}
-	if h.Step(seconds(57), Tick{}); len(m.attempts) != 0 {
+	if h.Step(secondsLater(57), Tick{}); len(m.attempts) != 0 {
 		t.Error("the silence of a whole lease is no proof")
 	}
 }
 
 // An agent that began anew sends heartbeats that look older than what is known of it. Its epoch has its lease from then
 // on, and obeys late commands of the former: silence does not prove its tasks gone.
-func TestHeartbeatsThatLookOldHideNoLease(t *testing.T) {
+func TestOutdatedHeartbeatExtendsAgentLease(t *testing.T) {
 	h := newTestHolder(t)
 	h.Step(now, heartbeat("m2", 9, testToken, running(2)))
 	end := now + h.params.LongestGrant.Longer() + h.params.AgentLease.Longer() + 2*clock.Second
@@ -98,42 +98,42 @@
 }
 
 // A machine whose heartbeats come, but whose commands do not arrive, gets no work until it has answered one.
-func TestUnreachableMachineGetsNoWorkUntilItAnswers(t *testing.T) {
+func TestUnreachableMachineGetsNoTasksUntilItAnswers(t *testing.T) {
 	h := newTestHolder(t)
 	h.Step(now, heartbeat("m1", 1, testToken))
-	if !firstIsSchedulable(h, now) {
+	if !m1IsSchedulable(h, now) {
 		t.Fatal("not schedulable after it confirmed our token")
 	}
 	for range maxUnansweredCommands {
 		h.Step(now, CommandsAnswered{Request: requestTo("m1")})
 	}
 	h.Step(now, heartbeat("m1", 2, testToken))
-	if firstIsSchedulable(h, now) {
+	if m1IsSchedulable(h, now) {
 		t.Error("schedulable although its commands go without an answer")
 	}
-	if h.Step(now, answered(heartbeat("m1", 3, testToken))); !firstIsSchedulable(h, now) {
+	if h.Step(now, answered(heartbeat("m1", 3, testToken))); !m1IsSchedulable(h, now) {
 		t.Error("not schedulable after it has answered a command")
 	}
 	// Its lease expires although its heartbeats are answered.
-	if h.Step(now, heartbeat("m1", 4, testToken).inEpoch(2)); firstIsSchedulable(h, now) {
+	if h.Step(now, heartbeat("m1", 4, testToken).inEpoch(2)); m1IsSchedulable(h, now) {
 		t.Error("schedulable although our replies do not keep its lease")
 	}
 }
 
 // A machine whose own heartbeats come to nobody loses its lease whatever it answers to commands: it gets no work while
 // that may be so.
-func TestMachineWithoutHeartbeatsGetsNoWork(t *testing.T) {
+func TestMachineWithoutHeartbeatsGetsNoTasks(t *testing.T) {
 	h := newTestHolder(t)
 	h.Step(now, heartbeat("m1", 1, testToken))
 	seq := uint64(1)
 	for s := clock.Micros(2); s <= 12; s += 2 {
 		seq++
-		h.Step(seconds(s), answered(heartbeat("m1", seq, testToken)))
+		h.Step(secondsLater(s), answered(heartbeat("m1", seq, testToken)))
 	}
-	if firstIsSchedulable(h, seconds(12)) {
+	if m1IsSchedulable(h, secondsLater(12)) {
 		t.Error("schedulable although none of its heartbeats has come for four intervals")
 	}
-	if h.Step(seconds(12), heartbeat("m1", seq+1, testToken)); !firstIsSchedulable(h, seconds(12)) {
+	if h.Step(secondsLater(12), heartbeat("m1", seq+1, testToken)); !m1IsSchedulable(h, secondsLater(12)) {
 		t.Error("not schedulable although it sends heartbeats again")
 	}
 }
--- a/internal/shard/held_shard.go
+++ b/internal/shard/held_shard.go
@@ -13,16 +13,16 @@
 // shardLease is the grant under which a shard is held.
 type shardLease struct {
 	fencingToken     wire.FencingToken
-	keyVersion       uint64 // of the shard's store key, on which all writes for the shard are conditioned
+	keyVersion       uint64 // version of the shard's store key, a condition of all writes for the shard
 	grantedAt        clock.Micros
 	expiresAt        clock.Micros
 	regrantRequested bool
-	needsHigherToken bool // some attempts are settled by a higher fencing token only
+	needsHigherToken bool // some attempts can only be settled by a higher fencing token
 }
 
 func (l *shardLease) hasExpired(now clock.Micros) bool { return now >= l.expiresAt }
 
-// extend moves the end of the lease, never back.
+// extend moves the end of the lease forward, never back.
 func (l *shardLease) extend(until clock.Micros) { l.expiresAt = max(l.expiresAt, until) }
 
 // heldShard is a shard whose lease this controller holds.
@@ -30,7 +30,7 @@
 	id           int
 	lease        shardLease
 	machines     map[string]*machine
-	machineOrder []*machine // by name
+	machineOrder []*machine // sorted by name
 	attempts     attemptTable
 	log          attemptLog
 	update       pendingUpdate
@@ -46,21 +46,21 @@
 	}
 }
 
-// ensureMachine returns the machine of a name, which is added if it is new.
+// ensureMachine returns the machine with a name and adds it if the shard has none.
 func (s *heldShard) ensureMachine(name string) *machine {
 	m := s.machines[name]
 	if m == nil {
 		m = &machine{name: name, images: &placement.ImageCache{}}
 		s.machines[name] = m
 		byName := func(m *machine, name string) int { return strings.Compare(m.name, name) }
-		at, _ := slices.BinarySearchFunc(s.machineOrder, name, byName)
-		s.machineOrder = slices.Insert(s.machineOrder, at, m)
+		index, _ := slices.BinarySearchFunc(s.machineOrder, name, byName)
+		s.machineOrder = slices.Insert(s.machineOrder, index, m)
 		s.markChanged(m)
 	}
 	return m
 }
 
-// forgetTerminatedMachines drops machines that were terminated long ago.
+// forgetTerminatedMachines drops terminated machines after terminatedRetention.
 func (s *heldShard) forgetTerminatedMachines(now clock.Micros) {
 	s.machineOrder = slices.DeleteFunc(s.machineOrder, func(m *machine) bool {
 		forgotten := m.terminated && len(m.attempts) == 0 && now-m.agent.lastStatus > terminatedRetention
@@ -71,7 +71,7 @@
 	})
 }
 
-// markChanged notes that the leader is to be told of the machine's state.
+// markChanged queues the machine's state for the next update to the leader.
 func (s *heldShard) markChanged(m *machine) {
 	m.freeCapacity = nil
 	if !m.changed {
@@ -80,29 +80,30 @@
 	}
 }
 
-// addAttempt takes in a new attempt on its machine.
+// addAttempt adds an attempt to the shard and to its machine.
 func (s *heldShard) addAttempt(a *taskAttempt) {
 	a.machine.attempts = append(a.machine.attempts, a)
 	s.attempts.add(a)
 	s.markChanged(a.machine)
 }
 
-// removeAttempt takes away an attempt that is proven to be on its machine no more, and releases its task.
+// removeAttempt removes an attempt that is proven to have ended on its machine, and releases its task.
 func (s *heldShard) removeAttempt(a *taskAttempt) {
 	s.reportEnd(a, peer.TaskEvent{Task: a.task, Kind: peer.EventReleased, Machine: a.machine.name})
 	a.releaseRecord()
-	a.machine.attempts = slices.DeleteFunc(a.machine.attempts, func(o *taskAttempt) bool { return o == a })
+	a.machine.attempts = slices.DeleteFunc(a.machine.attempts, func(other *taskAttempt) bool { return other == a })
 	s.attempts.remove(a)
 	s.markChanged(a.machine)
 }
 
-// reportEnd tells the leader once how an attempt ended. Its task is given back with its last attempt only.
+// reportEnd reports the end of an attempt to the leader, once. Only the end of its last attempt returns a task to the
+// leader.
 func (s *heldShard) reportEnd(a *taskAttempt, end peer.TaskEvent) {
 	if a.endReported {
 		return
 	}
 	a.endReported = true
-	last := s.attempts.countEnd(a.task)
+	last := s.attempts.recordReportedEnd(a.task)
 	if !last && end.Kind == peer.EventCompleted {
 		s.update.addEvent(peer.TaskEvent{Task: a.task, Kind: peer.EventAttemptRemains, Machine: a.machine.name})
 	}
--- a/internal/shard/holder.go
+++ b/internal/shard/holder.go
@@ -1,13 +1,14 @@
-// Package shard is a controller's part as the holder of shard leases. A shard is a fixed share of the machines; the
-// leader grants its lease, under a fencing token, to one controller at a time.
+// Package shard implements the role of a controller as a holder of shard leases. A shard is a fixed subset of the
+// machines. The leader grants the lease of a shard, under a fencing token, to one controller at a time.
 //
-// The Holder owns what is known of the machines of its shards and of the task attempts on them. It answers the
-// heartbeats of their agents, sends them commands, places the tasks that the leader offers by auction, and keeps a
-// write-ahead record of each attempt in the store before the run command goes out. A Message and the time go in;
-// Effects come out, in the order in which they are to be carried out.
+// The Holder owns the state of the machines in its shards and of the task attempts on them. It answers the heartbeats
+// of their agents, sends them commands, places the tasks offered by the leader by auction, and writes a write-ahead
+// record of each attempt to the store before it sends the run command. It takes a Message and the current time and
+// returns Effects, which the caller carries out in order.
 //
-// The package does no I/O and starts no goroutines. It never gives a task back while an attempt of it may still run:
-// an attempt ends by the word of its agent, by the end of the agent's lease, or by a higher fencing token.
+// The package does no I/O and starts no goroutines. It never returns a task to the leader while an attempt of the task
+// may still run. An attempt is proven to have ended by its agent's status, by the expiry of the agent's lease, or by a
+// higher fencing token.
 package shard
 
 import (
@@ -25,28 +26,28 @@
 	"swiftledge/wire"
 )
 
-// Params are a Holder's settings.
+// Params are the settings of a Holder.
 type Params struct {
 	// Controller is the name of the controller that this Holder is part of.
 	Controller string
 	// GrantTime is how long a renewed shard lease lasts.
 	GrantTime clock.Micros
-	// LongestGrant is the most that any other holder's shard lease may last.
+	// LongestGrant is the longest time that any other holder's shard lease may last.
 	LongestGrant clock.Micros
 	// AgentLease is how long an agent keeps its tasks without a reply to its heartbeats.
 	AgentLease clock.Micros
-	// HeartbeatInterval is the pause between two heartbeats of an agent.
+	// HeartbeatInterval is the time between two heartbeats of an agent.
 	HeartbeatInterval clock.Micros
-	// MaxValueBytes and MaxTxnOps are what the store takes in one value and in one transaction.
+	// MaxValueBytes and MaxTxnOps are the store's limits on the size of a value and the operations of a transaction.
 	MaxValueBytes int
 	MaxTxnOps     int
-	// LoadBound limits where tasks are placed, by load; nil: nothing does.
+	// LoadBound limits the load of the machines on which tasks are placed; nil: no limit.
 	LoadBound *load.Bound
-	// TracingEnabled asks for spans of the attempts.
+	// TracingEnabled says whether spans are recorded for attempts.
 	TracingEnabled bool
 }
 
-// Holder holds the leases of shards. It is not safe for concurrent use.
+// Holder manages the shards whose leases this controller holds. It is not safe for concurrent use.
 type Holder struct {
 	params          Params
 	placementParams placement.Params
@@ -54,17 +55,17 @@
 	overload        overloadDetector
 	pauseDetector   pausedetect.Detector
 	shards          map[int]*heldShard
-	holders         []string // by shard: the controller that answers its agents
+	holders         []string // by shard: the controller that holds it
 	machineTypes    map[string]wire.MachineType
 	visits          *placement.VisitHistory
-	fetchRates      *load.FetchRates // as seen on this controller's machines
-	lastStatus      clock.Micros     // when any agent's status last came
+	fetchRates      *load.FetchRates // as measured on this controller's machines
+	lastStatus      clock.Micros     // when the last status of any agent arrived
 	storeOK         func() bool
 	effects         []Effect
 }
 
-// New returns a Holder without shards. The result of storeOK goes to the leader, which judges by it whether the
-// store fails one controller or all.
+// New returns a Holder without shards. The result of storeOK is reported to the leader, which uses it to tell whether
+// the store fails for one controller or for all.
 func New(params Params, placementParams placement.Params, storeOK func() bool) *Holder {
 	return &Holder{
 		params:          params,
@@ -78,7 +79,7 @@
 	}
 }
 
-// FromConfig returns the Holder that a controller's settings ask for.
+// FromConfig returns a Holder with the settings of a controller.
 func FromConfig(cfg *config.Config, storeOK func() bool) *Holder {
 	params := Params{
 		Controller:        cfg.Name,
@@ -99,11 +100,11 @@
 	return New(params, auction, storeOK)
 }
 
-// Step handles one message and returns the effects that follow from it.
+// Step handles one message and returns the resulting effects.
 func (h *Holder) Step(now clock.Micros, message Message) []Effect {
 	h.effects = nil
-	if began, paused := h.pauseDetector.Observe(now); paused {
-		h.handlePause(began, now)
+	if pauseStart, paused := h.pauseDetector.Observe(now); paused {
+		h.handlePause(pauseStart, now)
 	}
 	switch m := message.(type) {
 	case LeaderConnected:
@@ -131,19 +132,19 @@
 
 func (h *Holder) emit(effect Effect) { h.effects = append(h.effects, effect) }
 
-// handlePause reports that this process was paused, and which shard leases expired meanwhile.
-func (h *Holder) handlePause(began, now clock.Micros) {
-	pause := pausedetect.Pause{Began: began, Ended: now}
+// handlePause reports that this process was paused, and which shard leases expired during the pause.
+func (h *Holder) handlePause(pauseStart, now clock.Micros) {
+	pause := pausedetect.Pause{Began: pauseStart, Ended: now}
 	for id, s := range h.shardsInOrder() {
-		if expiresAt := s.lease.expiresAt; expiresAt > began && expiresAt <= now {
-			// Operators read this text in the status, in their own words.
+		if expiresAt := s.lease.expiresAt; expiresAt > pauseStart && expiresAt <= now {
+			// The status shows this text to operators, who know a shard lease as the grant of a block.
 			pause.Expired = append(pause.Expired, fmt.Sprintf("grant of block %d", id))
 		}
 	}
 	h.emit(PauseDetected{pause})
 }
 
-// shardsInOrder yields the held shards by their numbers.
+// shardsInOrder yields the held shards in ascending order of their numbers.
 func (h *Holder) shardsInOrder() iter.Seq2[int, *heldShard] {
 	return func(yield func(int, *heldShard) bool) {
 		for _, id := range slices.Sorted(maps.Keys(h.shards)) {
@@ -154,24 +155,24 @@
 	}
 }
 
-// shardUnder returns the shard if it is held under the fencing token, else nil.
-func (h *Holder) shardUnder(id int, token wire.FencingToken) *heldShard {
+// shardWithToken returns the shard if it is held under the fencing token, and nil otherwise.
+func (h *Holder) shardWithToken(id int, token wire.FencingToken) *heldShard {
 	if s := h.shards[id]; s != nil && s.lease.fencingToken == token {
 		return s
 	}
 	return nil
 }
 
-// machineUnder returns a machine and its shard if the shard is held under the fencing token, else nil.
-func (h *Holder) machineUnder(id int, token wire.FencingToken, name string) (*heldShard, *machine) {
-	s := h.shardUnder(id, token)
+// machineWithToken returns a machine and its shard if the shard is held under the fencing token, and nil otherwise.
+func (h *Holder) machineWithToken(id int, token wire.FencingToken, name string) (*heldShard, *machine) {
+	s := h.shardWithToken(id, token)
 	if s == nil {
 		return nil, nil
 	}
 	return s, s.machines[name]
 }
 
-// dropShard gives up a shard whose machines or store key show a newer token: what is known of it no longer counts.
+// dropShard drops a shard whose machines or store key show a newer token, which makes its state here obsolete.
 func (h *Holder) dropShard(s *heldShard) {
 	h.requestRegrant(s)
 	delete(h.shards, s.id)
--- a/internal/shard/keys.go
+++ b/internal/shard/keys.go
@@ -8,27 +8,27 @@
 	"swiftledge/internal/peer"
 )
 
-// KeyPrefix is where the store keeps who holds each shard.
+// KeyPrefix is the prefix of the store keys that record the holder of each shard.
 const KeyPrefix = "block/"
 
-// attemptsPrefix is where the store keeps the attempt pages of all shards.
+// attemptsPrefix is the prefix of the store keys of all attempt pages.
 const attemptsPrefix = "run/"
 
-// ForMachine returns the shard, out of the given number, that a machine belongs to.
+// ForMachine returns the number of the shard that a machine belongs to, given the number of shards.
 func ForMachine(machine string, shards int) int {
 	hash := fnv.New32a()
 	hash.Write([]byte(machine))
 	return int(hash.Sum32() % uint32(shards))
 }
 
-// Key returns the store key that says who holds a shard.
+// Key returns the store key that records the holder of a shard.
 func Key(shard int) string { return KeyPrefix + paddedNumber(shard) }
 
-// AttemptPrefix returns the beginning of the store keys of a shard's attempt pages.
+// AttemptPrefix returns the prefix of the store keys of a shard's attempt pages.
 func AttemptPrefix(shard int) string { return attemptsPrefix + paddedNumber(shard) + "/" }
 
-// TaskName returns the name of a task in the agents' protocol.
+// TaskName returns the name of a task in the protocol with the agents.
 func TaskName(task peer.Task) string { return task.Job + "/" + strconv.Itoa(task.Index) }
 
-// paddedNumber returns a shard's number in three digits.
+// paddedNumber returns the number of a shard with three digits.
 func paddedNumber(shard int) string { return fmt.Sprintf("%03d", shard%1000) }
--- a/internal/shard/launch_test.go
+++ b/internal/shard/launch_test.go
@@ -37,7 +37,7 @@
 
 // While the attempt record of a task is being written, anything may happen to its machine or its lease. Whatever it is:
 // the task is given back or launched, never both, and not before the write's end.
-func TestWhatHappensWhileALaunchIsRecorded(t *testing.T) {
+func TestEventsDuringAttemptWrite(t *testing.T) {
 	const page = "run/000/50-1"
 	committed := store.TxnResult{Committed: true, Revision: 8}
 	nextEpoch := func(machine string) Message { return heartbeat(machine, 2, testToken).inEpoch(2) }
@@ -69,7 +69,7 @@
 			h := newTestHolder(t)
 			h.Step(now, heartbeat("m1", 1, testToken))
 			h.Step(now, heartbeat("m2", 1, testToken, running(2)))
-			at := later(1)
+			at := afterUpdateIntervals(1)
 			write := onlyEffect[WriteAttempts](t, offerTask(h, at))
 			var before []Effect
 			for _, message := range c.meanwhile {
@@ -99,10 +99,10 @@
 
 // A machine whose lease ended while a launch on it was recorded, and that is heard again: the task is not given back
 // before the write's end, or it would be launched as well.
-func TestLeaseEndLeavesWhatIsBeingRecorded(t *testing.T) {
+func TestAgentLeaseExpiryKeepsRecordingAttempts(t *testing.T) {
 	h := newTestHolder(t)
 	h.Step(now, heartbeat("m1", 1, testToken))
-	offerTask(h, later(1))
+	offerTask(h, afterUpdateIntervals(1))
 	s := h.shards[0]
 	m := s.machines["m1"]
 	h.tickMachine(h.agentLeaseEnd(s, m)+1, s, m)
@@ -111,8 +111,8 @@
 	}
 	h = newTestHolder(t)
 	h.Step(now, heartbeat("m1", 1, testToken))
-	offerTask(h, later(1))
-	h.Step(later(1), orders(peer.ShardOrders{Terminated: []string{"m1"}}))
+	offerTask(h, afterUpdateIntervals(1))
+	h.Step(afterUpdateIntervals(1), orders(peer.ShardOrders{Terminated: []string{"m1"}}))
 	if len(h.shards[0].attempts.byTask[offeredTask]) != 1 {
 		t.Error("given back while its launch is being recorded")
 	}
@@ -120,23 +120,23 @@
 
 // A machine whose lease has ended when the launch on it is recorded gets no run command, which its next epoch would
 // refuse: the task is given back.
-func TestNoLaunchOnAMachineWhoseLeaseEnded(t *testing.T) {
+func TestNoLaunchAfterAgentLeaseExpiry(t *testing.T) {
 	h := newTestHolder(t)
 	h.Step(now, heartbeat("m1", 1, testToken))
-	write := onlyEffect[WriteAttempts](t, offerTask(h, later(1)))
+	write := onlyEffect[WriteAttempts](t, offerTask(h, afterUpdateIntervals(1)))
 	h.shards[0].machines["m1"].leaseExpired = true
-	effects := h.Step(later(2), write.Result(store.TxnResult{Committed: true, Revision: 8}))
-	effects = append(effects, h.Step(later(3), Tick{})...)
+	effects := h.Step(afterUpdateIntervals(2), write.Result(store.TxnResult{Committed: true, Revision: 8}))
+	effects = append(effects, h.Step(afterUpdateIntervals(3), Tick{})...)
 	if countRunCommands(effects) != 0 || countReleased(effects) != 1 {
 		t.Errorf("%d run commands, given back %d times", countRunCommands(effects), countReleased(effects))
 	}
 }
 
 // A run command that is sent names the epoch in which it is to be carried out, and no other.
-func TestRunCommandNamesItsEpoch(t *testing.T) {
+func TestRunCommandCarriesAgentEpoch(t *testing.T) {
 	h := newTestHolder(t)
 	h.Step(now, heartbeat("m1", 1, testToken).inEpoch(3))
-	for _, sent := range effectsOf[SendCommands](launchTask(t, h, later(1))) {
+	for _, sent := range effectsOf[SendCommands](launchTask(t, h, afterUpdateIntervals(1))) {
 		if sent.Machine == "m1" && sent.Body.AgentEpoch != 3 {
 			t.Errorf("a command for epoch %d, want 3", sent.Body.AgentEpoch)
 		}
@@ -145,7 +145,7 @@
 
 // To send a command costs a controller more than to answer a heartbeat. One that is behind with its work lets the next
 // reply carry a launch; one that is not sends it at once.
-func TestLaunchesWaitForHeartbeatsUnderOverload(t *testing.T) {
+func TestLaunchesDeferredToHeartbeatsUnderOverload(t *testing.T) {
 	const onTime, late = lateTickThreshold / 2, 2 * lateTickThreshold
 	for _, c := range []struct {
 		name  string
@@ -169,7 +169,7 @@
 		if c.ticks == late {
 			h.overload.lastLateTick = at
 		}
-		if n := sentCommands(launchTask(t, h, at)); n != c.want {
+		if n := countAgentRequests(launchTask(t, h, at)); n != c.want {
 			t.Errorf("%s: %d messages with commands, want %d", c.name, n, c.want)
 		}
 		runs := 0
--- a/internal/shard/leader_link.go
+++ b/internal/shard/leader_link.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	// renewalInterval is the pause between two requests to renew the shard leases.
+	// renewalInterval is the time between two requests to renew the shard leases.
 	renewalInterval = clock.Second
-	// maxPendingRenewals is how many requests are remembered while their answers may come.
+	// maxPendingRenewals limits the renewal requests whose answers are still accepted.
 	maxPendingRenewals = 16
 
-	// updateInterval is how long what the leader is to know is gathered, so that many heartbeats cost it one message;
-	// what it waits for goes at once.
+	// updateInterval is how long changes are batched before they are sent to the leader, so that many heartbeats cost
+	// it one message. Urgent updates, which the leader waits for, are sent at once.
 	updateInterval = 150 * clock.Millisecond
-	// updateIntervalViaStore is the same on a link whose messages take seconds.
+	// updateIntervalViaStore replaces updateInterval on a link through the store, whose messages take seconds.
 	updateIntervalViaStore = clock.Second
 )
 
@@ -24,8 +24,8 @@
 	term        cluster.Term
 	connected   bool
 	viaStore    bool
-	renewSeq    uint64                  // of the last request to renew
-	renewSentAt map[uint64]clock.Micros // when a request was sent, by its number
+	renewSeq    uint64                  // number of the last renewal request
+	renewSentAt map[uint64]clock.Micros // when each renewal request was sent, by its number
 	lastRenewal clock.Micros
 	lastUpdate  clock.Micros
 }
@@ -36,11 +36,11 @@
 	}
 }
 
-// isCurrent says whether a message of a term counts: one of another leader is late, or from a link that outlived its
-// term.
+// isCurrent reports whether messages of a term are accepted. A message of another term is late, or came over a link
+// that outlived its term.
 func (l *leaderLink) isCurrent(term cluster.Term) bool { return term == l.term && l.connected }
 
-// nextRenewal numbers a request to renew that is sent now.
+// nextRenewal returns the number of a renewal request that is sent now.
 func (l *leaderLink) nextRenewal(now clock.Micros) uint64 {
 	l.renewSeq++
 	l.lastRenewal = now
@@ -49,7 +49,7 @@
 	return l.renewSeq
 }
 
-// isUpdateDue says whether what has gathered is to be sent.
+// isUpdateDue reports whether it is time to send the batched changes.
 func (l *leaderLink) isUpdateDue(now clock.Micros) bool {
 	interval := updateInterval
 	if l.viaStore {
@@ -77,12 +77,12 @@
 	}})
 }
 
-// minSilentAgents is how many agents must fall silent together to point at this controller's own network instead of
-// them.
+// minSilentAgents is the number of agents that must fall silent together to indicate a fault of this controller's
+// network and not of the agents.
 const minSilentAgents = 3
 
-// hasLostAgentContact says whether all agents fell silent at once, so that another controller had better speak to
-// them before their leases expire.
+// hasLostAgentContact reports whether all agents fell silent at once. Another controller should then take over before
+// the agents' leases expire.
 func (h *Holder) hasLostAgentContact(now clock.Micros) bool {
 	// Each agent sends a heartbeat at least every 1.25 intervals.
 	timeout := h.params.HeartbeatInterval*3/2 + clock.Second/2
@@ -92,10 +92,10 @@
 	agents := 0
 	for _, s := range h.shards {
 		if now-s.lease.grantedAt < timeout+clock.Second {
-			return false // its agents are still on their way here
+			return false // its agents may not have been redirected here yet
 		}
 		for _, m := range s.machineOrder {
-			if m.isKnownToRun() && !m.terminated && !m.leaseExpired {
+			if m.mayHaveAgent() && !m.terminated && !m.leaseExpired {
 				agents++
 			}
 		}
--- a/internal/shard/leader_messages.go
+++ b/internal/shard/leader_messages.go
@@ -27,13 +27,14 @@
 	}
 	h.renewLeases(message.RenewedSeq, message.FencingTokens)
 	for _, orders := range message.Orders {
-		if s := h.shardUnder(orders.Shard, orders.FencingToken); s != nil {
+		if s := h.shardWithToken(orders.Shard, orders.FencingToken); s != nil {
 			h.applyOrders(now, s, orders)
 		}
 	}
 }
 
-// updateHolders takes in who holds which shard. The agents of one that goes elsewhere are redirected from now on.
+// updateHolders stores which controller holds each shard. It drops the shards that another controller holds now, and
+// their agents are redirected from then on.
 func (h *Holder) updateHolders(holders []string) {
 	h.holders = holders
 	for id, name := range holders {
@@ -43,21 +44,21 @@
 	}
 }
 
-// renewLeases extends the leases that a renewal names. They run from when it was asked for, not from when the answer
-// came.
+// renewLeases extends the leases named by the answer to a renewal request. They run from when the request was sent,
+// not from when the answer arrived.
 func (h *Holder) renewLeases(seq uint64, tokens map[int]wire.FencingToken) {
 	sentAt, ok := h.leader.renewSentAt[seq]
 	if !ok || seq == 0 {
 		return
 	}
 	for id, token := range tokens {
-		if s := h.shardUnder(id, token); s != nil {
+		if s := h.shardWithToken(id, token); s != nil {
 			s.lease.extend(sentAt + h.params.GrantTime.Shorter())
 		}
 	}
 }
 
-// applyOrders carries out what the leader orders for a shard.
+// applyOrders carries out the leader's orders for a shard.
 func (h *Holder) applyOrders(now clock.Micros, s *heldShard, orders peer.ShardOrders) {
 	for _, name := range orders.Added {
 		m := s.ensureMachine(name)
@@ -87,12 +88,12 @@
 	}
 	h.placeOffers(now, s, orders.Offers)
 	s.update.receivedOfferSeq = orders.OfferSeq
-	if s.log.write == nil {
+	if s.log.pendingWrite == nil {
 		s.update.settleOffers()
 	}
 }
 
-// terminateMachine takes in that a machine is deleted: nothing runs there any more.
+// terminateMachine marks a machine as deleted and ends its attempts, because nothing runs there any more.
 func (h *Holder) terminateMachine(s *heldShard, m *machine) {
 	m.terminated = true
 	s.markChanged(m)
@@ -106,7 +107,7 @@
 	h.visits.RemoveMachine(m.name)
 }
 
-// persistEnds takes in that what the end of a task proves is stored.
+// persistEnds marks the ends of a task's exited attempts as stored.
 func (s *heldShard) persistEnds(task peer.Task) {
 	for _, a := range s.attempts.byTask[task] {
 		if a.state == attemptExited {
@@ -115,7 +116,7 @@
 	}
 }
 
-// stopTasks ends all attempts of tasks.
+// stopTasks stops all attempts of the given tasks.
 func (h *Holder) stopTasks(now clock.Micros, s *heldShard, tasks []peer.StopTask) {
 	var batches commandBatches
 	for _, stop := range tasks {
--- a/internal/shard/leader_updates.go
+++ b/internal/shard/leader_updates.go
@@ -7,18 +7,18 @@
 	"swiftledge/internal/peer"
 )
 
-// pendingUpdate gathers what the leader is to be told of a shard.
+// pendingUpdate collects the changes of a shard that are to be sent to the leader.
 type pendingUpdate struct {
 	events           []peer.TaskEvent
-	machines         []*machine // whose state changed
-	receivedOfferSeq uint64     // of the leader's offers that were placed
-	settledOfferSeq  uint64     // of those whose attempt records were written, too
-	urgent           bool       // the leader waits for it
+	machines         []*machine // machines whose state changed
+	receivedOfferSeq uint64     // number of the leader's last offers that were handled
+	settledOfferSeq  uint64     // number of the last offers that are settled: their attempt records are written, too
+	urgent           bool       // the leader waits for this update
 }
 
 func (u *pendingUpdate) addEvent(event peer.TaskEvent) { u.events = append(u.events, event) }
 
-// settleOffers notes that all offers so far are settled, which the leader waits for.
+// settleOffers marks all offers received so far as settled, which the leader waits for.
 func (u *pendingUpdate) settleOffers() { u.settledOfferSeq, u.urgent = u.receivedOfferSeq, true }
 
 func (u *pendingUpdate) isEmpty() bool { return len(u.events)+len(u.machines) == 0 }
@@ -26,7 +26,7 @@
 // clear empties the update after it was sent.
 func (u *pendingUpdate) clear() { u.events, u.machines, u.urgent = nil, nil, false }
 
-// sendUpdates tells the leader what has changed.
+// sendUpdates sends the leader the changes of the shards whose updates are due or urgent.
 func (h *Holder) sendUpdates(now clock.Micros) {
 	if !h.leader.connected {
 		return
@@ -35,7 +35,7 @@
 	var updates []peer.ShardUpdate
 	for _, s := range h.shardsInOrder() {
 		if s.update.urgent || due && !s.update.isEmpty() {
-			updates = append(updates, h.takeUpdate(now, s))
+			updates = append(updates, h.flushUpdate(now, s))
 		}
 	}
 	if len(updates) > 0 {
@@ -44,8 +44,8 @@
 	}
 }
 
-// takeUpdate returns what has gathered for a shard, and begins anew.
-func (h *Holder) takeUpdate(now clock.Micros, s *heldShard) peer.ShardUpdate {
+// flushUpdate returns the pending update of a shard and clears it.
+func (h *Holder) flushUpdate(now clock.Micros, s *heldShard) peer.ShardUpdate {
 	update := peer.ShardUpdate{
 		Shard:           s.id,
 		FencingToken:    s.lease.fencingToken,
@@ -60,7 +60,7 @@
 	return update
 }
 
-// machineState returns a machine's state for the leader.
+// machineState returns the state of a machine as reported to the leader.
 func (h *Holder) machineState(m *machine) peer.MachineState {
 	free := h.freeCapacity(m)
 	state := peer.MachineState{
--- a/internal/shard/lease.go
+++ b/internal/shard/lease.go
@@ -8,7 +8,7 @@
 	"swiftledge/internal/peer"
 )
 
-// acceptGrant begins a new lease of a shard. What may run there is read from its attempt records alone.
+// acceptGrant starts a new lease of a shard. Only its attempt records say which attempts may run there.
 func (h *Holder) acceptGrant(now clock.Micros, grant peer.ShardGrant) {
 	earlier := h.shards[grant.Shard]
 	if earlier != nil && earlier.lease.fencingToken >= grant.FencingToken {
@@ -32,7 +32,7 @@
 	h.fenceAfterGrant(now, s, grant.Machines)
 }
 
-// inherit takes over what is known of the machines from an earlier lease, which lasts until the new one is renewed.
+// inherit copies the state of the machines from an earlier lease, whose expiry applies until the new lease is renewed.
 func (s *heldShard) inherit(earlier *heldShard) {
 	for _, m := range earlier.machineOrder {
 		s.ensureMachine(m.name).inherit(m)
@@ -40,14 +40,14 @@
 	s.lease.expiresAt = earlier.lease.expiresAt
 }
 
-// loadPages takes in the attempt records that earlier leases left.
+// loadPages adds the attempts recorded under earlier leases.
 func (s *heldShard) loadPages(pages map[string]peer.AttemptPage) {
 	var ended []*taskAttempt
 	for _, key := range slices.Sorted(maps.Keys(pages)) {
 		for _, a := range s.loadPage(key, pages[key]) {
 			if !a.machine.inInventory || a.machine.terminated {
-				// Machines leave the inventory only after their proven end, some time after it: a new leader may
-				// still list what its predecessor has deleted.
+				// A machine leaves the inventory only some time after its end is proven. A new leader may
+				// therefore still list a machine that its predecessor has deleted.
 				ended = append(ended, a)
 			}
 		}
@@ -57,14 +57,14 @@
 	}
 }
 
-// loadPage adds the attempts that a page names and returns those that were not known yet.
+// loadPage adds the attempts recorded on a page and returns those that were not known yet.
 func (s *heldShard) loadPage(key string, source peer.AttemptPage) (added []*taskAttempt) {
 	page := &attemptPage{key: key, sealed: true, fencingToken: source.FencingToken}
 	for i := range source.Groups {
 		group := &source.Groups[i]
-		// The leader hands out no page that cannot be read in full.
+		// The leader sends only pages that can be decoded in full.
 		records, _ := source.Records(group)
-		page.stored += len(records)
+		page.storedRecords += len(records)
 		for _, r := range records {
 			m := s.ensureMachine(r.Machine)
 			if m.attempt(r.Attempt) != nil {
--- a/internal/shard/lease_test.go
+++ b/internal/shard/lease_test.go
@@ -9,13 +9,13 @@
 
 // A new leader's inventory may still list a machine that its predecessor has deleted, with attempt records on it. The
 // holder knows better: they are over, and the leader is told.
-func TestDeletedMachineIsNotWaitedFor(t *testing.T) {
+func TestAttemptsOnDeletedMachineReleasedAtGrant(t *testing.T) {
 	h := newTestHolder(t)
 	h.Step(now, orders(peer.ShardOrders{Terminated: []string{"m1"}}))
 	h.Step(now, LeaderConnected{Term: 10})
 	page := peer.AttemptPage{Machines: []string{"m1"},
 		Groups: []peer.AttemptGroup{{Job: task.Job, Team: "red", CPUs: 1, Attempts: []int{3, 1, 0}}}}
-	effects := h.Step(later(2), fromLeader(peer.FromLeader{Term: 10, Grants: []peer.ShardGrant{
+	effects := h.Step(afterUpdateIntervals(2), fromLeader(peer.FromLeader{Term: 10, Grants: []peer.ShardGrant{
 		{Shard: 0, FencingToken: 60, KeyVersion: 8, Machines: testInventory,
 			Pages: map[string]peer.AttemptPage{"run/000/1-1": page}}}}))
 	if kinds := eventsOf(effects); len(kinds) != 1 || kinds[0] != peer.EventReleased {
@@ -33,7 +33,7 @@
 }
 
 // A grant that comes again begins nothing anew: numbers of attempts would repeat.
-func TestGrantThatComesAgainIsTheSame(t *testing.T) {
+func TestRepeatedGrantIsIgnored(t *testing.T) {
 	h := newTestHolder(t)
 	s := h.shards[0]
 	for _, token := range []wire.FencingToken{testToken, testToken - 1} {
@@ -46,7 +46,7 @@
 }
 
 // What an older leader says, or what was said of an older lease, changes nothing.
-func TestOlderMessagesChangeNothing(t *testing.T) {
+func TestStaleLeaderMessagesAreIgnored(t *testing.T) {
 	terminated := func(token wire.FencingToken) []peer.ShardOrders {
 		return []peer.ShardOrders{{Shard: 0, FencingToken: token, Terminated: []string{"m1"}}}
 	}
@@ -65,8 +65,8 @@
 	}
 	h := newTestHolder(t)
 	expiresAt := h.shards[0].lease.expiresAt
-	h.Step(seconds(2), Tick{})
-	h.Step(seconds(2), renewal(h, testToken-1))
+	h.Step(secondsLater(2), Tick{})
+	h.Step(secondsLater(2), renewal(h, testToken-1))
 	if h.shards[0].lease.expiresAt != expiresAt {
 		t.Error("the renewal of an older lease prolongs this one")
 	}
--- a/internal/shard/machine.go
+++ b/internal/shard/machine.go
@@ -9,10 +9,10 @@
 	"swiftledge/wire"
 )
 
-// maxFailedJobs is how many jobs whose tasks failed are remembered of a machine.
+// maxFailedJobs limits the jobs with failed tasks that are remembered for each machine.
 const maxFailedJobs = 32
 
-// terminatedRetention is how long a machine that was terminated and is not heard of is remembered.
+// terminatedRetention is how long a terminated machine is kept after its last status.
 const terminatedRetention = 10 * clock.Minute
 
 // machine is a machine of a held shard.
@@ -25,22 +25,22 @@
 
 	inInventory  bool
 	draining     bool
-	excluded     bool // the leader wants no new tasks here
+	excluded     bool // the leader has excluded it from scheduling
 	terminated   bool // the machine is deleted
-	leaseExpired bool // its agent's lease has expired: nothing runs here
-	silent       bool // as the leader knows it; see Holder.isSilent
+	leaseExpired bool // its agent's lease has expired, so nothing runs here
+	silent       bool // as last determined and reported to the leader; see Holder.isSilent
 
-	changed             bool // the leader is to be told of the state
+	changed             bool // its state is queued for the leader
 	reportedSchedulable bool
 
-	attempts            []*taskAttempt // in the order in which they came
+	attempts            []*taskAttempt // in the order in which they were added
 	failedJobs          []string
 	contradictionLogged bool
 	images              *placement.ImageCache
 	freeCapacity        *placement.Machine // cached; nil after a change
 }
 
-// machineInfo is what an agent says of its machine.
+// machineInfo is what an agent reports about its machine.
 type machineInfo struct {
 	address, typeName, zone string
 	spot                    bool
@@ -57,22 +57,22 @@
 	}
 }
 
-// inherit takes over what is known of the machine from an earlier lease of its shard. What may run on it is read
-// anew from the attempt records, and the new token is to be confirmed anew.
+// inherit copies the machine's state from an earlier lease of its shard, except for its attempts, which are read again
+// from the attempt records, and the confirmation of the token, which is needed again for the new one.
 func (m *machine) inherit(earlier *machine) {
 	m.info, m.agent, m.commands = earlier.info, earlier.agent, earlier.commands
 	m.terminated = earlier.terminated
 	m.images, m.failedJobs = earlier.images, earlier.failedJobs
 }
 
-// isKnownToRun says whether there is reason to believe that an agent runs on the machine. One that is only in the
-// inventory may not be up yet.
-func (m *machine) isKnownToRun() bool { return m.agent.lastStatus > 0 || len(m.attempts) > 0 }
+// mayHaveAgent reports whether there are signs that an agent runs on the machine. A machine that is only listed in the
+// inventory may not have booted yet.
+func (m *machine) mayHaveAgent() bool { return m.agent.lastStatus > 0 || len(m.attempts) > 0 }
 
-// acceptsCommands says whether commands can be sent to the machine.
+// acceptsCommands reports whether commands can be sent to the machine.
 func (m *machine) acceptsCommands() bool { return m.info.address != "" && m.agent.epoch > 0 }
 
-// attempt returns the machine's attempt of an ID, or nil; IDs never repeat.
+// attempt returns the machine's attempt with an ID, or nil. IDs are never reused.
 func (m *machine) attempt(id wire.AttemptID) *taskAttempt {
 	for _, a := range m.attempts {
 		if a.id == id {
@@ -82,21 +82,21 @@
 	return nil
 }
 
-// runsJob says whether an attempt of a job may be going on.
+// runsJob reports whether an attempt of a job may be active on the machine.
 func (m *machine) runsJob(job string) bool {
 	return slices.ContainsFunc(m.attempts, func(a *taskAttempt) bool {
 		return a.task.Job == job && a.state != attemptExited
 	})
 }
 
-// recordFailure remembers that a task of a job failed on the machine.
+// recordFailure records that a task of a job failed on the machine.
 func (m *machine) recordFailure(job string) {
 	if !slices.Contains(m.failedJobs, job) && len(m.failedJobs) < maxFailedJobs {
 		m.failedJobs = append(m.failedJobs, job)
 	}
 }
 
-// retainedAttempts counts the attempts that are over but must stay listed.
+// retainedAttempts counts the attempts that have ended but must stay listed by the agent.
 func (m *machine) retainedAttempts() (count int) {
 	for _, a := range m.attempts {
 		if a.isRetained() {
@@ -106,8 +106,8 @@
 	return count
 }
 
-// isSchedulable says whether a machine can be given tasks now. The lease of one that only answers commands, while
-// none of its heartbeats comes, expires whatever it answers.
+// isSchedulable reports whether tasks can be placed on a machine now. Answers to commands alone are not enough: while
+// no heartbeat of the agent arrives, its lease expires regardless.
 func (h *Holder) isSchedulable(now clock.Micros, s *heldShard, m *machine) bool {
 	const missedHeartbeats = 3
 	timeout := missedHeartbeats * h.params.HeartbeatInterval
@@ -116,7 +116,7 @@
 	return inContact && m.inInventory && !leaving && m.fence.confirmed && !m.commands.isUnreachable()
 }
 
-// freeCapacity returns what is free on a machine.
+// freeCapacity returns a machine with its free capacity, as the auction needs it.
 func (h *Holder) freeCapacity(m *machine) *placement.Machine {
 	if m.freeCapacity != nil {
 		return m.freeCapacity
--- a/internal/shard/messages.go
+++ b/internal/shard/messages.go
@@ -6,63 +6,63 @@
 	"swiftledge/wire"
 )
 
-// Message is what a Holder takes in, one at a time.
+// Message is an input of a Holder, which handles one at a time.
 //
 //sumtype:decl
 type Message interface{ shardMessage() }
 
 // Messages to a Holder.
 type (
-	// LeaderConnected says that the link to the leader of a term is up.
+	// LeaderConnected reports that the link to the leader of a term is up.
 	LeaderConnected struct {
 		Term     cluster.Term
 		ViaStore bool // the link runs through the store: its messages take seconds
 	}
-	// LeaderDisconnected says that the link to the leader of a term ended.
+	// LeaderDisconnected reports that the link to the leader of a term is down.
 	LeaderDisconnected struct{ Term cluster.Term }
-	// LeaderMessage is a message that came from the leader over the link that is up.
+	// LeaderMessage is a message received from the leader over the current link.
 	LeaderMessage struct{ Message *peer.FromLeader }
-	// HeartbeatReceived is an agent's heartbeat, which waits for a reply.
+	// HeartbeatReceived is a heartbeat of an agent that waits for the reply.
 	HeartbeatReceived struct {
 		ReplyTo   Responder
 		Heartbeat *wire.Heartbeat
 	}
-	// CommandsAnswered is the end of SendCommands. Code is the HTTP status, 0 without an answer, or NotSent.
-	// Status is the agent's status after the commands; nil without one.
+	// CommandsAnswered is the result of SendCommands. Code is the HTTP status, 0 without an answer, or NotSent.
+	// Status is the agent's status after the commands, or nil if the answer has none.
 	CommandsAnswered struct {
 		Request SendCommands
 		Code    int
 		Status  *wire.Heartbeat
 	}
-	// InspectionAnswered is the end of InspectAgent; Status is nil without an answer.
+	// InspectionAnswered is the result of InspectAgent. Status is nil without an answer.
 	InspectionAnswered struct {
 		Request InspectAgent
 		Status  *wire.Heartbeat
 	}
-	// AttemptsWritten is the end of WriteAttempts.
+	// AttemptsWritten is the result of WriteAttempts.
 	AttemptsWritten struct {
 		Shard         int
 		FencingToken  wire.FencingToken
 		Seq           int
 		Committed     bool
-		Fenced        bool   // another holder has the shard
-		NeverExecuted bool   // certainly not carried out, nor will it be
-		Revision      uint64 // the new version of the pages; 0 when it is not known
-		TooLarge      bool   // the store takes no transaction as large as that
+		Fenced        bool   // another controller holds the shard
+		NeverExecuted bool   // certainly not executed, neither now nor later
+		Revision      uint64 // the new version of the pages; 0 if it is unknown
+		TooLarge      bool   // the store rejected the transaction for its size
 	}
-	// PagesCompacted is the end of CompactPages.
+	// PagesCompacted is the result of CompactPages.
 	PagesCompacted struct {
 		Shard        int
 		FencingToken wire.FencingToken
 		Committed    bool
-		Fenced       bool   // another holder has the shard
-		Revision     uint64 // the new page's version; 0 when it is not known
+		Fenced       bool   // another controller holds the shard
+		Revision     uint64 // the version of the new page; 0 if it is unknown
 	}
-	// Tick lets time pass.
+	// Tick is sent periodically, for work that depends on time.
 	Tick struct{}
 )
 
-// NotSent is the Code of commands that certainly never left this controller.
+// NotSent is the Code for commands that certainly never left this controller.
 const NotSent = -1
 
 func (LeaderConnected) shardMessage()    {}
--- a/internal/shard/overload.go
+++ b/internal/shard/overload.go
@@ -3,14 +3,14 @@
 import "swiftledge/internal/clock"
 
 const (
-	// lateTickThreshold is the time between two Ticks from which this controller counts as overloaded: they are sent
-	// several times as often, so messages wait for longer than that to be handled.
+	// lateTickThreshold is the time between two Ticks above which this controller counts as overloaded. Ticks are sent
+	// several times as often, so a late Tick means that messages wait too long to be handled.
 	lateTickThreshold = 500 * clock.Millisecond
-	// overloadCooldown is how long after the last late Tick the controller still counts as overloaded.
+	// overloadCooldown is how long the controller still counts as overloaded after the last late Tick.
 	overloadCooldown = 2 * clock.Second
 )
 
-// overloadDetector notices that this controller falls behind with its messages.
+// overloadDetector detects that this controller falls behind in handling its messages.
 type overloadDetector struct {
 	lastTick     clock.Micros
 	lastLateTick clock.Micros
@@ -23,7 +23,7 @@
 	d.lastTick = now
 }
 
-// isActive says whether this controller has lately fallen behind.
+// isActive reports whether this controller has recently fallen behind.
 func (d *overloadDetector) isActive(now clock.Micros) bool {
 	return d.lastLateTick > 0 && now-d.lastLateTick < overloadCooldown
 }
--- a/internal/shard/pause_test.go
+++ b/internal/shard/pause_test.go
@@ -12,8 +12,8 @@
 
 // A controller that was paused has the heartbeats of its agents in its queues yet: it neither reports lost contact nor
 // its machines silent for what it could not read, and tells which leases expired.
-func TestSilenceIsCountedFromTheEndOfAPause(t *testing.T) {
-	h, s := holderBeforePause()
+func TestSilenceCountedFromEndOfPause(t *testing.T) {
+	h, s := newHolderBeforePause()
 	began := clock.Minute
 	h.Step(began, Tick{})
 	resumed := began + 12*clock.Second
@@ -39,8 +39,8 @@
 	}
 }
 
-// holderBeforePause returns a holder of one shard of a few machines, whose lease expires soon after a minute.
-func holderBeforePause() (*Holder, *heldShard) {
+// newHolderBeforePause returns a holder of one shard of a few machines, whose lease expires soon after a minute.
+func newHolderBeforePause() (*Holder, *heldShard) {
 	h := New(testParams(), placement.Params{}, func() bool { return true })
 	s := newHeldShard(0, shardLease{fencingToken: 1, grantedAt: clock.Second, expiresAt: clock.Minute + 5*clock.Second})
 	h.shards[0] = s
--- a/internal/shard/placement_cycle.go
+++ b/internal/shard/placement_cycle.go
@@ -11,19 +11,19 @@
 	"swiftledge/wire"
 )
 
-// Ranks of machines that another replica of a service had better avoid, by how much.
+// Ranks of the machines that a further replica of a service should avoid. A higher rank is avoided more strongly.
 const (
-	avoidRunning = 1 // one of the service's replicas is there
-	avoidFailed  = 2 // one failed there
+	avoidRunning = 1 // a replica of the service runs there
+	avoidFailed  = 2 // a replica of the service failed there
 )
 
-// placeOffers places offered tasks by auction, and writes the attempt records of those that found a machine. There is
-// one write at a time: what comes meanwhile gathers with the leader, so the store's limits set the length of the
-// placement cycles.
+// placeOffers places offered tasks by auction and writes the attempt records of the placed tasks. Only one write is
+// in flight at a time. Tasks that arrive in the meantime accumulate at the leader, so the store's limits determine
+// the length of a placement cycle.
 func (h *Holder) placeOffers(now clock.Micros, s *heldShard, offers []peer.TaskOffer) {
-	params := h.paramsFor(offers)
+	params := h.auctionParams(offers)
 	var machines []*placement.Machine
-	if s.log.write == nil && !s.lease.hasExpired(now) && !s.attempts.isExhausted() {
+	if s.log.pendingWrite == nil && !s.lease.hasExpired(now) && !s.attempts.isExhausted() {
 		machines = h.candidates(now, s, params.LoadBound)
 	}
 	groups := make([]*placement.Group, len(offers))
@@ -49,8 +49,8 @@
 	}
 }
 
-// paramsFor returns the auction's parameters, with the bound on the machines' load if there is one.
-func (h *Holder) paramsFor(offers []peer.TaskOffer) placement.Params {
+// auctionParams returns the parameters of the auction, with the bound on the machines' load if one is set.
+func (h *Holder) auctionParams(offers []peer.TaskOffer) placement.Params {
 	params := h.placementParams
 	if h.params.LoadBound != nil {
 		params.LoadBound = &placement.LoadBound{
@@ -62,7 +62,7 @@
 	return params
 }
 
-// meanLoad is the mean load that a leader names with its offers; 0 if none does, or it makes no sense.
+// meanLoad returns the mean load that the leader sends with its offers. It returns 0 if no offer has a valid one.
 func meanLoad(offers []peer.TaskOffer) (mean float64) {
 	for i := range offers {
 		if load := offers[i].Job.FleetLoad; load > 0 && load <= 1 {
@@ -72,8 +72,8 @@
 	return mean
 }
 
-// candidates returns the machines that have free capacity for new tasks. With a bound on the load, its mean is of all
-// machines that take work, the full ones too.
+// candidates returns the machines with free capacity for new tasks. If the load is bounded, it also adds the loads of
+// all schedulable machines, including the full ones, to the bound's mean.
 func (h *Holder) candidates(now clock.Micros, s *heldShard, bound *placement.LoadBound) []*placement.Machine {
 	var machines []*placement.Machine
 	for _, m := range s.machineOrder {
@@ -91,7 +91,7 @@
 	return machines
 }
 
-// placementGroup returns what the auction is to know of offered tasks.
+// placementGroup returns offered tasks in the form that the auction needs.
 func (s *heldShard) placementGroup(offer *peer.TaskOffer) *placement.Group {
 	job := &offer.Job
 	group := &placement.Group{
@@ -113,7 +113,7 @@
 	return group
 }
 
-// avoidRanks ranks the machines where another replica of a service had better not go.
+// avoidRanks returns the ranks of the machines that a further replica of a service should avoid.
 func (s *heldShard) avoidRanks(job string) map[string]int {
 	ranks := map[string]int{}
 	for _, m := range s.machineOrder {
@@ -127,7 +127,7 @@
 	return ranks
 }
 
-// attemptGroup returns what the attempt records are to say of a job.
+// attemptGroup returns the properties of a job that the attempt records store.
 func attemptGroup(job *wire.Job) *peer.AttemptGroup {
 	return &peer.AttemptGroup{
 		Job:         job.Ref,
@@ -142,8 +142,8 @@
 	}
 }
 
-// recordMatches begins the write of an attempt's record for each match, and returns the tasks that it holds. What one
-// transaction does not hold is another cycle's.
+// recordMatches starts the write of an attempt record for each match and returns the tasks that it covers. Tasks that
+// do not fit into one transaction are left to a later cycle.
 func (h *Holder) recordMatches(
 	s *heldShard, matches []placement.Match, recordGroups map[*placement.Group]*peer.AttemptGroup,
 ) map[peer.Task]bool {
@@ -151,10 +151,10 @@
 	writer := s.log.newWriter(h.params.limits())
 	for _, match := range matches {
 		m := s.machines[match.Machine.Name]
-		m.freeCapacity = nil // the auction has taken from it
+		m.freeCapacity = nil // the auction has reduced it
 		a := &taskAttempt{
 			task:    peer.Task{Job: match.Group.Job, Index: match.TaskIndex},
-			id:      peer.NewAttemptID(s.lease.fencingToken, s.attempts.count+1),
+			id:      peer.NewAttemptID(s.lease.fencingToken, s.attempts.issuedIDs+1),
 			machine: m,
 			group:   recordGroups[match.Group],
 			launch:  attemptLaunch{agentEpoch: m.agent.epoch},
@@ -162,7 +162,7 @@
 		if !writer.add(a) {
 			continue
 		}
-		s.attempts.count++
+		s.attempts.issuedIDs++
 		recorded[a.task] = true
 		s.addAttempt(a)
 		s.update.addEvent(peer.TaskEvent{Task: a.task, Kind: peer.EventAssigned, Machine: m.name})
@@ -173,9 +173,10 @@
 	return recorded
 }
 
-// shardOfWrite returns the shard whose write of attempt pages has ended, if its lease is still held.
-func (h *Holder) shardOfWrite(id int, token wire.FencingToken, fenced bool) *heldShard {
-	s := h.shardUnder(id, token)
+// shardAfterWrite returns the shard for which a write of attempt pages has ended, or nil if its lease is no longer
+// held. It drops the shard if the write was fenced.
+func (h *Holder) shardAfterWrite(id int, token wire.FencingToken, fenced bool) *heldShard {
+	s := h.shardWithToken(id, token)
 	if s != nil && fenced {
 		h.dropShard(s)
 		return nil
@@ -183,9 +184,9 @@
 	return s
 }
 
-// handleAttemptsWritten launches the attempts whose records are written.
+// handleAttemptsWritten launches the attempts whose records were written.
 func (h *Holder) handleAttemptsWritten(now clock.Micros, result AttemptsWritten) {
-	s := h.shardOfWrite(result.Shard, result.FencingToken, result.Fenced)
+	s := h.shardAfterWrite(result.Shard, result.FencingToken, result.Fenced)
 	if s == nil {
 		return
 	}
@@ -195,13 +196,13 @@
 	}
 	s.update.settleOffers()
 	if result.TooLarge {
-		// The store's limits fell below what the settings say.
+		// The store's limits have fallen below the configured ones.
 		h.params.MaxValueBytes, h.params.MaxTxnOps = store.ReducedLimits(h.params.MaxValueBytes, h.params.MaxTxnOps)
 	}
 	var batches commandBatches
 	for _, a := range attempts {
 		if !result.Committed || s.lease.hasExpired(now) || !a.canLaunch() {
-			s.removeAttempt(a) // never launched: it can run nowhere
+			s.removeAttempt(a) // never launched, so it cannot run anywhere
 			continue
 		}
 		if h.launch(now, a) {
@@ -211,37 +212,37 @@
 	h.sendBatches(s, &batches)
 }
 
-// canLaunch says whether an attempt whose record is written may still be launched.
+// canLaunch reports whether an attempt whose record was written may still be launched.
 func (a *taskAttempt) canLaunch() bool {
 	m := a.machine
 	return a.stop == keepRunning && !m.terminated && !m.leaseExpired && m.agent.epoch == a.launch.agentEpoch
 }
 
-// launch notes that an attempt is launched, and returns whether its run command is to be sent now. Else the reply to
-// the next heartbeat carries it.
+// launch marks an attempt as launched and returns whether to send its run command now. Otherwise the reply to the next
+// heartbeat carries it.
 func (h *Holder) launch(now clock.Micros, a *taskAttempt) (send bool) {
-	a.state, a.launch.at = attemptLaunched, now
-	if h.prefersReplies(now, a.machine) {
+	a.state, a.launch.launchedAt = attemptLaunched, now
+	if h.defersToReply(now, a.machine) {
 		return false
 	}
 	if a.machine.acceptsCommands() {
 		a.launch.unanswered++
-		a.launch.sent = true
+		a.launch.sentInRequest = true
 	}
 	return true
 }
 
-// prefersReplies says whether run commands for a machine wait for its next heartbeat. To send them costs the controller
-// more than to answer a heartbeat, so under overload the replies to machines that are in contact carry them, a
-// heartbeat interval later at most.
-func (h *Holder) prefersReplies(now clock.Micros, m *machine) bool {
+// defersToReply reports whether run commands for a machine wait for its next heartbeat. Sending a command costs the
+// controller more than answering a heartbeat. Under overload, the replies to machines that are in contact therefore
+// carry the commands, at most one heartbeat interval later.
+func (h *Holder) defersToReply(now clock.Micros, m *machine) bool {
 	inContact := m.agent.lastReply > 0 && now-m.agent.lastReply < h.params.HeartbeatInterval
 	return h.overload.isActive(now) && inContact
 }
 
-// handlePagesCompacted takes in the end of a compaction.
+// handlePagesCompacted handles the result of a compaction.
 func (h *Holder) handlePagesCompacted(result PagesCompacted) {
-	if s := h.shardOfWrite(result.Shard, result.FencingToken, result.Fenced); s != nil {
+	if s := h.shardAfterWrite(result.Shard, result.FencingToken, result.Fenced); s != nil {
 		s.log.completeCompaction(result)
 	}
 }
--- a/internal/shard/reconciliation.go
+++ b/internal/shard/reconciliation.go
@@ -8,15 +8,15 @@
 	"swiftledge/wire"
 )
 
-// statusSource is how an agent's status came.
+// statusSource says how an agent's status arrived.
 type statusSource int
 
 const (
-	fromHeartbeat statusSource = iota // of the agent's own accord
-	fromRequest                       // in the answer to commands or an inspection
+	fromHeartbeat statusSource = iota // in a heartbeat of the agent
+	fromRequest                       // in the answer to commands or to an inspection
 )
 
-// reconciliation compares one status of an agent with the attempts that were known of its machine.
+// reconciliation compares one status of an agent with the known attempts on its machine.
 type reconciliation struct {
 	holder   *Holder
 	now      clock.Micros
@@ -24,12 +24,12 @@
 	machine  *machine
 	status   *wire.Heartbeat
 	source   statusSource
-	known    []*taskAttempt // before the status
-	listed   []bool         // which of them the status lists
-	commands []wire.Command // that follow
+	known    []*taskAttempt // the attempts known before the status
+	listed   []bool         // for each known attempt, whether the status lists it
+	commands []wire.Command // the commands to answer the status with
 }
 
-// applyStatus takes in an agent's status and returns the commands to answer it with.
+// applyStatus applies an agent's status and returns the commands to answer it with.
 func (h *Holder) applyStatus(
 	now clock.Micros, s *heldShard, m *machine, status *wire.Heartbeat, source statusSource,
 ) []wire.Command {
@@ -38,8 +38,8 @@
 	}
 	h.recordStatus(now, s, m, status)
 	if status.FencingToken != s.lease.fencingToken {
-		// Not fenced yet: an older holder's commands may still be carried out, so the status proves nothing. But the
-		// reply renews the lease, so it ends what is to be stopped.
+		// Not fenced yet: the agent may still execute a former holder's commands, so the status proves nothing. But the
+		// reply renews the agent's lease, so it carries kill commands for the attempts that are to be stopped.
 		return m.killCommands(status)
 	}
 	if !m.fence.confirmed {
@@ -53,7 +53,7 @@
 	return r.commands
 }
 
-// killCommands returns the commands that end what is to be stopped of the tasks that a status lists.
+// killCommands returns kill commands for the listed attempts that are to be stopped.
 func (m *machine) killCommands(status *wire.Heartbeat) []wire.Command {
 	commands := []wire.Command{}
 	for _, t := range status.Tasks {
@@ -64,23 +64,23 @@
 	return commands
 }
 
-// reconcileListed takes in the tasks that the status lists. What it says of an attempt in contradiction to itself
-// proves nothing: the attempt counts as running.
+// reconcileListed applies the tasks that the status lists. If the status contradicts itself about an attempt, it
+// proves nothing, and the attempt counts as running.
 func (r *reconciliation) reconcileListed() {
 	next := 0
 	for i := range r.status.Tasks {
 		t := &r.status.Tasks[i]
-		at := findAttemptFrom(r.known, next, t.Attempt)
-		if at < 0 {
+		index := findAttemptFrom(r.known, next, t.Attempt)
+		if index < 0 {
 			r.commands = append(r.commands, cleanUpCommand(t))
 			continue
 		}
-		next = at + 1
-		a := r.known[at]
+		next = index + 1
+		a := r.known[index]
 		if a.state == attemptRecording {
 			continue
 		}
-		r.listed[at] = true
+		r.listed[index] = true
 		if reason := contradiction(r.status.Tasks, i, a); reason != "" {
 			r.holder.logContradiction(r.machine, t, reason)
 			continue
@@ -96,21 +96,21 @@
 	}
 }
 
-// findAttemptFrom returns the place of an attempt, or -1. It looks from a place on and around, as statuses mostly
-// list the tasks in the order in which they were launched.
+// findAttemptFrom returns the index of an attempt, or -1. The search starts at an index and wraps around, because
+// statuses mostly list tasks in launch order.
 func findAttemptFrom(attempts []*taskAttempt, from int, id wire.AttemptID) int {
 	for i := range attempts {
-		if at := (from + i) % len(attempts); attempts[at].id == id {
-			return at
+		if index := (from + i) % len(attempts); attempts[index].id == id {
+			return index
 		}
 	}
 	return -1
 }
 
-// contradiction says what speaks against the end of an attempt that a status lists at a place, if anything does.
-// Nothing is read into a task that goes on.
-func contradiction(tasks []wire.TaskStatus, at int, a *taskAttempt) string {
-	t := &tasks[at]
+// contradiction returns why a status contradicts the end of an attempt that it lists at an index, or "" if it does
+// not. It checks only ends that have not been applied yet, not active tasks.
+func contradiction(tasks []wire.TaskStatus, index int, a *taskAttempt) string {
+	t := &tasks[index]
 	if t.State != wire.TaskExited || a.state == attemptExited {
 		return ""
 	}
@@ -120,7 +120,7 @@
 	for i := range tasks {
 		other := &tasks[i]
 		switch {
-		case i == at || other.Task != t.Task || other.State == wire.TaskExited:
+		case i == index || other.Task != t.Task || other.State == wire.TaskExited:
 		case other.Attempt == t.Attempt:
 			return "the attempt is listed as active and as exited"
 		case t.Cause == wire.ExitBusy:
@@ -130,7 +130,7 @@
 	return ""
 }
 
-// logContradiction logs a status that contradicts itself, once for each machine.
+// logContradiction logs that a status contradicts itself, once for each machine.
 func (h *Holder) logContradiction(m *machine, t *wire.TaskStatus, reason string) {
 	if m.contradictionLogged {
 		return
@@ -140,7 +140,7 @@
 		Attributes: []any{"machine", m.name, "task", t.Task, "attempt", t.Attempt, "reason", reason}})
 }
 
-// applyExited takes in an attempt that is listed as exited.
+// applyExited applies the status of an attempt that is listed as exited.
 func (r *reconciliation) applyExited(a *taskAttempt, t *wire.TaskStatus) {
 	if a.state != attemptExited {
 		a.state = attemptExited
@@ -148,15 +148,15 @@
 	}
 	if !a.endReported {
 		r.holder.recordSpans(r.now, a, t)
-		r.applyEnd(a, endOf(t.Cause))
+		r.applyEnd(a, endForCause(t.Cause))
 	}
 	if a.canForget() {
 		r.commands = append(r.commands, forgetCommand(t))
 	}
 }
 
-// applyEnd tells the leader of an attempt's end. What a completion proves has yet to be stored; nothing is to be
-// stored of any other end.
+// applyEnd reports an attempt's end to the leader. A completion has yet to be stored by the leader. Any other end
+// needs no storing.
 func (r *reconciliation) applyEnd(a *taskAttempt, end attemptEnd) {
 	a.end = end
 	event := peer.TaskEvent{Task: a.task, Machine: r.machine.name, Kind: end.eventKind()}
@@ -172,15 +172,15 @@
 	}
 }
 
-// applyActive takes in an attempt that is listed as fetching its image, running, or writing a checkpoint.
+// applyActive applies the status of an attempt that is listed as fetching its image, running, or writing a checkpoint.
 func (r *reconciliation) applyActive(a *taskAttempt, t *wire.TaskStatus) {
 	if a.state != attemptConfirmed {
 		a.state = attemptConfirmed
 		r.shard.markChanged(r.machine)
 	}
 	if a.endReported {
-		// Its end was reported, so its task may run elsewhere: a late copy of its run command has come to an agent
-		// that began anew.
+		// Its end was reported, so its task may run elsewhere. A late copy of its run command has reached an agent
+		// that was restarted.
 		a.stop = stopImmediately
 	}
 	if t.State == wire.TaskRunning && !a.running {
@@ -194,20 +194,20 @@
 	}
 }
 
-// recordStart takes in that an attempt runs: its image has been fetched.
+// recordStart records that an attempt has started to run, for which its image has been fetched.
 func (r *reconciliation) recordStart(a *taskAttempt) {
 	h, m, image := r.holder, r.machine, a.group.Image
 	a.running, a.startedAt = true, r.now
 	r.shard.markChanged(m)
-	if a.launch.at > 0 && !m.images.Has(image) {
-		h.fetchRates.Observe(m.info.typeName, a.group.ImageGB, r.now-a.launch.at)
+	if a.launch.launchedAt > 0 && !m.images.Has(image) {
+		h.fetchRates.Observe(m.info.typeName, a.group.ImageGB, r.now-a.launch.launchedAt)
 	}
 	h.visits.RecordCached(image, m.name, r.now)
 	m.images.Use(image, a.group.ImageGB, h.machineTypes[m.info.typeName].CacheGB)
 	r.shard.update.addEvent(peer.TaskEvent{Task: a.task, Kind: peer.EventRunning, Machine: m.name})
 }
 
-// reconcileUnlisted takes in the attempts that the status does not list.
+// reconcileUnlisted handles the known attempts that the status does not list.
 func (r *reconciliation) reconcileUnlisted() {
 	for i, a := range r.known {
 		if r.listed[i] || a.state == attemptRecording {
@@ -216,18 +216,19 @@
 		if r.needsHigherToken(a) {
 			r.shard.lease.needsHigherToken = true
 		}
-		if r.isProvenGone(a) {
+		if r.isProvenEnded(a) {
 			r.shard.removeAttempt(a)
 		} else if a.state == attemptLaunched && a.stop == keepRunning {
-			// The run command has not been seen: the same one again does no harm.
+			// The status does not show that the run command has arrived. Repeating it is harmless.
 			r.commands = append(r.commands, a.runCommand())
 		}
 	}
 }
 
-// needsHigherToken says whether only a higher token settles an unlisted attempt. Either it was confirmed, so its agent
-// began anew and may be given the run command once more by a late copy. Or it is to be stopped while its run command
-// has had no answer for a lease: that may be carried out at any time, and is not sent again.
+// needsHigherToken reports whether only a higher token can settle an unlisted attempt. There are two cases. The
+// attempt was confirmed, so its agent was restarted, and a late copy of the run command may start it again. Or the
+// attempt is to be stopped and its run command has been unanswered for an agent lease: the command is not sent again,
+// but may still be executed at any time.
 func (r *reconciliation) needsHigherToken(a *taskAttempt) bool {
 	if a.launch.agentEpoch != r.machine.agent.epoch {
 		return false
@@ -237,20 +238,20 @@
 	return a.state == attemptConfirmed || stopping && overdue
 }
 
-// isProvenGone says whether an unlisted attempt is gone.
-func (r *reconciliation) isProvenGone(a *taskAttempt) bool {
+// isProvenEnded reports whether an unlisted attempt is proven to have ended.
+func (r *reconciliation) isProvenEnded(a *taskAttempt) bool {
 	switch {
 	case a.inherited && a.state == attemptLaunched:
-		return true // launched under an older token, which this machine obeys no more
+		return true // launched under an older token, which the agent no longer obeys
 	case a.launch.agentEpoch < r.machine.agent.epoch:
-		return true // the agent's lease expired: all it had is gone, commands for that epoch are void
+		return true // the agent's lease expired, which ended its tasks and voids commands for that epoch
 	case a.launch.unanswered > 0:
-		return false // the run command may be carried out yet
+		return false // the run command may still be executed
 	case a.state == attemptConfirmed:
 		return false // an agent never drops a task by itself within an epoch; see needsHigherToken
 	case a.state == attemptLaunched && (a.stop == keepRunning || r.source != fromHeartbeat):
-		// No run command is on its way by itself. One in the reply to a heartbeat is carried out or dropped before
-		// the agent's next heartbeat.
+		// No run command sent in a request is in flight. One in the reply to a heartbeat is executed or dropped
+		// before the agent's next heartbeat.
 		return false
 	}
 	return true
--- a/internal/shard/spans.go
+++ b/internal/shard/spans.go
@@ -8,8 +8,8 @@
 	"swiftledge/wire"
 )
 
-// recordSpans records spans of an attempt that has exited, as this controller has seen it: from its launch on, or from
-// when it was first seen to run, if it was launched under an earlier lease.
+// recordSpans records the spans of an exited attempt as this controller observed it. They begin at its launch or, if
+// it was launched under an earlier lease, when this controller first saw it run.
 func (h *Holder) recordSpans(now clock.Micros, a *taskAttempt, t *wire.TaskStatus) {
 	if !h.params.TracingEnabled {
 		return
@@ -19,17 +19,17 @@
 		h.emit(RecordSpan{trace.Span{
 			Job: a.task.Job, Task: t.Task, Name: name, Begin: begin, End: end, Attributes: attributes}})
 	}
-	runBegan := now
+	runStart := now
 	switch {
 	case a.startedAt > 0:
-		runBegan = a.startedAt
-		if a.launch.at > 0 {
-			record("fetch", a.launch.at, runBegan, trace.Attribute{Key: "image", Value: a.group.Image})
+		runStart = a.startedAt
+		if a.launch.launchedAt > 0 {
+			record("fetch", a.launch.launchedAt, runStart, trace.Attribute{Key: "image", Value: a.group.Image})
 		}
-	case a.launch.at > 0:
-		runBegan = a.launch.at
+	case a.launch.launchedAt > 0:
+		runStart = a.launch.launchedAt
 	}
-	record("run", runBegan, now,
+	record("run", runStart, now,
 		trace.Attribute{Key: "cause", Value: string(t.Cause)},
 		trace.Attribute{Key: "attempt", Value: strconv.FormatUint(uint64(a.id), 10)},
 		trace.Attribute{Key: "inherited", Value: strconv.FormatBool(a.inherited)})
--- a/internal/shard/spans_test.go
+++ b/internal/shard/spans_test.go
@@ -11,11 +11,11 @@
 	h := newTestHolder(t)
 	h.params.TracingEnabled = true
 	h.Step(now, heartbeat("m1", 1, testToken, running(1)))
-	for _, e := range effectsOf[RecordSpan](h.Step(later(4), heartbeat("m1", 2, testToken, exitedAs(1, wire.ExitDone)))) {
+	for _, e := range effectsOf[RecordSpan](h.Step(afterUpdateIntervals(4), heartbeat("m1", 2, testToken, exitedWith(1, wire.ExitDone)))) {
 		if e.Span.Name != "run" {
 			continue
 		}
-		if e.Span.Begin != now || e.Span.End != later(4) || e.Span.Job != task.Job {
+		if e.Span.Begin != now || e.Span.End != afterUpdateIntervals(4) || e.Span.Job != task.Job {
 			t.Errorf("%+v", e.Span)
 		}
 		return
--- a/internal/shard/store_txns.go
+++ b/internal/shard/store_txns.go
@@ -10,8 +10,8 @@
 	"swiftledge/wire"
 )
 
-// Txn returns the transaction that writes the pages. Its conditions are the shard's key and the version of each
-// page: a copy that is applied late must not put an older page over a newer one.
+// Txn returns the transaction that writes the pages. Its conditions are the versions of the shard's key and of each
+// page, so that a copy that is applied late does not overwrite a newer page with an older one.
 func (w WriteAttempts) Txn() (wire.Txn, error) {
 	txn := wire.Txn{Conditions: []wire.Condition{{Key: Key(w.Shard), Version: w.KeyVersion}}}
 	for _, page := range w.Pages {
@@ -25,16 +25,17 @@
 	return txn, nil
 }
 
-// Result returns what the outcome of the transaction means. Only the holder of this lease writes its pages, one
-// write at a time: when a page's condition fails, an earlier try of the same write got no answer, but was committed.
+// Result interprets the outcome of the transaction. Only the holder of this lease writes its pages, one write at a
+// time. So if the condition of a page fails after an earlier send of the same write got no answer, that earlier send
+// was committed.
 func (w WriteAttempts) Result(result store.TxnResult) AttemptsWritten {
 	fenced := result.FailedOn(Key(w.Shard))
-	earlierTryCommitted := !fenced && result.Ambiguous && len(result.FailedKeys) > 0
+	earlierSendCommitted := !fenced && result.Ambiguous && len(result.FailedKeys) > 0
 	written := AttemptsWritten{
 		Shard:         w.Shard,
 		FencingToken:  w.FencingToken,
 		Seq:           w.Seq,
-		Committed:     result.Committed || earlierTryCommitted,
+		Committed:     result.Committed || earlierSendCommitted,
 		Fenced:        fenced,
 		NeverExecuted: !result.Committed && !result.Ambiguous && len(result.FailedKeys) == 0,
 		TooLarge:      result.Rejected,
@@ -45,15 +46,16 @@
 	return written
 }
 
-// Txn returns the transaction that puts the new page and deletes the others. Its conditions are the shard's key, and
-// that the new page is not there: a copy that is applied late must not bring it back over a newer one.
+// Txn returns the transaction that writes the new page and deletes the replaced ones. Its conditions are the version
+// of the shard's key and that the new page does not exist, so that a copy that is applied late does not restore the
+// page over a newer one.
 func (c CompactPages) Txn() (wire.Txn, error) {
 	txn, err := WriteAttempts{Shard: c.Shard, KeyVersion: c.KeyVersion, Pages: []PageWrite{c.Put}}.Txn()
 	txn.Writes = append(txn.Writes, deletions(c.Delete)...)
 	return txn, err
 }
 
-// Result returns what the outcome of the transaction means; see WriteAttempts.Result.
+// Result interprets the outcome of the transaction; see WriteAttempts.Result.
 func (c CompactPages) Result(result store.TxnResult) PagesCompacted {
 	written := WriteAttempts{Shard: c.Shard, FencingToken: c.FencingToken}.Result(result)
 	return PagesCompacted{
@@ -65,7 +67,7 @@
 	}
 }
 
-// Txn returns the transaction that deletes the pages. Its condition is the shard's key.
+// Txn returns the transaction that deletes the pages. Its condition is the version of the shard's key.
 func (d DeletePages) Txn() wire.Txn {
 	return wire.Txn{
 		Conditions: []wire.Condition{{Key: Key(d.Shard), Version: d.KeyVersion}},
@@ -80,7 +82,8 @@
 	return writes
 }
 
-// DecodeAttemptPages reads the attempt pages among items of the store, by key; it reads all of them or fails.
+// DecodeAttemptPages decodes the attempt pages in items of the store and returns them by key. It fails if any page
+// cannot be decoded.
 func DecodeAttemptPages(items []wire.Item) (map[string]peer.AttemptPage, error) {
 	pages := make(map[string]peer.AttemptPage, len(items))
 	for _, item := range items {
@@ -90,7 +93,7 @@
 			err = page.Validate()
 		}
 		if err != nil {
-			return nil, fmt.Errorf("%s: %w", item.Key, err)
+			return nil, fmt.Errorf("decode attempt page %s: %w", item.Key, err)
 		}
 		pages[item.Key] = page
 	}
--- a/internal/shard/tick.go
+++ b/internal/shard/tick.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	// minRetainedLimit is how many attempts that must stay listed a shard keeps at least before a higher token is
-	// requested.
+	// minRetainedLimit is the minimum number of retained attempts in a shard before a higher token is requested. Agents
+	// must keep listing retained attempts although they have ended.
 	minRetainedLimit = 100
-	// machinesPerRetained is for how many machines of a shard one more is kept: a new grant costs a message about each
-	// machine.
-	machinesPerRetained = 4
+	// machinesPerRetainedAttempt raises that limit to one retained attempt for this many machines of the shard, because
+	// a new grant costs a message about each machine.
+	machinesPerRetainedAttempt = 4
 )
 
 func (h *Holder) handleTick(now clock.Micros) {
@@ -41,19 +41,19 @@
 	h.maintainLog(now, s)
 }
 
-// needsRegrant says whether the shard needs a new lease, with a higher token.
+// needsRegrant reports whether the shard needs a new lease with a higher token.
 func (h *Holder) needsRegrant(now clock.Micros, s *heldShard, retained int) bool {
-	// An agent that goes on to lose its tasks must not use up the tokens.
+	// At most one token per agent lease: an agent that keeps losing its tasks must not use up the tokens.
 	unsettled := s.lease.needsHigherToken && now-s.lease.grantedAt > h.params.AgentLease
 	return unsettled || s.attempts.isExhausted() || retained > s.maxRetainedAttempts()
 }
 
-// maxRetainedAttempts is how many attempts that must stay listed the shard keeps.
+// maxRetainedAttempts returns the number of retained attempts above which the shard needs a higher token.
 func (s *heldShard) maxRetainedAttempts() int {
-	return max(minRetainedLimit, len(s.machineOrder)/machinesPerRetained)
+	return max(minRetainedLimit, len(s.machineOrder)/machinesPerRetainedAttempt)
 }
 
-// maintainLog deletes pages that are empty, and compacts those that nearly are.
+// maintainLog deletes empty pages and compacts pages whose records are mostly stale.
 func (h *Holder) maintainLog(now clock.Micros, s *heldShard) {
 	s.log.dropEmptyPages(now)
 	if s.lease.hasExpired(now) {
@@ -67,9 +67,9 @@
 	}
 }
 
-// tickMachine judges a machine's silence.
+// tickMachine updates the state of a machine that depends on time: silence, agent lease, fencing and schedulability.
 func (h *Holder) tickMachine(now clock.Micros, s *heldShard, m *machine) {
-	knownToRun := m.isKnownToRun()
+	knownToRun := m.mayHaveAgent()
 	if silent := h.isSilent(now, s, m); silent != m.silent {
 		m.silent = silent
 		s.markChanged(m)
@@ -83,7 +83,8 @@
 	}
 }
 
-// expireAgentLease takes in that what was launched on a machine is proven gone.
+// expireAgentLease marks the agent's lease as expired, which proves that all attempts launched on the machine have
+// ended.
 func (s *heldShard) expireAgentLease(m *machine) {
 	m.leaseExpired = true
 	s.markChanged(m)
@@ -94,21 +95,22 @@
 	}
 }
 
-// isSilent says whether a machine that is known to be there has not been heard for long, or whether commands have not
-// arrived there for long. One that is only in the inventory may not be up yet; the leader knows which were.
+// isSilent reports whether a machine that is known to exist has sent no status, or has been unreachable for commands,
+// for longer than the timeout. A machine that is only listed in the inventory may not have booted yet; the leader
+// knows which machines have.
 func (h *Holder) isSilent(now clock.Micros, s *heldShard, m *machine) bool {
 	timeout := h.params.AgentLease * 11 / 20
 	if m.info.preemptionNotice {
-		timeout = min(timeout, h.params.HeartbeatInterval*5/2) // announced, so it needs no second look
+		timeout = min(timeout, h.params.HeartbeatInterval*5/2) // its end was announced, so less evidence is needed
 	}
 	since := h.pauseDetector.ExcludePause(max(m.agent.lastStatus, s.lease.grantedAt))
-	unheard := (m.isKnownToRun() || m.inInventory) && now-since > timeout
-	return unheard || m.commands.isUnreachable() && now-m.commands.unreachableSince > timeout
+	noStatus := (m.mayHaveAgent() || m.inInventory) && now-since > timeout
+	return noStatus || m.commands.isUnreachable() && now-m.commands.unreachableSince > timeout
 }
 
-// agentLeaseEnd is when a silent machine's tasks are proven gone: after every shard lease under which its heartbeats
-// could be answered, and the agent's lease. An epoch has its lease from its beginning, also when none of its heartbeats
-// was ever answered and its tasks were launched by commands of our own.
+// agentLeaseEnd returns when the tasks of a silent machine are proven to have ended: one agent lease after the last
+// shard lease under which its heartbeats could be answered. An epoch has a full agent lease from its start, even if
+// none of its heartbeats was ever answered and its tasks were launched by commands sent from here.
 func (h *Holder) agentLeaseEnd(s *heldShard, m *machine) clock.Micros {
 	lastGrantEnd := s.lease.grantedAt + h.params.LongestGrant.Longer()
 	lastRenewal := max(m.agent.lastReply, m.agent.epochSince, m.agent.lastOutdated, lastGrantEnd)
