--- a/internal/shard/attempt_log_test.go
+++ b/internal/shard/attempt_log_test.go
@@ -10,21 +10,21 @@
 	"swiftledge/wire"
 )
 
-// The key of an attempt page names the lease that wrote it, and its count there; leaders of any version find the
-// pages of a shard by the beginning of their keys.
+// The key of an attempt page has the token of the lease that wrote it and the page's number under that lease. Leaders
+// of any version find the pages of a shard by the prefix of their keys.
 func TestAttemptPageKey(t *testing.T) {
 	l := attemptLog{shard: 2, fencingToken: 7<<12 | 3}
 	cases := []struct {
 		name, want string
 		token      wire.FencingToken
 	}{
-		{"of its own records", "run/002/28675-1", 7<<12 | 3},
-		{"of an earlier lease's", "run/002/28675-2", 6<<12 | 1},
+		{"own records", "run/002/28675-1", 7<<12 | 3},
+		{"records of an earlier lease", "run/002/28675-2", 6<<12 | 1},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			if got := l.newPage(c.token).key; got != c.want {
-				t.Errorf("the key is %s, want %s", got, c.want)
+				t.Errorf("key %s, want %s", got, c.want)
 			}
 		})
 	}
@@ -43,8 +43,8 @@
 	return count
 }
 
-// A cycle costs one put whatever the number of its tasks, and what is written over a page keeps all records that are
-// not proven gone.
+// A placement cycle costs one put regardless of its number of tasks. Overwriting a page keeps all records whose
+// attempts are not proven to have ended.
 func TestCycleWritesOnePage(t *testing.T) {
 	h := newTestHolder(t)
 	h.Step(now, heartbeat("m1", 1, testToken))
@@ -56,29 +56,29 @@
 	}
 	first := place(1, "j-000007", 60)
 	if len(first.Pages) != 1 || first.Pages[0].Version != 0 {
-		t.Fatalf("%d pages for one cycle, want one that is new", len(first.Pages))
+		t.Fatalf("first cycle writes %d pages, want one new page", len(first.Pages))
 	}
 	h.Step(now, first.Result(store.TxnResult{Committed: true, Revision: 33}))
 	second := place(2, "j-000008", 20)
 	if len(second.Pages) != 1 || second.Pages[0].Key != first.Pages[0].Key || second.Pages[0].Version != 33 {
-		t.Fatalf("second cycle writes %+v, want the first one's page again, on its version", second.Pages)
+		t.Fatalf("second cycle writes %+v, want the page of the first cycle on condition of its version", second.Pages)
 	}
 	if n := countRecords(t, second.Pages[0].Page); n != 80 {
-		t.Errorf("the page holds %d records, want 80", n)
+		t.Errorf("the page has %d records, want 80", n)
 	}
 	txn, err := second.Txn()
 	if err != nil || len(txn.Writes) != 1 || len(txn.Writes[0].Value) > h.params.MaxValueBytes {
 		t.Errorf("transaction of %d puts, %v", len(txn.Writes), err)
 	}
-	// No answer: a copy may be carried out yet, so the page is not written again.
+	// No answer: a copy of the write may still be executed, so the page must not be overwritten.
 	h.Step(now, second.Result(store.TxnResult{Ambiguous: true}))
 	if third := place(3, "j-000009", 5); third.Pages[0].Key == second.Pages[0].Key {
-		t.Error("writes over a page whose last write is uncertain")
+		t.Error("third cycle overwrites a page whose last write has an unknown outcome")
 	}
 }
 
-// Pages that are full must not take the place of new ones in a transaction: with as many of them as it holds, nothing
-// could be launched until some task ended.
+// Full pages must not take the place of new pages in a transaction. If they filled it, nothing could be launched
+// until a task ended.
 func TestFullPagesDoNotBlockLaunches(t *testing.T) {
 	h := newTestHolder(t)
 	h.Step(now, fromLeader(peer.FromLeader{Term: testTerm,
@@ -101,8 +101,8 @@
 	}
 }
 
-// newHolderWithStalePages returns a holder under token 60 whose two pages name 30 attempts each on m1, of which the first
-// one runs, and the status of those two.
+// newHolderWithStalePages returns a holder under token 60 with two pages of 30 attempts each on m1. Only the first
+// attempt of each page runs. It also returns the task statuses of these two attempts.
 func newHolderWithStalePages(t *testing.T) (*Holder, []wire.TaskStatus) {
 	t.Helper()
 	h := newTestHolder(t)
@@ -126,7 +126,7 @@
 	return h, tasks
 }
 
-// A replica that runs for long must not keep a page full of records of what is over: they would count in full at each
+// A long-running replica must not keep a page full of records of ended attempts. These would count in full at each
 // failover and be sent with each grant.
 func TestPagesOfRunningTasksAreCompacted(t *testing.T) {
 	for _, c := range []struct {
@@ -149,10 +149,10 @@
 			records, err := page.Records(&page.Groups[0])
 			if err != nil || len(records) != 2 ||
 				records[0].Attempt != tasks[0].Attempt || records[1].Attempt != tasks[1].Attempt {
-				t.Fatalf("the new page names %+v, want what runs", records)
+				t.Fatalf("the new page has %+v, want the running attempts", records)
 			}
 			h.Step(afterUpdateIntervals(12), compaction.Result(c.outcome))
-			// Both end: whatever may hold their records is deleted.
+			// Both attempts end: every page that may hold their records is deleted.
 			for i := range tasks {
 				tasks[i].State, tasks[i].Cause = wire.TaskExited, wire.ExitStopped
 			}
@@ -173,7 +173,7 @@
 	}
 }
 
-// A page that is being written keeps its place: a compaction would delete what the write is to hold.
+// A page that is being written is not compacted, because the compaction would delete the page that the write stores.
 func TestPageBeingWrittenIsNotCompacted(t *testing.T) {
 	for _, writing := range []bool{false, true} {
 		h := newTestHolder(t)
@@ -185,12 +185,13 @@
 		}
 		h.maintainLog(afterUpdateIntervals(1), h.shards[0])
 		if (l.compaction == nil) != writing {
-			t.Errorf("being written %v: compacting %v", writing, l.compaction != nil)
+			t.Errorf("write in flight %v: compacting %v", writing, l.compaction != nil)
 		}
 	}
 }
 
-// What the store refuses for its size is tried in smaller pieces, not for ever.
+// When the store rejects a transaction for its size, the next ones are smaller. Repeating the same size would fail
+// for ever.
 func TestRejectedWriteReducesLimits(t *testing.T) {
 	h := newTestHolder(t)
 	h.Step(now, heartbeat("m1", 1, testToken))
@@ -200,12 +201,12 @@
 		h.Step(now, write.Result(store.TxnResult{Rejected: true}))
 	}
 	if h.params.MaxValueBytes != before.MaxValueBytes/2 || h.params.MaxTxnOps != before.MaxTxnOps/2 {
-		t.Errorf("values of %d bytes and %d operations after a refusal, were %d and %d",
+		t.Errorf("limits of %d bytes and %d operations after a rejection, %d and %d before",
 			h.params.MaxValueBytes, h.params.MaxTxnOps, before.MaxValueBytes, before.MaxTxnOps)
 	}
 }
 
-// That a page's condition fails proves an earlier try only while the shard is ours.
+// A failed page condition proves that an earlier send was committed only while this holder has the shard.
 func TestWriteResultOnFailedConditions(t *testing.T) {
 	write := WriteAttempts{Shard: 0, FencingToken: testToken}
 	const page = "run/000/50-1"
@@ -215,12 +216,12 @@
 		committed bool
 		fenced    bool
 	}{
-		{"the page's, after a try without an answer",
+		{"page condition, after an unanswered send",
 			store.TxnResult{Ambiguous: true, FailedKeys: []string{page}}, true, false},
-		{"the page's, at once", store.TxnResult{FailedKeys: []string{page}}, false, false},
-		{"both, after a try without an answer",
+		{"page condition, at the first send", store.TxnResult{FailedKeys: []string{page}}, false, false},
+		{"both conditions, after an unanswered send",
 			store.TxnResult{Ambiguous: true, FailedKeys: []string{Key(0), page}}, false, true},
-		{"the shard's", store.TxnResult{FailedKeys: []string{Key(0)}}, false, true},
+		{"shard condition", store.TxnResult{FailedKeys: []string{Key(0)}}, false, true},
 	} {
 		got := write.Result(c.result)
 		if got.Committed != c.committed || got.Fenced != c.fenced || got.NeverExecuted || got.Revision != 0 {
@@ -229,12 +230,12 @@
 	}
 }
 
-// The attempts of a lease are as many as their bits; one more would be an attempt of the next token. A lease that runs
-// out of them places nothing more and asks for a new one.
+// The number of attempt IDs under a lease is limited by their bits. One more would be an ID of the next token. A
+// holder that runs out of IDs places no more tasks and requests a new grant.
 func TestExhaustedAttemptIDsRequestRegrant(t *testing.T) {
 	for _, c := range []struct {
-		count        uint64
-		places, asks bool
+		count                   uint64
+		wantPlaced, wantRegrant bool
 	}{
 		{0, true, false},
 		{1<<peer.AttemptBits - attemptReserve - 1, true, true},
@@ -252,17 +253,17 @@
 				placed += countRecords(t, p.Page)
 			}
 		}
-		asked := requestsRegrant(h.Step(now, Tick{}))
-		if (placed > 0) != c.places || asked != c.asks {
-			t.Errorf("%d attempts given out: %d tasks placed, a new grant asked for: %v", c.count, placed, asked)
+		regrant := requestsRegrant(h.Step(now, Tick{}))
+		if (placed > 0) != c.wantPlaced || regrant != c.wantRegrant {
+			t.Errorf("%d attempt IDs issued: %d tasks placed, new grant requested: %v", c.count, placed, regrant)
 		}
 		if attempts.issuedIDs >= 1<<peer.AttemptBits {
-			t.Errorf("attempt %d does not fit its bits", attempts.issuedIDs)
+			t.Errorf("attempt number %d does not fit into its bits", attempts.issuedIDs)
 		}
 	}
 }
 
-// A log deletes its empty pages after a while, so that the next cycle may write them over.
+// A log keeps its empty pages for a while, so that the next cycle can overwrite them, and then deletes them.
 func TestEmptyPageRetention(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -270,9 +271,9 @@
 		after  clock.Micros
 		want   int
 	}{
-		{"of this lease, at once", false, 0, 0},
-		{"of this lease, later", false, emptyPageRetention + 1, 1},
-		{"of an earlier lease", true, 0, 1},
+		{"this lease, at once", false, 0, 0},
+		{"this lease, later", false, emptyPageRetention + 1, 1},
+		{"earlier lease", true, 0, 1},
 	} {
 		l := attemptLog{fencingToken: testToken}
 		l.pages = []*attemptPage{{key: "run/000/50-1", sealed: c.sealed}}
--- a/internal/shard/attempts_test.go
+++ b/internal/shard/attempts_test.go
@@ -8,19 +8,19 @@
 	"swiftledge/wire"
 )
 
-// A stale record beside a live attempt of the same task: its end must not give the task back, or it would be launched
-// twice.
+// A task has a stale record beside a live attempt. The end of the stale attempt must not return the task to the
+// leader, because the task would then be launched twice.
 func TestTaskReleasedOnlyWithLastAttempt(t *testing.T) {
 	h := newTestHolder(t)
 	if kinds := eventsOf(h.Step(afterUpdateIntervals(1), heartbeat("m1", 1, testToken))); len(kinds) != 0 {
-		t.Errorf("events %v when a stale attempt is proven gone beside a live one", kinds)
+		t.Errorf("events %v when a stale attempt ends beside a live one, want none", kinds)
 	}
 	kinds := eventsOf(h.Step(afterUpdateIntervals(2), heartbeat("m2", 1, testToken, running(2))))
 	if len(kinds) != 1 || kinds[0] != peer.EventRunning {
 		t.Errorf("events %v, want running", kinds)
 	}
 	if kinds := eventsOf(h.Step(afterUpdateIntervals(3), heartbeat("m2", 2, testToken))); len(kinds) != 0 {
-		t.Errorf("events %v: an attempt that was confirmed cannot vanish within an epoch", kinds)
+		t.Errorf("events %v, want none: a confirmed attempt cannot disappear within an epoch", kinds)
 	}
 	kinds = eventsOf(h.Step(afterUpdateIntervals(4), heartbeat("m2", 3, testToken).inEpoch(2)))
 	if len(kinds) != 1 || kinds[0] != peer.EventReleased {
@@ -28,8 +28,8 @@
 	}
 }
 
-// The end of one attempt is reported as the completion of its task, but with the word that another may run yet: a
-// replica's task would be launched once more beside it.
+// When one of two attempts completes, the task is reported as completed, together with the event that another attempt
+// may still run. Without that event, a replica would be launched again beside the remaining attempt.
 func TestCompletionReportsRemainingAttempt(t *testing.T) {
 	h := newTestHolder(t)
 	kinds := eventsOf(h.Step(afterUpdateIntervals(1), heartbeat("m1", 1, testToken, exitedWith(1, wire.ExitDone))))
@@ -42,19 +42,19 @@
 	}
 }
 
-// An end is reported once, however often the agent lists it: reported again, it would be taken for the end of the
-// attempt that the task has then.
+// The end of an attempt is reported once, however often the agent lists it. A second report would be taken for the
+// end of the task's next attempt.
 func TestAttemptEndReportedOnce(t *testing.T) {
 	h := newTestHolder(t)
-	h.Step(now, heartbeat("m1", 1, testToken)) // the other attempt's record is stale
+	h.Step(now, heartbeat("m1", 1, testToken)) // shows that the record of the other attempt is stale
 	first := eventsOf(h.Step(afterUpdateIntervals(1), heartbeat("m2", 1, testToken, exitedWith(2, wire.ExitStopped))))
 	again := eventsOf(h.Step(afterUpdateIntervals(2), heartbeat("m2", 2, testToken, exitedWith(2, wire.ExitStopped))))
 	if !slices.Equal(first, []peer.EventKind{peer.EventReleased}) || len(again) != 0 {
-		t.Errorf("events %v, then %v", first, again)
+		t.Errorf("events %v, then %v, want released, then none", first, again)
 	}
 }
 
-// An attempt whose end was reported is forgotten while the task runs as another one: that is no end of the other.
+// Forgetting an attempt whose end was reported must not end another attempt as which the task runs.
 func TestForgettingAttemptDoesNotEndAnother(t *testing.T) {
 	h := newTestHolder(t)
 	s := h.shards[0]
@@ -62,23 +62,23 @@
 	h.Step(afterUpdateIntervals(1), heartbeat("m2", 1, testToken, exitedWith(2, wire.ExitStopped)))
 	s.addAttempt(newAttempt(s.machines["m1"], task, 1, attemptConfirmed))
 	if kinds := eventsOf(h.Step(afterUpdateIntervals(2), heartbeat("m2", 2, testToken))); len(kinds) != 0 {
-		t.Errorf("events %v as the former attempt is forgotten", kinds)
+		t.Errorf("events %v when the former attempt is forgotten, want none", kinds)
 	}
 }
 
-// An attempt whose end was reported goes on, as a late copy of its run command has come to an agent that began anew:
-// its task may run elsewhere, so it is ended.
+// An attempt may run again after its end was reported, when a late copy of its run command reaches a restarted agent.
+// It must be killed, because its task may run elsewhere.
 func TestAttemptRestartedAfterItsEndIsKilled(t *testing.T) {
 	h := newTestHolder(t)
 	h.Step(now, heartbeat("m1", 1, testToken))
 	h.Step(afterUpdateIntervals(1), heartbeat("m2", 1, testToken, exitedWith(2, wire.ExitStopped)))
 	commands := replyOf(t, h.Step(afterUpdateIntervals(2), heartbeat("m2", 2, testToken, running(2)))).Body.Commands
 	if len(commands) != 1 || commands[0].Verb != wire.VerbKill || *commands[0].GraceS != 0 {
-		t.Errorf("commands %v, want kill at once", commands)
+		t.Errorf("commands %v, want an immediate kill", commands)
 	}
 }
 
-// What a late copy of a run command could start again stays listed by its agent.
+// An attempt that a late copy of its run command could start again must stay listed by its agent.
 func TestCanForget(t *testing.T) {
 	sent, unanswered := attemptLaunch{sentInRequest: true}, attemptLaunch{sentInRequest: true, unanswered: 1}
 	for _, c := range []struct {
@@ -88,12 +88,12 @@
 	}{
 		{"completed and stored", taskAttempt{end: endCompleted, endPersisted: true, launch: sent}, true},
 		{"completed, not stored", taskAttempt{end: endCompleted, launch: sent}, false},
-		{"completed, a run command without an answer",
+		{"completed, run command unanswered",
 			taskAttempt{end: endCompleted, endPersisted: true, launch: unanswered}, false},
-		{"completed, and to be stopped",
+		{"completed, to be stopped",
 			taskAttempt{end: endCompleted, endPersisted: true, launch: sent, stop: stopImmediately}, false},
-		{"stopped, launched by a message of its own", taskAttempt{endPersisted: true, launch: sent}, false},
-		{"stopped, launched in a reply, which cannot come late", taskAttempt{endPersisted: true}, true},
+		{"stopped, launched by a request", taskAttempt{endPersisted: true, launch: sent}, false},
+		{"stopped, launched by a reply, which cannot arrive late", taskAttempt{endPersisted: true}, true},
 	} {
 		if got := c.attempt.canForget(); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
@@ -101,14 +101,14 @@
 	}
 }
 
-// Exits by completion are forgotten only after the store has them.
+// A completed attempt is forgotten only after its completion is stored.
 func TestCompletedAttemptForgottenOnceStored(t *testing.T) {
 	h := newTestHolder(t)
 	exit := exitedWith(2, wire.ExitDone)
 	effects := h.Step(afterUpdateIntervals(1), heartbeat("m2", 1, testToken, exit))
 	want := []peer.EventKind{peer.EventAttemptRemains, peer.EventCompleted}
 	if kinds := eventsOf(effects); !slices.Equal(kinds, want) {
-		t.Errorf("events %v, want completed beside the record of another attempt", kinds)
+		t.Errorf("events %v, want the completion and the remaining attempt", kinds)
 	}
 	if reply := replyOf(t, effects); len(reply.Body.Commands) != 0 {
 		t.Errorf("commands %v before the completion is stored", reply.Body.Commands)
@@ -120,14 +120,14 @@
 	}
 }
 
-// An end whose cause is not known is no failure: its task is given back. A failure is reported once, however often it
-// is listed, and one of an attempt that is not ours not at all.
+// An end with an unrecognized cause is not a failure: its task is returned to the leader. A failure is reported once,
+// however often it is listed, and never for an attempt that this holder has no record of.
 func TestFailureReportedOnceForKnownCauses(t *testing.T) {
 	h := newTestHolder(t)
 	failed := exitedWith(2, wire.ExitError)
 	h.Step(now, heartbeat("m1", 1, testToken, running(1)))
 	h.Step(now, heartbeat("m2", 1, testToken, running(2)))
-	h.Step(afterUpdateIntervals(1), heartbeat("m1", 2, testToken, exitedWith(1, "struck by lightning")))
+	h.Step(afterUpdateIntervals(1), heartbeat("m1", 2, testToken, exitedWith(1, "unrecognized")))
 	kinds := eventsOf(h.Step(afterUpdateIntervals(2), heartbeat("m2", 2, testToken, failed)))
 	kinds = append(kinds, eventsOf(h.Step(afterUpdateIntervals(3), heartbeat("m2", 3, testToken, failed)))...)
 	others := heartbeat("m2", 4, testToken, failed, exitedWith(77, wire.ExitError))
@@ -139,6 +139,6 @@
 		}
 	}
 	if count != 1 {
-		t.Errorf("%d failures are reported, want one: %v", count, kinds)
+		t.Errorf("%d failures reported, want one: %v", count, kinds)
 	}
 }
--- a/internal/shard/builders_test.go
+++ b/internal/shard/builders_test.go
@@ -9,20 +9,20 @@
 	"swiftledge/wire"
 )
 
-// The holder of the tests holds shard 0 under testToken, from the leader of testTerm.
+// The holder in the tests holds shard 0 under testToken, granted by the leader of testTerm.
 const (
 	testTerm  = 9
 	testToken = 50
 	now       = 100 * clock.Second
 )
 
-// task is the one that the attempt records name; offeredTask is the one that offerTask offers.
+// task has the attempt records that newTestHolder loads; offeredTask is the task that offerTask offers.
 var (
 	task        = peer.Task{Job: "j-000001", Index: 3}
 	offeredTask = peer.Task{Job: "j-000009"}
 )
 
-// testInventory are the machines of the shard.
+// testInventory lists the machines of the shard.
 var testInventory = []peer.InventoryMachine{{Name: "m1", Address: "a1"}, {Name: "m2"}}
 
 func testParams() Params {
@@ -30,7 +30,7 @@
 		AgentLease: 20 * clock.Second, HeartbeatInterval: 3 * clock.Second, MaxValueBytes: 4000, MaxTxnOps: 8}
 }
 
-// newTestHolder returns a holder of one shard whose attempt records name task on m1 (attempt 1) and m2 (attempt 2).
+// newTestHolder returns a holder of one shard with two attempt records of task: attempt 1 on m1 and attempt 2 on m2.
 func newTestHolder(t *testing.T) *Holder {
 	t.Helper()
 	auction := placement.Params{DecayRate: 0.001, Eta: 0.05, Epsilon: 0.01, LoadOffset: 0.5}
@@ -46,29 +46,30 @@
 	return h
 }
 
-// afterUpdateIntervals is a time at which the leader is told of all that came before.
+// afterUpdateIntervals returns the time n update intervals after now. A step then sends the leader all earlier
+// changes.
 func afterUpdateIntervals(n int) clock.Micros { return now + clock.Micros(n)*updateInterval }
 
-// secondsLater is a time so many secondsLater after now.
+// secondsLater returns the time n seconds after now.
 func secondsLater(n clock.Micros) clock.Micros { return now + n*clock.Second }
 
 // Messages of the leader.
 
 func fromLeader(m peer.FromLeader) LeaderMessage { return LeaderMessage{Message: &m} }
 
-// orders are for the shard that newTestHolder holds.
+// orders returns a message with orders for the shard of newTestHolder.
 func orders(o peer.ShardOrders) LeaderMessage {
 	o.FencingToken = testToken
 	return fromLeader(peer.FromLeader{Term: testTerm, Orders: []peer.ShardOrders{o}})
 }
 
-// renewal answers the holder's last request to renew, for a lease under the token.
+// renewal returns the answer to the holder's last renewal request, for a lease under the token.
 func renewal(h *Holder, token wire.FencingToken) LeaderMessage {
 	return fromLeader(peer.FromLeader{Term: h.leader.term, RenewedSeq: h.leader.renewSeq,
 		FencingTokens: map[int]wire.FencingToken{0: token}})
 }
 
-// offer offers the first tasks of a job.
+// offer returns a message that offers the first tasks of a job.
 func offer(seq uint64, job wire.Job, tasks int) LeaderMessage {
 	o := peer.TaskOffer{Job: job}
 	for i := range tasks {
@@ -77,20 +78,20 @@
 	return orders(peer.ShardOrders{OfferSeq: seq, Offers: []peer.TaskOffer{o}})
 }
 
-// offerTask offers offeredTask to a holder and returns the effects.
-func offerTask(h *Holder, at clock.Micros) []Effect {
+// offerTask offers offeredTask to a holder and returns the resulting effects.
+func offerTask(h *Holder, stepTime clock.Micros) []Effect {
 	job := wire.Job{Ref: offeredTask.Job, Team: "red", Tasks: 1, CPUs: 1, MemoryGB: 1, Spot: true}
-	return h.Step(at, offer(1, job, 1))
+	return h.Step(stepTime, offer(1, job, 1))
 }
 
 // Messages of agents.
 
-// discardResponder stands where an answer would go: tests read answers from the effects.
+// discardResponder discards replies. Tests read them from the effects.
 type discardResponder struct{}
 
 func (discardResponder) Respond(HeartbeatReply) {}
 
-// heartbeat is of a machine's agent in its first epoch.
+// heartbeat returns a heartbeat of a machine's agent in its first epoch.
 func heartbeat(
 	machine string, seq uint64, token wire.FencingToken, tasks ...wire.TaskStatus,
 ) HeartbeatReceived {
@@ -98,24 +99,24 @@
 		Type: "small", AgentEpoch: 1, Seq: seq, FencingToken: token, Tasks: tasks}}
 }
 
-// inEpoch is the heartbeat in another epoch of the agent.
+// inEpoch returns the heartbeat with another epoch of the agent.
 func (m HeartbeatReceived) inEpoch(epoch wire.AgentEpoch) HeartbeatReceived {
 	m.Heartbeat.AgentEpoch = epoch
 	return m
 }
 
-// requestTo is a request to a machine's agent in its first epoch.
+// requestTo returns a request to a machine's agent in its first epoch.
 func requestTo(machine string, commands ...wire.Command) SendCommands {
 	return SendCommands{Shard: 0, Machine: machine,
 		Body: wire.CommandBatch{FencingToken: testToken, AgentEpoch: 1, Commands: commands}}
 }
 
-// answered is the answer to a request without commands that shows a status.
+// answered returns the answer, with a status, to a request without commands.
 func answered(status HeartbeatReceived) CommandsAnswered {
 	return CommandsAnswered{Request: requestTo(status.Heartbeat.Machine), Code: statusOK, Status: status.Heartbeat}
 }
 
-// inspected is the end of an inspection of a machine.
+// inspected returns the result of an inspection of a machine.
 func inspected(machine string, status *wire.Heartbeat) InspectionAnswered {
 	return InspectionAnswered{Request: InspectAgent{Shard: 0, FencingToken: testToken, Machine: machine}, Status: status}
 }
@@ -128,15 +129,15 @@
 	return wire.TaskStatus{Task: TaskName(task), Attempt: attempt, State: wire.TaskExited, Cause: cause}
 }
 
-// newAttempt is an attempt under the holder's token, launched in the first epoch of the machine's agent.
+// newAttempt returns an attempt under the holder's token, launched in the first epoch of the machine's agent.
 func newAttempt(m *machine, task peer.Task, count uint64, state attemptState) *taskAttempt {
 	return &taskAttempt{task: task, id: peer.NewAttemptID(testToken, count), machine: m,
 		group: &peer.AttemptGroup{Job: task.Job}, state: state, launch: attemptLaunch{agentEpoch: 1}}
 }
 
-// m1IsSchedulable says whether m1 can be given tasks.
-func m1IsSchedulable(h *Holder, at clock.Micros) bool {
-	return h.isSchedulable(at, h.shards[0], h.shards[0].machines["m1"])
+// m1IsSchedulable reports whether tasks can be placed on m1.
+func m1IsSchedulable(h *Holder, stepTime clock.Micros) bool {
+	return h.isSchedulable(stepTime, h.shards[0], h.shards[0].machines["m1"])
 }
 
 // Effects.
@@ -151,7 +152,7 @@
 	return found
 }
 
-// onlyEffect returns the one effect of a type.
+// onlyEffect returns the first effect of a type and fails the test if there is none.
 func onlyEffect[T Effect](t *testing.T, effects []Effect) T {
 	t.Helper()
 	found := effectsOf[T](effects)
@@ -166,7 +167,7 @@
 	return onlyEffect[HeartbeatReply](t, effects)
 }
 
-// updatesOf are the updates of shards that go to the leader.
+// updatesOf returns the shard updates that are sent to the leader.
 func updatesOf(effects []Effect) (updates []peer.ShardUpdate) {
 	for _, e := range effectsOf[SendToLeader](effects) {
 		updates = append(updates, e.Message.Updates...)
@@ -174,7 +175,7 @@
 	return updates
 }
 
-// eventsOf are the kinds of the events that go to the leader.
+// eventsOf returns the kinds of the events that are sent to the leader.
 func eventsOf(effects []Effect) (kinds []peer.EventKind) {
 	for _, update := range updatesOf(effects) {
 		for _, event := range update.Events {
@@ -184,7 +185,7 @@
 	return kinds
 }
 
-// countReleased counts how often offeredTask's job was given back.
+// countReleased counts how often offeredTask's job was returned to the leader.
 func countReleased(effects []Effect) (count int) {
 	for _, update := range updatesOf(effects) {
 		for _, event := range update.Events {
@@ -196,7 +197,7 @@
 	return count
 }
 
-// requestsRegrant says whether the leader is asked for a new grant.
+// requestsRegrant reports whether a new grant is requested from the leader.
 func requestsRegrant(effects []Effect) bool {
 	for _, update := range updatesOf(effects) {
 		if update.NeedsRegrant {
@@ -206,7 +207,7 @@
 	return false
 }
 
-// countAgentRequests counts the requests to agents.
+// countAgentRequests counts the requests sent to agents.
 func countAgentRequests(effects []Effect) int {
 	return len(effectsOf[SendCommands](effects)) + len(effectsOf[InspectAgent](effects))
 }
--- a/internal/shard/commands_test.go
+++ b/internal/shard/commands_test.go
@@ -8,7 +8,7 @@
 	"swiftledge/wire"
 )
 
-// maxMessageBytes is what the protocol gives a body and a line of a reply.
+// maxMessageBytes is the protocol's limit for a body and for a line of a reply.
 const maxMessageBytes = 64 << 10
 
 func checkSize(t *testing.T, message any) {
@@ -18,12 +18,12 @@
 		t.Fatal(err)
 	}
 	if len(raw) > maxMessageBytes {
-		t.Errorf("a message of %d bytes", len(raw))
+		t.Errorf("message of %d bytes exceeds the protocol's limit", len(raw))
 	}
 }
 
-// A machine may hold more tasks than one message to its agent has space for: what ends tasks goes first, and all goes
-// in time.
+// A machine may have more tasks than fit into the commands of one message to its agent. Kill commands go first, and
+// the other commands follow in later messages.
 func TestCommandsFitMessageSizeLimit(t *testing.T) {
 	const tasks = 3 * maxCommandsPerMessage
 	h := newTestHolder(t)
@@ -47,9 +47,9 @@
 		killed += len(sent.Body.Commands)
 	}
 	if killed < len(stop) {
-		t.Errorf("%d of %d tasks are killed", killed, len(stop))
+		t.Errorf("%d of %d tasks killed", killed, len(stop))
 	}
-	// Launches that were not seen come again with the reply, behind the kills.
+	// Run commands without visible effect are repeated in the reply, after the kill commands.
 	for i := range 2 * maxCommandsPerMessage {
 		m.attempts[i+1].state = attemptLaunched
 	}
--- a/internal/shard/fencing_test.go
+++ b/internal/shard/fencing_test.go
@@ -8,8 +8,8 @@
 	"swiftledge/wire"
 )
 
-// A new holder shows its token to the machines at once: an older holder that is cut off may answer their heartbeats
-// until its lease expires.
+// A new holder sends its token to the machines at once, because a partitioned former holder may answer their
+// heartbeats until its lease expires.
 func TestFencesWithoutHeartbeat(t *testing.T) {
 	h := newTestHolder(t)
 	status := heartbeat("m1", 1, testToken-1, running(1)).Heartbeat
@@ -21,11 +21,11 @@
 		}
 	}
 	if !sent {
-		t.Fatalf("effects %+v, want our token sent to m1", effects)
+		t.Fatalf("effects %+v, want the token sent to m1", effects)
 	}
 	h.Step(now, answered(heartbeat("m1", 2, testToken, running(1))))
 	if !h.shards[0].machines["m1"].fence.confirmed {
-		t.Error("m1 is not taken as fenced after it confirmed our token")
+		t.Error("m1 does not count as fenced although it confirmed the token")
 	}
 	h.Step(now, inspected("m2", heartbeat("m2", 1, testToken+1).Heartbeat))
 	if h.shards[0] != nil {
@@ -33,14 +33,14 @@
 	}
 }
 
-// Machines that cannot be reached are shown the token once at a time: the commands to all others go through the same
-// line.
+// An unreachable machine has at most one request with the token in flight, because the commands to all other machines
+// go through the same queue.
 func TestOneFenceRequestAtATime(t *testing.T) {
 	h := newTestHolder(t)
-	at := now
+	stepTime := now
 	inspections := func() (count int) {
-		at += fenceInterval + clock.Second
-		for _, e := range effectsOf[InspectAgent](h.Step(at, Tick{})) {
+		stepTime += fenceInterval + clock.Second
+		for _, e := range effectsOf[InspectAgent](h.Step(stepTime, Tick{})) {
 			if e.Machine == "m1" {
 				count++
 			}
@@ -50,33 +50,34 @@
 	if n := inspections() + inspections(); n != 0 {
 		t.Errorf("%d more inspections while the first has no answer", n)
 	}
-	h.Step(at, inspected("m1", nil))
+	h.Step(stepTime, inspected("m1", nil))
 	if n := inspections(); n != 1 {
 		t.Errorf("%d inspections after the first failed, want one", n)
 	}
 }
 
-// A shard that is granted to an overloaded controller is fenced by its machines' heartbeats, not by a command to each.
+// A shard granted to an overloaded controller is fenced through the replies to heartbeats, not by a command to each
+// machine.
 func TestGrantUnderOverloadSendsNoCommands(t *testing.T) {
 	for _, overloaded := range []bool{false, true} {
 		h := newTestHolder(t)
-		at := now + clock.Second
-		h.Step(at, Tick{})
+		stepTime := now + clock.Second
+		h.Step(stepTime, Tick{})
 		if overloaded {
-			at += 2 * lateTickThreshold
+			stepTime += 2 * lateTickThreshold
 		}
-		h.Step(at, Tick{})
+		h.Step(stepTime, Tick{})
 		inventory := []peer.InventoryMachine{{Name: "m1", Address: "a1"}, {Name: "m2", Address: "a2"}}
 		grant := peer.ShardGrant{Shard: 0, FencingToken: testToken + 1, KeyVersion: 8, Machines: inventory}
-		effects := h.Step(at, fromLeader(peer.FromLeader{Term: testTerm, Grants: []peer.ShardGrant{grant}}))
+		effects := h.Step(stepTime, fromLeader(peer.FromLeader{Term: testTerm, Grants: []peer.ShardGrant{grant}}))
 		if n := countAgentRequests(effects); (n == 0) != overloaded {
-			t.Errorf("overloaded %v: %d messages with commands", overloaded, n)
+			t.Errorf("overloaded %v: %d requests to agents", overloaded, n)
 		}
 	}
 }
 
-// A run command may come once more, late: what it started and what was stopped stays listed until the machine has
-// confirmed a higher token, which refuses the copy.
+// A copy of a run command may arrive late. So a stopped attempt that it started stays listed until the machine has
+// confirmed a higher token, under which the agent refuses the copy.
 func TestStoppedTaskRetainedUntilRunCommandIsFenced(t *testing.T) {
 	h := newTestHolder(t)
 	h.Step(now, heartbeat("m1", 1, testToken))
@@ -86,7 +87,7 @@
 	s.addAttempt(a)
 	exit := wire.TaskStatus{Task: TaskName(a.task), Attempt: a.id, State: wire.TaskExited, Cause: wire.ExitStopped}
 	if commands := replyOf(t, h.Step(now, heartbeat("m1", 2, testToken, exit))).Body.Commands; len(commands) != 0 {
-		t.Errorf("commands %v while a copy of its run command would be obeyed", commands)
+		t.Errorf("commands %v while the agent would obey a copy of the run command, want none", commands)
 	}
 	h.Step(now, fromLeader(peer.FromLeader{Term: testTerm, Grants: []peer.ShardGrant{
 		{Shard: 0, FencingToken: 60, KeyVersion: 8, Machines: testInventory[:1]}}}))
@@ -97,7 +98,7 @@
 	}
 }
 
-// A shard with many of these asks for a higher token by itself.
+// A shard with many attempts that must stay listed requests a higher token on its own.
 func TestRetainedAttemptsRequestRegrant(t *testing.T) {
 	h := newTestHolder(t)
 	s := h.shards[0]
@@ -107,54 +108,54 @@
 		a.endReported, a.endPersisted = true, true
 		s.addAttempt(a)
 	}
-	asked := 0
+	requests := 0
 	for i := range 2 {
 		for _, update := range updatesOf(h.Step(afterUpdateIntervals(i), Tick{})) {
 			if update.NeedsRegrant && update.FencingToken == testToken {
-				asked++
+				requests++
 			}
 		}
 	}
-	if asked != 1 || h.shards[0] == nil {
-		t.Errorf("asked %d times, want once, with the shard kept until then", asked)
+	if requests != 1 || h.shards[0] == nil {
+		t.Errorf("regrant requested %d times, want once, with the shard kept until the new grant", requests)
 	}
 }
 
-// A machine that has not confirmed our token yet proves nothing, but a 200 renews its lease: the reply ends the tasks of
-// cancelled jobs, or they would go on for a lease more.
+// The status of a machine that has not confirmed the token proves nothing, but a 200 renews the agent's lease. So the
+// reply must kill the tasks of cancelled jobs, which would otherwise continue for another lease.
 func TestReplyToUnfencedMachineKillsCancelledTasks(t *testing.T) {
 	h := newTestHolder(t)
 	h.Step(now, orders(peer.ShardOrders{Stop: []peer.StopTask{{Task: task}}}))
 	reply := replyOf(t, h.Step(now, heartbeat("m1", 1, testToken-9, running(1))))
 	commands := reply.Body.Commands
 	if len(commands) != 1 || commands[0].Verb != wire.VerbKill || commands[0].Attempt != 1 {
-		t.Errorf("status %d with %+v, want the task ended", reply.Status, commands)
+		t.Errorf("status %d with commands %+v, want the task killed", reply.Status, commands)
 	}
 	if len(h.shards[0].machines["m1"].attempts) != 1 {
-		t.Error("taken for gone before the machine has confirmed the token")
+		t.Error("attempt removed before the machine has confirmed the token")
 	}
 }
 
-// A task that was confirmed and is listed no more within an epoch was lost by an agent that began anew under its name.
-// Its run command may come late and start it again, as the agent has lost the token, too: nothing is given back before
-// a higher token has been confirmed, and that is asked for.
+// A confirmed task that is no longer listed within the same epoch was lost by a restarted agent under the same name.
+// That agent has also lost the token, so a late copy of the run command may start the task again. The task is not
+// returned to the leader before a higher token is confirmed, and the holder requests one.
 func TestUnlistedConfirmedTaskRequestsRegrant(t *testing.T) {
 	h := newTestHolder(t)
 	h.Step(afterUpdateIntervals(1), heartbeat("m2", 1, testToken, running(2)))
 	if kinds := eventsOf(h.Step(afterUpdateIntervals(2), heartbeat("m2", 2, testToken))); len(kinds) != 0 {
-		t.Errorf("events %v: a late copy of the run command may start it again", kinds)
+		t.Errorf("events %v, want none: a late copy of the run command may start the task again", kinds)
 	}
 	if requestsRegrant(h.Step(now+h.params.AgentLease/2, Tick{})) {
-		t.Error("asked for a token sooner than a lease after the last")
+		t.Error("higher token requested earlier than an agent lease after the last grant")
 	}
 	if !requestsRegrant(h.Step(now+h.params.AgentLease+clock.Second, Tick{})) {
-		t.Error("no higher token was asked for")
+		t.Error("no higher token requested")
 	}
 }
 
-// A task is told to stop, to free capacity, while its run command has had no answer. The command may be carried out at
-// any time and is not sent again, so no status ever settled it and the job never ended: a higher token is asked for,
-// which refuses the command.
+// A task is stopped to free capacity while its run command is unanswered. The command may still be executed at any
+// time and is not sent again, so no status ever settled the attempt and the job never ended. The holder must request
+// a higher token, under which the agent refuses the command.
 func TestStoppedUnansweredLaunchRequestsRegrant(t *testing.T) {
 	h := newTestHolder(t)
 	h.Step(now, heartbeat("m1", 1, testToken))
@@ -169,15 +170,15 @@
 	h.Step(afterUpdateIntervals(2), orders(peer.ShardOrders{Stop: []peer.StopTask{{Task: offeredTask}}}))
 	h.Step(afterUpdateIntervals(3), heartbeat(m.name, 2, testToken, others...))
 	if requestsRegrant(h.Step(now+h.params.AgentLease+clock.Second, Tick{})) {
-		t.Error("asked for a token while the answer may come")
+		t.Error("higher token requested while the answer may still arrive")
 	}
-	at := now + h.params.AgentLease + 2*clock.Second
-	h.Step(at-clock.Second, renewal(h, testToken))
-	h.Step(at, heartbeat(m.name, 3, testToken, others...))
+	stepTime := now + h.params.AgentLease + 2*clock.Second
+	h.Step(stepTime-clock.Second, renewal(h, testToken))
+	h.Step(stepTime, heartbeat(m.name, 3, testToken, others...))
 	if len(s.attempts.byTask[offeredTask]) != 1 {
-		t.Fatal("taken for gone while its run command may be carried out")
+		t.Fatal("attempt removed while its run command may still be executed")
 	}
-	if !requestsRegrant(h.Step(at+clock.Second, Tick{})) {
-		t.Error("no higher token was asked for")
+	if !requestsRegrant(h.Step(stepTime+clock.Second, Tick{})) {
+		t.Error("no higher token requested")
 	}
 }
--- a/internal/shard/launch_test.go
+++ b/internal/shard/launch_test.go
@@ -10,14 +10,14 @@
 	"swiftledge/wire"
 )
 
-// launchTask offers offeredTask to a holder, confirms its attempt record, and returns the effects of that.
-func launchTask(t *testing.T, h *Holder, at clock.Micros) []Effect {
+// launchTask offers offeredTask to a holder, commits its attempt record, and returns the resulting effects.
+func launchTask(t *testing.T, h *Holder, stepTime clock.Micros) []Effect {
 	t.Helper()
-	write := onlyEffect[WriteAttempts](t, offerTask(h, at))
-	return h.Step(at, write.Result(store.TxnResult{Committed: true, Revision: 8}))
+	write := onlyEffect[WriteAttempts](t, offerTask(h, stepTime))
+	return h.Step(stepTime, write.Result(store.TxnResult{Committed: true, Revision: 8}))
 }
 
-// countRunCommands counts the run commands that are sent, and the replies that hold some.
+// countRunCommands counts the run commands that are sent in requests and the replies with run commands.
 func countRunCommands(effects []Effect) (count int) {
 	isRun := func(c wire.Command) bool { return c.Verb == wire.VerbRun }
 	for _, sent := range effectsOf[SendCommands](effects) {
@@ -35,8 +35,8 @@
 	return count
 }
 
-// While the attempt record of a task is being written, anything may happen to its machine or its lease. Whatever it is:
-// the task is given back or launched, never both, and not before the write's end.
+// While the attempt record of a task is being written, anything may happen to its machine or to a lease. In every case
+// the task is either launched or returned to the leader, never both, and not before the write has ended.
 func TestEventsDuringAttemptWrite(t *testing.T) {
 	const page = "run/000/50-1"
 	committed := store.TxnResult{Committed: true, Revision: 8}
@@ -51,54 +51,55 @@
 		dropped   bool
 	}{
 		{name: "nothing", outcome: committed, launched: true},
-		{name: "the agents' next epochs", meanwhile: []Message{nextEpoch("m1"), nextEpoch("m2")}, outcome: committed},
-		{name: "the machines are terminated",
+		{name: "agents start new epochs", meanwhile: []Message{nextEpoch("m1"), nextEpoch("m2")}, outcome: committed},
+		{name: "machines are terminated",
 			meanwhile: []Message{orders(peer.ShardOrders{Terminated: []string{"m1", "m2"}})}, outcome: committed},
-		{name: "the task is called off", meanwhile: []Message{orders(peer.ShardOrders{Stop: stop})}, outcome: committed},
-		{name: "the shard lease expires", wait: 25 * clock.Second, outcome: committed},
-		{name: "the machine's lease expires", wait: 45 * clock.Second, outcome: committed},
-		{name: "the write is refused"},
-		{name: "the write gets no answer", outcome: store.TxnResult{Ambiguous: true}},
-		{name: "a repeat shows that the write went through",
+		{name: "task is stopped", meanwhile: []Message{orders(peer.ShardOrders{Stop: stop})}, outcome: committed},
+		{name: "shard lease expires", wait: 25 * clock.Second, outcome: committed},
+		{name: "agent lease expires", wait: 45 * clock.Second, outcome: committed},
+		{name: "write is rejected"},
+		{name: "write gets no answer", outcome: store.TxnResult{Ambiguous: true}},
+		{name: "repeated write shows that the first was committed",
 			outcome: store.TxnResult{Ambiguous: true, FailedKeys: []string{page}}, launched: true},
-		{name: "a page's condition fails at once", outcome: store.TxnResult{FailedKeys: []string{page}}},
-		{name: "the shard is another's",
+		{name: "page condition fails at the first send", outcome: store.TxnResult{FailedKeys: []string{page}}},
+		{name: "another controller holds the shard",
 			outcome: store.TxnResult{Ambiguous: true, FailedKeys: []string{Key(0), page}}, dropped: true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h := newTestHolder(t)
 			h.Step(now, heartbeat("m1", 1, testToken))
 			h.Step(now, heartbeat("m2", 1, testToken, running(2)))
-			at := afterUpdateIntervals(1)
-			write := onlyEffect[WriteAttempts](t, offerTask(h, at))
+			stepTime := afterUpdateIntervals(1)
+			write := onlyEffect[WriteAttempts](t, offerTask(h, stepTime))
 			var before []Effect
 			for _, message := range c.meanwhile {
-				before = append(before, h.Step(at, message)...)
+				before = append(before, h.Step(stepTime, message)...)
 			}
 			if c.wait > 0 {
-				at += c.wait
-				before = append(before, h.Step(at, Tick{})...)
+				stepTime += c.wait
+				before = append(before, h.Step(stepTime, Tick{})...)
 			}
-			// A later step tells the leader of what has gathered.
-			before = append(before, h.Step(at+updateInterval, Tick{})...)
+			// A later step sends the batched updates to the leader.
+			before = append(before, h.Step(stepTime+updateInterval, Tick{})...)
 			if n := countRunCommands(before); n != 0 || countReleased(before) != 0 {
-				t.Errorf("%d run commands, events %v before the write has ended", n, eventsOf(before))
+				t.Errorf("%d run commands and events %v before the write has ended", n, eventsOf(before))
 			}
-			after := h.Step(at+updateInterval, write.Result(c.outcome))
-			after = append(after, h.Step(at+2*updateInterval, Tick{})...)
+			after := h.Step(stepTime+updateInterval, write.Result(c.outcome))
+			after = append(after, h.Step(stepTime+2*updateInterval, Tick{})...)
 			released := countReleased(after)
 			if dropped := h.shards[0] == nil; dropped != c.dropped {
-				t.Errorf("the shard was given up: %v", dropped)
+				t.Errorf("shard dropped: %v", dropped)
 			}
 			if n := countRunCommands(after); (n == 1) != c.launched || !c.dropped && (released == 1) == c.launched {
-				t.Errorf("%d run commands and given back %d times, want launched %v", n, released, c.launched)
+				t.Errorf("%d run commands, task released %d times, want launched %v", n, released, c.launched)
 			}
 		})
 	}
 }
 
-// A machine whose lease ended while a launch on it was recorded, and that is heard again: the task is not given back
-// before the write's end, or it would be launched as well.
+// The agent lease of a machine expires, or the machine is terminated, while an attempt record for it is being
+// written. The task must not be returned to the leader before the write ends, because it could also be launched if
+// the agent sends heartbeats again.
 func TestAgentLeaseExpiryKeepsRecordingAttempts(t *testing.T) {
 	h := newTestHolder(t)
 	h.Step(now, heartbeat("m1", 1, testToken))
@@ -107,19 +108,19 @@
 	m := s.machines["m1"]
 	h.tickMachine(h.agentLeaseEnd(s, m)+1, s, m)
 	if attempts := s.attempts.byTask[offeredTask]; !m.leaseExpired || len(attempts) != 1 {
-		t.Errorf("lease expired %v, %d attempts: want the one that is being recorded", m.leaseExpired, len(attempts))
+		t.Errorf("lease expired %v, %d attempts, want the attempt that is being recorded", m.leaseExpired, len(attempts))
 	}
 	h = newTestHolder(t)
 	h.Step(now, heartbeat("m1", 1, testToken))
 	offerTask(h, afterUpdateIntervals(1))
 	h.Step(afterUpdateIntervals(1), orders(peer.ShardOrders{Terminated: []string{"m1"}}))
 	if len(h.shards[0].attempts.byTask[offeredTask]) != 1 {
-		t.Error("given back while its launch is being recorded")
+		t.Error("task released while its attempt record is being written")
 	}
 }
 
-// A machine whose lease has ended when the launch on it is recorded gets no run command, which its next epoch would
-// refuse: the task is given back.
+// A machine whose agent lease has expired by the time the attempt record is written gets no run command, because its
+// next epoch would refuse it. The task is returned to the leader.
 func TestNoLaunchAfterAgentLeaseExpiry(t *testing.T) {
 	h := newTestHolder(t)
 	h.Step(now, heartbeat("m1", 1, testToken))
@@ -128,58 +129,58 @@
 	effects := h.Step(afterUpdateIntervals(2), write.Result(store.TxnResult{Committed: true, Revision: 8}))
 	effects = append(effects, h.Step(afterUpdateIntervals(3), Tick{})...)
 	if countRunCommands(effects) != 0 || countReleased(effects) != 1 {
-		t.Errorf("%d run commands, given back %d times", countRunCommands(effects), countReleased(effects))
+		t.Errorf("%d run commands, task released %d times, want 0 and 1", countRunCommands(effects), countReleased(effects))
 	}
 }
 
-// A run command that is sent names the epoch in which it is to be carried out, and no other.
+// A run command that is sent in a request carries the agent epoch that it is for.
 func TestRunCommandCarriesAgentEpoch(t *testing.T) {
 	h := newTestHolder(t)
 	h.Step(now, heartbeat("m1", 1, testToken).inEpoch(3))
 	for _, sent := range effectsOf[SendCommands](launchTask(t, h, afterUpdateIntervals(1))) {
 		if sent.Machine == "m1" && sent.Body.AgentEpoch != 3 {
-			t.Errorf("a command for epoch %d, want 3", sent.Body.AgentEpoch)
+			t.Errorf("command for epoch %d, want 3", sent.Body.AgentEpoch)
 		}
 	}
 }
 
-// To send a command costs a controller more than to answer a heartbeat. One that is behind with its work lets the next
-// reply carry a launch; one that is not sends it at once.
+// Sending a command costs a controller more than answering a heartbeat. An overloaded controller lets the next reply
+// carry a run command. Any other controller sends it at once.
 func TestLaunchesDeferredToHeartbeatsUnderOverload(t *testing.T) {
 	const onTime, late = lateTickThreshold / 2, 2 * lateTickThreshold
 	for _, c := range []struct {
 		name  string
 		ticks clock.Micros
-		quiet clock.Micros // since the last heartbeat
+		quiet clock.Micros // time since the last heartbeat
 		want  int
 	}{
 		{"ticks on time", onTime, 0, 1},
 		{"a late tick", late, 0, 0},
-		{"a late tick, and the heartbeat is overdue", late, 3 * clock.Second, 1},
+		{"a late tick and an overdue heartbeat", late, 3 * clock.Second, 1},
 	} {
 		h := newTestHolder(t)
-		at := now + clock.Second
-		h.Step(at, heartbeat("m1", 1, testToken, running(1)))
-		h.Step(at, Tick{})
-		at += c.ticks
-		h.Step(at, Tick{})
-		h.Step(at, heartbeat("m1", 2, testToken, running(1)))
-		at += c.quiet
-		h.overload.lastTick = at // ticks meanwhile came as before
+		stepTime := now + clock.Second
+		h.Step(stepTime, heartbeat("m1", 1, testToken, running(1)))
+		h.Step(stepTime, Tick{})
+		stepTime += c.ticks
+		h.Step(stepTime, Tick{})
+		h.Step(stepTime, heartbeat("m1", 2, testToken, running(1)))
+		stepTime += c.quiet
+		h.overload.lastTick = stepTime // the ticks in between were on time
 		if c.ticks == late {
-			h.overload.lastLateTick = at
+			h.overload.lastLateTick = stepTime
 		}
-		if n := countAgentRequests(launchTask(t, h, at)); n != c.want {
-			t.Errorf("%s: %d messages with commands, want %d", c.name, n, c.want)
+		if n := countAgentRequests(launchTask(t, h, stepTime)); n != c.want {
+			t.Errorf("%s: %d requests to agents, want %d", c.name, n, c.want)
 		}
-		runs := 0
-		for _, command := range replyOf(t, h.Step(at, heartbeat("m1", 3, testToken, running(1)))).Body.Commands {
+		runCommands := 0
+		for _, command := range replyOf(t, h.Step(stepTime, heartbeat("m1", 3, testToken, running(1)))).Body.Commands {
 			if command.Verb == wire.VerbRun {
-				runs++
+				runCommands++
 			}
 		}
-		if runs != 1 {
-			t.Errorf("%s: the next reply carries %d run commands, want 1", c.name, runs)
+		if runCommands != 1 {
+			t.Errorf("%s: the next reply carries %d run commands, want 1", c.name, runCommands)
 		}
 	}
 }
--- a/internal/shard/lease_test.go
+++ b/internal/shard/lease_test.go
@@ -7,8 +7,8 @@
 	"swiftledge/wire"
 )
 
-// A new leader's inventory may still list a machine that its predecessor has deleted, with attempt records on it. The
-// holder knows better: they are over, and the leader is told.
+// The inventory of a new leader may still list a machine that its predecessor has deleted, with attempt records on
+// it. The holder knows that these attempts have ended and reports it to the leader.
 func TestAttemptsOnDeletedMachineReleasedAtGrant(t *testing.T) {
 	h := newTestHolder(t)
 	h.Step(now, orders(peer.ShardOrders{Terminated: []string{"m1"}}))
@@ -19,20 +19,20 @@
 		{Shard: 0, FencingToken: 60, KeyVersion: 8, Machines: testInventory,
 			Pages: map[string]peer.AttemptPage{"run/000/1-1": page}}}}))
 	if kinds := eventsOf(effects); len(kinds) != 1 || kinds[0] != peer.EventReleased {
-		t.Errorf("events %v, want the task back", kinds)
+		t.Errorf("events %v, want released", kinds)
 	}
-	told := false
+	reported := false
 	for _, update := range updatesOf(effects) {
 		for _, m := range update.Machines {
-			told = told || m.Name == "m1" && m.Terminated
+			reported = reported || m.Name == "m1" && m.Terminated
 		}
 	}
-	if !told {
-		t.Error("the leader is not told that m1 is terminated")
+	if !reported {
+		t.Error("the update to the leader does not report m1 as terminated")
 	}
 }
 
-// A grant that comes again begins nothing anew: numbers of attempts would repeat.
+// A repeated or older grant does not start a new lease, which would reuse attempt IDs.
 func TestRepeatedGrantIsIgnored(t *testing.T) {
 	h := newTestHolder(t)
 	s := h.shards[0]
@@ -40,27 +40,27 @@
 		grant := peer.ShardGrant{Shard: 0, FencingToken: token, KeyVersion: 7}
 		h.Step(now, fromLeader(peer.FromLeader{Term: testTerm, Grants: []peer.ShardGrant{grant}}))
 		if h.shards[0] != s {
-			t.Errorf("token %d begins a lease after %d", token, testToken)
+			t.Errorf("grant under token %d starts a new lease after token %d", token, testToken)
 		}
 	}
 }
 
-// What an older leader says, or what was said of an older lease, changes nothing.
+// Messages of an older leader, or for an older lease, are ignored.
 func TestStaleLeaderMessagesAreIgnored(t *testing.T) {
 	terminated := func(token wire.FencingToken) []peer.ShardOrders {
 		return []peer.ShardOrders{{Shard: 0, FencingToken: token, Terminated: []string{"m1"}}}
 	}
 	grants := []peer.ShardGrant{{Shard: 0, FencingToken: 60, KeyVersion: 9}}
 	for name, message := range map[string]peer.FromLeader{
-		"an older leader's orders":  {Term: testTerm - 1, Orders: terminated(testToken)},
-		"orders of an older lease":  {Term: testTerm, Orders: terminated(testToken - 1)},
-		"an older leader's grant":   {Term: testTerm - 1, Grants: grants},
-		"an older leader's holders": {Term: testTerm - 1, Holders: []string{"n1"}},
+		"orders of an older leader":  {Term: testTerm - 1, Orders: terminated(testToken)},
+		"orders for an older lease":  {Term: testTerm, Orders: terminated(testToken - 1)},
+		"grant of an older leader":   {Term: testTerm - 1, Grants: grants},
+		"holders of an older leader": {Term: testTerm - 1, Holders: []string{"n1"}},
 	} {
 		h := newTestHolder(t)
 		h.Step(now, fromLeader(message))
 		if s := h.shards[0]; s == nil || s.lease.fencingToken != testToken || s.machines["m1"].terminated {
-			t.Errorf("%s are obeyed", name)
+			t.Errorf("%s: message applied", name)
 		}
 	}
 	h := newTestHolder(t)
@@ -68,6 +68,6 @@
 	h.Step(secondsLater(2), Tick{})
 	h.Step(secondsLater(2), renewal(h, testToken-1))
 	if h.shards[0].lease.expiresAt != expiresAt {
-		t.Error("the renewal of an older lease prolongs this one")
+		t.Error("the renewal of an older lease extends this one")
 	}
 }
--- a/internal/shard/pause_test.go
+++ b/internal/shard/pause_test.go
@@ -10,36 +10,38 @@
 	"swiftledge/wire"
 )
 
-// A controller that was paused has the heartbeats of its agents in its queues yet: it neither reports lost contact nor
-// its machines silent for what it could not read, and tells which leases expired.
+// After a pause, the heartbeats that agents sent during it are still queued. The controller must neither report lost
+// agent contact nor silent machines because of heartbeats that it could not read, and it reports which leases
+// expired.
 func TestSilenceCountedFromEndOfPause(t *testing.T) {
 	h, s := newHolderBeforePause()
-	began := clock.Minute
-	h.Step(began, Tick{})
-	resumed := began + 12*clock.Second
+	pauseStart := clock.Minute
+	h.Step(pauseStart, Tick{})
+	resumed := pauseStart + 12*clock.Second
 	effects := h.Step(resumed, Tick{})
 	if h.hasLostAgentContact(resumed) {
-		t.Error("reports lost contact for heartbeats that it has not read yet")
+		t.Error("lost contact reported because of heartbeats not read yet")
 	}
 	for _, m := range s.machineOrder {
 		if m.silent {
-			t.Errorf("%s is silent", m.name)
+			t.Errorf("%s counts as silent right after the pause", m.name)
 		}
 	}
 	p := onlyEffect[PauseDetected](t, effects).Pause
 	if p.Length() != 12*clock.Second || !slices.Equal(p.Expired, []string{"grant of block 0"}) {
-		t.Errorf("%+v", p)
+		t.Errorf("pause %+v, want 12 s with one expired grant", p)
 	}
 	silentFor := 3 * h.params.HeartbeatInterval
-	for at := resumed; at <= resumed+silentFor; at += pausedetect.Threshold / 4 {
-		h.Step(at, Tick{})
+	for stepTime := resumed; stepTime <= resumed+silentFor; stepTime += pausedetect.Threshold / 4 {
+		h.Step(stepTime, Tick{})
 	}
 	if !h.hasLostAgentContact(resumed + silentFor) {
-		t.Error("silence after the pause does not count")
+		t.Error("silence after the pause is not counted")
 	}
 }
 
-// newHolderBeforePause returns a holder of one shard of a few machines, whose lease expires soon after a minute.
+// newHolderBeforePause returns a holder of one shard with a few machines. The shard lease expires 5 s after the first
+// minute.
 func newHolderBeforePause() (*Holder, *heldShard) {
 	h := New(testParams(), placement.Params{}, func() bool { return true })
 	s := newHeldShard(0, shardLease{fencingToken: 1, grantedAt: clock.Second, expiresAt: clock.Minute + 5*clock.Second})
--- a/internal/shard/placement_cycle_test.go
+++ b/internal/shard/placement_cycle_test.go
@@ -9,8 +9,8 @@
 	"swiftledge/wire"
 )
 
-// A replica goes to a machine that has none of its service, and rather to one that has than to one where another
-// failed.
+// A replica is placed on a machine without a replica of its service. If there is none, it is placed on a machine that
+// runs one and not on a machine where one failed.
 func TestReplicasSpreadOverMachines(t *testing.T) {
 	h := newTestHolder(t)
 	h.Step(now, heartbeat("m1", 1, testToken, exitedWith(1, wire.ExitError)))
@@ -26,35 +26,35 @@
 		return ""
 	}
 	if m := place(1, 4); m != "m2" {
-		t.Errorf("a replica goes to %q, where one failed, want m2", m)
+		t.Errorf("replica placed on %q, want m2, because one failed on m1", m)
 	}
 	h.Step(now, orders(peer.ShardOrders{Added: []string{"m3"}}))
 	h.Step(now, heartbeat("m3", 1, testToken))
 	if m := place(2, 5); m != "m3" {
-		t.Errorf("a replica goes to %q, want m3, which has none", m)
+		t.Errorf("replica placed on %q, want m3, which has no replica", m)
 	}
 }
 
-// A leader that names a mean load which makes no sense is taken for one that names none.
+// An invalid mean load from the leader is treated like a missing one.
 func TestInvalidMeanLoadIsIgnored(t *testing.T) {
-	for _, c := range []struct{ named, want float64 }{
+	for _, c := range []struct{ sent, want float64 }{
 		{0.4, 0.4}, {0, 0}, {-1, 0}, {1.5, 0}, {math.NaN(), 0}, {math.Inf(1), 0},
 	} {
-		if got := meanLoad([]peer.TaskOffer{{Job: wire.Job{FleetLoad: c.named}}, {}}); got != c.want {
-			t.Errorf("%g is named, %g is used, want %g", c.named, got, c.want)
+		if got := meanLoad([]peer.TaskOffer{{Job: wire.Job{FleetLoad: c.sent}}, {}}); got != c.want {
+			t.Errorf("leader sends %g: mean load %g, want %g", c.sent, got, c.want)
 		}
 	}
 }
 
-// A machine gets no task before it has confirmed the token: it would obey an older holder's commands, too.
+// A machine gets no task before it has confirmed the token. Until then it would also obey a former holder's commands.
 func TestNoTasksBeforeTokenIsConfirmed(t *testing.T) {
 	h := newTestHolder(t)
 	h.Step(now, heartbeat("m1", 1, testToken-1))
 	if m1IsSchedulable(h, now) {
-		t.Error("gets work under an older token")
+		t.Error("schedulable under an older token")
 	}
 	h.Step(now, heartbeat("m1", 2, testToken))
 	if !m1IsSchedulable(h, now) {
-		t.Error("gets no work although it has confirmed the token")
+		t.Error("not schedulable although it has confirmed the token")
 	}
 }
--- a/internal/shard/reconciliation_test.go
+++ b/internal/shard/reconciliation_test.go
@@ -9,37 +9,37 @@
 	"swiftledge/wire"
 )
 
-// Before a machine has confirmed the new token, a command of the old holder may still be carried out: its status proves
-// nothing.
+// Until a machine has confirmed the new token, it may still execute a command of the former holder, so its status
+// proves nothing.
 func TestStatusUnderOldTokenEndsNoAttempt(t *testing.T) {
 	h := newTestHolder(t)
 	effects := h.Step(now, heartbeat("m1", 1, testToken-1))
 	if kinds := eventsOf(effects); len(kinds) != 0 {
 		t.Errorf("events %v from a heartbeat under an older token", kinds)
 	}
-	// No event tells of it, as the task may be elsewhere, too.
+	// Its removal would cause no event, because the task has another attempt.
 	if len(h.shards[0].machines["m1"].attempts) != 1 {
-		t.Error("taken for gone by a heartbeat under an older token")
+		t.Error("attempt removed by a heartbeat under an older token")
 	}
 	if reply := replyOf(t, effects); reply.Status != statusOK || reply.Body.FencingToken != testToken {
-		t.Errorf("reply %+v, want 200 with our token", reply)
+		t.Errorf("reply %+v, want 200 with the new token", reply)
 	}
 }
 
-// A heartbeat that was sent before the answer to a command, and comes after it, is the older one: it shows nothing that
-// the answer has not told better.
+// A heartbeat that was sent before the answer to a command but arrives after it is outdated. Its status must not be
+// applied over the newer one.
 func TestOutdatedStatusIsIgnored(t *testing.T) {
 	h := newTestHolder(t)
 	h.Step(now, heartbeat("m1", 1, testToken, running(1)))
 	h.Step(now, answered(heartbeat("m1", 3, testToken, exitedWith(1, wire.ExitDone))))
 	h.Step(now, heartbeat("m1", 2, testToken, running(1)))
 	if a := h.shards[0].machines["m1"].attempt(1); a == nil || a.state != attemptExited {
-		t.Error("an ended attempt runs again by an older status")
+		t.Error("an older status makes an exited attempt run again")
 	}
 }
 
-// A run command that got no answer may be held up and carried out later: until it is answered, a status without its
-// task does not prove it gone, not even one that was to be stopped.
+// A run command without an answer may be delayed and executed later. Until it is answered, a status that does not
+// list its attempt does not prove that the attempt has ended, even if it is to be stopped.
 func TestUnlistedAttemptKeptWhileRunCommandUnanswered(t *testing.T) {
 	h := newTestHolder(t)
 	h.Step(now, heartbeat("m1", 1, testToken))
@@ -51,18 +51,18 @@
 	request := requestTo("m1", a.runCommand())
 	h.Step(now, CommandsAnswered{Request: request})
 	if h.Step(now+clock.Second, heartbeat("m1", 2, testToken)); m.attempt(a.id) == nil {
-		t.Error("taken for gone while its run command may be carried out yet")
+		t.Error("attempt removed while its run command may still be executed")
 	}
-	// Its answer, late, or another epoch end the doubt.
+	// A late answer settles the run command, as a new epoch would.
 	status := heartbeat("m1", 3, testToken).Heartbeat
 	h.Step(secondsLater(2), CommandsAnswered{Request: request, Code: statusConflict, Status: status})
 	if h.Step(secondsLater(3), heartbeat("m1", 4, testToken)); m.attempt(a.id) != nil {
-		t.Error("kept although its run command was refused and no status lists it")
+		t.Error("attempt kept although its run command was refused and no status lists it")
 	}
 }
 
-// A run command in the reply to a heartbeat is carried out or dropped before the agent's next heartbeat; the answer to
-// a request may have overtaken it and proves nothing.
+// A run command in the reply to a heartbeat is executed or dropped before the agent's next heartbeat. The answer to a
+// request may overtake the reply, so it does not prove that the command was dropped.
 func TestUnlistedLaunchKeptAfterCommandAnswer(t *testing.T) {
 	h := newTestHolder(t)
 	h.Step(now, heartbeat("m1", 1, testToken))
@@ -72,35 +72,36 @@
 	a.stop = stopImmediately
 	s.addAttempt(a)
 	if h.Step(now, answered(heartbeat("m1", 2, testToken))); m.attempt(a.id) == nil {
-		t.Error("taken for gone by the answer to a request")
+		t.Error("attempt removed by the answer to a request")
 	}
 	if h.Step(now, heartbeat("m1", 3, testToken)); m.attempt(a.id) != nil {
-		t.Error("kept although the agent's next heartbeat does not list it")
+		t.Error("attempt kept although the agent's next heartbeat does not list it")
 	}
 }
 
-// Once an agent's lease has expired, as when all controllers were away for longer, the next epoch's first heartbeat
-// proves that nothing of the former one is left, whatever it had shown.
+// After an agent's lease has expired, for example because all controllers were down for longer, the first heartbeat
+// of the next epoch proves that all attempts of the former epoch have ended, whatever its statuses listed.
 func TestNewEpochEndsAttemptsOfEarlierEpochs(t *testing.T) {
 	h := newTestHolder(t)
 	h.Step(now, heartbeat("m1", 1, testToken, running(1)))
 	m := h.shards[0].machines["m1"]
 	if h.Step(now+clock.Second, heartbeat("m1", 2, testToken)); m.attempt(1) == nil {
-		t.Error("taken for gone within its epoch")
+		t.Error("attempt removed within its epoch")
 	}
 	if h.Step(secondsLater(2), heartbeat("m1", 3, testToken).inEpoch(2)); m.attempt(1) != nil {
-		t.Error("kept although its epoch is over")
+		t.Error("attempt kept although its epoch has ended")
 	}
 }
 
-// A status that contradicts itself proves no end: the attempt counts as running, which is logged once.
+// A status that contradicts itself does not prove the end of an attempt, which counts as running. The contradiction is
+// logged once.
 func TestContradictoryStatusEndsNoAttempt(t *testing.T) {
 	other := exitedWith(2, wire.ExitDone)
 	other.Task = "j-000009/1"
 	for name, tasks := range map[string][]wire.TaskStatus{
 		"running and completed":     {running(2), exitedWith(2, wire.ExitDone)},
 		"completed and running":     {exitedWith(2, wire.ExitDone), running(2)},
-		"the attempt of another":    {other},
+		"attempt of another task":   {other},
 		"busy with another attempt": {exitedWith(2, wire.ExitBusy), running(77)},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -110,12 +111,12 @@
 			logged := len(effectsOf[Log](effects))
 			isRunning := func(kind peer.EventKind) bool { return kind == peer.EventRunning }
 			if kinds := slices.DeleteFunc(eventsOf(effects), isRunning); len(kinds) != 0 || logged != 1 {
-				t.Errorf("events %v, logged %d times", kinds, logged)
+				t.Errorf("events %v, logged %d times, want no end, logged once", kinds, logged)
 			}
-			// Without the contradiction the end counts.
+			// Without the contradiction, the end is accepted.
 			kinds := eventsOf(h.Step(afterUpdateIntervals(3), heartbeat("m2", 3, testToken, exitedWith(2, wire.ExitDone))))
 			if !slices.Contains(kinds, peer.EventCompleted) {
-				t.Errorf("events %v after a status that does not contradict itself", kinds)
+				t.Errorf("events %v after a consistent status, want completed", kinds)
 			}
 		})
 	}
--- a/internal/shard/spans_test.go
+++ b/internal/shard/spans_test.go
@@ -6,7 +6,8 @@
 	"swiftledge/wire"
 )
 
-// An attempt that was launched under an earlier lease leaves a span, too: who took its shard over tells how it ended.
+// An attempt launched under an earlier lease also gets a span. The controller that took over the shard records how it
+// ended.
 func TestInheritedAttemptIsTraced(t *testing.T) {
 	h := newTestHolder(t)
 	h.params.TracingEnabled = true
@@ -16,9 +17,9 @@
 			continue
 		}
 		if e.Span.Begin != now || e.Span.End != afterUpdateIntervals(4) || e.Span.Job != task.Job {
-			t.Errorf("%+v", e.Span)
+			t.Errorf("unexpected run span %+v", e.Span)
 		}
 		return
 	}
-	t.Error("no span")
+	t.Error("no run span recorded")
 }
