--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,10 +1,10 @@
-// Package clock measures time in whole microseconds: points on the steady clock of this process, which nothing
-// sets, spans, and the time of day where that leaves the process.
+// Package clock represents time in whole microseconds. It covers points on the process's steady (monotonic) clock,
+// which is never set, durations, and the time of day for what leaves the process.
 package clock
 
 import "time"
 
-// Micros is a point on the steady clock or a span, in microseconds.
+// Micros is a point on the steady clock, or a duration, in microseconds.
 type Micros int64
 
 // Units of Micros.
@@ -14,8 +14,8 @@
 	Minute      Micros = 60 * Second
 )
 
-// Clocks of two machines may drift apart by one part in driftPart while a span lasts, and driftMargin covers
-// what is rounded.
+// The clocks of two machines may drift apart by one part in driftPart over a duration. driftMargin covers rounding
+// errors.
 const (
 	driftPart   = 500
 	driftMargin = Millisecond
@@ -24,28 +24,28 @@
 // FromSeconds converts seconds to whole microseconds.
 func FromSeconds(seconds float64) Micros { return Micros(seconds * float64(Second)) }
 
-// Seconds returns the span in seconds.
+// Seconds returns the duration in seconds.
 func (m Micros) Seconds() float64 { return float64(m) / float64(Second) }
 
-// Duration returns the span as the standard library counts it.
+// Duration returns the duration as a time.Duration.
 func (m Micros) Duration() time.Duration { return time.Duration(m) * time.Microsecond }
 
-// Longer returns the span with the drift allowance added: after so long by this process's clock, at least m has
-// passed by any other.
+// Longer returns the duration plus the drift allowance. When that much time has passed on this process's clock, at
+// least m has passed on any other.
 func (m Micros) Longer() Micros { return m + m/driftPart + driftMargin }
 
-// Shorter returns the span with the drift allowance taken off: for so long by this process's clock one may rely
-// on what another clock ends after m.
+// Shorter returns the duration minus the drift allowance. Until that much time has passed on this process's clock,
+// less than m has passed on any other, so whatever another clock ends after m is still valid.
 func (m Micros) Shorter() Micros { return m - m/driftPart - driftMargin }
 
-// Steady is a clock that counts from its start and is never set.
+// Steady is a monotonic clock that counts from its start and is never set.
 type Steady struct{ start time.Time }
 
 // NewSteady starts a steady clock.
 func NewSteady() Steady { return Steady{start: time.Now()} }
 
-// Now returns the time since the clock's start.
+// Now returns the time since the clock was started.
 func (s Steady) Now() Micros { return Micros(time.Since(s.start) / time.Microsecond) }
 
-// Wall returns the time of day, in microseconds since 1970.
+// Wall returns the time of day in microseconds since 1970 (Unix time).
 func Wall() Micros { return Micros(time.Now().UnixMicro()) }
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -1,10 +1,10 @@
-// Package cluster has the identifiers that all parts of a controller share.
+// Package cluster defines the identifiers that all parts of a controller share.
 package cluster
 
-// Term identifies one leader's time in office: the version of the leader key that it created. A later
-// leader's term is higher; 0 is no term.
+// Term identifies a period of leadership. It is the version of the leader key that the leader created, so later terms
+// are higher. 0 means no term.
 type Term uint64
 
-// Incarnation identifies one run of a controller's process, so that nothing from before a restart is taken
-// for its own.
+// Incarnation identifies one run of a controller's process, so that a process does not mistake anything from before
+// its start for its own.
 type Incarnation uint64
--- a/internal/election/elector.go
+++ b/internal/election/elector.go
@@ -1,9 +1,13 @@
-// Package election decides which controller leads: the one whose key in the store, attached to a store
-// lease, exists. An Elector is one controller's candidate. It owns what is known of the leader key, the lease
-// and this controller's own term. Answers of the store and ticks come in as messages; requests to the store
-// and changes of leadership go out as effects. It performs no I/O and reads no clock: message and time alone
-// decide. A term is acted on for less time than the store keeps the lease, counted from when the lease was
-// requested or renewed, so that two controllers never lead at once.
+// Package election elects the leader among the controllers. The leader is the controller that created the leader
+// key in the store, for as long as the key exists. The key is attached to a store lease, with which it expires.
+//
+// An Elector runs the election for one controller. It owns the observed state of the leader key, the lease and the
+// controller's own term. It takes answers of the store and ticks as messages, and returns requests to the store and
+// changes of leadership as effects. It performs no I/O and reads no clock, so its behaviour depends only on the
+// messages and times passed to it.
+//
+// Two controllers never lead at once, because a leader acts on its term for less time than the store keeps the
+// lease, counted from when the lease was requested or last renewed.
 package election
 
 import (
@@ -14,47 +18,47 @@
 	"swiftledge/internal/store"
 )
 
-// Parts of the lease's TTL.
+// Intervals of the election, as divisors of the lease's TTL.
 const (
-	renewalsPerTTL       = 4  // a lease is renewed that often
-	retriesPerTTL        = 10 // a failed request to win the leader key is repeated that often
-	renewalRetriesPerTTL = 20 // a failed renewal is repeated that often
-	campaignsPerTTL      = 4  // a lease is too old for a campaign after that part
+	renewalsPerTTL        = 4  // a lease is renewed this many times per TTL
+	retriesPerTTL         = 10 // a failed lease request or campaign is retried this many times per TTL
+	renewalRetriesPerTTL  = 20 // a failed renewal is retried this many times per TTL
+	campaignWindowsPerTTL = 4  // a lease is too old for a campaign after this part of its TTL
 )
 
-// Elector is the state of one controller's candidate. Step changes it.
+// Elector is the election state of one controller. Step updates it.
 type Elector struct {
 	self Record
 	ttl  clock.Micros
 
 	leaderKey      LeaderKeyObserved
-	leaderKeyKnown bool         // leaderKey is current, as far as this controller has been told
-	following      FollowLeader // the last one that was sent
+	leaderKeyKnown bool         // leaderKey is current as far as this controller knows
+	reportedLeader FollowLeader // the last FollowLeader effect
 
-	lease           uint64       // 0: none is held
-	leaseRequested  clock.Micros // when the lease was requested or last renewed
-	requestingLease bool
-	renewAt         clock.Micros
+	lease            uint64       // 0: no lease is held
+	leaseRequestedAt clock.Micros // when the lease was requested or last renewed
+	requestingLease  bool
+	renewAt          clock.Micros
 
 	campaigning              bool
-	campaignUnanswered       bool // a campaign under the present lease got no answer
-	formerCampaignUnanswered bool // so did one under an earlier lease: a key of ours may be attached to it
-	retryAt                  clock.Micros
+	campaignUnanswered       bool // a campaign under the current lease got no answer
+	formerCampaignUnanswered bool // the same under an earlier lease, to which the leader key may be attached
+	campaignRetryAt          clock.Micros
 
-	term          cluster.Term // this controller's own; 0: it does not lead
-	termExpiresAt clock.Micros // the term may be acted on until then
+	term          cluster.Term // this controller's own term; 0: it does not lead
+	termExpiresAt clock.Micros // the leader must not act on its term from then on
 
-	effects []Effect // of the present Step
+	effects []Effect // of the current Step
 }
 
-// New returns an Elector. The record's incarnation has to differ with each start of the process, so that
-// nothing from before a restart is taken for its own.
+// New returns an Elector. The record's incarnation must be different for each start of the process, so that the
+// Elector does not mistake a key created before a restart for its own.
 func New(self Record, ttl clock.Micros) *Elector { return &Elector{self: self, ttl: ttl} }
 
-// Term returns the term of this controller while it leads, else 0.
+// Term returns this controller's term while it leads, and 0 otherwise.
 func (e *Elector) Term() cluster.Term { return e.term }
 
-// Step handles one message and returns what is to be done, in order.
+// Step handles one message and returns the resulting effects, to be carried out in order.
 func (e *Elector) Step(now clock.Micros, message Message) []Effect {
 	e.effects = nil
 	if e.term > 0 && now >= e.termExpiresAt {
@@ -85,20 +89,21 @@
 
 func (e *Elector) handleLeaderKeyObserved(now clock.Micros, m LeaderKeyObserved) {
 	if m.Revision < e.leaderKey.Revision {
-		return // the watch reports what a later read has superseded
+		return // a delayed watch event, superseded by a later read
 	}
 	e.leaderKeyKnown, e.leaderKey = true, m
 	if e.term > 0 && cluster.Term(m.Version) != e.term {
-		e.loseLeadership() // the key has gone with its lease, or is another controller's
+		e.loseLeadership() // the key was deleted with its lease, or another controller created it
 	}
-	// The key of a campaign whose answer was lost.
+	// The key was created by a campaign of this controller whose answer was lost.
 	if e.term == 0 && m.Version > 0 && m.Record == e.self && e.lease > 0 {
 		if !e.formerCampaignUnanswered {
 			e.acquireLeadership(now, cluster.Term(m.Version))
 			return
 		}
-		// The key may be attached to an earlier lease: renewing the present one would not keep it, and it
-		// would go while this controller leads. So the present lease, and the key if attached to it, goes now.
+		// The key may be attached to an earlier lease. Renewing the current lease would not keep such a key, and
+		// it would be deleted while this controller leads. So the current lease is revoked, which also deletes the
+		// key if it is attached to this lease.
 		e.revokeLease()
 	}
 	if e.term == 0 {
@@ -109,10 +114,10 @@
 func (e *Elector) handleLeaseGranted(now clock.Micros, m LeaseGranted) {
 	e.requestingLease = false
 	if m.Err != nil {
-		e.retryAt = now + e.ttl/retriesPerTTL
+		e.campaignRetryAt = now + e.ttl/retriesPerTTL
 		return
 	}
-	e.lease, e.leaseRequested = m.Lease, m.Sent
+	e.lease, e.leaseRequestedAt = m.Lease, m.Sent
 }
 
 func (e *Elector) handleCampaignResult(now clock.Micros, m CampaignResult) {
@@ -129,12 +134,12 @@
 		e.forgetLease()
 	case errors.Is(m.Err, store.ErrOutcomeUnknown):
 		e.campaignUnanswered = true
-		e.retryAt = now + e.ttl/retriesPerTTL
-		e.readLeaderKey() // the campaign may have been won
+		e.campaignRetryAt = now + e.ttl/retriesPerTTL
+		e.readLeaderKey() // the campaign may have succeeded
 	case m.Err == nil:
 		e.readLeaderKey()
 	default:
-		e.retryAt = now + e.ttl/retriesPerTTL
+		e.campaignRetryAt = now + e.ttl/retriesPerTTL
 	}
 }
 
@@ -144,9 +149,9 @@
 	}
 	switch {
 	case m.Err == nil:
-		e.leaseRequested = max(e.leaseRequested, m.Sent)
+		e.leaseRequestedAt = max(e.leaseRequestedAt, m.Sent)
 		if e.term > 0 {
-			// The term's time runs from when the renewal was sent, not from its answer.
+			// The extension counts from when the renewal was sent, not from when it was answered.
 			e.termExpiresAt = max(e.termExpiresAt, m.Sent+e.ttl.Shorter())
 			e.emit(ExtendLeadership{Until: e.termExpiresAt})
 		}
@@ -167,14 +172,14 @@
 }
 
 func (e *Elector) acquireLeadership(now clock.Micros, term cluster.Term) {
-	until := e.leaseRequested + e.ttl.Shorter()
-	if now >= until {
+	expiresAt := e.leaseRequestedAt + e.ttl.Shorter()
+	if now >= expiresAt {
 		e.revokeLease() // the answer took so long that the lease may have expired
 		return
 	}
-	e.term, e.termExpiresAt = term, until
+	e.term, e.termExpiresAt = term, expiresAt
 	e.renewAt = now
-	e.emit(AcquireLeadership{Term: term, Until: until})
+	e.emit(AcquireLeadership{Term: term, Until: expiresAt})
 	e.follow(term, e.self.Controller)
 }
 
@@ -185,35 +190,36 @@
 	e.readLeaderKey()
 }
 
-// follow reports who leads, once for each leader: a second connection to the same leader would end the first.
+// follow reports the current leader, once for each leader, because a second connection to the same leader would end
+// the first.
 func (e *Elector) follow(term cluster.Term, controller string) {
 	leader := FollowLeader{Term: term, Controller: controller}
-	if leader == e.following {
+	if leader == e.reportedLeader {
 		return
 	}
-	e.following = leader
+	e.reportedLeader = leader
 	e.emit(leader)
 }
 
-// readLeaderKey asks who leads now; this controller does not campaign before the answer is there.
+// readLeaderKey requests the current leader key. This controller does not campaign before the answer arrives.
 func (e *Elector) readLeaderKey() {
 	e.leaderKeyKnown = false
 	e.emit(ReadLeaderKey{})
 }
 
-// revokeLease ends the lease. A campaign under it that got no answer may be carried out as long as the lease
-// lasts, even after later ones.
+// revokeLease revokes the lease. A campaign under it that got no answer may be executed for as long as the lease
+// lasts, even after later campaigns.
 func (e *Elector) revokeLease() {
 	e.emit(RevokeLease{Lease: e.lease})
 	e.formerCampaignUnanswered = e.formerCampaignUnanswered || e.campaignUnanswered
 	e.forgetLease()
 }
 
-// forgetLease drops a lease that has ended, and with it whatever was attached to it.
+// forgetLease clears the lease and its campaign state. Keys attached to the lease end with it in the store.
 func (e *Elector) forgetLease() { e.lease, e.campaignUnanswered = 0, false }
 
-// renewLease renews the lease if that is due. Renewals may overlap: one whose answer is late must not hold up
-// the next, or a controller that is behind with its work would lose a lease that it could keep.
+// renewLease renews the lease when a renewal is due. Renewals may overlap: a late answer must not delay the next
+// renewal, or an overloaded controller would lose a lease that it could keep.
 func (e *Elector) renewLease(now clock.Micros) {
 	if now < e.renewAt {
 		return
@@ -222,21 +228,21 @@
 	e.emit(RenewLease{Lease: e.lease})
 }
 
-// campaign tries to create the leader key if nobody holds it. The lease for it is requested first.
+// campaign tries to create the leader key if no controller holds it. It first requests a lease for the key.
 func (e *Elector) campaign(now clock.Micros) {
-	if !e.leaderKeyKnown || e.leaderKey.Version > 0 || now < e.retryAt {
+	if !e.leaderKeyKnown || e.leaderKey.Version > 0 || now < e.campaignRetryAt {
 		return
 	}
 	if e.campaigning || e.requestingLease {
 		return
 	}
-	if e.lease > 0 && now-e.leaseRequested <= e.ttl/campaignsPerTTL {
+	if e.lease > 0 && now-e.leaseRequestedAt <= e.ttl/campaignWindowsPerTTL {
 		e.campaigning = true
 		e.emit(Campaign{Lease: e.lease, Record: e.self})
 		return
 	}
 	if e.lease > 0 {
-		e.revokeLease() // it is too old to begin a term with
+		e.revokeLease() // too old to start a term with
 	}
 	e.requestingLease = true
 	e.emit(RequestLease{TTL: e.ttl})
--- a/internal/election/elector_test.go
+++ b/internal/election/elector_test.go
@@ -9,7 +9,7 @@
 	"swiftledge/internal/store"
 )
 
-// acquiredTerm returns the term that one of the effects begins; 0 if none does.
+// acquiredTerm returns the term that one of the effects starts, or 0 if none does.
 func acquiredTerm(effects []Effect) cluster.Term {
 	for _, effect := range effects {
 		if acquired, ok := effect.(AcquireLeadership); ok {
@@ -19,27 +19,28 @@
 	return 0
 }
 
-// A process that restarts within a fraction of a second, with a campaign whose answer was lost, may find the
-// key that its former incarnation created: that term is not this incarnation's, whose leader knows nothing of
-// it. Its own campaign, carried out after all, is.
+// A process that restarts within a fraction of a second may find the key that its former incarnation created with a
+// campaign whose answer was lost. That term does not belong to the new incarnation, whose leader knows nothing about
+// it. A term from the new incarnation's own unanswered campaign does.
 func TestTermOfFormerIncarnationIsNotAcquired(t *testing.T) {
-	me := Record{Controller: "n0", Incarnation: 2}
-	e := New(me, 3*clock.Second)
+	self := Record{Controller: "n0", Incarnation: 2}
+	e := New(self, 3*clock.Second)
 	e.Step(0, LeaderKeyObserved{Revision: 5})
 	e.Step(1000, LeaseGranted{Lease: 9, Sent: 500})
 	e.Step(2000, CampaignResult{Lease: 9, Err: store.ErrOutcomeUnknown})
 	if got := acquiredTerm(e.Step(3000, LeaderKeyObserved{Version: 6, Record: Record{Controller: "n0", Incarnation: 1}, Revision: 6})); got != 0 {
-		t.Errorf("acquired term %d, which a former incarnation has won", got)
+		t.Errorf("acquired term %d of a former incarnation", got)
 	}
 	if e.Term() != 0 {
-		t.Error("holds a term")
+		t.Error("leads after observing the key of a former incarnation")
 	}
-	if got := acquiredTerm(e.Step(4000, LeaderKeyObserved{Version: 8, Record: me, Revision: 8})); got != 8 {
-		t.Errorf("acquired term %d, want 8, of its own unanswered campaign", got)
+	if got := acquiredTerm(e.Step(4000, LeaderKeyObserved{Version: 8, Record: self, Revision: 8})); got != 8 {
+		t.Errorf("acquired term %d, want 8 from its own unanswered campaign", got)
 	}
 }
 
-// A controller whose process was paused past its lease has lost leadership, whatever message comes first.
+// A controller whose process was paused for longer than its lease loses leadership, whichever message it handles
+// first.
 func TestLeadershipEndsDuringPause(t *testing.T) {
 	e := New(Record{Controller: "n0", Incarnation: 1}, 3*clock.Second)
 	e.Step(0, LeaderKeyObserved{Revision: 5})
@@ -49,29 +50,29 @@
 	}
 	effects := e.Step(30*clock.Second, LeaseRenewed{Lease: 9, Sent: 1 * clock.Second})
 	if _, ok := effects[0].(LoseLeadership); !ok || e.Term() != 0 {
-		t.Errorf("first effect %T, term %d: want leadership lost", effects[0], e.Term())
+		t.Errorf("first effect %T, term %d, want leadership lost", effects[0], e.Term())
 	}
 }
 
-// A campaign without an answer may be carried out after its lease was given up for another: the key is then
-// attached to a lease that nobody renews, so it must not begin a term that is extended with the other.
+// A campaign without an answer may be executed after its lease was replaced by another one. The key is then attached
+// to a lease that is not renewed, so it must not start a term that renewals of the new lease extend.
 func TestLateCampaignUnderEarlierLeaseStartsNoTerm(t *testing.T) {
-	me := Record{Controller: "n0", Incarnation: 1}
-	e := New(me, 3*clock.Second)
+	self := Record{Controller: "n0", Incarnation: 1}
+	e := New(self, 3*clock.Second)
 	e.Step(0, LeaderKeyObserved{Revision: 5})
 	e.Step(1000, LeaseGranted{Lease: 9, Sent: 500})
 	e.Step(1500*clock.Millisecond, CampaignResult{Lease: 9, Err: store.ErrOutcomeUnknown})
 	e.Step(1510*clock.Millisecond, LeaderKeyObserved{Revision: 5})
-	e.Step(2*clock.Second, Tick{}) // lease 9 is too old by now: another is requested
+	e.Step(2*clock.Second, Tick{}) // lease 9 is too old by now, so another one is requested
 	e.Step(2010*clock.Millisecond, LeaseGranted{Lease: 10, Sent: 2 * clock.Second})
-	effects := e.Step(2020*clock.Millisecond, LeaderKeyObserved{Version: 6, Record: me, Revision: 6})
+	effects := e.Step(2020*clock.Millisecond, LeaderKeyObserved{Version: 6, Record: self, Revision: 6})
 	if got := acquiredTerm(effects); got != 0 {
 		t.Errorf("acquired term %d, which ends with lease 9", got)
 	}
 	if !slices.Contains(effects, Effect(RevokeLease{Lease: 10})) {
-		t.Error("keeps the lease that the key may be attached to")
+		t.Error("does not revoke the lease that the key may be attached to")
 	}
-	// The key has gone: a new campaign, answered, begins a term.
+	// The key was deleted. A new campaign that is answered starts a term.
 	e.Step(4*clock.Second, LeaderKeyObserved{Revision: 7})
 	e.Step(4010*clock.Millisecond, LeaseGranted{Lease: 11, Sent: 4 * clock.Second})
 	if got := acquiredTerm(e.Step(4020*clock.Millisecond, CampaignResult{Lease: 11, Result: store.TxnResult{Committed: true, Revision: 8}})); got != 8 {
@@ -79,47 +80,47 @@
 	}
 }
 
-// A leader whose key has gone from the store leads no more, whatever its lease says.
+// A leader whose key was deleted from the store loses leadership, even if its lease has not expired.
 func TestLeaderWithoutItsKeyLosesLeadership(t *testing.T) {
 	e := New(Record{Controller: "n0", Incarnation: 1}, 3*clock.Second)
 	e.Step(0, LeaderKeyObserved{Revision: 5})
 	e.Step(1000, LeaseGranted{Lease: 9, Sent: 500})
 	e.Step(2000, CampaignResult{Lease: 9, Result: store.TxnResult{Committed: true, Revision: 6}})
 	if e.Step(3000, LeaderKeyObserved{Revision: 5}); e.Term() != 6 {
-		t.Error("lost leadership to an observation from before the term")
+		t.Error("leadership lost because of an observation from before the term")
 	}
 	if e.Step(4000, LeaderKeyObserved{Revision: 7}); e.Term() != 0 {
-		t.Error("still leads without its key")
+		t.Error("still leads after its key was deleted")
 	}
 }
 
-// A controller that is behind with its work gets the answers to its renewals late. The next one is sent all the
-// same: two that overlap keep a lease that one after the other would lose.
+// An overloaded controller handles the answers to its renewals late. The next renewal is still sent on time, because
+// overlapping renewals keep a lease that sequential ones would lose.
 func TestRenewalsOverlap(t *testing.T) {
 	const ttl = 3 * clock.Second
 	e := New(Record{Controller: "n0", Incarnation: 1}, ttl)
 	e.Step(0, LeaderKeyObserved{Revision: 5})
 	e.Step(1000, LeaseGranted{Lease: 9, Sent: 500})
 	// Each answer takes half of the TTL.
-	const delay = ttl / 2
-	var sent []clock.Micros
+	const answerDelay = ttl / 2
+	var sentAt []clock.Micros
 	collectRenewals := func(now clock.Micros, effects []Effect) {
 		for _, effect := range effects {
 			if _, ok := effect.(RenewLease); ok {
-				sent = append(sent, now)
+				sentAt = append(sentAt, now)
 			}
 		}
 	}
 	collectRenewals(2000, e.Step(2000, CampaignResult{Lease: 9, Result: store.TxnResult{Committed: true, Revision: 6}}))
 	for now := clock.Second / 4; now < 10*ttl; now += clock.Second / 4 {
-		for len(sent) > 0 && now >= sent[0]+delay {
-			first := sent[0]
-			sent = sent[1:]
+		for len(sentAt) > 0 && now >= sentAt[0]+answerDelay {
+			first := sentAt[0]
+			sentAt = sentAt[1:]
 			collectRenewals(now, e.Step(now, LeaseRenewed{Lease: 9, Sent: first}))
 		}
 		collectRenewals(now, e.Step(now, Tick{}))
 		if e.Term() != 6 {
-			t.Fatalf("leadership is lost after %g s", now.Seconds())
+			t.Fatalf("leadership lost after %g s", now.Seconds())
 		}
 	}
 }
--- a/internal/election/leader_key.go
+++ b/internal/election/leader_key.go
@@ -17,7 +17,7 @@
 	Incarnation cluster.Incarnation `json:"run"`
 }
 
-// Txn returns the transaction that creates the leader key under the lease, on condition that nobody has.
+// Txn returns the transaction that creates the leader key under the lease, on condition that the key does not exist.
 func (c Campaign) Txn() (wire.Txn, error) {
 	raw, err := json.Marshal(c.Record)
 	if err != nil {
@@ -29,8 +29,8 @@
 	}, nil
 }
 
-// ObserveKey decodes the leader key as it was at a revision of the store. An item of version 0 stands for
-// a key that does not exist.
+// ObserveKey decodes the leader key as read at a revision of the store. An item of version 0 represents a key that
+// does not exist.
 func ObserveKey(item wire.Item, revision uint64) (LeaderKeyObserved, error) {
 	observed := LeaderKeyObserved{Version: item.Version, Revision: revision}
 	if item.Version == 0 {
@@ -42,7 +42,7 @@
 	return observed, nil
 }
 
-// ObserveEvent decodes a change of the leader key. It returns false for a change of another key.
+// ObserveEvent decodes a watch event of the leader key. It returns false for an event of another key.
 func ObserveEvent(event wire.Event) (LeaderKeyObserved, bool, error) {
 	switch Key {
 	case event.Put:
--- a/internal/election/messages.go
+++ b/internal/election/messages.go
@@ -6,43 +6,43 @@
 	"swiftledge/internal/store"
 )
 
-// Message is what an Elector is told.
+// Message is an input of an Elector.
 //
 //sumtype:decl
 type Message interface{ electionMessage() }
 
-// LeaderKeyObserved is the leader key as the store had it at a revision.
+// LeaderKeyObserved is the state of the leader key at a revision of the store.
 type LeaderKeyObserved struct {
 	Version  uint64 // 0: the key does not exist
 	Record   Record
 	Revision uint64 // of the store
 }
 
-// LeaseGranted answers RequestLease.
+// LeaseGranted is the answer to RequestLease.
 type LeaseGranted struct {
 	Lease uint64
 	Sent  clock.Micros // when the request was sent
 	Err   error
 }
 
-// CampaignResult answers Campaign.
+// CampaignResult is the answer to Campaign.
 type CampaignResult struct {
 	Lease  uint64
 	Result store.TxnResult
 	Err    error
 }
 
-// LeaseRenewed answers RenewLease.
+// LeaseRenewed is the answer to RenewLease.
 type LeaseRenewed struct {
 	Lease uint64
 	Sent  clock.Micros // when the request was sent
 	Err   error
 }
 
-// Resign ends a term early, if it is this controller's own.
+// Resign ends this controller's term early if it is the given one.
 type Resign struct{ Term cluster.Term }
 
-// Tick lets time pass.
+// Tick is sent periodically, for work that depends on time.
 type Tick struct{}
 
 func (LeaderKeyObserved) electionMessage() {}
@@ -52,44 +52,44 @@
 func (Resign) electionMessage()            {}
 func (Tick) electionMessage()              {}
 
-// Effect is what an Elector asks for.
+// Effect is an action that an Elector asks its caller to carry out.
 //
 //sumtype:decl
 type Effect interface{ electionEffect() }
 
-// RequestLease asks for a store lease; LeaseGranted answers it.
+// RequestLease requests a store lease. LeaseGranted is the answer.
 type RequestLease struct{ TTL clock.Micros }
 
-// Campaign asks to create the leader key under a lease; CampaignResult answers it.
+// Campaign tries to create the leader key under a lease. CampaignResult is the answer.
 type Campaign struct {
 	Lease  uint64
 	Record Record
 }
 
-// RenewLease asks to renew a lease; LeaseRenewed answers it.
+// RenewLease renews a lease. LeaseRenewed is the answer.
 type RenewLease struct{ Lease uint64 }
 
-// RevokeLease asks to end a lease at once. No answer is needed: it expires in any case.
+// RevokeLease ends a lease at once. It needs no answer, because the lease expires in any case.
 type RevokeLease struct{ Lease uint64 }
 
-// ReadLeaderKey asks to read the leader key; LeaderKeyObserved answers it.
+// ReadLeaderKey reads the leader key. LeaderKeyObserved is the answer.
 type ReadLeaderKey struct{}
 
-// AcquireLeadership begins a term of this controller.
+// AcquireLeadership starts a term of this controller.
 type AcquireLeadership struct {
 	Term  cluster.Term
-	Until clock.Micros // the leader may act until then, unless extended
+	Until clock.Micros // the leader may act until then, unless the time is extended
 }
 
-// ExtendLeadership says until when the leader may act now.
+// ExtendLeadership extends the time until which the leader may act.
 type ExtendLeadership struct{ Until clock.Micros }
 
 // LoseLeadership ends this controller's term.
 type LoseLeadership struct{ Term cluster.Term }
 
-// FollowLeader names the controller that leads.
+// FollowLeader reports which controller leads.
 type FollowLeader struct {
-	Term       cluster.Term // 0: nobody leads
+	Term       cluster.Term // 0: no controller leads
 	Controller string
 }
 
--- a/internal/pausedetect/detector_test.go
+++ b/internal/pausedetect/detector_test.go
@@ -7,23 +7,23 @@
 )
 
 func TestDetector(t *testing.T) {
-	const lastMessage = 6*clock.Second + Threshold - 1
+	const pauseStart = 6*clock.Second + Threshold - 1
 	var d Detector
-	for _, now := range []clock.Micros{5 * clock.Second, 6 * clock.Second, lastMessage} {
+	for _, now := range []clock.Micros{5 * clock.Second, 6 * clock.Second, pauseStart} {
 		if _, paused := d.Observe(now); paused {
-			t.Errorf("a pause at %v", now)
+			t.Errorf("pause detected at %v, want none", now)
 		}
 	}
-	began, paused := d.Observe(20 * clock.Second)
-	if !paused || began != lastMessage {
-		t.Errorf("paused %v from %v, want true from %v", paused, began, lastMessage)
+	detectedStart, paused := d.Observe(20 * clock.Second)
+	if !paused || detectedStart != pauseStart {
+		t.Errorf("paused %v from %v, want true from %v", paused, detectedStart, pauseStart)
 	}
 	for since, want := range map[clock.Micros]clock.Micros{
-		8 * clock.Second:  20 * clock.Second, // from the end of the pause
+		8 * clock.Second:  20 * clock.Second, // counted from the end of the pause
 		21 * clock.Second: 21 * clock.Second,
 	} {
 		if got := d.ExcludePause(since); got != want {
-			t.Errorf("silence since %v counts from %v, want %v", since, got, want)
+			t.Errorf("silence since %v counted from %v, want %v", since, got, want)
 		}
 	}
 }
--- a/internal/pausedetect/recorder.go
+++ b/internal/pausedetect/recorder.go
@@ -7,21 +7,21 @@
 	"swiftledge/internal/clock"
 )
 
-// CollectionTime is how long after the first report of a pause further ones belong to it: each actor notices a pause
-// with its next message.
+// CollectionTime is how long after the first report of a pause further reports are merged into it. Each actor detects
+// a pause only when it handles its next message.
 const CollectionTime = clock.Second
 
-// Pause is a time in which a process was paused.
+// Pause is a period during which a process was paused.
 type Pause struct {
 	Began, Ended clock.Micros
-	// Expired names what expired meanwhile, in the words of the status.
+	// Expired lists what expired during the pause, in the terms that the status shows to operators.
 	Expired []string
 }
 
-// Length returns how long the pause was.
+// Length returns the duration of the pause.
 func (p Pause) Length() clock.Micros { return p.Ended - p.Began }
 
-// ExpiredText returns what expired in a pause, for a person.
+// ExpiredText returns a human-readable list of what expired during a pause.
 func ExpiredText(expired []string) string {
 	if len(expired) == 0 {
 		return "nothing"
@@ -29,14 +29,14 @@
 	return strings.Join(expired, ", ")
 }
 
-// Recorder makes one pause of what the actors of a process notice of it, and remembers the last one.
+// Recorder merges the reports of a pause by the actors of a process into one pause and keeps the last one.
 type Recorder struct {
-	open  *Pause
+	open  *Pause // the pause being collected; nil without one
 	last  Pause
-	count int
+	count int // pauses so far
 }
 
-// Add takes in what one actor noticed, and returns whether a pause begins with it.
+// Add merges the report of one actor and returns whether it is the first of a pause.
 func (r *Recorder) Add(p Pause) (first bool) {
 	if r.open == nil {
 		r.open = &p
@@ -47,7 +47,7 @@
 	return false
 }
 
-// Close ends the collection and returns the whole pause; the zero Pause if there was none.
+// Close ends the collection and returns the merged pause, or the zero Pause if no pause is being collected.
 func (r *Recorder) Close() Pause {
 	if r.open == nil {
 		return Pause{}
@@ -58,5 +58,5 @@
 	return r.last
 }
 
-// Last returns the last pause and how many there were.
+// Last returns the last pause and the number of pauses so far.
 func (r *Recorder) Last() (last Pause, count int) { return r.last, r.count }
--- a/internal/shard/attempts_test.go
+++ b/internal/shard/attempts_test.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// Forgetting an attempt whose end was reported must not end another attempt as which the task runs.
+// Forgetting an attempt whose end was reported must not end the attempt as which its task runs now.
 func TestForgettingAttemptDoesNotEndAnother(t *testing.T) {
 	h := newTestHolder(t)
 	s := h.shards[0]
