--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -30,9 +30,9 @@
 // Duration returns the duration as a time.Duration.
 func (m Micros) Duration() time.Duration { return time.Duration(m) * time.Microsecond }
 
-// Longer returns the duration plus the drift allowance. When that much time has passed on this process's clock, at
+// PlusDrift returns the duration plus the drift allowance. When that much time has passed on this process's clock, at
 // least m has passed on any other.
-func (m Micros) Longer() Micros { return m + m/driftPart + driftMargin }
+func (m Micros) PlusDrift() Micros { return m + m/driftPart + driftMargin }
 
 // Shorter returns the duration minus the drift allowance. Until that much time has passed on this process's clock,
 // less than m has passed on any other, so whatever another clock ends after m is still valid.
--- a/internal/shard/heartbeat_test.go
+++ b/internal/shard/heartbeat_test.go
@@ -86,13 +86,13 @@
 func TestOutdatedHeartbeatExtendsAgentLease(t *testing.T) {
 	h := newTestHolder(t)
 	h.Step(now, heartbeat("m2", 9, testToken, running(2)))
-	end := now + h.params.LongestGrant.Longer() + h.params.AgentLease.Longer() + 2*clock.Second
+	end := now + h.params.LongestGrant.PlusDrift() + h.params.AgentLease.PlusDrift() + 2*clock.Second
 	h.Step(end-clock.Second, heartbeat("m2", 1, 0)) // also counts under an expired shard lease
 	h.Step(end, Tick{})
 	if len(h.shards[0].machines["m2"].attempts) != 1 {
 		t.Error("attempt removed while its agent sends heartbeats")
 	}
-	h.Step(end+h.params.AgentLease.Longer()+clock.Second, Tick{})
+	h.Step(end+h.params.AgentLease.PlusDrift()+clock.Second, Tick{})
 	if len(h.shards[0].machines["m2"].attempts) != 0 {
 		t.Error("attempt kept although a lease has passed since the last heartbeat")
 	}
--- a/internal/shard/tick.go
+++ b/internal/shard/tick.go
@@ -112,7 +112,7 @@
 // shard lease under which its heartbeats could be answered. An epoch has a full agent lease from its start, even if
 // none of its heartbeats was ever answered and its tasks were launched by commands sent from here.
 func (h *Holder) agentLeaseEnd(s *heldShard, m *machine) clock.Micros {
-	lastGrantEnd := s.lease.grantedAt + h.params.LongestGrant.Longer()
+	lastGrantEnd := s.lease.grantedAt + h.params.LongestGrant.PlusDrift()
 	lastRenewal := max(m.agent.lastReply, m.agent.epochSince, m.agent.lastOutdated, lastGrantEnd)
-	return lastRenewal + h.params.AgentLease.Longer() + clock.Second
+	return lastRenewal + h.params.AgentLease.PlusDrift() + clock.Second
 }
