--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -34,9 +34,9 @@
 // least m has passed on any other.
 func (m Micros) PlusDrift() Micros { return m + m/driftPart + driftMargin }
 
-// Shorter returns the duration minus the drift allowance. Until that much time has passed on this process's clock,
+// MinusDrift returns the duration minus the drift allowance. Until that much time has passed on this process's clock,
 // less than m has passed on any other, so whatever another clock ends after m is still valid.
-func (m Micros) Shorter() Micros { return m - m/driftPart - driftMargin }
+func (m Micros) MinusDrift() Micros { return m - m/driftPart - driftMargin }
 
 // Steady is a monotonic clock that counts from its start and is never set.
 type Steady struct{ start time.Time }
--- a/internal/election/elector.go
+++ b/internal/election/elector.go
@@ -152,7 +152,7 @@
 		e.leaseRequestedAt = max(e.leaseRequestedAt, m.Sent)
 		if e.term > 0 {
 			// The extension counts from when the renewal was sent, not from when it was answered.
-			e.termExpiresAt = max(e.termExpiresAt, m.Sent+e.ttl.Shorter())
+			e.termExpiresAt = max(e.termExpiresAt, m.Sent+e.ttl.MinusDrift())
 			e.emit(ExtendLeadership{Until: e.termExpiresAt})
 		}
 	case errors.Is(m.Err, store.ErrNotFound):
@@ -172,7 +172,7 @@
 }
 
 func (e *Elector) acquireLeadership(now clock.Micros, term cluster.Term) {
-	expiresAt := e.leaseRequestedAt + e.ttl.Shorter()
+	expiresAt := e.leaseRequestedAt + e.ttl.MinusDrift()
 	if now >= expiresAt {
 		e.revokeLease() // the answer took so long that the lease may have expired
 		return
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -64,7 +64,7 @@
 // tasks on it. A watch may hang while all else is served: a leader that cannot know of
 // cancellations must not let the workers of their tasks go on (config.GrantTime).
 func (l *Leader) viewIsFresh(now clock.Micros) bool {
-	return now < l.jobsViewedAt+l.cfg.MaxViewAge().Shorter()
+	return now < l.jobsViewedAt+l.cfg.MaxViewAge().MinusDrift()
 }
 
 // handleEvent takes in what happens while the controller leads, whatever it has asked for.
--- a/internal/shard/leader_messages.go
+++ b/internal/shard/leader_messages.go
@@ -53,7 +53,7 @@
 	}
 	for id, token := range tokens {
 		if s := h.shardWithToken(id, token); s != nil {
-			s.lease.extend(sentAt + h.params.GrantTime.Shorter())
+			s.lease.extend(sentAt + h.params.GrantTime.MinusDrift())
 		}
 	}
 }
