--- a/internal/pausedetect/recorder_test.go
+++ b/internal/pausedetect/recorder_test.go
@@ -8,10 +8,10 @@
 // The reports of two actors are merged into one pause.
 func TestRecorder(t *testing.T) {
 	var r Recorder
-	if !r.Add(Pause{Began: 10, Ended: 40, Expired: []string{"grant of block 1"}}) {
+	if !r.Add(Pause{Start: 10, Ended: 40, Expired: []string{"grant of block 1"}}) {
 		t.Error("the first report does not start a pause")
 	}
-	if r.Add(Pause{Began: 12, Ended: 45, Expired: []string{"authority"}}) {
+	if r.Add(Pause{Start: 12, Ended: 45, Expired: []string{"authority"}}) {
 		t.Error("the second report starts another pause")
 	}
 	p := r.Close()
