--- a/internal/controller/pause_log.go
+++ b/internal/controller/pause_log.go
@@ -82,7 +82,7 @@
 	if history.count == 0 {
 		return 0, nil
 	}
-	ago := p.clock.Now() - history.last.Ended
+	ago := p.clock.Now() - history.last.End
 	return history.count, &peer.PauseStatus{
 		AgoS:    ago.Seconds(),
 		LengthS: history.last.Length().Seconds(),
--- a/internal/pausedetect/recorder.go
+++ b/internal/pausedetect/recorder.go
@@ -13,13 +13,13 @@
 
 // Pause is a period during which a process was paused.
 type Pause struct {
-	Start, Ended clock.Micros
+	Start, End clock.Micros
 	// Expired lists what expired during the pause, in the terms that the status shows to operators.
 	Expired []string
 }
 
 // Length returns the duration of the pause.
-func (p Pause) Length() clock.Micros { return p.Ended - p.Start }
+func (p Pause) Length() clock.Micros { return p.End - p.Start }
 
 // ExpiredText returns a human-readable list of what expired during a pause.
 func ExpiredText(expired []string) string {
@@ -42,7 +42,7 @@
 		r.open = &p
 		return true
 	}
-	r.open.Start, r.open.Ended = min(r.open.Start, p.Start), max(r.open.Ended, p.Ended)
+	r.open.Start, r.open.End = min(r.open.Start, p.Start), max(r.open.End, p.End)
 	r.open.Expired = append(r.open.Expired, p.Expired...)
 	return false
 }
--- a/internal/shard/holder.go
+++ b/internal/shard/holder.go
@@ -134,7 +134,7 @@
 
 // handlePause reports that this process was paused, and which shard leases expired during the pause.
 func (h *Holder) handlePause(pauseStart, now clock.Micros) {
-	pause := pausedetect.Pause{Start: pauseStart, Ended: now}
+	pause := pausedetect.Pause{Start: pauseStart, End: now}
 	for id, s := range h.shardsInOrder() {
 		if expiresAt := s.lease.expiresAt; expiresAt > pauseStart && expiresAt <= now {
 			// The status shows this text to operators, who know a shard lease as the grant of a block.
