--- a/internal/controller/pause_log.go
+++ b/internal/controller/pause_log.go
@@ -60,7 +60,7 @@
 			switch m := message.(type) {
 			case pauseDetected:
 				if first := recorder.Add(m.pause); first {
-					collected = time.After(pausedetect.CollectionTime.Duration())
+					collected = time.After(pausedetect.CollectionWindow.Duration())
 				}
 			case pauseQuery:
 				last, count := recorder.Last()
--- a/internal/pausedetect/recorder.go
+++ b/internal/pausedetect/recorder.go
@@ -7,9 +7,9 @@
 	"swiftledge/internal/clock"
 )
 
-// CollectionTime is how long after the first report of a pause further reports are merged into it. Each actor detects
+// CollectionWindow is how long after the first report of a pause further reports are merged into it. Each actor detects
 // a pause only when it handles its next message.
-const CollectionTime = clock.Second
+const CollectionWindow = clock.Second
 
 // Pause is a period during which a process was paused.
 type Pause struct {
