--- a/internal/controller/elector_effects.go
+++ b/internal/controller/elector_effects.go
@@ -54,7 +54,7 @@
 	defer cancel()
 	sent := c.clock.Now()
 	lease, err := c.store.GrantLease(ctx, request.TTL)
-	c.elector.send(electionStep{election.LeaseGranted{Lease: lease, Sent: sent, Err: err}})
+	c.elector.send(electionStep{election.LeaseGranted{Lease: lease, SentAt: sent, Err: err}})
 }
 
 func (c *Controller) campaign(ctx context.Context, request election.Campaign) {
--- a/internal/election/elector.go
+++ b/internal/election/elector.go
@@ -117,7 +117,7 @@
 		e.campaignRetryAt = now + e.ttl/retriesPerTTL
 		return
 	}
-	e.lease, e.leaseRequestedAt = m.Lease, m.Sent
+	e.lease, e.leaseRequestedAt = m.Lease, m.SentAt
 }
 
 func (e *Elector) handleCampaignResult(now clock.Micros, m CampaignResult) {
--- a/internal/election/elector_test.go
+++ b/internal/election/elector_test.go
@@ -26,7 +26,7 @@
 	self := Record{Controller: "n0", Incarnation: 2}
 	e := New(self, 3*clock.Second)
 	e.Step(0, LeaderKeyObserved{Revision: 5})
-	e.Step(1000, LeaseGranted{Lease: 9, Sent: 500})
+	e.Step(1000, LeaseGranted{Lease: 9, SentAt: 500})
 	e.Step(2000, CampaignResult{Lease: 9, Err: store.ErrOutcomeUnknown})
 	if got := acquiredTerm(e.Step(3000, LeaderKeyObserved{Version: 6, Record: Record{Controller: "n0", Incarnation: 1}, Revision: 6})); got != 0 {
 		t.Errorf("acquired term %d of a former incarnation", got)
@@ -44,7 +44,7 @@
 func TestLeadershipEndsDuringPause(t *testing.T) {
 	e := New(Record{Controller: "n0", Incarnation: 1}, 3*clock.Second)
 	e.Step(0, LeaderKeyObserved{Revision: 5})
-	e.Step(1000, LeaseGranted{Lease: 9, Sent: 500})
+	e.Step(1000, LeaseGranted{Lease: 9, SentAt: 500})
 	if got := acquiredTerm(e.Step(2000, CampaignResult{Lease: 9, Result: store.TxnResult{Committed: true, Revision: 6}})); got != 6 {
 		t.Fatalf("acquired term %d, want 6", got)
 	}
@@ -60,11 +60,11 @@
 	self := Record{Controller: "n0", Incarnation: 1}
 	e := New(self, 3*clock.Second)
 	e.Step(0, LeaderKeyObserved{Revision: 5})
-	e.Step(1000, LeaseGranted{Lease: 9, Sent: 500})
+	e.Step(1000, LeaseGranted{Lease: 9, SentAt: 500})
 	e.Step(1500*clock.Millisecond, CampaignResult{Lease: 9, Err: store.ErrOutcomeUnknown})
 	e.Step(1510*clock.Millisecond, LeaderKeyObserved{Revision: 5})
 	e.Step(2*clock.Second, Tick{}) // lease 9 is too old by now, so another one is requested
-	e.Step(2010*clock.Millisecond, LeaseGranted{Lease: 10, Sent: 2 * clock.Second})
+	e.Step(2010*clock.Millisecond, LeaseGranted{Lease: 10, SentAt: 2 * clock.Second})
 	effects := e.Step(2020*clock.Millisecond, LeaderKeyObserved{Version: 6, Record: self, Revision: 6})
 	if got := acquiredTerm(effects); got != 0 {
 		t.Errorf("acquired term %d, which ends with lease 9", got)
@@ -74,7 +74,7 @@
 	}
 	// The key was deleted. A new campaign that is answered starts a term.
 	e.Step(4*clock.Second, LeaderKeyObserved{Revision: 7})
-	e.Step(4010*clock.Millisecond, LeaseGranted{Lease: 11, Sent: 4 * clock.Second})
+	e.Step(4010*clock.Millisecond, LeaseGranted{Lease: 11, SentAt: 4 * clock.Second})
 	if got := acquiredTerm(e.Step(4020*clock.Millisecond, CampaignResult{Lease: 11, Result: store.TxnResult{Committed: true, Revision: 8}})); got != 8 {
 		t.Errorf("acquired term %d, want 8", got)
 	}
@@ -84,7 +84,7 @@
 func TestLeaderWithoutItsKeyLosesLeadership(t *testing.T) {
 	e := New(Record{Controller: "n0", Incarnation: 1}, 3*clock.Second)
 	e.Step(0, LeaderKeyObserved{Revision: 5})
-	e.Step(1000, LeaseGranted{Lease: 9, Sent: 500})
+	e.Step(1000, LeaseGranted{Lease: 9, SentAt: 500})
 	e.Step(2000, CampaignResult{Lease: 9, Result: store.TxnResult{Committed: true, Revision: 6}})
 	if e.Step(3000, LeaderKeyObserved{Revision: 5}); e.Term() != 6 {
 		t.Error("leadership lost because of an observation from before the term")
@@ -100,7 +100,7 @@
 	const ttl = 3 * clock.Second
 	e := New(Record{Controller: "n0", Incarnation: 1}, ttl)
 	e.Step(0, LeaderKeyObserved{Revision: 5})
-	e.Step(1000, LeaseGranted{Lease: 9, Sent: 500})
+	e.Step(1000, LeaseGranted{Lease: 9, SentAt: 500})
 	// Each answer takes half of the TTL.
 	const answerDelay = ttl / 2
 	var sentAt []clock.Micros
--- a/internal/election/messages.go
+++ b/internal/election/messages.go
@@ -20,9 +20,9 @@
 
 // LeaseGranted is the answer to RequestLease.
 type LeaseGranted struct {
-	Lease uint64
-	Sent  clock.Micros // when the request was sent
-	Err   error
+	Lease  uint64
+	SentAt clock.Micros // when the request was sent
+	Err    error
 }
 
 // CampaignResult is the answer to Campaign.
--- a/internal/scenario/controller_elector_test.go
+++ b/internal/scenario/controller_elector_test.go
@@ -56,7 +56,7 @@
 	var id uint64
 	c.recordLeaseGrant(request.TTL)
 	c.callStore(func() { id = c.world.store.GrantLease(c.world.now, request.TTL) }, func(err error) {
-		c.electorStep(election.LeaseGranted{Lease: id, Sent: sent, Err: err})
+		c.electorStep(election.LeaseGranted{Lease: id, SentAt: sent, Err: err})
 	})
 }
 
