--- a/internal/controller/elector_effects.go
+++ b/internal/controller/elector_effects.go
@@ -74,7 +74,7 @@
 	defer cancel()
 	sent := c.clock.Now()
 	err := c.store.RenewLease(ctx, request.Lease)
-	c.elector.send(electionStep{election.LeaseRenewed{Lease: request.Lease, Sent: sent, Err: err}})
+	c.elector.send(electionStep{election.LeaseRenewed{Lease: request.Lease, SentAt: sent, Err: err}})
 }
 
 func (c *Controller) revokeLease(ctx context.Context, request election.RevokeLease) {
--- a/internal/election/elector.go
+++ b/internal/election/elector.go
@@ -149,10 +149,10 @@
 	}
 	switch {
 	case m.Err == nil:
-		e.leaseRequestedAt = max(e.leaseRequestedAt, m.Sent)
+		e.leaseRequestedAt = max(e.leaseRequestedAt, m.SentAt)
 		if e.term > 0 {
 			// The extension counts from when the renewal was sent, not from when it was answered.
-			e.termExpiresAt = max(e.termExpiresAt, m.Sent+e.ttl.MinusDrift())
+			e.termExpiresAt = max(e.termExpiresAt, m.SentAt+e.ttl.MinusDrift())
 			e.emit(ExtendLeadership{Until: e.termExpiresAt})
 		}
 	case errors.Is(m.Err, store.ErrNotFound):
--- a/internal/election/elector_test.go
+++ b/internal/election/elector_test.go
@@ -48,7 +48,7 @@
 	if got := acquiredTerm(e.Step(2000, CampaignResult{Lease: 9, Result: store.TxnResult{Committed: true, Revision: 6}})); got != 6 {
 		t.Fatalf("acquired term %d, want 6", got)
 	}
-	effects := e.Step(30*clock.Second, LeaseRenewed{Lease: 9, Sent: 1 * clock.Second})
+	effects := e.Step(30*clock.Second, LeaseRenewed{Lease: 9, SentAt: 1 * clock.Second})
 	if _, ok := effects[0].(LoseLeadership); !ok || e.Term() != 0 {
 		t.Errorf("first effect %T, term %d, want leadership lost", effects[0], e.Term())
 	}
@@ -116,7 +116,7 @@
 		for len(sentAt) > 0 && now >= sentAt[0]+answerDelay {
 			first := sentAt[0]
 			sentAt = sentAt[1:]
-			collectRenewals(now, e.Step(now, LeaseRenewed{Lease: 9, Sent: first}))
+			collectRenewals(now, e.Step(now, LeaseRenewed{Lease: 9, SentAt: first}))
 		}
 		collectRenewals(now, e.Step(now, Tick{}))
 		if e.Term() != 6 {
--- a/internal/election/messages.go
+++ b/internal/election/messages.go
@@ -34,9 +34,9 @@
 
 // LeaseRenewed is the answer to RenewLease.
 type LeaseRenewed struct {
-	Lease uint64
-	Sent  clock.Micros // when the request was sent
-	Err   error
+	Lease  uint64
+	SentAt clock.Micros // when the request was sent
+	Err    error
 }
 
 // Resign ends this controller's term early if it is the given one.
--- a/internal/scenario/controller_elector_test.go
+++ b/internal/scenario/controller_elector_test.go
@@ -68,7 +68,7 @@
 		if err == nil && !found {
 			err = store.ErrNotFound
 		}
-		c.electorStep(election.LeaseRenewed{Lease: request.Lease, Sent: sent, Err: err})
+		c.electorStep(election.LeaseRenewed{Lease: request.Lease, SentAt: sent, Err: err})
 	})
 }
 
