--- a/internal/controller/elector.go
+++ b/internal/controller/elector.go
@@ -104,7 +104,7 @@
 			key = item
 		}
 	}
-	observed, err := election.ObserveKey(key, revision)
+	observed, err := election.DecodeKey(key, revision)
 	if err != nil {
 		c.log.Error("cannot decode the leader key", "error", err)
 	}
--- a/internal/election/leader_key.go
+++ b/internal/election/leader_key.go
@@ -29,9 +29,9 @@
 	}, nil
 }
 
-// ObserveKey decodes the leader key as read at a revision of the store. An item of version 0 represents a key that
+// DecodeKey decodes the leader key as read at a revision of the store. An item of version 0 represents a key that
 // does not exist.
-func ObserveKey(item wire.Item, revision uint64) (LeaderKeyObserved, error) {
+func DecodeKey(item wire.Item, revision uint64) (LeaderKeyObserved, error) {
 	observed := LeaderKeyObserved{Version: item.Version, Revision: revision}
 	if item.Version == 0 {
 		return observed, nil
@@ -46,7 +46,7 @@
 func ObserveEvent(event wire.Event) (LeaderKeyObserved, bool, error) {
 	switch Key {
 	case event.Put:
-		observed, err := ObserveKey(wire.Item{Value: event.Value, Version: event.Version}, event.Version)
+		observed, err := DecodeKey(wire.Item{Value: event.Value, Version: event.Version}, event.Version)
 		return observed, true, err
 	case event.Delete:
 		return LeaderKeyObserved{Revision: event.Version}, true, nil
--- a/internal/scenario/controller_elector_test.go
+++ b/internal/scenario/controller_elector_test.go
@@ -85,7 +85,7 @@
 			c.world.after(leaderKeyRetry, c.ifSameProcess(c.readLeaderKey))
 			return
 		}
-		seen, err := election.ObserveKey(item, revision)
+		seen, err := election.DecodeKey(item, revision)
 		must(err)
 		c.leaderKeyRevision = max(c.leaderKeyRevision, revision)
 		c.electorStep(seen)
