--- a/internal/controller/elector.go
+++ b/internal/controller/elector.go
@@ -122,7 +122,7 @@
 		}
 		revision = max(revision, response.Revision)
 		for _, event := range response.Events {
-			observed, found, err := election.ObserveEvent(event)
+			observed, found, err := election.DecodeEvent(event)
 			switch {
 			case err != nil:
 				c.log.Error("cannot decode the leader key", "error", err)
--- a/internal/election/leader_key.go
+++ b/internal/election/leader_key.go
@@ -42,8 +42,8 @@
 	return observed, nil
 }
 
-// ObserveEvent decodes a watch event of the leader key. It returns false for an event of another key.
-func ObserveEvent(event wire.Event) (LeaderKeyObserved, bool, error) {
+// DecodeEvent decodes a watch event of the leader key. It returns false for an event of another key.
+func DecodeEvent(event wire.Event) (LeaderKeyObserved, bool, error) {
 	switch Key {
 	case event.Put:
 		observed, err := DecodeKey(wire.Item{Value: event.Value, Version: event.Version}, event.Version)
--- a/internal/scenario/controller_test.go
+++ b/internal/scenario/controller_test.go
@@ -175,7 +175,7 @@
 	changes := c.world.store.ChangesSince(leader.Key, c.leaderKeyRevision)
 	c.leaderKeyRevision = max(c.leaderKeyRevision, changes.Revision)
 	for _, event := range changes.Events {
-		seen, ok, err := election.ObserveEvent(event)
+		seen, ok, err := election.DecodeEvent(event)
 		must(err)
 		if ok {
 			c.electorStep(seen)
