--- a/internal/controller/elector_effects.go
+++ b/internal/controller/elector_effects.go
@@ -33,7 +33,7 @@
 	case election.AcquireLeadership:
 		c.store.SetBudget(c.storeBudget(true))
 		c.leader.send(leader.LeadershipAcquired{Term: e.Term, Incarnation: c.incarnation})
-		c.leader.send(leader.LeadershipExtended{Until: e.Until})
+		c.leader.send(leader.LeadershipExtended{Until: e.ExpiresAt})
 	case election.ExtendLeadership:
 		c.leader.send(leader.LeadershipExtended{Until: e.Until})
 	case election.LoseLeadership:
--- a/internal/election/elector.go
+++ b/internal/election/elector.go
@@ -179,7 +179,7 @@
 	}
 	e.term, e.termExpiresAt = term, expiresAt
 	e.renewAt = now
-	e.emit(AcquireLeadership{Term: term, Until: expiresAt})
+	e.emit(AcquireLeadership{Term: term, ExpiresAt: expiresAt})
 	e.follow(term, e.self.Controller)
 }
 
--- a/internal/election/messages.go
+++ b/internal/election/messages.go
@@ -77,8 +77,8 @@
 
 // AcquireLeadership starts a term of this controller.
 type AcquireLeadership struct {
-	Term  cluster.Term
-	Until clock.Micros // the leader may act until then, unless the time is extended
+	Term      cluster.Term
+	ExpiresAt clock.Micros // the leader may act until then, unless the time is extended
 }
 
 // ExtendLeadership extends the time until which the leader may act.
--- a/internal/scenario/controller_elector_test.go
+++ b/internal/scenario/controller_elector_test.go
@@ -36,7 +36,7 @@
 	case election.AcquireLeadership:
 		c.world.releaseHeartbeats()
 		c.leaderStep(leader.LeadershipAcquired{Term: x.Term, Incarnation: cluster.Incarnation(c.incarnation)})
-		c.leaderStep(leader.LeadershipExtended{Until: x.Until})
+		c.leaderStep(leader.LeadershipExtended{Until: x.ExpiresAt})
 	case election.ExtendLeadership:
 		c.leaderStep(leader.LeadershipExtended{Until: x.Until})
 	case election.LoseLeadership:
