--- a/internal/controller/elector_effects.go
+++ b/internal/controller/elector_effects.go
@@ -35,7 +35,7 @@
 		c.leader.send(leader.LeadershipAcquired{Term: e.Term, Incarnation: c.incarnation})
 		c.leader.send(leader.LeadershipExtended{Until: e.ExpiresAt})
 	case election.ExtendLeadership:
-		c.leader.send(leader.LeadershipExtended{Until: e.Until})
+		c.leader.send(leader.LeadershipExtended{Until: e.ExpiresAt})
 	case election.LoseLeadership:
 		c.log.Info("no longer leading", "term", e.Term)
 		c.store.SetBudget(c.storeBudget(false))
--- a/internal/election/elector.go
+++ b/internal/election/elector.go
@@ -153,7 +153,7 @@
 		if e.term > 0 {
 			// The extension counts from when the renewal was sent, not from when it was answered.
 			e.termExpiresAt = max(e.termExpiresAt, m.SentAt+e.ttl.MinusDrift())
-			e.emit(ExtendLeadership{Until: e.termExpiresAt})
+			e.emit(ExtendLeadership{ExpiresAt: e.termExpiresAt})
 		}
 	case errors.Is(m.Err, store.ErrNotFound):
 		if e.term > 0 {
--- a/internal/election/messages.go
+++ b/internal/election/messages.go
@@ -82,7 +82,7 @@
 }
 
 // ExtendLeadership extends the time until which the leader may act.
-type ExtendLeadership struct{ Until clock.Micros }
+type ExtendLeadership struct{ ExpiresAt clock.Micros }
 
 // LoseLeadership ends this controller's term.
 type LoseLeadership struct{ Term cluster.Term }
--- a/internal/scenario/controller_elector_test.go
+++ b/internal/scenario/controller_elector_test.go
@@ -38,7 +38,7 @@
 		c.leaderStep(leader.LeadershipAcquired{Term: x.Term, Incarnation: cluster.Incarnation(c.incarnation)})
 		c.leaderStep(leader.LeadershipExtended{Until: x.ExpiresAt})
 	case election.ExtendLeadership:
-		c.leaderStep(leader.LeadershipExtended{Until: x.Until})
+		c.leaderStep(leader.LeadershipExtended{Until: x.ExpiresAt})
 	case election.LoseLeadership:
 		c.loadedTerm = 0
 		c.leaderStep(leader.LeadershipLost{})
