--- a/internal/shard/attempt_log_test.go
+++ b/internal/shard/attempt_log_test.go
@@ -191,7 +191,7 @@
 }
 
 // When the store rejects a transaction for its size, the next ones are smaller. Repeating the same size would fail
-// for ever.
+// forever.
 func TestRejectedWriteReducesLimits(t *testing.T) {
 	h := newTestHolder(t)
 	h.Step(now, heartbeat("m1", 1, testToken))
--- a/internal/shard/held_shard.go
+++ b/internal/shard/held_shard.go
@@ -46,7 +46,7 @@
 	}
 }
 
-// ensureMachine returns the machine with a name and adds it if the shard has none.
+// ensureMachine returns the machine with the given name. It adds the machine if the shard does not have it.
 func (s *heldShard) ensureMachine(name string) *machine {
 	m := s.machines[name]
 	if m == nil {
