--- a/internal/shard/tick.go
+++ b/internal/shard/tick.go
@@ -69,12 +69,12 @@
 
 // tickMachine updates the state of a machine that depends on time: silence, agent lease, fencing and schedulability.
 func (h *Holder) tickMachine(now clock.Micros, s *heldShard, m *machine) {
-	knownToRun := m.mayHaveAgent()
+	mayHaveAgent := m.mayHaveAgent()
 	if silent := h.isSilent(now, s, m); silent != m.silent {
 		m.silent = silent
 		s.markChanged(m)
 	}
-	if !m.leaseExpired && knownToRun && now > h.agentLeaseEnd(s, m) {
+	if !m.leaseExpired && mayHaveAgent && now > h.agentLeaseEnd(s, m) {
 		s.expireAgentLease(m)
 	}
 	h.fenceIfOverdue(now, s, m)
