--- a/internal/controller/elector_effects.go
+++ b/internal/controller/elector_effects.go
@@ -33,9 +33,9 @@
 	case election.AcquireLeadership:
 		c.store.SetBudget(c.storeBudget(true))
 		c.leader.send(leader.LeadershipAcquired{Term: e.Term, Incarnation: c.incarnation})
-		c.leader.send(leader.LeadershipExtended{Until: e.Until})
+		c.leader.send(leader.LeadershipExtended{Until: e.ExpiresAt})
 	case election.ExtendLeadership:
-		c.leader.send(leader.LeadershipExtended{Until: e.Until})
+		c.leader.send(leader.LeadershipExtended{Until: e.ExpiresAt})
 	case election.LoseLeadership:
 		c.log.Info("no longer leading", "term", e.Term)
 		c.store.SetBudget(c.storeBudget(false))
@@ -54,7 +54,7 @@
 	defer cancel()
 	sent := c.clock.Now()
 	lease, err := c.store.GrantLease(ctx, request.TTL)
-	c.elector.send(electionStep{election.LeaseGranted{Lease: lease, Sent: sent, Err: err}})
+	c.elector.send(electionStep{election.LeaseGranted{Lease: lease, SentAt: sent, Err: err}})
 }
 
 func (c *Controller) campaign(ctx context.Context, request election.Campaign) {
@@ -74,7 +74,7 @@
 	defer cancel()
 	sent := c.clock.Now()
 	err := c.store.RenewLease(ctx, request.Lease)
-	c.elector.send(electionStep{election.LeaseRenewed{Lease: request.Lease, Sent: sent, Err: err}})
+	c.elector.send(electionStep{election.LeaseRenewed{Lease: request.Lease, SentAt: sent, Err: err}})
 }
 
 func (c *Controller) revokeLease(ctx context.Context, request election.RevokeLease) {
--- a/internal/controller/pause_log.go
+++ b/internal/controller/pause_log.go
@@ -60,7 +60,7 @@
 			switch m := message.(type) {
 			case pauseDetected:
 				if first := recorder.Add(m.pause); first {
-					collected = time.After(pausedetect.CollectionTime.Duration())
+					collected = time.After(pausedetect.CollectionWindow.Duration())
 				}
 			case pauseQuery:
 				last, count := recorder.Last()
@@ -82,7 +82,7 @@
 	if history.count == 0 {
 		return 0, nil
 	}
-	ago := p.clock.Now() - history.last.Ended
+	ago := p.clock.Now() - history.last.End
 	return history.count, &peer.PauseStatus{
 		AgoS:    ago.Seconds(),
 		LengthS: history.last.Length().Seconds(),
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -65,7 +65,7 @@
 // hang while every other request is served. A leader that cannot learn of cancellations must not extend the leases
 // under which agents run the cancelled tasks (config.GrantTime).
 func (l *Leader) viewIsFresh(now clock.Micros) bool {
-	return now < l.jobsViewedAt+l.cfg.MaxViewAge().Shorter()
+	return now < l.jobsViewedAt+l.cfg.MaxViewAge().MinusDrift()
 }
 
 // handleEvent handles a message that is no answer to a request of this term.
--- a/internal/leader/process_pause.go
+++ b/internal/leader/process_pause.go
@@ -9,7 +9,7 @@
 
 // pauseDetected reports a pause of this process, and which parts of its leadership expired meanwhile.
 func (l *Leader) pauseDetected(start, end clock.Micros) {
-	pause := pausedetect.Pause{Began: start, Ended: end}
+	pause := pausedetect.Pause{Start: start, End: end}
 	if l.leading && l.authorityEnds > start && !l.authorised(end) {
 		pause.Expired = append(pause.Expired, fmt.Sprintf("authority of epoch %d", l.term))
 	}
--- a/internal/scenario/controller_elector_test.go
+++ b/internal/scenario/controller_elector_test.go
@@ -36,9 +36,9 @@
 	case election.AcquireLeadership:
 		c.world.releaseHeartbeats()
 		c.leaderStep(leader.LeadershipAcquired{Term: x.Term, Incarnation: cluster.Incarnation(c.incarnation)})
-		c.leaderStep(leader.LeadershipExtended{Until: x.Until})
+		c.leaderStep(leader.LeadershipExtended{Until: x.ExpiresAt})
 	case election.ExtendLeadership:
-		c.leaderStep(leader.LeadershipExtended{Until: x.Until})
+		c.leaderStep(leader.LeadershipExtended{Until: x.ExpiresAt})
 	case election.LoseLeadership:
 		c.loadedTerm = 0
 		c.leaderStep(leader.LeadershipLost{})
@@ -56,7 +56,7 @@
 	var id uint64
 	c.recordLeaseGrant(request.TTL)
 	c.callStore(func() { id = c.world.store.GrantLease(c.world.now, request.TTL) }, func(err error) {
-		c.electorStep(election.LeaseGranted{Lease: id, Sent: sent, Err: err})
+		c.electorStep(election.LeaseGranted{Lease: id, SentAt: sent, Err: err})
 	})
 }
 
@@ -68,7 +68,7 @@
 		if err == nil && !found {
 			err = store.ErrNotFound
 		}
-		c.electorStep(election.LeaseRenewed{Lease: request.Lease, Sent: sent, Err: err})
+		c.electorStep(election.LeaseRenewed{Lease: request.Lease, SentAt: sent, Err: err})
 	})
 }
 
@@ -85,7 +85,7 @@
 			c.world.after(leaderKeyRetry, c.ifSameProcess(c.readLeaderKey))
 			return
 		}
-		seen, err := election.ObserveKey(item, revision)
+		seen, err := election.DecodeKey(item, revision)
 		must(err)
 		c.leaderKeyRevision = max(c.leaderKeyRevision, revision)
 		c.electorStep(seen)
--- a/internal/shard/spans_test.go
+++ b/internal/shard/spans_test.go
@@ -6,19 +6,20 @@
 	"swiftledge/wire"
 )
 
-// An attempt that was launched under an earlier lease leaves a span, too: who took its shard over tells how it ended.
+// An attempt launched under an earlier lease also gets a span. The controller that took over the shard records how it
+// ended.
 func TestInheritedAttemptIsTraced(t *testing.T) {
 	h := newTestHolder(t)
 	h.params.TracingEnabled = true
 	h.Step(now, heartbeat("m1", 1, testToken, running(1)))
-	for _, e := range effectsOf[RecordSpan](h.Step(later(4), heartbeat("m1", 2, testToken, exitedAs(1, wire.ExitDone)))) {
+	for _, e := range effectsOf[RecordSpan](h.Step(afterUpdateIntervals(4), heartbeat("m1", 2, testToken, exitedWith(1, wire.ExitDone)))) {
 		if e.Span.Name != "run" {
 			continue
 		}
-		if e.Span.Begin != now || e.Span.End != later(4) || e.Span.Job != task.Job {
-			t.Errorf("%+v", e.Span)
+		if e.Span.Begin != now || e.Span.End != afterUpdateIntervals(4) || e.Span.Job != task.Job {
+			t.Errorf("unexpected run span %+v", e.Span)
 		}
 		return
 	}
-	t.Error("no span")
+	t.Error("no run span recorded")
 }
