--- a/internal/peer/attempt_page.go
+++ b/internal/peer/attempt_page.go
@@ -1,4 +1,4 @@
-//lint:file-ignore U1000 msgpack finds the fields _msgpack by their name
+//lint:file-ignore U1000 msgpack looks up the fields _msgpack by name
 
 package peer
 
@@ -8,30 +8,30 @@
 	"swiftledge/wire"
 )
 
-// AttemptRecord is the write-ahead record of a launch: this attempt of a task may run on a machine.
+// AttemptRecord is the write-ahead record of a launch: the attempt of the task may be running on the machine.
 type AttemptRecord struct {
 	Index   int
 	Attempt wire.AttemptID
 	Machine string
 }
 
-// AttemptBits is how many low bits of an attempt's number count the attempts of one grant; the others are the grant's
-// fencing token.
+// AttemptBits is the number of low bits of an attempt ID that hold the count of the attempt within its shard grant.
+// The remaining bits hold the fencing token of the grant.
 const AttemptBits = 20
 
-// NewAttemptID returns the number of the attempt that has the given count within a grant.
+// NewAttemptID returns the ID of the attempt with the given count within the grant that has the given fencing token.
 func NewAttemptID(token wire.FencingToken, count uint64) wire.AttemptID {
 	return wire.AttemptID(token)<<AttemptBits | wire.AttemptID(count)
 }
 
-// attemptCount returns an attempt's count within its grant.
+// attemptCount returns the count of an attempt within its grant.
 func attemptCount(attempt wire.AttemptID) int { return int(attempt & (1<<AttemptBits - 1)) }
 
-// recordLength is how many numbers AttemptGroup.Attempts has for each record.
-const recordLength = 3
+// numbersPerRecord is the number of elements of AttemptGroup.Attempts that encode one record.
+const numbersPerRecord = 3
 
-// AttemptGroup is the records of one job, with the resources of its tasks, so that they count in full also when the
-// job is no longer known.
+// AttemptGroup holds the attempt records of one job. It includes the resources of the job's tasks, so that they are
+// accounted for in full even when the job is no longer known.
 type AttemptGroup struct {
 	_msgpack    struct{} `msgpack:",as_array"`
 	Job         string   `json:"j"`
@@ -43,13 +43,13 @@
 	CheckpointS float64  `json:"k,omitempty"`
 	Image       string   `json:"img,omitempty"`
 	ImageGB     float64  `json:"b,omitempty"`
-	// Attempts has three numbers for each record: the task's index, the attempt's count within the grant, and the
-	// index of its machine in the page's list.
+	// Attempts encodes each record as three numbers: the index of the task, the count of the attempt within the grant,
+	// and the index of the machine in AttemptPage.Machines.
 	Attempts []int `json:"t"`
 }
 
-// AttemptPage is the value of one key of attempt records, all of one grant. Hundreds of records go into a few
-// kilobytes: machines are named once, without the prefix that their names have in common.
+// AttemptPage is the value of one store key that holds attempt records, all of the same grant. Each machine is named
+// once, without the common prefix of all names, so that hundreds of records fit into a few kilobytes.
 type AttemptPage struct {
 	_msgpack     struct{}          `msgpack:",as_array"`
 	FencingToken wire.FencingToken `json:"n"`
@@ -58,7 +58,7 @@
 	Groups       []AttemptGroup    `json:"g"`
 }
 
-// InvalidPageError is an attempt page whose records can't be read.
+// InvalidPageError reports an attempt page whose records cannot be decoded.
 type InvalidPageError struct {
 	Job     string
 	Problem string
@@ -66,19 +66,19 @@
 
 // Error implements error.
 func (e *InvalidPageError) Error() string {
-	return fmt.Sprintf("attempt records of %s: %s", e.Job, e.Problem)
+	return fmt.Sprintf("invalid attempt records of job %s: %s", e.Job, e.Problem)
 }
 
-// Records returns the records of one of the page's groups, or an *InvalidPageError.
+// Records decodes the records of one of the page's groups. If they are invalid, the error is an *InvalidPageError.
 func (p *AttemptPage) Records(group *AttemptGroup) ([]AttemptRecord, error) {
-	if len(group.Attempts)%recordLength != 0 {
-		return nil, &InvalidPageError{Job: group.Job, Problem: "cut short"}
+	if len(group.Attempts)%numbersPerRecord != 0 {
+		return nil, &InvalidPageError{Job: group.Job, Problem: "last record is incomplete"}
 	}
-	records := make([]AttemptRecord, 0, len(group.Attempts)/recordLength)
-	for i := 0; i < len(group.Attempts); i += recordLength {
+	records := make([]AttemptRecord, 0, len(group.Attempts)/numbersPerRecord)
+	for i := 0; i < len(group.Attempts); i += numbersPerRecord {
 		index, count, machine := group.Attempts[i], group.Attempts[i+1], group.Attempts[i+2]
 		if machine < 0 || machine >= len(p.Machines) {
-			return nil, &InvalidPageError{Job: group.Job, Problem: "machine not in the page's list"}
+			return nil, &InvalidPageError{Job: group.Job, Problem: "machine index is out of range"}
 		}
 		records = append(records, AttemptRecord{
 			Index:   index,
@@ -89,7 +89,7 @@
 	return records, nil
 }
 
-// Validate returns an *InvalidPageError if not all records of the page can be read.
+// Validate returns an *InvalidPageError if any record of the page cannot be decoded.
 func (p *AttemptPage) Validate() error {
 	for i := range p.Groups {
 		if _, err := p.Records(&p.Groups[i]); err != nil {
--- a/internal/peer/attempt_pager.go
+++ b/internal/peer/attempt_pager.go
@@ -6,48 +6,48 @@
 	"swiftledge/wire"
 )
 
-// What the parts of a page take in JSON, apart from names and numbers, at most.
+// Upper bounds for the JSON size of the parts of a page, excluding names and numbers.
 const (
-	pageOverhead    = 64
-	groupOverhead   = 120
-	machineOverhead = 3
-	recordOverhead  = 7 // three commas and the index of a machine
+	pageOverheadBytes    = 64
+	groupOverheadBytes   = 120
+	machineOverheadBytes = 3
+	recordOverheadBytes  = 7 // three commas and a machine index
 )
 
-// AttemptPager gathers attempt records into a page of bounded size.
+// AttemptPager collects attempt records into a page of bounded size.
 type AttemptPager struct {
 	token        wire.FencingToken
 	maxBytes     int
-	bytes        int // upper bound of the page's JSON
+	jsonBytes    int // upper bound of the size of the page's JSON
 	page         AttemptPage
 	groupIndex   map[string]int // by job
 	machineIndex map[string]int // by name
 }
 
-// NewAttemptPager makes a pager for records of a grant, whose page takes at most maxBytes of JSON.
+// NewAttemptPager returns a pager for the records of one grant. The JSON of its page is at most maxBytes long.
 func NewAttemptPager(token wire.FencingToken, maxBytes int) *AttemptPager {
 	return &AttemptPager{
-		token: token, maxBytes: maxBytes, bytes: pageOverhead,
+		token: token, maxBytes: maxBytes, jsonBytes: pageOverheadBytes,
 		groupIndex: map[string]int{}, machineIndex: map[string]int{},
 	}
 }
 
-// Add adds a record of a group and says whether it fitted.
+// Add adds a record to a group of the page. It returns false, and adds nothing, if the page would become too large.
 func (p *AttemptPager) Add(group *AttemptGroup, index int, attempt wire.AttemptID, machine string) bool {
 	count := attemptCount(attempt)
-	bytes := recordOverhead + decimalDigits(index) + decimalDigits(count)
+	bytes := recordOverheadBytes + decimalDigits(index) + decimalDigits(count)
 	groupIndex, hasGroup := p.groupIndex[group.Job]
 	if !hasGroup {
-		bytes += groupOverhead + len(group.Job) + len(group.Team) + len(group.Image)
+		bytes += groupOverheadBytes + len(group.Job) + len(group.Team) + len(group.Image)
 	}
 	machineIndex, hasMachine := p.machineIndex[machine]
 	if !hasMachine {
-		bytes += machineOverhead + len(machine)
+		bytes += machineOverheadBytes + len(machine)
 	}
-	if p.bytes+bytes > p.maxBytes {
+	if p.jsonBytes+bytes > p.maxBytes {
 		return false
 	}
-	p.bytes += bytes
+	p.jsonBytes += bytes
 	if !hasGroup {
 		groupIndex = p.addGroup(*group)
 	}
@@ -70,16 +70,16 @@
 	return index
 }
 
-// Len returns how many records were added.
+// Len returns the number of records on the page.
 func (p *AttemptPager) Len() int {
 	records := 0
 	for i := range p.page.Groups {
-		records += len(p.page.Groups[i].Attempts) / recordLength
+		records += len(p.page.Groups[i].Attempts) / numbersPerRecord
 	}
 	return records
 }
 
-// Page returns the page of all records that were added.
+// Page returns the page with all records that were added.
 func (p *AttemptPager) Page() AttemptPage {
 	page := p.page
 	page.FencingToken = p.token
@@ -93,7 +93,7 @@
 	return page
 }
 
-// commonPrefix returns the longest text that all names, of which there is one at least, begin with.
+// commonPrefix returns the longest common prefix of the names. There must be at least one name.
 func commonPrefix(names []string) string {
 	prefix := names[0]
 	for _, name := range names[1:] {
@@ -106,7 +106,7 @@
 	return prefix
 }
 
-// decimalDigits returns how many digits a number that is not negative has.
+// decimalDigits returns the number of decimal digits of a non-negative number.
 func decimalDigits(n int) int {
 	digits := 1
 	for ; n > 9; n /= 10 {
--- a/internal/peer/attempt_pager_test.go
+++ b/internal/peer/attempt_pager_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// What is added to a pager is read back from its page, which is no larger than allowed.
-func TestAttemptPager(t *testing.T) {
+// The page of a pager decodes to the records that were added and does not exceed the size limit.
+func TestAttemptPagerRoundTrip(t *testing.T) {
 	const token, maxBytes = 5, 1000
 	pager := NewAttemptPager(token, maxBytes)
 	var want []AttemptRecord
@@ -23,27 +23,27 @@
 	}
 	page := pager.Page()
 	if raw, err := json.Marshal(page); err != nil || len(raw) > maxBytes {
-		t.Errorf("a page of %d bytes, %v", len(raw), err)
+		t.Errorf("page takes %d bytes, error %v; want at most maxBytes", len(raw), err)
 	}
 	if pager.Len() != len(want) || len(want) < 20 || page.Prefix != "host-0000" || page.FencingToken != token {
-		t.Errorf("%d of %d records, page %+v", pager.Len(), len(want), page)
+		t.Errorf("pager has %d of %d records, page %+v", pager.Len(), len(want), page)
 	}
 	if got, err := page.Records(&page.Groups[0]); err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("read %+v, %v, want %+v", got, err, want)
+		t.Errorf("decoded records %+v, error %v; want %+v", got, err, want)
 	}
 	if err := page.Validate(); err != nil {
 		t.Error(err)
 	}
 }
 
-func TestInvalidPages(t *testing.T) {
+func TestValidateInvalidPages(t *testing.T) {
 	for name, attempts := range map[string][]int{
-		"cut short": {0, 1}, "machine missing": {0, 1, 1}, "machine before the first": {0, 1, -1},
+		"incomplete record": {0, 1}, "machine index too large": {0, 1, 1}, "negative machine index": {0, 1, -1},
 	} {
 		page := AttemptPage{Machines: []string{"m1"}, Groups: []AttemptGroup{{Job: "j-000001", Attempts: attempts}}}
 		var invalid *InvalidPageError
 		if err := page.Validate(); !errors.As(err, &invalid) || invalid.Job != "j-000001" {
-			t.Errorf("%s: error %v", name, err)
+			t.Errorf("%s: error %v, want an InvalidPageError of j-000001", name, err)
 		}
 	}
 }
--- a/internal/peer/frame.go
+++ b/internal/peer/frame.go
@@ -11,13 +11,13 @@
 	"swiftledge/wire"
 )
 
-// FramePrefix is the prefix of the keys that hold frames; the receiver's and then the sender's name follow.
+// FramePrefix is the prefix of the store keys that hold frames. The names of the receiver and the sender follow it.
 const FramePrefix = "mail/"
 
-// frameWriteTimeout bounds the writing of one frame.
+// frameWriteTimeout bounds the write of one frame.
 const frameWriteTimeout = 3 * time.Second
 
-// FrameStore is what the store transport needs of the state service.
+// FrameStore is the part of the store client that the store transport uses.
 type FrameStore interface {
 	Get(ctx context.Context, priority store.Priority, key string) (wire.Item, error)
 	TryCommit(ctx context.Context, priority store.Priority, txn wire.Txn) (store.TxnResult, error)
@@ -25,24 +25,24 @@
 	Watch(ctx context.Context, prefix string, after uint64, blockFor clock.Micros) (wire.WatchResponse, error)
 }
 
-// frame is the value of a key: a piece of a connection's bytes, overwritten with the next one once the other side
-// has acknowledged it.
+// frame is the value of a store key: one chunk of the byte stream of a connection. The sender overwrites it with the
+// next frame after the other side has acknowledged it.
 type frame struct {
-	Connection   uint64 `json:"c"` // number chosen by the side that opened the connection
+	Connection   uint64 `json:"c"` // ID chosen by the side that opened the connection
 	FromOpener   bool   `json:"o,omitempty"`
-	Sequence     int    `json:"n"` // of the piece, from 1; 0 while there is none
-	Acknowledged int    `json:"a"` // sequence number of the last piece of the other side that has come
+	Sequence     int    `json:"n"` // number of the chunk, from 1; 0 before the first chunk
+	Acknowledged int    `json:"a"` // sequence number of the last chunk received from the other side
 	Data         []byte `json:"d,omitempty"`
-	End          bool   `json:"e,omitempty"` // the connection has ended
+	End          bool   `json:"e,omitempty"` // the sender has closed the connection
 }
 
-// opensConnection says whether the frame is the first of a connection. Others of a connection that is not known are
-// left over from an old one.
+// opensConnection reports whether the frame is the first of a connection. Any other frame of an unknown connection is
+// left over from an earlier one.
 func (f *frame) opensConnection() bool {
 	return f.FromOpener && f.Sequence == 1 && f.Acknowledged == 0 && !f.End
 }
 
-// frameWriter writes the frames of one direction of a connection, each over the last.
+// frameWriter writes the frames of one direction of a connection. Each frame overwrites the previous one.
 type frameWriter struct {
 	store        FrameStore
 	key          string
@@ -50,8 +50,9 @@
 	versionKnown bool
 }
 
-// write writes a frame over the last one, on condition of its version: a copy of the transaction that is applied late
-// must not bring an older piece back. It returns false if the frame is to be written again.
+// write overwrites the previous frame. The transaction has a condition on the version of the key, so that a duplicate
+// of the transaction that is applied late cannot restore an older chunk. It returns false if the frame must be written
+// again.
 func (w *frameWriter) write(ctx context.Context, f frame) bool {
 	ctx, cancel := context.WithTimeout(ctx, frameWriteTimeout)
 	defer cancel()
@@ -74,7 +75,7 @@
 	return true
 }
 
-// readVersion reads the key's version, which is 0 if the key does not exist, and says whether that succeeded.
+// readVersion reads the version of the key, which is 0 if the key does not exist. It returns whether that succeeded.
 func (w *frameWriter) readVersion(ctx context.Context) bool {
 	item, err := w.store.Get(ctx, store.PriorityAttempts, w.key)
 	if err != nil && !errors.Is(err, store.ErrNotFound) {
--- a/internal/peer/frame_test.go
+++ b/internal/peer/frame_test.go
@@ -7,10 +7,10 @@
 	"testing"
 )
 
-// Frames between two versions: testdata/frame.json is one that the version in production (deploy/service.toml) wrote,
-// and frozen is how it reads them.
-func TestFramesCrossVersions(t *testing.T) {
-	type frozen struct {
+// Frames must be readable by both versions during an upgrade: testdata/frame.json is a frame that the version in
+// production (deploy/service.toml) wrote, and productionFrame is the type that it decodes frames into.
+func TestFrameCompatibleAcrossVersions(t *testing.T) {
+	type productionFrame struct {
 		Connection   uint64 `json:"c"`
 		FromOpener   bool   `json:"o,omitempty"`
 		Sequence     int    `json:"n"`
@@ -22,19 +22,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var ours frame
-	if err := json.Unmarshal(raw, &ours); err != nil {
+	var current frame
+	if err := json.Unmarshal(raw, &current); err != nil {
 		t.Fatal(err)
 	}
 	want := frame{Connection: 77, FromOpener: true, Sequence: 3, Acknowledged: 2, Data: []byte("abc"), End: true}
-	if !reflect.DeepEqual(ours, want) {
-		t.Errorf("production's frame is read as %+v", ours)
+	if !reflect.DeepEqual(current, want) {
+		t.Errorf("frame of the production version is decoded as %+v", current)
 	}
-	if raw, err = json.Marshal(ours); err != nil {
+	if raw, err = json.Marshal(current); err != nil {
 		t.Fatal(err)
 	}
-	var old frozen
-	if err := json.Unmarshal(raw, &old); err != nil || !reflect.DeepEqual(old, frozen(ours)) {
-		t.Errorf("our frame is read as %+v, %v", old, err)
+	var decoded productionFrame
+	if err := json.Unmarshal(raw, &decoded); err != nil || !reflect.DeepEqual(decoded, productionFrame(current)) {
+		t.Errorf("the production version decodes our frame as %+v, error %v", decoded, err)
 	}
 }
--- a/internal/peer/from_leader.go
+++ b/internal/peer/from_leader.go
@@ -1,4 +1,4 @@
-//lint:file-ignore U1000 msgpack finds the fields _msgpack by their name
+//lint:file-ignore U1000 msgpack looks up the fields _msgpack by name
 
 package peer
 
@@ -7,68 +7,68 @@
 	"swiftledge/wire"
 )
 
-// FromLeader is a message of the leader to a holder.
+// FromLeader is a message from the leader to a shard holder.
 type FromLeader struct {
 	_msgpack      struct{} `msgpack:",as_array"`
 	Term          cluster.Term
-	RenewedSeq    uint64                    // RenewSeq of the message whose renewal of the shard leases is granted
-	FencingTokens map[int]wire.FencingToken // by shard: those that are renewed
+	RenewedSeq    uint64                    // RenewSeq of the ToLeader message whose lease renewal is granted
+	FencingTokens map[int]wire.FencingToken // of the renewed shard leases, by shard
 	Grants        []ShardGrant
 	Orders        []ShardOrders
-	Holders       []string // by shard: the controller that answers its machines
+	Holders       []string // by shard: the controller that answers heartbeats of its machines
 	TaskCounts    []TaskCount
 	Types         []wire.MachineType
-	StoreOK       bool // with RenewedSeq: the state service serves the leader
+	StoreOK       bool // with RenewedSeq: the store is available to the leader
 }
 
-// ShardGrant hands a shard to a holder.
+// ShardGrant assigns a shard to a holder.
 type ShardGrant struct {
 	_msgpack     struct{} `msgpack:",as_array"`
 	Shard        int
 	FencingToken wire.FencingToken
-	KeyVersion   uint64                 // version of the shard's key, a condition of every write of attempt records
-	Pages        map[string]AttemptPage // by key: what earlier holders may have launched
+	KeyVersion   uint64                 // version of the shard's key: a condition of every write of attempt records
+	Pages        map[string]AttemptPage // by key: attempts that earlier holders may have launched
 	Machines     []InventoryMachine
 }
 
-// InventoryMachine is a machine of the durable inventory.
+// InventoryMachine is a machine of the persisted inventory.
 type InventoryMachine struct {
 	_msgpack      struct{} `msgpack:",as_array"`
 	Name, Address string   // Address is "" while it is unknown
 }
 
-// ShardOrders is what the leader asks of the holder of a shard.
+// ShardOrders holds the leader's requests to the holder of a shard.
 type ShardOrders struct {
 	_msgpack     struct{} `msgpack:",as_array"`
 	Shard        int
 	FencingToken wire.FencingToken
 	Offers       []TaskOffer
-	OfferSeq     uint64 // of the offers, if any; the holder returns it in SettledOfferSeq
+	OfferSeq     uint64 // sequence number of the offers, if any; the holder returns it in SettledOfferSeq
 	Stop         []StopTask
-	Persisted    []Task   // completed and stored: the holder may forget them
-	Added        []string // machines that are new in the inventory
+	Persisted    []Task   // completed tasks that are persisted: the holder may remove them
+	Added        []string // machines that were added to the inventory
 	Drain        []string // machines to drain
-	Terminated   []string // machines that are proven to be terminated
+	Terminated   []string // machines with proof of termination
 	Exclude      []string // machines to exclude from scheduling
 	Include      []string // machines to include in scheduling again
 }
 
-// TaskOffer hands tasks of one job to the holder of a shard.
+// TaskOffer offers tasks of one job to the holder of a shard.
 type TaskOffer struct {
 	_msgpack    struct{} `msgpack:",as_array"`
 	Job         wire.Job
-	Zone        string // that these tasks are bound to; "" if to none
+	Zone        string // zone that the tasks must run in; "" for any
 	TaskIndexes []int
 }
 
-// StopTask asks to stop a task.
+// StopTask is a request to stop a task.
 type StopTask struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Task
-	Checkpoint bool // it is given time to write a checkpoint
+	Checkpoint bool // the task gets time to write a checkpoint
 }
 
-// TaskCount is how many of a job's tasks are completed and running, for display.
+// TaskCount holds the numbers of completed and running tasks of a job, for display.
 type TaskCount struct {
 	_msgpack      struct{} `msgpack:",as_array"`
 	Job           string
--- a/internal/peer/handshake.go
+++ b/internal/peer/handshake.go
@@ -1,4 +1,4 @@
-//lint:file-ignore U1000 msgpack finds the fields _msgpack by their name
+//lint:file-ignore U1000 msgpack looks up the fields _msgpack by name
 
 package peer
 
@@ -14,23 +14,23 @@
 	"swiftledge/internal/netio"
 )
 
-// Hello opens a link: each side sends one.
+// Hello is the handshake message: each side of a link sends one.
 type Hello struct {
 	_msgpack    struct{} `msgpack:",as_array"`
 	Controller  string
-	Incarnation cluster.Incarnation // differs with each start of the process
-	Term        cluster.Term        // of the leader that is meant; in the answer 0 if the controller doesn't lead it
+	Incarnation cluster.Incarnation // changes with each start of the process
+	Term        cluster.Term        // term to follow; 0 in an answer if the controller does not lead that term
 }
 
-// dialTimeout bounds the making of a connection.
+// dialTimeout bounds the time to establish a TCP connection.
 const dialTimeout = time.Second
 
-// ErrNotLeading means that a controller was reached which does not lead the term.
-var ErrNotLeading = errors.New("does not lead")
+// ErrNotLeading means that the dialed controller answered but does not lead the term.
+var ErrNotLeading = errors.New("controller does not lead this term")
 
-// LinkError is a link to a leader that could not be made.
+// LinkError reports that a link to a leader could not be established.
 type LinkError struct {
-	Leader string // its address, or its name where the state service carries the link
+	Leader string // its address, or its name if the link uses the store transport
 	Term   cluster.Term
 	Err    error
 }
@@ -40,10 +40,10 @@
 	return fmt.Sprintf("link to %s as leader of term %d: %v", e.Leader, e.Term, e.Err)
 }
 
-// Unwrap lets errors.Is and errors.As find the cause.
+// Unwrap returns the cause, for errors.Is and errors.As.
 func (e *LinkError) Unwrap() error { return e.Err }
 
-// Dial links a holder to the leader at an address and returns after the leader has agreed.
+// Dial links a holder to the leader at an address. It returns after the leader has accepted the link.
 func Dial(address string, hello Hello) (*LeaderLink, error) {
 	conn, err := netio.Dial(address, dialTimeout)
 	if err != nil {
@@ -52,7 +52,7 @@
 	return openLink(conn, address, hello, TransportTCP)
 }
 
-// openLink exchanges Hellos on a new connection to the leader.
+// openLink performs the handshake on a new connection to the leader and starts the link.
 func openLink(conn net.Conn, leader string, hello Hello, transport Transport) (*LeaderLink, error) {
 	conn.SetDeadline(time.Now().Add(transport.handshakeTimeout()))
 	decoder := msgpack.NewDecoder(transport.newReader(conn))
@@ -67,7 +67,8 @@
 	return link, nil
 }
 
-// requestLink sends a Hello and returns that of a leader which agrees to the link.
+// requestLink sends a Hello and returns the leader's answer. The error is ErrNotLeading if the controller refuses the
+// link.
 func requestLink(conn net.Conn, decoder *msgpack.Decoder, hello Hello) (Hello, error) {
 	var answer Hello
 	if err := writeHello(conn, hello); err != nil {
@@ -82,7 +83,7 @@
 	return answer, nil
 }
 
-// writeHello writes a Hello in one piece.
+// writeHello writes a Hello in a single write.
 func writeHello(conn net.Conn, hello Hello) error {
 	raw, err := msgpack.Marshal(hello)
 	if err != nil {
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -9,8 +9,8 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// sendBacklog is how many messages may wait for a peer: more than are sent within writeTimeout in a cluster of
-// thousands of machines.
+// sendBacklog is the number of messages that may be queued for a peer. In a cluster of thousands of machines, fewer
+// messages than that are sent within writeTimeout.
 const sendBacklog = 1024
 
 // HolderLink is the leader's end of a link to a holder.
@@ -26,19 +26,19 @@
 	endpoint[ToLeader, FromLeader]
 }
 
-// Send queues a message to the leader. A peer that does not keep up loses its link, since messages must neither be
-// dropped one by one nor pile up without bound.
+// Send queues a message to the leader. It closes the link if the queue is full, because single messages must not be
+// dropped and the queue must not grow without bound.
 func (l *LeaderLink) Send(message *ToLeader) { l.send(message) }
 
-// Receive calls handle for every message of the leader until the link ends.
+// Receive calls handle for every message from the leader until the link is closed.
 func (l *LeaderLink) Receive(handle func(*FromLeader)) { l.receive(handle) }
 
-// endpoint is one end of a link, which sends messages of one type and receives those of another.
+// endpoint is one end of a link. It sends messages of type Out and receives messages of type In.
 type endpoint[Out, In any] struct {
-	// Peer is what the other side opened the link with.
+	// Peer is the Hello of the other side.
 	Peer      Hello
 	conn      net.Conn
-	decoder   *msgpack.Decoder // holds what was read ahead with the Hello
+	decoder   *msgpack.Decoder // also holds bytes that were buffered while the Hello was read
 	transport Transport
 	outgoing  chan *Out
 	closeOnce sync.Once
@@ -46,17 +46,17 @@
 	writer    sync.WaitGroup
 }
 
-// start takes over a connection on which Hellos have been exchanged, and starts the goroutine that writes to it.
+// start takes ownership of a connection whose handshake is complete and starts the goroutine that writes to it.
 func (e *endpoint[Out, In]) start(conn net.Conn, decoder *msgpack.Decoder, peer Hello, transport Transport) {
 	e.Peer, e.conn, e.decoder, e.transport = peer, conn, decoder, transport
 	e.outgoing, e.closed = make(chan *Out, sendBacklog), make(chan struct{})
 	e.writer.Go(e.write)
 }
 
-// ViaStore says whether messages go through the state service, which takes seconds.
+// ViaStore reports whether the link uses the store transport, where a message takes seconds.
 func (e *endpoint[Out, In]) ViaStore() bool { return e.transport == TransportStore }
 
-// Close ends the link; whoever receives from it sees that.
+// Close closes the link and thereby ends its receive loop.
 func (e *endpoint[Out, In]) Close() {
 	e.closeOnce.Do(func() {
 		close(e.closed)
@@ -64,7 +64,7 @@
 	})
 }
 
-// send queues a message, or ends the link if too many wait.
+// send queues a message. It closes the link if the queue is full.
 func (e *endpoint[Out, In]) send(message *Out) {
 	select {
 	case e.outgoing <- message:
@@ -73,10 +73,10 @@
 	}
 }
 
-// write writes what is queued until the link ends.
+// write writes queued messages to the connection until the link is closed.
 func (e *endpoint[Out, In]) write() {
 	defer e.Close()
-	buffer := bufio.NewWriterSize(e.conn, bufferSize)
+	buffer := bufio.NewWriterSize(e.conn, bufferBytes)
 	encoder := msgpack.NewEncoder(buffer)
 	for {
 		select {
@@ -94,7 +94,8 @@
 	}
 }
 
-// receive calls handle for every message until the link ends. Then the goroutine that writes has ended, too.
+// receive calls handle for every message until the link is closed. It returns after the goroutine that writes has
+// ended.
 func (e *endpoint[Out, In]) receive(handle func(*In)) {
 	defer e.writer.Wait()
 	defer e.Close()
--- a/internal/peer/link_test.go
+++ b/internal/peer/link_test.go
@@ -9,18 +9,18 @@
 	"swiftledge/internal/cluster"
 )
 
-// leaderTerm is the term that the servers of these tests lead.
+// leaderTerm is the term that the servers in these tests lead.
 const leaderTerm cluster.Term = 7
 
-// linkEvents are what a Server is told.
+// linkEvents holds the calls of a Server's callbacks.
 type linkEvents struct {
 	connected    chan *HolderLink
 	received     chan ToLeader
 	disconnected chan *HolderLink
 }
 
-// serve starts a leader on loopback and returns its address and what it is told of its links.
-func serve(t *testing.T) (string, linkEvents) {
+// serveLeader starts a leader on loopback. It returns its address and the calls of its callbacks.
+func serveLeader(t *testing.T) (string, linkEvents) {
 	t.Helper()
 	events := linkEvents{make(chan *HolderLink, 1), make(chan ToLeader, 1), make(chan *HolderLink, 1)}
 	server := &Server{
@@ -48,48 +48,48 @@
 	return listener.Addr().String(), events
 }
 
-// Both sides of a link send and receive, and see it end.
+// Both sides of a link can send and receive, and both notice that it is closed.
 func TestLinkCarriesMessages(t *testing.T) {
-	address, events := serve(t)
+	address, events := serveLeader(t)
 	link, err := Dial(address, Hello{Controller: "c1", Incarnation: 4, Term: leaderTerm})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if link.Peer.Controller != "c0" || link.Peer.Incarnation != 3 || link.ViaStore() {
-		t.Errorf("linked to %+v", link.Peer)
+		t.Errorf("holder is linked to %+v, want c0 over TCP", link.Peer)
 	}
 	holder := <-events.connected
 	if holder.Peer.Controller != "c1" || holder.Peer.Incarnation != 4 {
-		t.Errorf("linked from %+v", holder.Peer)
+		t.Errorf("leader is linked to %+v, want c1", holder.Peer)
 	}
 	link.Send(&ToLeader{Term: leaderTerm, RenewSeq: 5})
 	if message := <-events.received; message.RenewSeq != 5 {
-		t.Errorf("the leader received %+v", message)
+		t.Errorf("leader received %+v, want RenewSeq 5", message)
 	}
 	holder.Send(&FromLeader{Term: leaderTerm, RenewedSeq: 5})
 	link.Receive(func(message *FromLeader) {
 		if message.RenewedSeq != 5 {
-			t.Errorf("the holder received %+v", message)
+			t.Errorf("holder received %+v, want RenewedSeq 5", message)
 		}
 		link.Close() // ends Receive
 	})
-	if ended := <-events.disconnected; ended != holder {
-		t.Error("another link ended")
+	if closed := <-events.disconnected; closed != holder {
+		t.Error("a link other than the holder's was reported as closed")
 	}
 }
 
-// A peer that does not keep up loses its link.
-func TestLinkEndsWhenPeerDoesNotKeepUp(t *testing.T) {
-	near, far := net.Pipe()
-	defer far.Close()
+// A link whose peer reads too slowly is closed when the send queue is full.
+func TestLinkClosesOnSendBacklogOverflow(t *testing.T) {
+	linkEnd, idleEnd := net.Pipe()
+	defer idleEnd.Close()
 	link := &LeaderLink{}
-	link.start(near, nil, Hello{}, TransportTCP)
+	link.start(linkEnd, nil, Hello{}, TransportTCP)
 	for !isClosed(link.closed) {
-		link.Send(&ToLeader{}) // to nobody
+		link.Send(&ToLeader{}) // the other end does not read
 	}
 	link.writer.Wait()
-	if err := near.SetDeadline(time.Time{}); err == nil {
-		t.Error("the connection is still open")
+	if err := linkEnd.SetDeadline(time.Time{}); err == nil {
+		t.Error("connection is still open after the link was closed")
 	}
 }
 
@@ -103,11 +103,11 @@
 }
 
 func TestDialErrors(t *testing.T) {
-	address, _ := serve(t)
+	address, _ := serveLeader(t)
 	_, err := Dial(address, Hello{Controller: "c1", Term: leaderTerm + 1})
 	var linkError *LinkError
 	if !errors.Is(err, ErrNotLeading) || !errors.As(err, &linkError) || linkError.Leader != address || linkError.Term != 8 {
-		t.Errorf("another term: %v", err)
+		t.Errorf("dial for a term that the controller does not lead: %v", err)
 	}
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -116,19 +116,19 @@
 	listener.Close()
 	_, err = Dial(listener.Addr().String(), Hello{Controller: "c1", Term: leaderTerm})
 	if err == nil || errors.Is(err, ErrNotLeading) || !errors.As(err, &linkError) {
-		t.Errorf("nobody there: %v", err)
+		t.Errorf("dial of a closed port: %v", err)
 	}
 }
 
 func TestFetchStatus(t *testing.T) {
-	address, _ := serve(t)
+	address, _ := serveLeader(t)
 	status, err := FetchStatus(address)
 	if err != nil || status.Controller != "c0" || status.Term != leaderTerm {
-		t.Errorf("status %+v, %v", status, err)
+		t.Errorf("fetched status %+v, error %v; want that of c0", status, err)
 	}
 }
 
-// A version that does not know the request for its status refuses it like a link.
+// A controller whose version does not support status requests refuses one like a request for a link.
 func TestFetchStatusOfOldVersion(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -147,9 +147,9 @@
 	_, err = FetchStatus(listener.Addr().String())
 	var statusError *StatusError
 	if !errors.Is(err, ErrStatusUnsupported) || !errors.As(err, &statusError) || statusError.Controller != "c1" {
-		t.Errorf("error %v", err)
+		t.Errorf("error %v, want ErrStatusUnsupported of c1", err)
 	}
-	if want := "status: c1 does not know the question"; err.Error() != want {
+	if want := "status: c1 does not support status requests"; err.Error() != want {
 		t.Errorf("error %q, want %q", err, want)
 	}
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,12 +1,12 @@
-// Package peer is the protocol between controllers: messages in msgpack over plain TCP, or in frames through the
-// state service while two controllers can't reach each other.
+// Package peer implements the protocol between controllers: msgpack messages over plain TCP, or in frames through the
+// store while two controllers cannot reach each other.
 //
-// Holders of shards dial the leader, which answers through a Server; a link carries FromLeader one way and ToLeader
-// the other. A link that breaks is never resumed: the leader grants the shards anew, under new fencing tokens. A link
-// owns its connection and the goroutine that writes to it, both of which end with the link. The package decides
-// nothing: who leads, and what is done on a message, is the caller's.
+// Shard holders dial the leader, which accepts links through a Server. A link carries FromLeader messages in one
+// direction and ToLeader messages in the other. A broken link is never resumed: the leader grants the shards again,
+// with new fencing tokens. A link owns its connection and the goroutine that writes to it, and both end with the link.
+// The package makes no decisions: the caller determines who leads and how messages are handled.
 //
-// Messages are arrays of their fields, and their reader refuses an array with a field more or less. While an upgrade
-// goes on, two versions speak to each other, so these arrays stay as they are; wire.Job and wire.MachineType travel
-// as maps and may grow.
+// Messages are encoded as arrays of their fields, and the decoder rejects an array of another length. During an
+// upgrade, two versions communicate with each other, so these arrays must not change. wire.Job and wire.MachineType
+// are encoded as maps and may get new fields.
 package peer
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -9,22 +9,22 @@
 	"swiftledge/internal/cluster"
 )
 
-// Server answers the connections that other controllers and operators make: a link for a holder if the controller
-// leads, its status for an operator. Its functions are called by many goroutines at once.
+// Server serves connections from other controllers and from operators. A shard holder gets a link if this controller
+// leads the requested term, and an operator gets the controller's status. The functions are called concurrently.
 type Server struct {
 	Controller  string
 	Incarnation cluster.Incarnation
-	// Status returns what an operator is told.
+	// Status returns the status that operators get.
 	Status func() Status
-	// IsLeader says whether the controller leads a term.
+	// IsLeader reports whether the controller leads a term.
 	IsLeader func(cluster.Term) bool
-	// Connected, Received and Disconnected are told what happens to a link, in this order.
+	// For each link, Connected is called first, then Received for every message, and finally Disconnected.
 	Connected    func(*HolderLink)
 	Received     func(*HolderLink, *ToLeader)
 	Disconnected func(*HolderLink)
 }
 
-// Serve answers on a new connection, and returns when that has ended.
+// Serve serves a new connection and returns when it is closed.
 func (s *Server) Serve(conn net.Conn, transport Transport) {
 	conn.SetDeadline(time.Now().Add(transport.handshakeTimeout()))
 	decoder := msgpack.NewDecoder(transport.newReader(conn))
--- a/internal/peer/status.go
+++ b/internal/peer/status.go
@@ -5,80 +5,81 @@
 	"swiftledge/internal/cluster"
 )
 
-// Status is what a controller tells an operator. It travels as maps and may grow; its keys stay.
+// Status is a controller's status for operators. It is encoded as maps: fields may be added, but the keys must not
+// change.
 type Status struct {
 	Controller string       `msgpack:"node" json:"node"`
-	Leader     string       `msgpack:"leader" json:"leader"` // that it follows; "" if none
+	Leader     string       `msgpack:"leader" json:"leader"` // the leader that the controller follows; "" if none
 	Term       cluster.Term `msgpack:"epoch" json:"epoch"`
 	Leading    bool         `msgpack:"leads" json:"leads"`
-	// How often the process was paused since it was started, and the last pause.
+	// Number of process pauses since the start of the process, and the last pause.
 	Pauses    int          `msgpack:"pauses" json:"pauses"`
 	LastPause *PauseStatus `msgpack:"last_pause" json:"last_pause,omitempty"`
-	// The leader alone knows what follows.
-	Rebalancing       bool              `msgpack:"spread" json:"spread"`  // rebalancing is on
+	// Only the leader sets the remaining fields.
+	Rebalancing       bool              `msgpack:"spread" json:"spread"`  // rebalancing is enabled
 	MeanLoad          float64           `msgpack:"mean" json:"mean_load"` // of the schedulable machines
 	Shards            []ShardStatus     `msgpack:"blocks" json:"blocks"`
 	Machines          []MachineStatus   `msgpack:"machines" json:"machines"`
 	Teams             []TeamStatus      `msgpack:"teams" json:"teams"`
 	Migrations        []MigrationStatus `msgpack:"moves" json:"moves"`       // in flight
-	Refusals          []RefusalStatus   `msgpack:"refusals" json:"refusals"` // when migrations were last planned
+	Refusals          []RefusalStatus   `msgpack:"refusals" json:"refusals"` // of the last time migrations were planned
 	MigrationOutcomes MigrationOutcomes `msgpack:"ended" json:"moves_of_epoch"`
 	Suspects          []SuspectStatus   `msgpack:"suspects" json:"suspect_jobs"`
 }
 
-// PauseStatus is a pause of a controller's process.
+// PauseStatus describes a process pause of a controller.
 type PauseStatus struct {
-	EndedAt clock.Micros `msgpack:"at" json:"ended_at_us"` // time of day at which it ended
+	EndedAt clock.Micros `msgpack:"at" json:"ended_at_us"` // wall-clock time of its end
 	AgoS    float64      `msgpack:"ago_s" json:"ago_s"`
 	LengthS float64      `msgpack:"length_s" json:"length_s"`
-	Expired []string     `msgpack:"expired" json:"expired"` // what expired meanwhile
+	Expired []string     `msgpack:"expired" json:"expired"` // what expired during the pause, such as shard grants
 }
 
-// SuspectStatus is a suspect job: its tasks fail wherever they run.
+// SuspectStatus describes a suspect job: its tasks fail on every machine.
 type SuspectStatus struct {
 	Job      string  `msgpack:"job" json:"job"`
 	Team     string  `msgpack:"team" json:"team"`
 	Machines int     `msgpack:"machines" json:"failed_on_machines"`
-	Probes   int     `msgpack:"probes" json:"probes"` // tasks launched since it became suspect
+	Probes   int     `msgpack:"probes" json:"probes"` // tasks launched since the job became suspect
 	NextS    float64 `msgpack:"next_s" json:"next_probe_s"`
 }
 
-// ShardStatus is a shard and its machines.
+// ShardStatus describes a shard and its machines.
 type ShardStatus struct {
 	Shard     int     `msgpack:"block" json:"block"`
 	Holder    string  `msgpack:"holder" json:"holder"`
 	Granted   bool    `msgpack:"granted" json:"granted"`
 	Machines  int     `msgpack:"machines" json:"machines"`
-	TakeWork  int     `msgpack:"take_work" json:"take_work"` // of these, how many are schedulable
+	TakeWork  int     `msgpack:"take_work" json:"take_work"` // schedulable machines
 	MeanLoad  float64 `msgpack:"mean" json:"mean_load"`
 	MostLoad  float64 `msgpack:"most" json:"most_load"`
 	Tasks     int     `msgpack:"tasks" json:"tasks"`
-	Unstarted int     `msgpack:"unstarted" json:"unstarted"` // offered to its holder and not running yet
+	Unstarted int     `msgpack:"unstarted" json:"unstarted"` // tasks offered to the holder and not running yet
 }
 
-// MachineStatus is a machine that is running.
+// MachineStatus describes a running machine.
 type MachineStatus struct {
 	Name      string  `msgpack:"name" json:"name"`
 	Shard     int     `msgpack:"block" json:"block"`
 	Type      string  `msgpack:"type" json:"type"`
 	Zone      string  `msgpack:"zone" json:"zone"`
 	Load      float64 `msgpack:"load" json:"load"`
-	OverMean  float64 `msgpack:"over" json:"over_mean"` // load in multiples of the mean
+	OverMean  float64 `msgpack:"over" json:"over_mean"` // load as a multiple of the mean load
 	Tasks     int     `msgpack:"tasks" json:"tasks"`
 	TakesWork bool    `msgpack:"takes_work" json:"takes_work"`
 	WhyNot    string  `msgpack:"why_not" json:"why_not,omitempty"`
 }
 
-// TeamStatus is what a team uses and what of its work waits.
+// TeamStatus describes the resource usage and the waiting tasks of a team.
 type TeamStatus struct {
 	Team    string  `msgpack:"team" json:"team"`
 	CPUs    float64 `msgpack:"cpus" json:"cpus_held"`
 	Limit   float64 `msgpack:"limit" json:"cpus_limit"`
 	Waiting int     `msgpack:"waiting" json:"waiting"`
-	AtLimit int     `msgpack:"at_limit" json:"waiting_at_limit"` // of these
+	AtLimit int     `msgpack:"at_limit" json:"waiting_at_limit"` // waiting tasks that the team's limit blocks
 }
 
-// MigrationStatus is a migration in flight.
+// MigrationStatus describes a migration in flight.
 type MigrationStatus struct {
 	Task  string  `msgpack:"task" json:"task"`
 	Team  string  `msgpack:"team" json:"team"`
@@ -90,15 +91,15 @@
 	CostS float64 `msgpack:"cost_s" json:"cost_s"`
 }
 
-// RefusalStatus is why tasks of a machine, or of all machines, were not migrated.
+// RefusalStatus is the reason why tasks of one machine, or of all machines if Machine is empty, were not migrated.
 type RefusalStatus struct {
 	Machine string `msgpack:"machine" json:"machine,omitempty"`
 	Reason  string `msgpack:"reason" json:"reason"`
-	Task    string `msgpack:"task" json:"task,omitempty"` // one of those concerned
+	Task    string `msgpack:"task" json:"task,omitempty"` // example of the affected tasks
 	Tasks   int    `msgpack:"tasks" json:"tasks"`
 }
 
-// MigrationOutcomes counts how migrations ended.
+// MigrationOutcomes counts migrations by outcome.
 type MigrationOutcomes struct {
 	Begun     int `msgpack:"begun" json:"begun"`
 	Arrived   int `msgpack:"arrived" json:"arrived"`
--- a/internal/peer/status_request.go
+++ b/internal/peer/status_request.go
@@ -11,20 +11,20 @@
 	"swiftledge/internal/netio"
 )
 
-// statusTerm in a Hello asks for a Status in place of a link. No leader has that term, so a version that does not know
-// the request refuses it like a link to a leader that is none.
+// statusTerm in a Hello requests a Status instead of a link. No leader ever has that term, so a version that does not
+// support the request refuses it like a link to a controller that does not lead.
 const statusTerm = math.MaxUint64
 
 // statusTimeout bounds the whole request.
 const statusTimeout = 5 * time.Second
 
-// ErrStatusUnsupported means that a controller does not know the request for its status.
-var ErrStatusUnsupported = errors.New("does not know the question")
+// ErrStatusUnsupported means that the version of a controller does not support status requests.
+var ErrStatusUnsupported = errors.New("does not support status requests")
 
-// StatusError is a request for a controller's status that failed.
+// StatusError reports a failed request for the status of a controller.
 type StatusError struct {
 	Address    string
-	Controller string // the name with which it answered; "" if it did not
+	Controller string // its name from the answer; "" without an answer
 	Err        error
 }
 
@@ -36,10 +36,10 @@
 	return "status: " + e.Err.Error()
 }
 
-// Unwrap lets errors.Is and errors.As find the cause.
+// Unwrap returns the cause, for errors.Is and errors.As.
 func (e *StatusError) Unwrap() error { return e.Err }
 
-// FetchStatus asks the controller at an address for its status.
+// FetchStatus requests the status of the controller at an address.
 func FetchStatus(address string) (Status, error) {
 	conn, err := netio.Dial(address, dialTimeout)
 	if err != nil {
@@ -62,14 +62,14 @@
 	return status, nil
 }
 
-// answerStatus answers the request on a connection and closes it.
+// answerStatus sends the status on a connection and closes it.
 func answerStatus(conn net.Conn, answer Hello, status Status) {
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(statusTimeout))
 	answer.Term = statusTerm
 	encoder := msgpack.NewEncoder(conn)
 	if encoder.Encode(answer) == nil {
-		// Whoever asked sees from what is missing that the answer is not complete.
+		// A write error needs no handling: the requester detects an incomplete answer when it decodes it.
 		_ = encoder.Encode(status)
 	}
 }
--- a/internal/peer/store_connection.go
+++ b/internal/peer/store_connection.go
@@ -10,65 +10,66 @@
 )
 
 const (
-	// pieceBytes is the most that is read from a connection at once.
-	pieceBytes = 4096
-	// pieces that wait between a connection and the goroutine that frames them, by direction.
+	// chunkBytes is the maximum size of one read from the local connection.
+	chunkBytes = 4096
+	// localBacklog and remoteBacklog are the numbers of chunks that may be queued between the local connection and the
+	// goroutine of run: those read from the connection, and those to be written to it.
 	localBacklog  = 16
 	remoteBacklog = 64
-	// resendAfter is after how many intervals an unacknowledged frame is written again.
-	resendAfter = 3
-	// endTries is how often the end of a connection is written; otherwise the other side would notice only after
-	// storeTimeout.
-	endTries = 8
-	// maxEndBackoff bounds the backoff between these.
-	maxEndBackoff = 2
-	// ticksPerInterval is how often in an interval a connection looks whether a frame is due.
+	// resendAfterIntervals is the number of frame intervals after which an unacknowledged frame is written again.
+	resendAfterIntervals = 3
+	// maxEndWrites is the maximum number of tries to write the end of a connection. Without the end, the other side
+	// would detect the closed connection only after storeTimeout.
+	maxEndWrites = 8
+	// maxEndBackoffDoublings bounds the growth of the backoff between these tries.
+	maxEndBackoffDoublings = 2
+	// ticksPerInterval is how many times per frame interval a connection checks whether a frame is due.
 	ticksPerInterval = 4
 )
 
-// storeConnection is one connection that is carried in frames. The goroutine of run owns its state.
+// storeConnection is one connection whose bytes are carried in frames. The goroutine of run owns its state.
 type storeConnection struct {
 	transport *StoreTransport
-	conn      net.Conn // our end of the pipe whose other end is in use
-	remote    string   // the other controller's name
+	conn      net.Conn // our end of the pipe; the user of the connection has the other end
+	remote    string   // name of the other controller
 	id        uint64   // chosen by the side that opened the connection
-	received  chan frame
+	incoming  chan frame
 	writer    frameWriter
 
-	outgoing    frame  // the last one, as it is written and written again
-	pending     []byte // waits for the next frame
-	due         bool   // there is something to tell the other side
-	writing     bool   // a write is under way; its goroutine owns the writer
-	lastWrite   time.Time
-	written     chan bool   // whether the write that was under way succeeded
-	fromLocal   chan []byte // pieces read from conn; closed when it has ended
-	towardLocal chan []byte // pieces to be written to conn
+	outgoing     frame  // the latest frame; rewritten until it is acknowledged
+	pending      []byte // bytes to be sent in the next frames
+	frameDue     bool   // there is data or an acknowledgement to send
+	writing      bool   // a write is in progress; its goroutine owns the writer
+	lastWrite    time.Time
+	writeResults chan bool   // whether the write in progress has succeeded
+	fromLocal    chan []byte // chunks read from conn; closed when reading has ended
+	toLocal      chan []byte // chunks to be written to conn
 }
 
 func newStoreConnection(transport *StoreTransport, conn net.Conn, remote string, id uint64) *storeConnection {
 	return &storeConnection{
-		transport:   transport,
-		conn:        conn,
-		remote:      remote,
-		id:          id,
-		received:    make(chan frame, frameBacklog),
-		writer:      frameWriter{store: transport.store, key: FramePrefix + remote + "/" + transport.controller},
-		outgoing:    frame{Connection: id},
-		written:     make(chan bool, 1),
-		fromLocal:   make(chan []byte, localBacklog),
-		towardLocal: make(chan []byte, remoteBacklog),
+		transport:    transport,
+		conn:         conn,
+		remote:       remote,
+		id:           id,
+		incoming:     make(chan frame, frameBacklog),
+		writer:       frameWriter{store: transport.store, key: FramePrefix + remote + "/" + transport.controller},
+		outgoing:     frame{Connection: id},
+		writeResults: make(chan bool, 1),
+		fromLocal:    make(chan []byte, localBacklog),
+		toLocal:      make(chan []byte, remoteBacklog),
 	}
 }
 
-// deliver hands a frame of the other side to the connection, or drops it if too many wait.
+// deliver queues a frame from the other side for the connection, or drops it if the queue is full.
 func (c *storeConnection) deliver(f frame) {
 	select {
-	case c.received <- f:
+	case c.incoming <- f:
 	default:
 	}
 }
 
-// run carries the connection's bytes until either side closes it or ctx ends.
+// run carries the bytes of the connection until either side closes it or ctx ends.
 func (c *storeConnection) run(ctx context.Context) {
 	var goroutines sync.WaitGroup
 	defer goroutines.Wait()
@@ -76,7 +77,7 @@
 	defer cancel()
 	defer c.conn.Close()
 	defer c.transport.post(connectionEnded{c})
-	defer close(c.towardLocal)
+	defer close(c.toLocal)
 	goroutines.Go(func() { c.readLocal(ctx) })
 	goroutines.Go(c.writeLocal)
 	ticker := time.NewTicker(c.transport.interval / ticksPerInterval)
@@ -85,78 +86,78 @@
 		select {
 		case <-ctx.Done():
 			return
-		case piece, ok := <-c.fromLocal:
-			if !ok || len(c.pending)+len(piece) > c.transport.backlogBytes {
-				c.finish(ctx)
+		case chunk, ok := <-c.fromLocal:
+			if !ok || len(c.pending)+len(chunk) > c.transport.backlogBytes {
+				c.writeEnd(ctx)
 				return
 			}
-			c.pending = append(c.pending, piece...)
-		case f := <-c.received:
-			if f.End || !c.receive(f) {
+			c.pending = append(c.pending, chunk...)
+		case f := <-c.incoming:
+			if f.End || !c.handleFrame(f) {
 				return
 			}
-		case ok := <-c.written:
+		case ok := <-c.writeResults:
 			c.writing = false
-			c.due = c.due || !ok
+			c.frameDue = c.frameDue || !ok
 		case <-ticker.C:
 		}
 		if c.prepareFrame() {
 			f := c.outgoing
-			goroutines.Go(func() { c.written <- c.writer.write(ctx, f) })
+			goroutines.Go(func() { c.writeResults <- c.writer.write(ctx, f) })
 		}
 	}
 }
 
-// readLocal passes on what comes from our end until it is closed or ctx ends.
+// readLocal forwards chunks from the local connection to run until the connection is closed or ctx ends.
 func (c *storeConnection) readLocal(ctx context.Context) {
 	defer close(c.fromLocal)
 	for {
-		piece := make([]byte, pieceBytes)
-		n, err := c.conn.Read(piece)
+		chunk := make([]byte, chunkBytes)
+		n, err := c.conn.Read(chunk)
 		if err != nil {
 			return
 		}
 		select {
-		case c.fromLocal <- piece[:n]:
+		case c.fromLocal <- chunk[:n]:
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// writeLocal passes on to our end what comes from the other side.
+// writeLocal writes the chunks that were received from the other side to the local connection.
 func (c *storeConnection) writeLocal() {
-	for piece := range c.towardLocal {
-		if _, err := c.conn.Write(piece); err != nil {
+	for chunk := range c.toLocal {
+		if _, err := c.conn.Write(chunk); err != nil {
 			return
 		}
 	}
 }
 
-// receive takes in a frame of the other side. It returns false when our side does not keep up.
-func (c *storeConnection) receive(f frame) bool {
+// handleFrame processes a frame from the other side. It returns false if the local side reads too slowly.
+func (c *storeConnection) handleFrame(f frame) bool {
 	if f.Acknowledged == c.outgoing.Sequence {
 		c.outgoing.Data = nil
 	}
-	// A repeated piece shows that our acknowledgement was missed.
-	c.due = c.due || f.Sequence == c.outgoing.Acknowledged && f.Sequence > 0 && f.Data != nil
+	// A repeated chunk shows that the other side has missed our acknowledgement.
+	c.frameDue = c.frameDue || f.Sequence == c.outgoing.Acknowledged && f.Sequence > 0 && f.Data != nil
 	if f.Sequence != c.outgoing.Acknowledged+1 {
 		return true
 	}
-	c.outgoing.Acknowledged, c.due = f.Sequence, true
+	c.outgoing.Acknowledged, c.frameDue = f.Sequence, true
 	if len(f.Data) == 0 {
 		return true
 	}
 	select {
-	case c.towardLocal <- f.Data:
+	case c.toLocal <- f.Data:
 		return true
 	default:
 		return false
 	}
 }
 
-// prepareFrame makes the next frame and returns true if one is to be written now: there is something to tell, the
-// interval since the last has passed, and no write is under way.
+// prepareFrame prepares the next frame and returns true if it is to be written now: data or an acknowledgement has to
+// be sent, the frame interval since the last write has passed, and no write is in progress.
 func (c *storeConnection) prepareFrame() bool {
 	sinceLast := time.Since(c.lastWrite)
 	if c.writing || sinceLast < c.transport.interval {
@@ -166,25 +167,25 @@
 		n := min(len(c.pending), c.transport.frameBytes)
 		c.outgoing.Data, c.pending = c.pending[:n:n], c.pending[n:]
 		c.outgoing.Sequence++
-		c.due = true
+		c.frameDue = true
 	}
-	// Unacknowledged pieces are written again now and then, in case a frame was missed.
-	resend := c.outgoing.Data != nil && sinceLast > resendAfter*c.transport.interval
-	if !c.due && !resend {
+	// An unacknowledged chunk is written again periodically, in case the other side has missed the frame.
+	resend := c.outgoing.Data != nil && sinceLast > resendAfterIntervals*c.transport.interval
+	if !c.frameDue && !resend {
 		return false
 	}
-	c.due, c.writing, c.lastWrite = false, true, time.Now()
+	c.frameDue, c.writing, c.lastWrite = false, true, time.Now()
 	return true
 }
 
-// finish tells the other side that the connection has ended.
-func (c *storeConnection) finish(ctx context.Context) {
+// writeEnd writes a frame that tells the other side that the connection is closed.
+func (c *storeConnection) writeEnd(ctx context.Context) {
 	if c.writing {
-		<-c.written
+		<-c.writeResults
 	}
 	c.outgoing.End, c.outgoing.Data = true, nil
-	for try := range endTries {
-		if c.writer.write(ctx, c.outgoing) || !store.Backoff(ctx, min(try, maxEndBackoff)) {
+	for try := range maxEndWrites {
+		if c.writer.write(ctx, c.outgoing) || !store.Backoff(ctx, min(try, maxEndBackoffDoublings)) {
 			return
 		}
 	}
--- a/internal/peer/store_transport.go
+++ b/internal/peer/store_transport.go
@@ -14,45 +14,45 @@
 )
 
 const (
-	// FrameInterval is the usual pause between two frames of a connection: each costs a write.
+	// FrameInterval is the usual minimum time between two frames of a connection, since each costs a write to the store.
 	FrameInterval = time.Second
-	// frameOverhead is what a frame's JSON takes beside its data, at most.
-	frameOverhead = 200
-	// frameBacklog is how many received frames wait for a connection. Those beyond are dropped, and written again
-	// by the other side until they are acknowledged.
+	// frameOverheadBytes is an upper bound for the JSON size of a frame without its data.
+	frameOverheadBytes = 200
+	// frameBacklog is the number of received frames that may be queued for a connection. Further frames are dropped,
+	// and the other side writes them again until they are acknowledged.
 	frameBacklog = 16
-	// eventBacklog is how many events wait for the transport.
+	// eventBacklog is the number of events that may be queued for the transport.
 	eventBacklog = 64
-	// frameWatchTime is for how long one watch waits for frames.
+	// frameWatchTime is how long the store holds one watch for frames open.
 	frameWatchTime = 20 * clock.Second
 )
 
-// StoreTransport carries connections between controllers through the state service while they can't reach each other
-// directly. It is slow and costs writes, but without it the machines of all controllers that don't lead stand idle.
+// StoreTransport carries connections between controllers through the store while they cannot reach each other
+// directly. It is slow and costs writes, but without it the machines of all followers would be idle.
 type StoreTransport struct {
 	controller   string // this controller's name
 	store        FrameStore
-	frameBytes   int // of data in one frame
-	backlogBytes int // that may wait for their frames on one connection
+	frameBytes   int // maximum size of the data in one frame
+	backlogBytes int // maximum size of the unsent data of one connection
 	interval     time.Duration
 	events       chan transportEvent
-	stopped      chan struct{} // closed when Run handles no more events
+	stopped      chan struct{} // closed when Run no longer handles events
 }
 
-// transportEvent is what happens to the transport's connections.
+// transportEvent is an event of one of the transport's connections.
 //
 //sumtype:decl
 type transportEvent interface{ transportEvent() }
 
 type (
-	// connectionOpened: this controller opens a connection.
+	// connectionOpened: this controller has opened a connection.
 	connectionOpened struct{ connection *storeConnection }
 	// connectionEnded: a connection has ended.
 	connectionEnded struct{ connection *storeConnection }
 	// frameReceived: another controller has written a frame for this one.
 	frameReceived struct {
-		from  string
-		frame frame
+		sender string
+		frame  frame
 	}
 )
 
@@ -60,15 +60,15 @@
 func (connectionEnded) transportEvent()  {}
 func (frameReceived) transportEvent()    {}
 
-// NewStoreTransport makes the transport of a controller; Run serves it. valueBytes is the most that a value in the
-// store may hold, backlogBytes how many bytes of a connection may wait for their frames: one shard grant at least.
+// NewStoreTransport returns the transport of a controller; Run operates it. valueBytes is the size limit of a value in
+// the store. backlogBytes limits the unsent data of one connection and must be large enough for one shard grant.
 func NewStoreTransport(
 	controller string, frames FrameStore, valueBytes, backlogBytes int, interval time.Duration,
 ) *StoreTransport {
 	return &StoreTransport{
 		controller:   controller,
 		store:        frames,
-		frameBytes:   (valueBytes - frameOverhead) * 3 / 4, // base64 makes four bytes of three
+		frameBytes:   (valueBytes - frameOverheadBytes) * 3 / 4, // base64 encodes three bytes as four
 		backlogBytes: backlogBytes,
 		interval:     interval,
 		events:       make(chan transportEvent, eventBacklog),
@@ -76,8 +76,8 @@
 	}
 }
 
-// Dial links a holder to the leader through the state service and returns after the leader has agreed. ctx bounds
-// the making of the link only.
+// Dial links a holder to the leader through the store. It returns after the leader has accepted the link. ctx bounds
+// only the establishment of the link, not its lifetime.
 func (t *StoreTransport) Dial(ctx context.Context, leader string, hello Hello) (*LeaderLink, error) {
 	conn := t.Open(leader)
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
@@ -85,22 +85,22 @@
 	return openLink(conn, leader, hello, TransportStore)
 }
 
-// Open begins a connection to another controller, which lasts until it is closed or Run ends. Nothing tells whether
-// the other controller is there until it answers.
+// Open opens a connection to another controller, which lasts until it is closed or Run ends. Whether the other
+// controller is available is unknown until it answers.
 func (t *StoreTransport) Open(controller string) net.Conn {
-	near, far := net.Pipe()
-	connection := newStoreConnection(t, near, controller, rand.Uint64())
+	transportEnd, callerEnd := net.Pipe()
+	connection := newStoreConnection(t, transportEnd, controller, rand.Uint64())
 	connection.outgoing.FromOpener = true
 	if !t.post(connectionOpened{connection}) {
-		near.Close()
+		transportEnd.Close()
 	}
-	return far
+	return callerEnd
 }
 
-// post hands an event to Run; false if that has ended.
+// post queues an event for Run. It returns false if Run has ended.
 func (t *StoreTransport) post(event transportEvent) bool {
 	select {
-	case <-t.stopped: // also where there is place for the event
+	case <-t.stopped: // checked first: the queue may still have space
 		return false
 	default:
 	}
@@ -112,15 +112,15 @@
 	}
 }
 
-// Run carries connections, and hands those that other controllers open to accept, until ctx ends. It returns when all
-// of its goroutines have ended.
+// Run carries the transport's connections until ctx ends. It calls accept for each connection that another controller
+// opens. It returns when all of its goroutines have ended.
 func (t *StoreTransport) Run(ctx context.Context, accept func(net.Conn)) {
 	var goroutines sync.WaitGroup
 	defer goroutines.Wait()
 	defer close(t.stopped)
-	goroutines.Go(func() { t.watch(ctx) })
-	connections := map[string]*storeConnection{} // the latest, by the other controller's name
-	begin := func(connection *storeConnection) {
+	goroutines.Go(func() { t.watchFrames(ctx) })
+	connections := map[string]*storeConnection{} // the latest of each remote controller, by its name
+	startConnection := func(connection *storeConnection) {
 		connections[connection.remote] = connection
 		goroutines.Go(func() { connection.run(ctx) })
 	}
@@ -133,29 +133,29 @@
 		}
 		switch event := event.(type) {
 		case connectionOpened:
-			begin(event.connection)
+			startConnection(event.connection)
 		case connectionEnded:
-			if ended := event.connection; connections[ended.remote] == ended {
-				delete(connections, ended.remote)
+			if closed := event.connection; connections[closed.remote] == closed {
+				delete(connections, closed.remote)
 			}
 		case frameReceived:
-			connection := connections[event.from]
+			connection := connections[event.sender]
 			if connection == nil || connection.id != event.frame.Connection {
 				if !event.frame.opensConnection() {
 					continue
 				}
-				near, far := net.Pipe()
-				connection = newStoreConnection(t, near, event.from, event.frame.Connection)
-				begin(connection)
-				accept(far)
+				transportEnd, callerEnd := net.Pipe()
+				connection = newStoreConnection(t, transportEnd, event.sender, event.frame.Connection)
+				startConnection(connection)
+				accept(callerEnd)
 			}
 			connection.deliver(event.frame)
 		}
 	}
 }
 
-// watch receives frames until ctx ends. Those that were there before are written again by whoever still waits.
-func (t *StoreTransport) watch(ctx context.Context) {
+// watchFrames receives frames until ctx ends. Senders that still wait for an acknowledgement write older frames again.
+func (t *StoreTransport) watchFrames(ctx context.Context) {
 	for failures := 0; ctx.Err() == nil; failures++ {
 		if t.receiveFrames(ctx) {
 			failures = 0
@@ -164,8 +164,8 @@
 	}
 }
 
-// receiveFrames watches the keys with frames for this controller until the state service fails. It returns whether
-// any watch succeeded.
+// receiveFrames watches the keys with frames for this controller until a request to the store fails. It returns
+// whether any watch succeeded.
 func (t *StoreTransport) receiveFrames(ctx context.Context) bool {
 	prefix := FramePrefix + t.controller + "/"
 	_, revision, err := t.store.List(ctx, store.PriorityReads, prefix)
@@ -182,7 +182,7 @@
 		for _, event := range response.Events {
 			var f frame
 			if event.Put != "" && json.Unmarshal(event.Value, &f) == nil {
-				t.post(frameReceived{from: strings.TrimPrefix(event.Put, prefix), frame: f})
+				t.post(frameReceived{sender: strings.TrimPrefix(event.Put, prefix), frame: f})
 			}
 		}
 		revision = max(revision, response.Revision)
--- a/internal/peer/store_transport_test.go
+++ b/internal/peer/store_transport_test.go
@@ -16,14 +16,14 @@
 	"swiftledge/wire"
 )
 
-// memoryStore is a state service that loses answers and refuses requests now and then.
+// memoryStore is an in-memory store that randomly refuses requests and loses answers.
 type memoryStore struct {
-	mu         sync.Mutex
-	rng        *rand.Rand
-	revision   uint64
-	items      map[string]wire.Item
-	changed    chan struct{} // closed and replaced with each change
-	valueBytes int           // see largestValue
+	mu                sync.Mutex
+	rng               *rand.Rand
+	revision          uint64
+	items             map[string]wire.Item
+	changed           chan struct{} // closed and replaced on each change
+	largestValueBytes int           // size of the largest value written so far
 }
 
 func newMemoryStore() *memoryStore {
@@ -48,9 +48,9 @@
 func (s *memoryStore) TryCommit(_ context.Context, _ store.Priority, txn wire.Txn) (store.TxnResult, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	const refuse, loseAnswer = 0, 1
+	const refuseRequest, loseAnswer = 0, 1
 	fault := s.rng.IntN(10)
-	if fault == refuse {
+	if fault == refuseRequest {
 		return store.TxnResult{}, store.ErrNotExecuted
 	}
 	for _, condition := range txn.Conditions {
@@ -60,7 +60,7 @@
 	}
 	s.revision++
 	for _, write := range txn.Writes {
-		s.valueBytes = max(s.valueBytes, len(write.Value))
+		s.largestValueBytes = max(s.largestValueBytes, len(write.Value))
 		s.items[write.Put] = wire.Item{Key: write.Put, Value: write.Value, Version: s.revision}
 	}
 	close(s.changed)
@@ -87,7 +87,8 @@
 	}
 }
 
-// changesAfter returns the changes of keys with a prefix after a revision, and a channel that is closed with the next.
+// changesAfter returns the changes after a revision of keys with a prefix, and a channel that is closed on the next
+// change.
 func (s *memoryStore) changesAfter(prefix string, after uint64) (wire.WatchResponse, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -100,57 +101,57 @@
 	return response, s.changed
 }
 
-// largestValue returns the bytes of the largest value that was written so far.
+// largestValue returns the size in bytes of the largest value that was written so far.
 func (s *memoryStore) largestValue() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.valueBytes
+	return s.largestValueBytes
 }
 
-// maxValueBytes is the most that a value of memoryStore may hold.
+// maxValueBytes is the size limit of a value in the tests.
 const maxValueBytes = 2048
 
-// newTestTransport returns a transport whose frames leave a tenth of a value unused.
+// newTestTransport returns a transport whose frames use at most nine tenths of the size limit of a value.
 func newTestTransport(controller string, s FrameStore) *StoreTransport {
 	return NewStoreTransport(controller, s, maxValueBytes*9/10, 256<<10, time.Millisecond)
 }
 
-// Bytes arrive complete and in order both ways, though writes are refused or lose their answers, and no value is larger
-// than allowed.
+// Bytes arrive complete and in order in both directions although the store refuses writes or loses their answers. No
+// value exceeds the size limit.
 func TestStoreTransportCarriesConnections(t *testing.T) {
 	memory := newMemoryStore()
 	opening, accepting := newTestTransport("n1", memory), newTestTransport("n0", memory)
 	accepted := make(chan net.Conn, 2)
 	go accepting.Run(t.Context(), func(conn net.Conn) { accepted <- conn })
-	go opening.Run(t.Context(), func(net.Conn) { t.Error("a connection is opened backwards") })
+	go opening.Run(t.Context(), func(net.Conn) { t.Error("the accepting controller opened a connection to the opening one") })
 	request, answer := randomBytes(40000), randomBytes(30000)
-	for range 2 { // the second connection takes the first one's place
-		near := opening.Open("n0")
+	for range 2 { // the second connection replaces the first
+		openerEnd := opening.Open("n0")
 		go func() {
-			if _, err := near.Write(request); err != nil {
+			if _, err := openerEnd.Write(request); err != nil {
 				t.Error(err)
 			}
 		}()
-		far := <-accepted
+		acceptorEnd := <-accepted
 		go func() {
-			if _, err := far.Write(answer); err != nil {
+			if _, err := acceptorEnd.Write(answer); err != nil {
 				t.Error(err)
 			}
 		}()
-		expectBytes(t, far, request)
-		expectBytes(t, near, answer)
-		near.Close()
-		if n, err := far.Read(make([]byte, 1)); err == nil {
-			t.Errorf("%d bytes after the other side has closed", n)
+		expectBytes(t, acceptorEnd, request)
+		expectBytes(t, openerEnd, answer)
+		openerEnd.Close()
+		if n, err := acceptorEnd.Read(make([]byte, 1)); err == nil {
+			t.Errorf("read %d bytes after the other side closed the connection", n)
 		}
 	}
 	if n := memory.largestValue(); n > maxValueBytes {
-		t.Errorf("a value of %d bytes", n)
+		t.Errorf("largest value takes %d bytes, want at most maxValueBytes", n)
 	}
 }
 
-// When a transport ends, so do its connections and all of its goroutines; none can be opened any more.
-func TestStoreTransportEnds(t *testing.T) {
+// When a transport ends, its connections and all of its goroutines end, and no new connection can be opened.
+func TestStoreTransportShutdown(t *testing.T) {
 	memory := newMemoryStore()
 	transport := newTestTransport("n1", memory)
 	ctx, stop := context.WithCancel(t.Context())
@@ -159,17 +160,17 @@
 		transport.Run(ctx, nil)
 		close(ended)
 	}()
-	before := transport.Open("n0")
-	if _, err := before.Write([]byte("x")); err != nil {
+	connection := transport.Open("n0")
+	if _, err := connection.Write([]byte("x")); err != nil {
 		t.Fatal(err)
 	}
 	stop()
 	<-ended
-	if _, err := before.Read(make([]byte, 1)); err == nil {
-		t.Error("a connection outlived its transport")
+	if _, err := connection.Read(make([]byte, 1)); err == nil {
+		t.Error("connection is still open after the end of the transport")
 	}
 	if _, err := transport.Open("n0").Read(make([]byte, 1)); err == nil {
-		t.Error("a connection was opened after the transport's end")
+		t.Error("connection was opened after the end of the transport")
 	}
 }
 
@@ -186,6 +187,6 @@
 	t.Helper()
 	got := make([]byte, len(want))
 	if _, err := io.ReadFull(conn, got); err != nil || !bytes.Equal(got, want) {
-		t.Fatalf("the bytes that arrived are not those that were sent: %v", err)
+		t.Fatalf("received bytes differ from the sent ones, read error %v", err)
 	}
 }
--- a/internal/peer/to_leader.go
+++ b/internal/peer/to_leader.go
@@ -1,4 +1,4 @@
-//lint:file-ignore U1000 msgpack finds the fields _msgpack by their name
+//lint:file-ignore U1000 msgpack looks up the fields _msgpack by name
 
 package peer
 
@@ -7,71 +7,74 @@
 	"swiftledge/wire"
 )
 
-// Task identifies one task.
+// Task identifies a task.
 type Task struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Job      string
 	Index    int
 }
 
-// ToLeader is a message of a holder to the leader.
+// ToLeader is a message from a shard holder to the leader.
 type ToLeader struct {
 	_msgpack       struct{} `msgpack:",as_array"`
 	Term           cluster.Term
-	RenewSeq       uint64 // asks to renew the holder's shard leases; 0 if it doesn't
-	StoreOK        bool   // the state service serves the holder
-	NoAgentContact bool   // with RenewSeq: no agent of the holder's machines has sent a heartbeat for long
+	RenewSeq       uint64 // sequence number of a request to renew the holder's shard leases; 0 for none
+	StoreOK        bool   // the store is available to the holder
+	NoAgentContact bool   // with RenewSeq: no agent of the holder's machines has sent a heartbeat recently
 	Updates        []ShardUpdate
 }
 
-// ShardUpdate is what changed in a shard.
+// ShardUpdate holds the changes in a shard.
 type ShardUpdate struct {
 	_msgpack        struct{} `msgpack:",as_array"`
 	Shard           int
 	FencingToken    wire.FencingToken
-	SettledOfferSeq uint64 // OfferSeq of the last offers that are settled
+	SettledOfferSeq uint64 // OfferSeq of the latest settled offers
 	Events          []TaskEvent
 	Machines        []MachineState
-	NeedsRegrant    bool // the grant is void, as a machine has shown a newer fencing token
+	NeedsRegrant    bool // the grant is invalid because a machine has reported a newer fencing token
 }
 
-// EventKind is what happened to a task in a shard.
+// EventKind is the kind of a task event.
 type EventKind string
 
 // Kinds of task events.
 const (
-	EventCompleted EventKind = "done"     // it completed
-	EventReleased  EventKind = "back"     // it is on no machine of the shard
-	EventAssigned  EventKind = "started"  // it has been launched on a machine, and fetches its image
-	EventRunning   EventKind = "running"  // it has its image and runs
-	EventFailed    EventKind = "errored"  // it failed and is gone from the machine
-	EventUnplaced  EventKind = "unplaced" // no machine has enough free capacity
-	// EventAttemptRemains comes before an EventCompleted that is not the end of the task's last attempt: another may
-	// run in the shard, and its end will be reported. The version in production neither sends nor knows it.
+	EventCompleted EventKind = "done"     // the task completed
+	EventReleased  EventKind = "back"     // the task is on no machine of the shard
+	EventAssigned  EventKind = "started"  // the task was launched on a machine and fetches its image
+	EventRunning   EventKind = "running"  // the task has its image and runs
+	EventFailed    EventKind = "errored"  // the task failed and is no longer on the machine
+	EventUnplaced  EventKind = "unplaced" // no machine has enough free capacity for the task
+	// EventAttemptRemains precedes an EventCompleted that does not end the last attempt of the task: another attempt
+	// may be running in the shard, and its end will be reported. The version in production neither sends nor recognizes
+	// this event.
 	EventAttemptRemains EventKind = "remains"
 )
 
-// TaskEvent is a change of a task in a shard.
+// TaskEvent reports a state change of a task in a shard.
 type TaskEvent struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Task
 	Kind       EventKind
 	Machine    string
-	RunSeconds float64 // with EventCompleted: for how long it ran
+	RunSeconds float64 // with EventCompleted: how long the task ran
 }
 
-// MachineState is a machine as its holder sees it.
+// MachineState is the state of a machine as its shard holder knows it.
 type MachineState struct {
 	_msgpack                  struct{} `msgpack:",as_array"`
 	Name, Type, Zone, Address string
 	Spot                      bool
-	Schedulable               bool // it can be given tasks
-	// Silent: no heartbeat for long, or it is unreachable for commands, while its lease may hold.
+	Schedulable               bool // the machine accepts new tasks
+	// Silent: the agent has not sent a heartbeat for a long time, or commands cannot reach it, but the lease of the
+	// machine may still be valid.
 	Silent           bool
 	PreemptionNotice bool
-	// Terminated: a leader, maybe a former one, had the cloud's answer that it is deleted.
+	// Terminated: the cloud has confirmed to a leader, possibly a former one, that the machine is deleted.
 	Terminated bool
-	// TokenConfirmed: it has shown the holder's fencing token, so no late copy of a message tells of it.
+	// TokenConfirmed: the machine has reported the holder's fencing token, so its state does not come from a delayed
+	// duplicate of an older message.
 	TokenConfirmed       bool
 	CPUs, GPUs, MemoryGB float64 // free capacity
 	Tasks                int
--- a/internal/peer/transport.go
+++ b/internal/peer/transport.go
@@ -6,28 +6,29 @@
 	"time"
 )
 
-// Transport is what carries the bytes of a link.
+// Transport is the means by which the bytes of a link are carried.
 type Transport int
 
 // Transports between controllers.
 const (
-	// TransportTCP is a direct connection.
+	// TransportTCP is a direct TCP connection.
 	TransportTCP Transport = iota
-	// TransportStore carries frames through the state service: messages take seconds.
+	// TransportStore carries the bytes in frames through the store. A message takes seconds.
 	TransportStore
 )
 
 const (
 	writeTimeout = 2 * time.Second
-	// readTimeout is after how long a link on which nothing has come is dead: both sides speak every second.
+	// readTimeout is how long a link may be without incoming messages before it is closed. Both sides send a message
+	// every second.
 	readTimeout = 4 * time.Second
-	// storeTimeout stands for both where messages go through the state service.
+	// storeTimeout replaces both timeouts on links through the store.
 	storeTimeout = 12 * time.Second
-	// bufferSize is that of the buffers of a link.
-	bufferSize = 8192
+	// bufferBytes is the size of a link's read and write buffers.
+	bufferBytes = 8192
 )
 
-// handshakeTimeout bounds the exchange of Hellos.
+// handshakeTimeout returns the time limit for the handshake.
 func (t Transport) handshakeTimeout() time.Duration {
 	if t == TransportStore {
 		return storeTimeout
@@ -35,16 +36,16 @@
 	return writeTimeout
 }
 
-// newReader returns what messages are read from. Through the state service a large message comes in many frames:
-// there each piece of it, not the whole, has to come in time.
+// newReader returns the reader that messages are decoded from. Through the store, a large message arrives in many
+// frames, so the timeout applies to each frame instead of the whole message.
 func (t Transport) newReader(conn net.Conn) *bufio.Reader {
 	if t == TransportStore {
 		conn = progressConn{conn}
 	}
-	return bufio.NewReaderSize(conn, bufferSize)
+	return bufio.NewReaderSize(conn, bufferBytes)
 }
 
-// progressConn is a connection on which each read has its own deadline.
+// progressConn is a connection that sets a new deadline for each read.
 type progressConn struct{ net.Conn }
 
 // Read implements net.Conn.
--- a/internal/peer/transport_test.go
+++ b/internal/peer/transport_test.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// A message that needs many frames, each in time, must not break the link: at the lowered limits a large grant takes
-// longer than a link may be silent.
-func TestStoreTransportTimesOutByPieceNotByMessage(t *testing.T) {
-	near, far := net.Pipe()
+// A message of many frames must not break the link if each frame arrives in time: with the lowered limits of the store,
+// a large shard grant takes longer than the read timeout.
+func TestStoreTransportReadDeadlinePerFrame(t *testing.T) {
+	writeEnd, readEnd := net.Pipe()
 	t.Cleanup(func() {
-		near.Close()
-		far.Close()
+		writeEnd.Close()
+		readEnd.Close()
 	})
-	counter := &deadlineCounter{Conn: far}
+	counter := &deadlineCounter{Conn: readEnd}
 	reader := TransportStore.newReader(counter)
 	go func() {
 		for range 3 {
-			if _, err := near.Write([]byte("x")); err != nil {
+			if _, err := writeEnd.Write([]byte("x")); err != nil {
 				t.Error(err)
 			}
 		}
@@ -29,7 +29,7 @@
 		}
 	}
 	if n := counter.deadlines; n < 3 {
-		t.Errorf("the deadline was set %d times for three pieces", n)
+		t.Errorf("read deadline was set %d times for three chunks", n)
 	}
 }
 
