--- a/internal/compat/exact_test.go
+++ b/internal/compat/exact_test.go
@@ -165,7 +165,7 @@
 		Controller:  "c0",
 		Leader:      "c1",
 		Term:        7,
-		Leading:     true,
+		IsLeader:    true,
 		Pauses:      4,
 		LastPause:   &peer.PauseStatus{EndedAt: 1234567, AgoS: 61, LengthS: 12.5, Expired: []string{"grant of block 1"}},
 		Rebalancing: true,
--- a/internal/leader/rebalancing_test.go
+++ b/internal/leader/rebalancing_test.go
@@ -269,7 +269,7 @@
 	l.inventory.machines[names[5]].draining, l.inventory.machines[names[5]].state.Tasks = true, 1
 	stops(l)
 	s := l.status(began + 95*clock.Second)
-	if !s.Leading || !s.Rebalancing || len(s.Shards) != 2 || len(s.Machines) != len(names) || len(s.Migrations) != 1 || s.MigrationOutcomes.Begun != 1 {
+	if !s.IsLeader || !s.Rebalancing || len(s.Shards) != 2 || len(s.Machines) != len(names) || len(s.Migrations) != 1 || s.MigrationOutcomes.Begun != 1 {
 		t.Fatalf("status %+v", s)
 	}
 	if m := s.Machines[0]; m.Load != 1 || m.OverMean < 2 || !m.TakesWork {
@@ -285,7 +285,7 @@
 		t.Errorf("teams %+v", s.Teams)
 	}
 	l.Step(began+96*clock.Second, LeadershipLost{})
-	if s := l.status(began + 96*clock.Second); s.Leading || len(s.Machines) > 0 {
+	if s := l.status(began + 96*clock.Second); s.IsLeader || len(s.Machines) > 0 {
 		t.Errorf("status %+v of a controller that does not lead", s)
 	}
 }
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -13,9 +13,9 @@
 // status tells an operator what the leader knows of loads, waiting work and migrations.
 func (l *Leader) status(now clock.Micros) peer.Status {
 	status := peer.Status{
-		Controller: l.self, Term: l.term, Leading: l.leading && l.loaded, Rebalancing: l.rebalancing != nil,
+		Controller: l.self, Term: l.term, IsLeader: l.leading && l.loaded, Rebalancing: l.rebalancing != nil,
 	}
-	if !status.Leading {
+	if !status.IsLeader {
 		return status
 	}
 	status.MeanLoad, status.Shards = l.shardLoads()
--- a/internal/loopback/client.go
+++ b/internal/loopback/client.go
@@ -35,7 +35,7 @@
 // Leader is the controller that leads, with its status; nil while none does.
 func (c *Cluster) Leader() (*Controller, peer.Status) {
 	for i, row := range c.Status() {
-		if row.Status != nil && row.Status.Leading {
+		if row.Status != nil && row.Status.IsLeader {
 			return c.Controllers[i], *row.Status
 		}
 	}
--- a/internal/loopback/surge.go
+++ b/internal/loopback/surge.go
@@ -194,7 +194,7 @@
 
 // addTotals adds what is counted over the whole run.
 func (c *Cluster) addTotals(r *Result) {
-	if _, s := c.Leader(); s.Leading {
+	if _, s := c.Leader(); s.IsLeader {
 		r.Migrations = s.MigrationOutcomes
 	}
 	for _, k := range c.Controllers {
--- a/internal/peer/status.go
+++ b/internal/peer/status.go
@@ -11,7 +11,7 @@
 	Controller string       `msgpack:"node" json:"node"`
 	Leader     string       `msgpack:"leader" json:"leader"` // the leader that the controller follows; "" if none
 	Term       cluster.Term `msgpack:"epoch" json:"epoch"`
-	Leading    bool         `msgpack:"leads" json:"leads"`
+	IsLeader   bool         `msgpack:"leads" json:"leads"`
 	// Number of process pauses since the start of the process, and the last pause.
 	Pauses    int          `msgpack:"pauses" json:"pauses"`
 	LastPause *PauseStatus `msgpack:"last_pause" json:"last_pause,omitempty"`
--- a/internal/status/status_test.go
+++ b/internal/status/status_test.go
@@ -38,7 +38,7 @@
 // Every controller is a row: one that leads, one of a version that does not know the question, one that
 // sends something else, and one that is not there.
 func TestEveryControllerIsARow(t *testing.T) {
-	leads := peer.Status{Controller: "c0", Leader: "c0", Term: 7, Leading: true, Rebalancing: true, MeanLoad: 0.5,
+	leads := peer.Status{Controller: "c0", Leader: "c0", Term: 7, IsLeader: true, Rebalancing: true, MeanLoad: 0.5,
 		Shards:     []peer.ShardStatus{{Shard: 0, Holder: "c0", Granted: true, Machines: 2, TakeWork: 2, MeanLoad: 0.5, MostLoad: 0.75}},
 		Machines:   []peer.MachineStatus{{Name: "host-1", Load: 0.75, OverMean: 1.5, WhyNot: "not needed"}},
 		Migrations: []peer.MigrationStatus{{Task: "j-000001/3", From: "host-1", To: "host-2", Stage: "stopping"}},
@@ -109,7 +109,7 @@
 // Pauses of any controller, suspect jobs and teams without a limit show; a site without them has no such rows.
 func TestBadNightsShow(t *testing.T) {
 	var quiet, bad bytes.Buffer
-	plain := peer.Status{Controller: "c0", Leading: true, Teams: []peer.TeamStatus{{Team: "guest", CPUs: 2}}}
+	plain := peer.Status{Controller: "c0", IsLeader: true, Teams: []peer.TeamStatus{{Team: "guest", CPUs: 2}}}
 	if err := WriteTable(&quiet, []Controller{{Name: "c0", Status: &plain}}, WithoutMachines); err != nil {
 		t.Fatal(err)
 	}
@@ -139,7 +139,7 @@
 
 // What cannot be written is an error, in both forms.
 func TestWriteErrorsAreReturned(t *testing.T) {
-	controllers := []Controller{{Name: "c0", Status: &peer.Status{Leading: true}}}
+	controllers := []Controller{{Name: "c0", Status: &peer.Status{IsLeader: true}}}
 	if err := WriteTable(fullDisk{}, controllers, WithMachines); !errors.Is(err, errFullDisk) {
 		t.Errorf("table: error %v", err)
 	}
--- a/internal/status/table.go
+++ b/internal/status/table.go
@@ -28,7 +28,7 @@
 	t.writeControllers(controllers)
 	t.writePauses(controllers)
 	for _, c := range controllers {
-		if c.Status != nil && c.Status.Leading {
+		if c.Status != nil && c.Status.IsLeader {
 			t.writeLeader(c.Status, detail)
 		}
 	}
@@ -88,7 +88,7 @@
 
 func role(s *peer.Status) string {
 	switch {
-	case s.Leading:
+	case s.IsLeader:
 		return "leads"
 	case s.Leader == "":
 		return "follows nobody"
