--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -54,7 +54,7 @@
 		if !m.takesWork() {
 			continue
 		}
-		status.TakeWork++
+		status.SchedulableMachines++
 		status.MostLoad = max(status.MostLoad, m.load())
 		all.Add(m.load())
 		means[m.shard.ID].Add(m.load())
--- a/internal/peer/status.go
+++ b/internal/peer/status.go
@@ -46,15 +46,15 @@
 
 // ShardStatus describes a shard and its machines.
 type ShardStatus struct {
-	Shard     int     `msgpack:"block" json:"block"`
-	Holder    string  `msgpack:"holder" json:"holder"`
-	Granted   bool    `msgpack:"granted" json:"granted"`
-	Machines  int     `msgpack:"machines" json:"machines"`
-	TakeWork  int     `msgpack:"take_work" json:"take_work"` // schedulable machines
-	MeanLoad  float64 `msgpack:"mean" json:"mean_load"`
-	MostLoad  float64 `msgpack:"most" json:"most_load"`
-	Tasks     int     `msgpack:"tasks" json:"tasks"`
-	Unstarted int     `msgpack:"unstarted" json:"unstarted"` // tasks offered to the holder and not running yet
+	Shard               int     `msgpack:"block" json:"block"`
+	Holder              string  `msgpack:"holder" json:"holder"`
+	Granted             bool    `msgpack:"granted" json:"granted"`
+	Machines            int     `msgpack:"machines" json:"machines"`
+	SchedulableMachines int     `msgpack:"take_work" json:"take_work"` // schedulable machines
+	MeanLoad            float64 `msgpack:"mean" json:"mean_load"`
+	MostLoad            float64 `msgpack:"most" json:"most_load"`
+	Tasks               int     `msgpack:"tasks" json:"tasks"`
+	Unstarted           int     `msgpack:"unstarted" json:"unstarted"` // tasks offered to the holder and not running yet
 }
 
 // MachineStatus describes a running machine.
