--- a/internal/compat/exact_test.go
+++ b/internal/compat/exact_test.go
@@ -178,7 +178,7 @@
 				Machines:            9,
 				SchedulableMachines: 8,
 				MeanLoad:            0.25,
-				MostLoad:            0.75,
+				MaxLoad:             0.75,
 				Tasks:               31,
 				Unstarted:           2,
 			},
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -55,7 +55,7 @@
 			continue
 		}
 		status.SchedulableMachines++
-		status.MostLoad = max(status.MostLoad, m.load())
+		status.MaxLoad = max(status.MaxLoad, m.load())
 		all.Add(m.load())
 		means[m.shard.ID].Add(m.load())
 	}
--- a/internal/peer/status.go
+++ b/internal/peer/status.go
@@ -52,7 +52,7 @@
 	Machines            int     `msgpack:"machines" json:"machines"`
 	SchedulableMachines int     `msgpack:"take_work" json:"take_work"` // schedulable machines
 	MeanLoad            float64 `msgpack:"mean" json:"mean_load"`
-	MostLoad            float64 `msgpack:"most" json:"most_load"`
+	MaxLoad             float64 `msgpack:"most" json:"most_load"`
 	Tasks               int     `msgpack:"tasks" json:"tasks"`
 	Unstarted           int     `msgpack:"unstarted" json:"unstarted"` // tasks offered to the holder and not running yet
 }
--- a/internal/status/table.go
+++ b/internal/status/table.go
@@ -130,7 +130,7 @@
 		if !s.Granted {
 			holder += " (not granted)"
 		}
-		t.row(s.Shard, holder, s.Machines, s.SchedulableMachines, s.MeanLoad, s.MostLoad, s.Tasks, s.Unstarted)
+		t.row(s.Shard, holder, s.Machines, s.SchedulableMachines, s.MeanLoad, s.MaxLoad, s.Tasks, s.Unstarted)
 	}
 }
 
