--- a/internal/leader/rebalancing_test.go
+++ b/internal/leader/rebalancing_test.go
@@ -272,10 +272,10 @@
 	if !s.IsLeader || !s.Rebalancing || len(s.Shards) != 2 || len(s.Machines) != len(names) || len(s.Migrations) != 1 || s.MigrationOutcomes.Begun != 1 {
 		t.Fatalf("status %+v", s)
 	}
-	if m := s.Machines[0]; m.Load != 1 || m.OverMean < 2 || !m.TakesWork {
+	if m := s.Machines[0]; m.Load != 1 || m.OverMean < 2 || !m.Schedulable {
 		t.Errorf("the full machine: %+v", m)
 	}
-	if m := s.Machines[5]; m.TakesWork || m.WhyNot != "drained" {
+	if m := s.Machines[5]; m.Schedulable || m.WhyNot != "drained" {
 		t.Errorf("the drained machine: %+v", m)
 	}
 	if s.Migrations[0].From != names[0] || s.Migrations[0].Stage != "stopping" || len(s.Refusals) == 0 {
--- a/internal/scenario/load_test.go
+++ b/internal/scenario/load_test.go
@@ -38,7 +38,7 @@
 func (w *world) machineLoads() (l loadSummary) {
 	for _, m := range w.leaderStatus().Machines {
 		s := w.workerByName(m.Name)
-		if !m.TakesWork || s.ended {
+		if !m.Schedulable || s.ended {
 			continue
 		}
 		l.machines++
--- a/internal/status/table.go
+++ b/internal/status/table.go
@@ -138,7 +138,7 @@
 	t.heading("MACHINE", "BLOCK", "TYPE", "ZONE", "LOAD", "OVER MEAN", "TASKS", "TAKES WORK")
 	for _, m := range machines {
 		takesWork := "yes"
-		if !m.TakesWork {
+		if !m.Schedulable {
 			takesWork = "no: " + m.WhyNot
 		}
 		t.row(m.Name, m.Shard, m.Type, m.Zone, m.Load, m.OverMean, m.Tasks, takesWork)
