--- a/internal/leader/rebalancing_test.go
+++ b/internal/leader/rebalancing_test.go
@@ -275,7 +275,7 @@
 	if m := s.Machines[0]; m.Load != 1 || m.OverMean < 2 || !m.Schedulable {
 		t.Errorf("the full machine: %+v", m)
 	}
-	if m := s.Machines[5]; m.Schedulable || m.WhyNot != "drained" {
+	if m := s.Machines[5]; m.Schedulable || m.UnschedulableReason != "drained" {
 		t.Errorf("the drained machine: %+v", m)
 	}
 	if s.Migrations[0].From != names[0] || s.Migrations[0].Stage != "stopping" || len(s.Refusals) == 0 {
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -82,7 +82,7 @@
 func (l *Leader) machineStatus(m *machine, mean float64) peer.MachineStatus {
 	status := peer.MachineStatus{
 		Name: m.name, Shard: m.shard.ID, Type: m.option.Type.Name, Zone: m.option.Zone, Load: m.load(),
-		Tasks: m.state.Tasks, Schedulable: m.takesWork(), WhyNot: m.exclusionReason(),
+		Tasks: m.state.Tasks, Schedulable: m.takesWork(), UnschedulableReason: m.exclusionReason(),
 	}
 	if mean > 0 {
 		status.OverMean = status.Load / mean
--- a/internal/peer/status.go
+++ b/internal/peer/status.go
@@ -59,15 +59,15 @@
 
 // MachineStatus describes a running machine.
 type MachineStatus struct {
-	Name        string  `msgpack:"name" json:"name"`
-	Shard       int     `msgpack:"block" json:"block"`
-	Type        string  `msgpack:"type" json:"type"`
-	Zone        string  `msgpack:"zone" json:"zone"`
-	Load        float64 `msgpack:"load" json:"load"`
-	OverMean    float64 `msgpack:"over" json:"over_mean"` // load as a multiple of the mean load
-	Tasks       int     `msgpack:"tasks" json:"tasks"`
-	Schedulable bool    `msgpack:"takes_work" json:"takes_work"`
-	WhyNot      string  `msgpack:"why_not" json:"why_not,omitempty"`
+	Name                string  `msgpack:"name" json:"name"`
+	Shard               int     `msgpack:"block" json:"block"`
+	Type                string  `msgpack:"type" json:"type"`
+	Zone                string  `msgpack:"zone" json:"zone"`
+	Load                float64 `msgpack:"load" json:"load"`
+	OverMean            float64 `msgpack:"over" json:"over_mean"` // load as a multiple of the mean load
+	Tasks               int     `msgpack:"tasks" json:"tasks"`
+	Schedulable         bool    `msgpack:"takes_work" json:"takes_work"`
+	UnschedulableReason string  `msgpack:"why_not" json:"why_not,omitempty"`
 }
 
 // TeamStatus describes the resource usage and the waiting tasks of a team.
--- a/internal/status/table.go
+++ b/internal/status/table.go
@@ -139,7 +139,7 @@
 	for _, m := range machines {
 		takesWork := "yes"
 		if !m.Schedulable {
-			takesWork = "no: " + m.WhyNot
+			takesWork = "no: " + m.UnschedulableReason
 		}
 		t.row(m.Name, m.Shard, m.Type, m.Zone, m.Load, m.OverMean, m.Tasks, takesWork)
 	}
