--- a/internal/compat/exact_test.go
+++ b/internal/compat/exact_test.go
@@ -190,7 +190,7 @@
 				Type:                "g8",
 				Zone:                "a",
 				Load:                0.75,
-				OverMean:            1.5,
+				RelativeLoad:        1.5,
 				Tasks:               5,
 				Schedulable:         true,
 				UnschedulableReason: "not needed",
--- a/internal/leader/rebalancing_test.go
+++ b/internal/leader/rebalancing_test.go
@@ -272,7 +272,7 @@
 	if !s.IsLeader || !s.Rebalancing || len(s.Shards) != 2 || len(s.Machines) != len(names) || len(s.Migrations) != 1 || s.MigrationOutcomes.Begun != 1 {
 		t.Fatalf("status %+v", s)
 	}
-	if m := s.Machines[0]; m.Load != 1 || m.OverMean < 2 || !m.Schedulable {
+	if m := s.Machines[0]; m.Load != 1 || m.RelativeLoad < 2 || !m.Schedulable {
 		t.Errorf("the full machine: %+v", m)
 	}
 	if m := s.Machines[5]; m.Schedulable || m.UnschedulableReason != "drained" {
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -85,7 +85,7 @@
 		Tasks: m.state.Tasks, Schedulable: m.takesWork(), UnschedulableReason: m.exclusionReason(),
 	}
 	if mean > 0 {
-		status.OverMean = status.Load / mean
+		status.RelativeLoad = status.Load / mean
 	}
 	return status
 }
--- a/internal/peer/status.go
+++ b/internal/peer/status.go
@@ -64,7 +64,7 @@
 	Type                string  `msgpack:"type" json:"type"`
 	Zone                string  `msgpack:"zone" json:"zone"`
 	Load                float64 `msgpack:"load" json:"load"`
-	OverMean            float64 `msgpack:"over" json:"over_mean"` // load as a multiple of the mean load
+	RelativeLoad        float64 `msgpack:"over" json:"over_mean"` // load as a multiple of the mean load
 	Tasks               int     `msgpack:"tasks" json:"tasks"`
 	Schedulable         bool    `msgpack:"takes_work" json:"takes_work"`
 	UnschedulableReason string  `msgpack:"why_not" json:"why_not,omitempty"`
--- a/internal/status/status_test.go
+++ b/internal/status/status_test.go
@@ -40,7 +40,7 @@
 func TestEveryControllerIsARow(t *testing.T) {
 	leads := peer.Status{Controller: "c0", Leader: "c0", Term: 7, IsLeader: true, Rebalancing: true, MeanLoad: 0.5,
 		Shards:     []peer.ShardStatus{{Shard: 0, Holder: "c0", Granted: true, Machines: 2, SchedulableMachines: 2, MeanLoad: 0.5, MaxLoad: 0.75}},
-		Machines:   []peer.MachineStatus{{Name: "host-1", Load: 0.75, OverMean: 1.5, UnschedulableReason: "not needed"}},
+		Machines:   []peer.MachineStatus{{Name: "host-1", Load: 0.75, RelativeLoad: 1.5, UnschedulableReason: "not needed"}},
 		Migrations: []peer.MigrationStatus{{Task: "j-000001/3", From: "host-1", To: "host-2", Stage: "stopping"}},
 		Refusals:   []peer.RefusalStatus{{Machine: "host-3", Reason: "cannot save", Tasks: 4, Task: "j-000002/0"}, {Reason: "work waits for room", Tasks: 1}}}
 	cfg := &config.Config{}
--- a/internal/status/table.go
+++ b/internal/status/table.go
@@ -141,7 +141,7 @@
 		if !m.Schedulable {
 			takesWork = "no: " + m.UnschedulableReason
 		}
-		t.row(m.Name, m.Shard, m.Type, m.Zone, m.Load, m.OverMean, m.Tasks, takesWork)
+		t.row(m.Name, m.Shard, m.Type, m.Zone, m.Load, m.RelativeLoad, m.Tasks, takesWork)
 	}
 }
 
