--- a/internal/compat/exact_test.go
+++ b/internal/compat/exact_test.go
@@ -196,7 +196,7 @@
 				UnschedulableReason: "not needed",
 			},
 		},
-		Teams: []peer.TeamStatus{{Team: "vision", CPUs: 64, Limit: 128, Waiting: 12, AtLimit: 3}},
+		Teams: []peer.TeamStatus{{Team: "vision", CPUs: 64, Limit: 128, Waiting: 12, WaitingAtLimit: 3}},
 		Migrations: []peer.MigrationStatus{
 			{
 				Task:  "j-000412/3",
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -125,7 +125,7 @@
 		}
 		t.Waiting += j.Waiting()
 		if team := l.teams[s.Team]; !l.usage.Of(s.Team).FitsLimit(s, team) {
-			t.AtLimit += j.Waiting()
+			t.WaitingAtLimit += j.Waiting()
 		}
 	}
 	var out []peer.TeamStatus
--- a/internal/peer/status.go
+++ b/internal/peer/status.go
@@ -72,11 +72,11 @@
 
 // TeamStatus describes the resource usage and the waiting tasks of a team.
 type TeamStatus struct {
-	Team    string  `msgpack:"team" json:"team"`
-	CPUs    float64 `msgpack:"cpus" json:"cpus_held"`
-	Limit   float64 `msgpack:"limit" json:"cpus_limit"`
-	Waiting int     `msgpack:"waiting" json:"waiting"`
-	AtLimit int     `msgpack:"at_limit" json:"waiting_at_limit"` // waiting tasks that the team's limit blocks
+	Team           string  `msgpack:"team" json:"team"`
+	CPUs           float64 `msgpack:"cpus" json:"cpus_held"`
+	Limit          float64 `msgpack:"limit" json:"cpus_limit"`
+	Waiting        int     `msgpack:"waiting" json:"waiting"`
+	WaitingAtLimit int     `msgpack:"at_limit" json:"waiting_at_limit"` // waiting tasks that the team's limit blocks
 }
 
 // MigrationStatus describes a migration in flight.
--- a/internal/status/table.go
+++ b/internal/status/table.go
@@ -152,7 +152,7 @@
 		if team.Limit != 0 {
 			limit = fmt.Sprintf("%.2f", team.Limit)
 		}
-		t.row(team.Team, team.CPUs, limit, team.Waiting, team.AtLimit)
+		t.row(team.Team, team.CPUs, limit, team.Waiting, team.WaitingAtLimit)
 	}
 }
 
