--- a/internal/leader/failure_attribution.go
+++ b/internal/leader/failure_attribution.go
@@ -102,7 +102,7 @@
 	for _, ref := range l.jobs.Refs() {
 		if j := l.jobs.Get(ref); j.Failures.Suspect() {
 			out = append(out, peer.SuspectStatus{Job: ref, Team: j.Spec.Team, Machines: len(j.Failures.FailedMachines()),
-				Probes: j.Failures.Probes(), NextS: max(0, (j.Failures.NextProbeAt() - now).Seconds())})
+				Probes: j.Failures.Probes(), NextProbeS: max(0, (j.Failures.NextProbeAt() - now).Seconds())})
 		}
 	}
 	return out
--- a/internal/peer/status.go
+++ b/internal/peer/status.go
@@ -37,11 +37,11 @@
 
 // SuspectStatus describes a suspect job: its tasks fail on every machine.
 type SuspectStatus struct {
-	Job      string  `msgpack:"job" json:"job"`
-	Team     string  `msgpack:"team" json:"team"`
-	Machines int     `msgpack:"machines" json:"failed_on_machines"`
-	Probes   int     `msgpack:"probes" json:"probes"` // tasks launched since the job became suspect
-	NextS    float64 `msgpack:"next_s" json:"next_probe_s"`
+	Job        string  `msgpack:"job" json:"job"`
+	Team       string  `msgpack:"team" json:"team"`
+	Machines   int     `msgpack:"machines" json:"failed_on_machines"`
+	Probes     int     `msgpack:"probes" json:"probes"` // tasks launched since the job became suspect
+	NextProbeS float64 `msgpack:"next_s" json:"next_probe_s"`
 }
 
 // ShardStatus describes a shard and its machines.
--- a/internal/status/status_test.go
+++ b/internal/status/status_test.go
@@ -116,7 +116,7 @@
 	if s := quiet.String(); strings.Contains(s, "STOOD STILL") || strings.Contains(s, "SUSPECT") || !strings.Contains(s, "none") {
 		t.Errorf("a quiet site shows\n%s", s)
 	}
-	plain.Suspects = []peer.SuspectStatus{{Job: "j-000007", Team: "guest", Machines: 3, Probes: 2, NextS: 7.5}}
+	plain.Suspects = []peer.SuspectStatus{{Job: "j-000007", Team: "guest", Machines: 3, Probes: 2, NextProbeS: 7.5}}
 	froze := peer.Status{Controller: "c1", Pauses: 4, LastPause: &peer.PauseStatus{
 		AgoS: 61, LengthS: 12.5, Expired: []string{"grant of block 1", "view of the jobs"}}}
 	if err := WriteTable(&bad, []Controller{{Name: "c0", Status: &plain}, {Name: "c1", Status: &froze}}, WithoutMachines); err != nil {
--- a/internal/status/table.go
+++ b/internal/status/table.go
@@ -163,7 +163,7 @@
 	}
 	t.heading("SUSPECT JOB", "TEAM", "FAILED ON", "PROBES", "NEXT IN S")
 	for _, s := range suspects {
-		t.row(s.Job, s.Team, fmt.Sprintf("%d machines", s.Machines), s.Probes, s.NextS)
+		t.row(s.Job, s.Team, fmt.Sprintf("%d machines", s.Machines), s.Probes, s.NextProbeS)
 	}
 }
 
