--- a/internal/leader/rebalancing_test.go
+++ b/internal/leader/rebalancing_test.go
@@ -269,7 +269,7 @@
 	l.inventory.machines[names[5]].draining, l.inventory.machines[names[5]].state.Tasks = true, 1
 	stops(l)
 	s := l.status(began + 95*clock.Second)
-	if !s.IsLeader || !s.Rebalancing || len(s.Shards) != 2 || len(s.Machines) != len(names) || len(s.Migrations) != 1 || s.MigrationOutcomes.Begun != 1 {
+	if !s.IsLeader || !s.Rebalancing || len(s.Shards) != 2 || len(s.Machines) != len(names) || len(s.Migrations) != 1 || s.MigrationOutcomes.Started != 1 {
 		t.Fatalf("status %+v", s)
 	}
 	if m := s.Machines[0]; m.Load != 1 || m.RelativeLoad < 2 || !m.Schedulable {
--- a/internal/peer/status.go
+++ b/internal/peer/status.go
@@ -101,7 +101,7 @@
 
 // MigrationOutcomes counts migrations by outcome.
 type MigrationOutcomes struct {
-	Begun     int `msgpack:"begun" json:"begun"`
+	Started   int `msgpack:"begun" json:"begun"`
 	Arrived   int `msgpack:"arrived" json:"arrived"`
 	Elsewhere int `msgpack:"elsewhere" json:"elsewhere"`
 	Cancelled int `msgpack:"cancelled" json:"cancelled"`
--- a/internal/scenario/random_faults_test.go
+++ b/internal/scenario/random_faults_test.go
@@ -122,7 +122,7 @@
 	if len(w.rules.violations) > 0 {
 		t.Fatalf("%s", strings.Join(w.rules.violations[:min(len(w.rules.violations), 5)], "\n"))
 	}
-	return w.leaderStatus().MigrationOutcomes.Begun
+	return w.leaderStatus().MigrationOutcomes.Started
 }
 
 // Worlds that the long search has found, with what it showed.
