--- a/internal/peer/status.go
+++ b/internal/peer/status.go
@@ -103,7 +103,7 @@
 type MigrationOutcomes struct {
 	Started   int `msgpack:"begun" json:"begun"`
 	Arrived   int `msgpack:"arrived" json:"arrived"`
-	Elsewhere int `msgpack:"elsewhere" json:"elsewhere"`
+	Diverted  int `msgpack:"elsewhere" json:"elsewhere"`
 	Cancelled int `msgpack:"cancelled" json:"cancelled"`
 	GivenUp   int `msgpack:"given_up" json:"given_up"`
 }
