--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -149,7 +149,7 @@
 // migrationOutcomes tells how the migrations of the term have ended.
 func migrationOutcomes(o rebalancer.Outcomes) peer.MigrationOutcomes {
 	return peer.MigrationOutcomes{
-		Started: o.Started, Arrived: o.Arrived, Diverted: o.Diverted, Cancelled: o.Cancelled, GivenUp: o.TimedOut,
+		Started: o.Started, Arrived: o.Arrived, Diverted: o.Diverted, Cancelled: o.Cancelled, TimedOut: o.TimedOut,
 	}
 }
 
--- a/internal/peer/status.go
+++ b/internal/peer/status.go
@@ -105,5 +105,5 @@
 	Arrived   int `msgpack:"arrived" json:"arrived"`
 	Diverted  int `msgpack:"elsewhere" json:"elsewhere"`
 	Cancelled int `msgpack:"cancelled" json:"cancelled"`
-	GivenUp   int `msgpack:"given_up" json:"given_up"`
+	TimedOut  int `msgpack:"given_up" json:"given_up"`
 }
--- a/internal/scenario/commands_rebalancing_test.go
+++ b/internal/scenario/commands_rebalancing_test.go
@@ -42,5 +42,5 @@
 // migrationsCommand tells how moves have ended.
 func migrationsCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	e := w.leaderStatus().MigrationOutcomes
-	return fmt.Sprintf("begun %d, arrived %d, elsewhere %d, cancelled %d, given up %d", e.Started, e.Arrived, e.Diverted, e.Cancelled, e.GivenUp)
+	return fmt.Sprintf("begun %d, arrived %d, elsewhere %d, cancelled %d, given up %d", e.Started, e.Arrived, e.Diverted, e.Cancelled, e.TimedOut)
 }
