--- a/internal/compat/samples_test.go
+++ b/internal/compat/samples_test.go
@@ -213,7 +213,7 @@
 		Blocks:      map[string]int{},
 		BlockKey:    shard.Key(2),
 		RecordKeys:  shard.AttemptPrefix(2),
-		AttemptBits: peer.AttemptBits,
+		AttemptBits: peer.AttemptCountBits,
 		ChunkTasks:  jobs.TasksPerChunk,
 		TaskName:    shard.TaskName(peer.Task{Job: "j-000412", Index: 3}),
 	}
--- a/internal/peer/attempt_page.go
+++ b/internal/peer/attempt_page.go
@@ -15,17 +15,17 @@
 	Machine string
 }
 
-// AttemptBits is the number of low bits of an attempt ID that hold the count of the attempt within its shard grant.
+// AttemptCountBits is the number of low bits of an attempt ID that hold the count of the attempt within its shard grant.
 // The remaining bits hold the fencing token of the grant.
-const AttemptBits = 20
+const AttemptCountBits = 20
 
 // NewAttemptID returns the ID of the attempt with the given count within the grant that has the given fencing token.
 func NewAttemptID(token wire.FencingToken, count uint64) wire.AttemptID {
-	return wire.AttemptID(token)<<AttemptBits | wire.AttemptID(count)
+	return wire.AttemptID(token)<<AttemptCountBits | wire.AttemptID(count)
 }
 
 // attemptCount returns the count of an attempt within its grant.
-func attemptCount(attempt wire.AttemptID) int { return int(attempt & (1<<AttemptBits - 1)) }
+func attemptCount(attempt wire.AttemptID) int { return int(attempt & (1<<AttemptCountBits - 1)) }
 
 // numbersPerRecord is the number of elements of AttemptGroup.Attempts that encode one record.
 const numbersPerRecord = 3
--- a/internal/shard/attempt_log_test.go
+++ b/internal/shard/attempt_log_test.go
@@ -237,8 +237,8 @@
 		places, asks bool
 	}{
 		{0, true, false},
-		{1<<peer.AttemptBits - attemptReserve - 1, true, true},
-		{1<<peer.AttemptBits - attemptReserve, false, true},
+		{1<<peer.AttemptCountBits - attemptReserve - 1, true, true},
+		{1<<peer.AttemptCountBits - attemptReserve, false, true},
 	} {
 		h := newTestHolder(t)
 		h.Step(now, heartbeat("m1", 1, testToken))
@@ -256,7 +256,7 @@
 		if (placed > 0) != c.places || asked != c.asks {
 			t.Errorf("%d attempts given out: %d tasks placed, a new grant asked for: %v", c.count, placed, asked)
 		}
-		if attempts.count >= 1<<peer.AttemptBits {
+		if attempts.count >= 1<<peer.AttemptCountBits {
 			t.Errorf("attempt %d does not fit its bits", attempts.count)
 		}
 	}
--- a/internal/shard/attempts.go
+++ b/internal/shard/attempts.go
@@ -137,7 +137,7 @@
 
 // maxAttempts is how many attempts a lease places at most. The IDs that are left of its fencing token's are more
 // than one placement cycle can record in a transaction: an ID beyond would belong to another token.
-const maxAttempts = 1<<peer.AttemptBits - attemptReserve
+const maxAttempts = 1<<peer.AttemptCountBits - attemptReserve
 
 // attemptReserve is how many attempt IDs are left of a lease when a new one is requested.
 const attemptReserve = 1 << 14
