--- a/internal/controller/agent_client.go
+++ b/internal/controller/agent_client.go
@@ -21,33 +21,33 @@
 	commandTimeout = 3 * time.Second
 	// inspectionTimeout bounds a request for an agent's heartbeat.
 	inspectionTimeout = 2 * time.Second
-	// agentIdleTimeout is how long an unused connection to an agent is kept.
+	// agentIdleTimeout is how long an idle connection to an agent is kept open.
 	agentIdleTimeout = 40 * time.Second
-	// connectionsPerAgent is how many connections to one agent may be open.
+	// connectionsPerAgent is the maximum number of open connections to one agent.
 	connectionsPerAgent = 3
-	// agentBufferBytes is the size of a connection's read and write buffers.
+	// agentBufferBytes is the size of the read buffer and of the write buffer of a connection.
 	agentBufferBytes = 2048
-	// minAgentRequests is how many requests to agents may be under way at least.
+	// minAgentRequests is the lower bound of maxAgentRequests.
 	minAgentRequests = 64
 )
 
-// maxAgentRequests returns how many requests to agents may be under way. One to a machine that cannot be
-// reached takes a second or more, and a zone of thousands may be unreachable while others are to be commanded.
+// maxAgentRequests returns the maximum number of concurrent requests to agents. A request to an unreachable machine
+// takes a second or more, and a zone of thousands of machines may be unreachable while others need commands.
 func maxAgentRequests(cfg *config.Config) int {
 	return max(minAgentRequests, cfg.MaxCommandConnections()/4)
 }
 
-// agentClient sends requests to the agents of machines, in place of waiting for their heartbeats.
+// agentClient sends requests to agents, so that the controller does not have to wait for their heartbeats.
 type agentClient struct {
 	http        *fasthttp.Client
 	connections connectionCounter
-	// maxKept is how many connections are kept open after their request.
-	maxKept int
-	slots   chan struct{} // one for each request that is under way
+	// maxKeepAlive is the maximum number of connections that are kept open after a request.
+	maxKeepAlive int
+	requestSlots chan struct{} // one for each request in progress
 }
 
 func newAgentClient(cfg *config.Config) *agentClient {
-	a := &agentClient{maxKept: cfg.MaxCommandConnections(), slots: make(chan struct{}, maxAgentRequests(cfg))}
+	a := &agentClient{maxKeepAlive: cfg.MaxCommandConnections(), requestSlots: make(chan struct{}, maxAgentRequests(cfg))}
 	a.http = &fasthttp.Client{
 		Dial:                      a.connections.dial,
 		MaxConnsPerHost:           connectionsPerAgent,
@@ -61,19 +61,19 @@
 	return a
 }
 
-// acquire waits until another request may be sent. It returns false if the context ends first.
+// acquire waits for a request slot. It returns false if the context ends first.
 func (a *agentClient) acquire(ctx context.Context) bool {
 	select {
-	case a.slots <- struct{}{}:
+	case a.requestSlots <- struct{}{}:
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-func (a *agentClient) release() { <-a.slots }
+func (a *agentClient) release() { <-a.requestSlots }
 
-// sendCommands sends commands to an agent and returns its answer. An error says that nothing was sent.
+// sendCommands sends commands to an agent and returns its answer. An error means that nothing was sent.
 func (a *agentClient) sendCommands(ctx context.Context, request shard.SendCommands) (shard.CommandsAnswered, error) {
 	answer := shard.CommandsAnswered{Request: request}
 	if !a.acquire(ctx) {
@@ -86,7 +86,7 @@
 	if err := jsonhttp.Encode(req, http.MethodPost, request.Address, "/orders", request.Body); err != nil {
 		return answer, fmt.Errorf("encode commands to %s: %w", request.Machine, err)
 	}
-	if a.connections.count() > a.maxKept {
+	if a.connections.count() > a.maxKeepAlive {
 		req.SetConnectionClose()
 	}
 	switch err := a.http.DoTimeout(req, res, commandTimeout); {
@@ -101,7 +101,7 @@
 	return answer, nil
 }
 
-// inspect asks an agent for its heartbeat. An error says that nothing was sent.
+// inspect requests the heartbeat of an agent. An error means that nothing was sent.
 func (a *agentClient) inspect(ctx context.Context, request shard.InspectAgent) (shard.InspectionAnswered, error) {
 	answer := shard.InspectionAnswered{Request: request}
 	if !a.acquire(ctx) {
@@ -115,7 +115,7 @@
 	return answer, nil
 }
 
-// decodeHeartbeat returns the heartbeat in an answer's body; nil if it is none of the machine's.
+// decodeHeartbeat decodes the heartbeat in a response body. It returns nil if it is invalid or of another machine.
 func decodeHeartbeat(body []byte, machine string) *wire.Heartbeat {
 	var heartbeat wire.Heartbeat
 	if json.Unmarshal(body, &heartbeat) != nil || heartbeat.Machine != machine {
--- a/internal/controller/agent_connections_test.go
+++ b/internal/controller/agent_connections_test.go
@@ -7,27 +7,28 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Connections to agents that are not kept must be uncounted, or after a while none would be kept any more.
+// Closing a connection must decrement the counter once. Otherwise the counter would grow until no connection is kept
+// open.
 func TestConnectionCounterCountsOpenConnections(t *testing.T) {
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	served := make(chan error, 1)
-	go func() { served <- fasthttp.Serve(l, func(*fasthttp.RequestCtx) {}) }()
+	go func() { served <- fasthttp.Serve(listener, func(*fasthttp.RequestCtx) {}) }()
 	t.Cleanup(func() {
-		l.Close()
+		listener.Close()
 		if err := <-served; err != nil {
 			t.Error(err)
 		}
 	})
 	var connections connectionCounter
 	client := &fasthttp.Client{Dial: connections.dial}
-	get := func(last bool) {
+	get := func(closeAfter bool) {
 		t.Helper()
 		req, res := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
-		req.SetRequestURI("http://" + l.Addr().String() + "/")
-		if last {
+		req.SetRequestURI("http://" + listener.Addr().String() + "/")
+		if closeAfter {
 			req.SetConnectionClose()
 		}
 		if err := client.Do(req, res); err != nil {
@@ -36,19 +37,19 @@
 	}
 	get(false)
 	if open := connections.count(); open != 1 {
-		t.Errorf("%d connections open, want the one that is kept", open)
+		t.Errorf("%d connections open, want 1: the keep-alive connection", open)
 	}
 	get(true)
 	if open := connections.count(); open != 0 {
-		t.Errorf("%d connections open after the last was not kept", open)
+		t.Errorf("%d connections open after a request without keep-alive, want 0", open)
 	}
-	connection, err := connections.dial(l.Addr().String())
+	connection, err := connections.dial(listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	connection.Close()
 	connection.Close()
 	if open := connections.count(); open != 0 {
-		t.Errorf("%d connections open after one was closed twice", open)
+		t.Errorf("%d connections open after one was closed twice, want 0", open)
 	}
 }
--- a/internal/controller/cloud_effects.go
+++ b/internal/controller/cloud_effects.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	// cloudWorkers is how many requests to the cloud may be under way: one that is slow or refused must not hold
-	// up the others.
+	// cloudWorkers is the maximum number of concurrent requests to the cloud. There are several so that a slow or
+	// refused request does not delay the others.
 	cloudWorkers = 4
-	// cloudQueueSize is how many requests to the cloud may wait.
+	// cloudQueueSize is the maximum number of queued requests to the cloud.
 	cloudQueueSize = 64
 )
 
-// cloudWorker carries out the leader's requests to the cloud; answers go back to the leader as messages.
+// cloudWorker performs the leader's requests to the cloud and sends the answers to the leader as messages.
 type cloudWorker struct {
 	client *cloud.Client
 	leader mailbox[leader.Message]
@@ -35,8 +35,8 @@
 	}
 }
 
-// enqueue has a request carried out. It never waits: when too many do, the request is dropped, and the leader
-// makes it again.
+// enqueue queues a request without blocking. If the queue is full, the request is dropped, and the leader repeats it
+// later.
 func (w *cloudWorker) enqueue(request func(context.Context)) {
 	select {
 	case w.queue <- request:
@@ -45,7 +45,7 @@
 	}
 }
 
-// run carries out one request at a time until the context ends. Several of it may run.
+// run performs queued requests one at a time until the context ends. Several calls may run concurrently.
 func (w *cloudWorker) run(ctx context.Context) {
 	for {
 		select {
@@ -76,13 +76,13 @@
 func (w *cloudWorker) loadCatalog(ctx context.Context) {
 	catalog, err := w.client.Catalog(ctx)
 	if err != nil {
-		w.log.Debug("cannot load the catalog", "error", err)
+		w.log.Debug("cannot load the machine catalog", "error", err)
 		return
 	}
 	w.leader.send(leader.CatalogLoaded{Types: catalog.Types})
 }
 
-// listMachines reads all pages of the machine list. The leader gets the whole list or nothing.
+// listMachines reads all pages of the cloud's list of machines. The leader receives the complete list or nothing.
 func (w *cloudWorker) listMachines(ctx context.Context) {
 	var machines []wire.Machine
 	after := ""
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,9 +1,8 @@
-// Package controller is the process of one controller: it wires the actors that decide (election, leader, shard)
-// to the network. A Controller owns the actors' mailboxes, the clients of the store, the cloud, the agents and the
-// other controllers, and every goroutine. Each actor handles one message at a time and returns effects; the
-// controller carries them out in their order, those that wait for somebody in goroutines of their own, and sends
-// what came of them to the actor as messages. It decides nothing itself: what to do, and when to try again, is the
-// actors' to say.
+// Package controller implements the process of one controller: it connects the actors that make the decisions
+// (election, leader, shard) to the network. A Controller owns the mailboxes of the actors, the clients of the store,
+// the cloud, the agents and the other controllers, and all goroutines. Each actor handles one message at a time and
+// returns effects. The controller performs the effects in order, blocking ones in separate goroutines, and sends their
+// results to the actor as messages. It makes no decisions itself: the actors determine what to do and when to retry.
 package controller
 
 import (
@@ -34,13 +33,13 @@
 	clock       clock.Steady
 	incarnation cluster.Incarnation
 
-	// The actors.
+	// Mailboxes of the actors, and the pause log, which is an actor too.
 	elector mailbox[electorMessage]
 	leader  mailbox[leader.Message]
 	holder  mailbox[shard.Message]
 	pauses  *pauseLog
 
-	// What they speak to.
+	// Services and clients that perform the effects of the actors.
 	store          *store.Client
 	storeHealth    *storeHealth
 	loader         *stateLoader
@@ -50,12 +49,12 @@
 	peers          *peerListener
 	storeTransport *peer.StoreTransport
 	jobCache       *api.JobCache
-	tracer         *trace.Tracer // nil: nothing is traced
+	tracer         *trace.Tracer // nil if tracing is disabled
 
-	background sync.WaitGroup // all goroutines of Serve but those of the services
+	background sync.WaitGroup // all goroutines of Serve except those of the services
 }
 
-// New returns a controller. Serve runs it, once.
+// New returns a controller. Its Serve method must be called only once.
 func New(cfg *config.Config, log *slog.Logger) *Controller {
 	c := &Controller{
 		cfg:         cfg,
@@ -87,7 +86,7 @@
 		log:    c.log,
 		leader: c.leader,
 		resign: c.resign,
-		// Two answers, one behind the other, have to come within the time that a view may be old.
+		// Two consecutive answers must arrive within the maximum age of the leader's view of the jobs.
 		watchTime: c.cfg.MaxViewAge() / 3,
 	}
 }
@@ -106,12 +105,12 @@
 	}
 }
 
-// Serve runs the controller until the context ends or it cannot serve any more. All goroutines have ended and all
-// listeners are closed when it returns; nil says that the context has ended.
+// Serve runs the controller until the context ends or an error prevents it from serving. When it returns, all
+// goroutines have ended and all listeners are closed. It returns nil if the context has ended.
 func (c *Controller) Serve(ctx context.Context) error {
 	peerListener, err := netio.Listen(c.cfg.PeerAddress)
 	if err != nil {
-		return fmt.Errorf("listen for controllers: %w", err)
+		return fmt.Errorf("listen for other controllers: %w", err)
 	}
 	defer peerListener.Close()
 	apiListener, err := netio.Listen(c.cfg.ListenAddress)
@@ -138,7 +137,7 @@
 	return c.serveAPI(ctx, apiListener)
 }
 
-// newTracer returns what writes spans; nil if the settings name no file.
+// newTracer returns the tracer, or nil if the settings name no file for spans.
 func (c *Controller) newTracer() (*trace.Tracer, error) {
 	tuning := c.cfg.Tuning.Trace
 	if tuning.File == "" {
@@ -153,8 +152,8 @@
 	return trace.New(settings, c.cfg.Name, c.clock, c.log)
 }
 
-// startServices starts what the actors and the API ask and wait for. The function that it returns ends the
-// services and waits for them; it is called when nobody asks any more.
+// startServices starts the services whose answers the actors and the API wait for. The returned function stops the
+// services and waits for their end. It must be called after the last request to them.
 func (c *Controller) startServices(ctx context.Context) (stop func()) {
 	ctx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	var services sync.WaitGroup
@@ -169,7 +168,7 @@
 	}
 }
 
-// startActors starts the actors and what serves them.
+// startActors starts the actors, the ticker and the cloud workers.
 func (c *Controller) startActors(ctx context.Context) {
 	c.background.Go(func() { c.tick(ctx) })
 	c.background.Go(func() { c.pauses.run(ctx) })
@@ -181,7 +180,7 @@
 	}
 }
 
-// serveAPI serves users and agents until the context ends or the listener fails.
+// serveAPI serves requests of users and agents until the context ends or the listener fails.
 func (c *Controller) serveAPI(ctx context.Context, listener net.Listener) error {
 	service := api.New(api.Options{
 		Config:          c.cfg,
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -16,20 +16,20 @@
 	"swiftledge/internal/peer"
 )
 
-// logWatch is a log handler that tells of lines with one message.
-type logWatch struct {
+// logObserver is a log handler that signals when a record with a given message is logged.
+type logObserver struct {
 	slog.Handler
 	message string
 	seen    chan struct{}
 }
 
-func newLogWatch(message string) logWatch {
-	return logWatch{Handler: slog.DiscardHandler, message: message, seen: make(chan struct{}, 1)}
+func newLogObserver(message string) logObserver {
+	return logObserver{Handler: slog.DiscardHandler, message: message, seen: make(chan struct{}, 1)}
 }
 
-func (w logWatch) Enabled(context.Context, slog.Level) bool { return true }
+func (w logObserver) Enabled(context.Context, slog.Level) bool { return true }
 
-func (w logWatch) Handle(_ context.Context, record slog.Record) error {
+func (w logObserver) Handle(_ context.Context, record slog.Record) error {
 	if record.Message == w.message {
 		select {
 		case w.seen <- struct{}{}:
@@ -39,9 +39,9 @@
 	return nil
 }
 
-// grantingStore answers as a store without keys that commits every transaction and grants every lease. A watch is
-// answered when closing is closed.
-func grantingStore(t *testing.T, closing <-chan struct{}) string {
+// startStubStore starts a store that has no keys, commits every transaction and grants every lease. It answers watches
+// when closing is closed. It returns the address of the store.
+func startStubStore(t *testing.T, closing <-chan struct{}) string {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch r.URL.Path {
@@ -68,7 +68,7 @@
 	return listener.Addr().String()
 }
 
-func soleControllerConfig(t *testing.T, storeAddress string) *config.Config {
+func singleControllerConfig(t *testing.T, storeAddress string) *config.Config {
 	t.Helper()
 	cfg := &config.Config{Tuning: config.DefaultTuning()}
 	cfg.Name, cfg.ListenAddress, cfg.PeerAddress = "n0", unusedAddress(t), unusedAddress(t)
@@ -82,25 +82,25 @@
 	return cfg
 }
 
-// ownGoroutines returns the stacks of goroutines that run methods of this package's types.
-func ownGoroutines() []string {
+// packageGoroutines returns the stacks of the goroutines that run methods of types of this package.
+func packageGoroutines() []string {
 	buffer := make([]byte, 1<<20)
 	buffer = buffer[:runtime.Stack(buffer, true)]
-	var own []string
+	var stacks []string
 	for stack := range strings.SplitSeq(string(buffer), "\n\n") {
 		if strings.Contains(stack, "\nswiftledge/internal/controller.(") {
-			own = append(own, stack)
+			stacks = append(stacks, stack)
 		}
 	}
-	return own
+	return stacks
 }
 
-// Serve returns when its context ends. By then all that it started has ended, a connection that is open included,
-// and the addresses are free again.
-func TestServeEndsWithItsContext(t *testing.T) {
+// Serve returns when its context ends. By then all goroutines that it started have ended, including that of an open
+// connection, and its addresses are free again.
+func TestServeStopsWhenContextEnds(t *testing.T) {
 	closing := make(chan struct{})
-	cfg := soleControllerConfig(t, grantingStore(t, closing))
-	following := newLogWatch("following")
+	cfg := singleControllerConfig(t, startStubStore(t, closing))
+	following := newLogObserver("following")
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	served := make(chan error, 1)
@@ -108,30 +108,30 @@
 	select {
 	case <-following.seen:
 	case err := <-served:
-		t.Fatalf("ended without leading: %v", err)
+		t.Fatalf("Serve returned before the controller followed a leader: %v", err)
 	}
 	status, err := peer.FetchStatus(cfg.PeerAddress)
 	if err != nil || status.Leader != "n0" {
-		t.Errorf("leader %q, %v: want itself", status.Leader, err)
+		t.Errorf("leader %q, error %v; want n0 itself", status.Leader, err)
 	}
-	idle, err := net.Dial("tcp4", cfg.PeerAddress)
+	idleConn, err := net.Dial("tcp4", cfg.PeerAddress)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer idle.Close()
+	defer idleConn.Close()
 
 	cancel()
 	close(closing)
 	if err := <-served; err != nil {
-		t.Errorf("ended with %v", err)
+		t.Errorf("Serve returned error %v, want nil", err)
 	}
-	if left := ownGoroutines(); len(left) > 0 {
-		t.Errorf("goroutines are left:\n%s", strings.Join(left, "\n\n"))
+	if leaked := packageGoroutines(); len(leaked) > 0 {
+		t.Errorf("goroutines still running after Serve returned:\n%s", strings.Join(leaked, "\n\n"))
 	}
 	for _, address := range []string{cfg.PeerAddress, cfg.ListenAddress} {
 		listener, err := netio.Listen(address)
 		if err != nil {
-			t.Errorf("address is still in use: %v", err)
+			t.Errorf("address is still in use after Serve returned: %v", err)
 			continue
 		}
 		listener.Close()
--- a/internal/controller/elector.go
+++ b/internal/controller/elector.go
@@ -13,21 +13,21 @@
 	"swiftledge/wire"
 )
 
-// electorMessage is what the elector's actor is told.
+// electorMessage is a message to the elector's actor.
 //
 //sumtype:decl
 type electorMessage interface{ electorMessage() }
 
-// electionStep is a message to the election.Elector.
+// electionStep carries a message for the election.Elector.
 type electionStep struct{ message election.Message }
 
-// termQuery asks for the term of this controller; 0 if it does not lead.
-type termQuery struct{ reply chan<- cluster.Term }
+// leadingTermQuery requests the term that this controller leads. The reply is 0 if it does not lead.
+type leadingTermQuery struct{ reply chan<- cluster.Term }
 
-func (electionStep) electorMessage() {}
-func (termQuery) electorMessage()    {}
+func (electionStep) electorMessage()     {}
+func (leadingTermQuery) electorMessage() {}
 
-// runElector is the elector's actor.
+// runElector runs the elector's actor until the context ends.
 func (c *Controller) runElector(ctx context.Context) {
 	self := election.Record{Controller: c.cfg.Name, Incarnation: c.incarnation}
 	elector := election.New(self, clock.FromSeconds(c.cfg.Tuning.Election.TTLS))
@@ -37,44 +37,44 @@
 			for _, effect := range elector.Step(c.clock.Now(), m.message) {
 				c.performElectorEffect(ctx, effect)
 			}
-		case termQuery:
+		case leadingTermQuery:
 			m.reply <- elector.Term()
 		}
 	})
 }
 
-// ownTerm returns the term of this controller; 0 if it does not lead.
-func (c *Controller) ownTerm() cluster.Term {
+// leadingTerm returns the term that this controller leads, or 0 if it does not lead.
+func (c *Controller) leadingTerm() cluster.Term {
 	reply := make(chan cluster.Term, 1)
-	c.elector.send(termQuery{reply})
+	c.elector.send(leadingTermQuery{reply})
 	term, _ := receiveReply(c.elector, reply)
 	return term
 }
 
-// resignOwnTerm gives up leadership, if this controller has it.
-func (c *Controller) resignOwnTerm() {
-	if term := c.ownTerm(); term > 0 {
+// resignLeadingTerm resigns leadership if this controller leads.
+func (c *Controller) resignLeadingTerm() {
+	if term := c.leadingTerm(); term > 0 {
 		c.resign(term)
 	}
 }
 
-// resign gives up leadership of a term.
+// resign resigns leadership of a term.
 func (c *Controller) resign(term cluster.Term) {
 	c.elector.send(electionStep{election.Resign{Term: term}})
 }
 
 const (
-	// leaderKeyRetry is how long to wait after the leader key could not be read.
+	// leaderKeyRetry is the delay before the leader key is read again after a failure.
 	leaderKeyRetry = 200 * time.Millisecond
-	// leaderWatchRetry is how long to wait at least after a watch of the leader key failed; a random part of
-	// leaderWatchJitter is added.
+	// leaderWatchRetry is the minimum delay after a failed watch of the leader key. A random part of
+	// leaderWatchJitter is added to it.
 	leaderWatchRetry  = 100 * time.Millisecond
 	leaderWatchJitter = 200 * time.Millisecond
 	// leaderWatchTime is how long the store holds a watch of the leader key open.
 	leaderWatchTime = 10 * clock.Second
 )
 
-// watchLeaderKey tells the elector of every change of the leader key, until the context ends.
+// watchLeaderKey reports every change of the leader key to the elector until the context ends.
 func (c *Controller) watchLeaderKey(ctx context.Context) {
 	for ctx.Err() == nil {
 		revision, err := c.readLeaderKey(ctx)
@@ -90,7 +90,7 @@
 	}
 }
 
-// readLeaderKey tells the elector of the leader key as it is now. It returns the revision of the store.
+// readLeaderKey reports the current state of the leader key to the elector. It returns the revision of the store.
 func (c *Controller) readLeaderKey(ctx context.Context) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, electionTimeout)
 	defer cancel()
@@ -112,8 +112,8 @@
 	return revision, nil
 }
 
-// watchLeaderKeySince tells the elector of every change of the leader key after a revision, until a watch
-// fails or the context ends.
+// watchLeaderKeySince reports every change of the leader key after a revision to the elector until a watch fails or
+// the context ends.
 func (c *Controller) watchLeaderKeySince(ctx context.Context, revision uint64) error {
 	for ctx.Err() == nil {
 		response, err := c.store.Watch(ctx, election.Key, revision, leaderWatchTime)
--- a/internal/controller/elector_effects.go
+++ b/internal/controller/elector_effects.go
@@ -10,10 +10,11 @@
 	"swiftledge/internal/store"
 )
 
-// electionTimeout bounds a request of the elector to the store, which the next tick would repeat anyway.
+// electionTimeout bounds a request of the elector to the store. A longer wait is useless because the next tick repeats
+// the request.
 const electionTimeout = 2 * time.Second
 
-// performElectorEffect carries out one effect of the elector; answers go back to it as messages.
+// performElectorEffect performs one effect of the elector and sends the result to the elector as a message.
 func (c *Controller) performElectorEffect(ctx context.Context, effect election.Effect) {
 	switch e := effect.(type) {
 	case election.RequestLease:
--- a/internal/controller/follower.go
+++ b/internal/controller/follower.go
@@ -18,21 +18,21 @@
 )
 
 const (
-	// leaderDialRetry is how long to wait at least before the leader is dialed again; a random part of
-	// leaderDialJitter is added.
+	// leaderDialRetry is the minimum delay before the leader is dialed again. A random part of leaderDialJitter is
+	// added to it.
 	leaderDialRetry  = 200 * time.Millisecond
 	leaderDialJitter = 100 * time.Millisecond
-	// dialFailuresBeforeStore is how often in a row the leader may be out of reach before it is linked through
-	// the store.
+	// dialFailuresBeforeStore is the number of consecutive failed dials after which the follower uses the store
+	// transport.
 	dialFailuresBeforeStore = 4
-	// directProbeInterval is how often a follower that is linked through the store tries to reach the leader
+	// directProbeInterval is how often a follower that is linked through the store tries to connect to the leader
 	// directly.
 	directProbeInterval = 3 * time.Second
-	// directProbeTimeout bounds one such try.
+	// directProbeTimeout bounds one such connection attempt.
 	directProbeTimeout = time.Second
 )
 
-// follower keeps the holder linked to the leader.
+// follower maintains the link from the holder to the leader.
 type follower struct {
 	controller     string
 	incarnation    cluster.Incarnation
@@ -42,10 +42,10 @@
 	storeTransport *peer.StoreTransport
 	leader         mailbox[leader.Message]
 	holder         mailbox[shard.Message]
-	background     *sync.WaitGroup // of what may outlast a link
+	background     *sync.WaitGroup // goroutines that may outlive a link
 }
 
-// follow keeps a link to the leader of a term until another term begins or the context ends.
+// follow maintains a link to the leader of a term until another term begins or the context ends.
 func (f *follower) follow(ctx context.Context, term cluster.Term, name string) {
 	if name == f.controller {
 		f.linkLocally(term)
@@ -53,7 +53,7 @@
 	}
 	address, found := f.addressOf(name)
 	if !found {
-		f.log.Error("leader is not among the known controllers", "leader", name)
+		f.log.Error("leader is not a configured controller", "leader", name)
 		return
 	}
 	hello := peer.Hello{Controller: f.controller, Incarnation: f.incarnation, Term: term}
@@ -80,10 +80,10 @@
 	}
 }
 
-// linkLocally links the holder to the leader of the same process.
+// linkLocally links the holder to the leader in the same process.
 func (f *follower) linkLocally(term cluster.Term) {
 	holderLink := &localHolderLink{holder: f.holder, jobCache: f.jobCache}
-	leaderLink := &localLeaderLink{controller: f.controller, leader: f.leader, otherEnd: holderLink}
+	leaderLink := &localLeaderLink{controller: f.controller, leader: f.leader, holderLink: holderLink}
 	f.leader.send(leader.PeerConnected{Controller: f.controller, Incarnation: f.incarnation, Link: holderLink})
 	f.holder.send(leaderLinkUp{shard.LeaderConnected{Term: term}, leaderLink})
 }
@@ -97,7 +97,7 @@
 	return "", false
 }
 
-// followThroughStore links the holder to the leader through the store until the leader can be reached directly.
+// followThroughStore links the holder to the leader through the store until the leader is reachable directly.
 func (f *follower) followThroughStore(ctx context.Context, hello peer.Hello, name, address string) {
 	link, err := f.storeTransport.Dial(ctx, name, hello)
 	if err != nil {
@@ -115,7 +115,7 @@
 	f.serve(ctx, hello.Term, link)
 }
 
-// waitUntilReachable tries to connect to an address until it succeeds. It returns false if the context ends first.
+// waitUntilReachable tries to connect to an address until that succeeds. It returns false if the context ends first.
 func waitUntilReachable(ctx context.Context, address string) bool {
 	for sleep(ctx, directProbeInterval) {
 		if conn, err := netio.Dial(address, directProbeTimeout); err == nil {
@@ -126,7 +126,8 @@
 	return false
 }
 
-// serve hands over what the leader sends on a link, until either side or the context ends it.
+// serve forwards the leader's messages on a link to the holder and the job cache until either side or the context ends
+// the link.
 func (f *follower) serve(ctx context.Context, term cluster.Term, link *peer.LeaderLink) {
 	stop := context.AfterFunc(ctx, link.Close)
 	defer stop()
--- a/internal/controller/holder.go
+++ b/internal/controller/holder.go
@@ -8,42 +8,41 @@
 	"swiftledge/wire"
 )
 
-// leaderLinkChange is a message that changes the link that the holder's messages to the leader take.
+// leaderLinkChange is a message that changes the link over which the holder sends messages to the leader.
 type leaderLinkChange interface {
 	shard.Message
-	// apply returns the link that follows the present one, nil for none, and what the holder is told of it, nil
-	// for nothing.
-	apply(present leaderLink) (leaderLink, shard.Message)
+	// apply returns the link that replaces the current one, nil for none, and the message for the holder, nil for none.
+	apply(current leaderLink) (leaderLink, shard.Message)
 }
 
-// leaderLinkUp puts a link in place of the present one.
+// leaderLinkUp replaces the current link with a new one.
 type leaderLinkUp struct {
 	shard.LeaderConnected
 	link leaderLink
 }
 
-// leaderLinkDown says that a link has ended.
+// leaderLinkDown reports that a link has ended.
 type leaderLinkDown struct {
 	shard.LeaderDisconnected
 	link leaderLink
 }
 
-func (m leaderLinkUp) apply(present leaderLink) (leaderLink, shard.Message) {
-	if present != nil && present != m.link {
-		present.Close()
+func (m leaderLinkUp) apply(current leaderLink) (leaderLink, shard.Message) {
+	if current != nil && current != m.link {
+		current.Close()
 	}
 	return m.link, m.LeaderConnected
 }
 
-func (m leaderLinkDown) apply(present leaderLink) (leaderLink, shard.Message) {
-	if present != m.link {
-		return present, nil // another link has taken its place
+func (m leaderLinkDown) apply(current leaderLink) (leaderLink, shard.Message) {
+	if current != m.link {
+		return current, nil // another link has replaced it
 	}
 	return nil, m.LeaderDisconnected
 }
 
-// runHolder is the holder's actor. It also keeps the link to the leader, as a change of it takes effect between
-// two messages.
+// runHolder runs the holder's actor until the context ends. It also stores the link to the leader, because a change of
+// the link must take effect between two messages.
 func (c *Controller) runHolder(ctx context.Context) {
 	holder := shard.FromConfig(c.cfg, c.storeHealth.available)
 	var link leaderLink
@@ -60,13 +59,13 @@
 	})
 }
 
-// heartbeatReplies takes the one reply to a heartbeat.
+// heartbeatReplies receives the reply to one heartbeat.
 type heartbeatReplies chan shard.HeartbeatReply
 
-// Respond hands the reply to whoever waits for it.
+// Respond delivers the reply to the waiting receiver.
 func (r heartbeatReplies) Respond(reply shard.HeartbeatReply) { r <- reply }
 
-// answerHeartbeat hands an agent's heartbeat to the holder and waits for its reply.
+// answerHeartbeat sends an agent's heartbeat to the holder and waits for the reply.
 func (c *Controller) answerHeartbeat(heartbeat *wire.Heartbeat) shard.HeartbeatReply {
 	replies := make(heartbeatReplies, 1)
 	c.holder.send(shard.HeartbeatReceived{ReplyTo: replies, Heartbeat: heartbeat})
--- a/internal/controller/holder_effects.go
+++ b/internal/controller/holder_effects.go
@@ -9,11 +9,11 @@
 	"swiftledge/wire"
 )
 
-// attemptWriteTimeout bounds a write of attempt records, tries and all.
+// attemptWriteTimeout bounds a write of attempt records, including all retries.
 const attemptWriteTimeout = 8 * time.Second
 
-// performHolderEffect carries out one effect of the holder; answers go back to it as messages. A message to the
-// leader without a link is dropped: the holder says all anew over the next one.
+// performHolderEffect performs one effect of the holder and sends the result to the holder as a message. A message to
+// the leader is dropped if there is no link: the holder reports its complete state again over the next link.
 func (c *Controller) performHolderEffect(ctx context.Context, link leaderLink, effect shard.Effect) {
 	switch e := effect.(type) {
 	case shard.SendToLeader:
@@ -44,7 +44,7 @@
 func (c *Controller) sendCommands(ctx context.Context, request shard.SendCommands) {
 	answer, err := c.agents.sendCommands(ctx, request)
 	if err != nil {
-		c.log.Error("commands not sent", "machine", request.Machine, "error", err)
+		c.log.Error("cannot send commands to agent", "machine", request.Machine, "error", err)
 		return
 	}
 	c.holder.send(answer)
@@ -53,14 +53,14 @@
 func (c *Controller) inspectAgent(ctx context.Context, request shard.InspectAgent) {
 	answer, err := c.agents.inspect(ctx, request)
 	if err != nil {
-		c.log.Error("agent not inspected", "machine", request.Machine, "error", err)
+		c.log.Error("cannot inspect agent", "machine", request.Machine, "error", err)
 		return
 	}
 	c.holder.send(answer)
 }
 
-// writeAttempts writes the attempt records of a placement cycle. None of its tasks is launched before the store
-// has committed them.
+// writeAttempts writes the attempt records of a placement cycle. The tasks of the cycle are launched only after the
+// store has committed the records.
 func (c *Controller) writeAttempts(ctx context.Context, request shard.WriteAttempts) {
 	if result, ok := c.commitPages(ctx, store.PriorityAttempts, request.Txn); ok {
 		c.holder.send(request.Result(result))
@@ -73,8 +73,8 @@
 	}
 }
 
-// commitPages commits a transaction on pages of attempt records. A failed one has a result too, which says whether
-// it may have been carried out. It returns false if there is no such transaction.
+// commitPages commits a transaction on pages of attempt records. The result of a failed transaction tells whether the
+// store may have executed it. It returns false if the transaction cannot be encoded.
 func (c *Controller) commitPages(
 	ctx context.Context, priority store.Priority, makeTxn func() (wire.Txn, error),
 ) (store.TxnResult, bool) {
@@ -87,15 +87,15 @@
 	}
 	result, err := c.store.Commit(ctx, priority, txn)
 	if err != nil {
-		c.log.Debug("attempt records not written", "error", err)
+		c.log.Debug("cannot write attempt records", "error", err)
 	}
 	return result, true
 }
 
-// deletePages deletes attempt records that are not needed any more. Those that stay are read as upper bounds until
-// the shard is granted anew.
+// deletePages deletes obsolete attempt records. Records that remain after a failure count as upper bounds until the
+// shard is granted again.
 func (c *Controller) deletePages(ctx context.Context, request shard.DeletePages) {
 	if _, err := c.store.TryCommit(ctx, store.PriorityBackground, request.Txn()); err != nil {
-		c.log.Debug("attempt records not deleted", "error", err)
+		c.log.Debug("cannot delete attempt records", "error", err)
 	}
 }
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -6,7 +6,7 @@
 	"swiftledge/internal/leader"
 )
 
-// runLeader is the leader's actor. What a term has under way ends with the term.
+// runLeader runs the leader's actor until the context ends. The end of a term cancels the term's effects in progress.
 func (c *Controller) runLeader(ctx context.Context) {
 	state := leader.New(c.cfg, c.storeHealth.available)
 	termCtx, endTerm := context.WithCancel(ctx)
--- a/internal/controller/leader_effects.go
+++ b/internal/controller/leader_effects.go
@@ -6,8 +6,8 @@
 	"swiftledge/internal/leader"
 )
 
-// performLeaderEffect carries out one effect of the leader; answers go back to it as messages. The context ends
-// with the leader's term.
+// performLeaderEffect performs one effect of the leader and sends the result to the leader as a message. The context
+// ends with the leader's term.
 func (c *Controller) performLeaderEffect(ctx context.Context, effect leader.Effect) {
 	switch e := effect.(type) {
 	case leader.SendToHolder:
@@ -26,7 +26,7 @@
 		e.ReplyTo <- e.Status
 	case leader.Resign:
 		c.log.Info("resigning", "reason", e.Reason)
-		c.background.Go(c.resignOwnTerm)
+		c.background.Go(c.resignLeadingTerm)
 	case leader.PauseDetected:
 		c.pauses.record(e.Pause)
 	case leader.Log:
@@ -42,7 +42,8 @@
 	}
 }
 
-// commitForLeader commits a transaction. When the term has ended, nobody waits for the result any more.
+// commitForLeader commits a transaction. It discards the result if the term has ended, because the leader no longer
+// waits for it.
 func (c *Controller) commitForLeader(ctx context.Context, request leader.CommitTxn) {
 	result, err := c.store.Commit(ctx, request.Priority, request.Txn)
 	if ctx.Err() != nil {
@@ -54,11 +55,11 @@
 	c.leader.send(leader.TxnCompleted{Term: request.Term, Tag: request.Tag, Result: result, Err: err})
 }
 
-// logForLeader writes a line of the leader to the log.
-func (c *Controller) logForLeader(line leader.Log) {
-	if line.Debug {
-		c.log.Debug(line.Message, line.Attributes...)
+// logForLeader writes a log record of the leader.
+func (c *Controller) logForLeader(record leader.Log) {
+	if record.Debug {
+		c.log.Debug(record.Message, record.Attributes...)
 		return
 	}
-	c.log.Info(line.Message, line.Attributes...)
+	c.log.Info(record.Message, record.Attributes...)
 }
--- a/internal/controller/mailbox.go
+++ b/internal/controller/mailbox.go
@@ -6,15 +6,15 @@
 	"swiftledge/internal/config"
 )
 
-// minMailboxSize is how many messages may wait for an actor at least before their senders do.
+// minMailboxSize is the minimum capacity of an actor's mailbox. Senders block while the mailbox is full.
 const minMailboxSize = 4096
 
-// mailboxSize returns how many messages may wait for an actor that handles the agents' heartbeats. There is
-// room for a message of each connection, so that the actors, which also write to each other, never wait for
-// each other behind the heartbeats.
+// mailboxSize returns the capacity of the mailbox of an actor that handles the agents' heartbeats. It has capacity for
+// a message of each connection, so that the actors, which also send messages to each other, never block each other
+// because heartbeats fill the mailbox.
 func mailboxSize(cfg *config.Config) int { return max(minMailboxSize, 2*cfg.Facts.Quota.MaxSockets) }
 
-// mailbox is a queue of messages to an actor. Whoever waits for the actor stops waiting when it has ended.
+// mailbox is a queue of messages to an actor. Blocked senders and receivers of replies return when the actor has ended.
 type mailbox[M any] struct {
 	messages chan M
 	stopped  chan struct{} // closed when the actor has ended
@@ -24,7 +24,8 @@
 	return mailbox[M]{messages: make(chan M, size), stopped: make(chan struct{})}
 }
 
-// run is the actor: it handles one message at a time until the context ends. It is called once.
+// run is the main loop of the actor: it handles one message at a time until the context ends. It must be called only
+// once.
 func (m mailbox[M]) run(ctx context.Context, handle func(M)) {
 	defer close(m.stopped)
 	for {
@@ -37,7 +38,7 @@
 	}
 }
 
-// send queues a message and waits while the mailbox is full. It returns false if the actor has ended.
+// send queues a message and blocks while the mailbox is full. It returns false if the actor has ended.
 func (m mailbox[M]) send(message M) bool {
 	select {
 	case m.messages <- message:
@@ -47,7 +48,7 @@
 	}
 }
 
-// offer queues a message unless the mailbox is full. It returns whether it did.
+// offer queues a message without blocking. It returns false if the mailbox is full.
 func (m mailbox[M]) offer(message M) bool {
 	select {
 	case m.messages <- message:
@@ -57,12 +58,12 @@
 	}
 }
 
-// receiveReply waits for the actor's reply to a message. It returns false if the actor has ended without one.
-func receiveReply[M, R any](from mailbox[M], reply <-chan R) (R, bool) {
+// receiveReply waits for an actor's reply to a message. It returns false if the actor has ended without a reply.
+func receiveReply[M, R any](actor mailbox[M], reply <-chan R) (R, bool) {
 	select {
 	case answer := <-reply:
 		return answer, true
-	case <-from.stopped:
+	case <-actor.stopped:
 		var none R
 		return none, false
 	}
--- a/internal/controller/pause_log.go
+++ b/internal/controller/pause_log.go
@@ -10,30 +10,30 @@
 	"swiftledge/internal/peer"
 )
 
-// pauseMessage is what the pause log is told.
+// pauseMessage is a message to the pause log.
 //
 //sumtype:decl
 type pauseMessage interface{ pauseMessage() }
 
-// pauseDetected is a pause as one of the actors noticed it.
+// pauseDetected reports a process pause that one of the actors has detected.
 type pauseDetected struct{ pause pausedetect.Pause }
 
-// pauseQuery asks for the pauses so far.
+// pauseQuery requests the pause history.
 type pauseQuery struct{ reply chan<- pauseHistory }
 
 func (pauseDetected) pauseMessage() {}
 func (pauseQuery) pauseMessage()    {}
 
-// pauseHistory is how often this process was paused, and the last time.
+// pauseHistory holds the number of pauses of this process and the last pause.
 type pauseHistory struct {
 	count int
 	last  pausedetect.Pause
 }
 
-// pauseLogSize is how many messages may wait for the pause log.
-const pauseLogSize = 16
+// pauseLogMailboxSize is the capacity of the pause log's mailbox.
+const pauseLogMailboxSize = 16
 
-// pauseLog is the actor that remembers the pauses of this process and logs each once.
+// pauseLog is the actor that records the pauses of this process and logs each of them once.
 type pauseLog struct {
 	log     *slog.Logger
 	clock   clock.Steady
@@ -41,17 +41,18 @@
 }
 
 func newPauseLog(log *slog.Logger, steady clock.Steady) *pauseLog {
-	return &pauseLog{log: log, clock: steady, mailbox: newMailbox[pauseMessage](pauseLogSize)}
+	return &pauseLog{log: log, clock: steady, mailbox: newMailbox[pauseMessage](pauseLogMailboxSize)}
 }
 
-// record takes in a pause that an actor noticed.
+// record records a pause that an actor has detected.
 func (p *pauseLog) record(pause pausedetect.Pause) { p.mailbox.send(pauseDetected{pause}) }
 
-// run is the actor.
+// run is the main loop of the actor. Several actors detect the same pause: their reports are collected for a short
+// time and logged as one pause.
 func (p *pauseLog) run(ctx context.Context) {
 	defer close(p.mailbox.stopped)
 	var recorder pausedetect.Recorder
-	var collected <-chan time.Time
+	var collectionEnd <-chan time.Time
 	for {
 		select {
 		case <-ctx.Done():
@@ -60,13 +61,13 @@
 			switch m := message.(type) {
 			case pauseDetected:
 				if first := recorder.Add(m.pause); first {
-					collected = time.After(pausedetect.CollectionTime.Duration())
+					collectionEnd = time.After(pausedetect.CollectionTime.Duration())
 				}
 			case pauseQuery:
 				last, count := recorder.Last()
 				m.reply <- pauseHistory{count, last}
 			}
-		case <-collected:
+		case <-collectionEnd:
 			pause := recorder.Close()
 			p.log.Warn("process was paused",
 				"length_s", pause.Length().Seconds(), "expired", pausedetect.ExpiredText(pause.Expired))
@@ -74,7 +75,7 @@
 	}
 }
 
-// status returns how often this process was paused, and the last pause; nil if there was none.
+// status returns the number of pauses of this process and the last pause, which is nil if there was none.
 func (p *pauseLog) status() (int, *peer.PauseStatus) {
 	reply := make(chan pauseHistory, 1)
 	p.mailbox.send(pauseQuery{reply})
--- a/internal/controller/peer_listener.go
+++ b/internal/controller/peer_listener.go
@@ -13,21 +13,21 @@
 	"swiftledge/internal/peer"
 )
 
-// acceptRetry is how long to wait after a connection could not be accepted.
+// acceptRetry is the delay after a failed accept.
 const acceptRetry = 100 * time.Millisecond
 
-// peerListener serves the connections that other controllers make, to follow this one while it leads, and those of
-// operators who ask for its status.
+// peerListener serves connections from other controllers, which follow this controller while it leads, and from
+// operators, who request its status.
 type peerListener struct {
-	log      *slog.Logger
-	jobCache *api.JobCache
-	leader   mailbox[leader.Message]
-	ownTerm  func() cluster.Term // 0: this controller does not lead
-	server   peer.Server
+	log         *slog.Logger
+	jobCache    *api.JobCache
+	leader      mailbox[leader.Message]
+	leadingTerm func() cluster.Term // returns 0 if this controller does not lead
+	server      peer.Server
 }
 
 func (c *Controller) newPeerListener() *peerListener {
-	l := &peerListener{log: c.log, jobCache: c.jobCache, leader: c.leader, ownTerm: c.ownTerm}
+	l := &peerListener{log: c.log, jobCache: c.jobCache, leader: c.leader, leadingTerm: c.leadingTerm}
 	l.server = peer.Server{
 		Controller:   c.cfg.Name,
 		Incarnation:  c.incarnation,
@@ -54,24 +54,24 @@
 		case ctx.Err() != nil:
 			return
 		default:
-			l.log.Error("cannot accept a connection of a controller", "error", err)
+			l.log.Error("cannot accept a connection from a controller", "error", err)
 			sleep(ctx, acceptRetry)
 		}
 	}
 }
 
-// serve serves one connection until either side or the context ends it.
+// serve serves one connection until either side closes it or the context ends.
 func (l *peerListener) serve(ctx context.Context, conn net.Conn, transport peer.Transport) {
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
 	l.server.Serve(conn, transport)
 }
 
-// isLeader reports whether this controller leads a term that another one follows.
+// isLeader reports whether this controller leads the term that another controller wants to follow.
 func (l *peerListener) isLeader(term cluster.Term) bool {
 	l.jobCache.Post(api.PeerContacted{})
-	own := l.ownTerm()
-	return own > 0 && own == term
+	leadingTerm := l.leadingTerm()
+	return leadingTerm > 0 && leadingTerm == term
 }
 
 func (l *peerListener) connected(link *peer.HolderLink) {
--- a/internal/controller/state_loader.go
+++ b/internal/controller/state_loader.go
@@ -16,23 +16,23 @@
 	"swiftledge/wire"
 )
 
-// attemptDecodeRetry is how long to wait before attempt records that could not be decoded are read again.
+// attemptDecodeRetry is the delay before attempt records that cannot be decoded are read again.
 const attemptDecodeRetry = time.Second
 
-// stateLoader reads for the leader what the store holds. Each of its methods tries until it succeeds or the
-// context, which ends with the leader's term, does.
+// stateLoader reads the persisted state from the store for the leader. Its methods retry until they succeed or until
+// the context ends, which happens at the end of the leader's term.
 type stateLoader struct {
 	store  *store.Client
 	clock  clock.Steady
 	log    *slog.Logger
 	leader mailbox[leader.Message]
-	// resign gives up leadership of a term.
+	// resign resigns leadership of a term.
 	resign func(cluster.Term)
 	// watchTime is how long the store holds a watch of the jobs open.
 	watchTime clock.Micros
 }
 
-// loadState reads what a term starts from and then watches the jobs.
+// loadState reads the state that a new term starts with, sends it to the leader, and then watches the jobs.
 func (l *stateLoader) loadState(ctx context.Context, term cluster.Term) {
 	for try := 0; ; try++ {
 		requested := l.clock.Now()
@@ -54,41 +54,41 @@
 	}
 }
 
-// readState lists all that a new leader reads. It returns the revision from which the jobs are to be watched.
-// The lists are requested at once: one after the other, a controller that is behind with its work would wait for
-// each answer in turn, for longer than its lease lasts. Their order does not matter, as only users change jobs
-// while the term lasts: all other keys are written on condition of the leader key.
+// readState reads all keys that a new leader needs. It returns the revision from which to watch the jobs. The lists are
+// requested concurrently: an overloaded controller that requested them in sequence would wait for each answer in turn,
+// in total longer than its lease lasts. The order of the lists does not matter, because during the term only users
+// change jobs, and transactions on all other keys have a condition on the leader key.
 func (l *stateLoader) readState(ctx context.Context) ([]wire.Item, uint64, error) {
 	prefixes := []string{
 		leader.JobPrefix, leader.LayoutKey, leader.CatalogKey,
 		shard.KeyPrefix, jobs.ProgressPrefix, leader.InstanceGroupPrefix,
 	}
-	type listing struct {
+	type listResult struct {
 		items    []wire.Item
 		revision uint64
 		err      error
 	}
-	listings := make([]listing, len(prefixes))
+	results := make([]listResult, len(prefixes))
 	var requests sync.WaitGroup
 	for i, prefix := range prefixes {
 		requests.Go(func() {
-			var list listing
+			var list listResult
 			list.items, list.revision, list.err = l.store.List(ctx, store.PriorityUrgent, prefix)
-			listings[i] = list
+			results[i] = list
 		})
 	}
 	requests.Wait()
 	var all []wire.Item
-	for _, list := range listings {
+	for _, list := range results {
 		if list.err != nil {
 			return nil, 0, list.err
 		}
 		all = append(all, list.items...)
 	}
-	return all, listings[0].revision, nil
+	return all, results[0].revision, nil
 }
 
-// watchJobs tells the leader of every change of the jobs after a revision.
+// watchJobs reports every change of the jobs after a revision to the leader.
 func (l *stateLoader) watchJobs(ctx context.Context, term cluster.Term, revision uint64) {
 	for failures := 0; ctx.Err() == nil; {
 		requested := l.clock.Now()
@@ -101,7 +101,7 @@
 				l.leader.send(leader.JobsChanged{Term: term, Events: response.Events, RequestedAt: requested})
 			}
 		case errors.Is(err, store.ErrCompacted):
-			l.resign(term) // too far behind: a new term reads everything again
+			l.resign(term) // the watch is too far behind: a new term reads the complete state again
 			return
 		default:
 			failures++
@@ -110,8 +110,8 @@
 	}
 }
 
-// loadAttempts reads the attempt records of a shard. Those that cannot be decoded are read again and again: as it
-// is not known what may run, the shard is not granted.
+// loadAttempts reads the attempt records of a shard. It retries for as long as records cannot be decoded: without them
+// the running tasks are unknown, so the shard must not be granted.
 func (l *stateLoader) loadAttempts(ctx context.Context, request leader.LoadAttempts) {
 	logged := false
 	for try := 0; ; try++ {
@@ -142,7 +142,7 @@
 	}
 }
 
-// readKey reads one key.
+// readKey reads one key of the store for the leader.
 func (l *stateLoader) readKey(ctx context.Context, request leader.ReadKey) {
 	for try := 0; ; try++ {
 		item, err := l.store.Get(ctx, store.PriorityAttempts, request.Key)
--- a/internal/controller/state_loader_test.go
+++ b/internal/controller/state_loader_test.go
@@ -12,20 +12,19 @@
 	"swiftledge/internal/store"
 )
 
-// A new leader asks for all lists at once: a controller that is behind with its work got each
-// answer a second late, and six in a row took it longer than its lease lasts. Here no list is
-// answered before all have been asked for.
-func TestNewLeaderReadsAllListsAtOnce(t *testing.T) {
+// A new leader must request all lists concurrently: an overloaded controller received each answer a second late, and
+// six in sequence took longer than its lease lasts. Here the store answers no list before all of them are requested.
+func TestStateLoaderListsConcurrently(t *testing.T) {
 	const lists = 6
-	var asked sync.WaitGroup
-	asked.Add(lists)
+	var requested sync.WaitGroup
+	requested.Add(lists)
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		asked.Done()
-		asked.Wait()
+		requested.Done()
+		requested.Wait()
 		prefix := r.URL.Query().Get("prefix")
 		revision := "9"
 		if prefix == leader.JobPrefix {
@@ -52,9 +51,9 @@
 		t.Fatal(err)
 	}
 	if len(items) != lists || items[0].Key != leader.JobPrefix+"x" {
-		t.Errorf("read %v", items)
+		t.Errorf("read items %v, want one of each list, jobs first", items)
 	}
 	if revision != 7 {
-		t.Errorf("jobs are watched from revision %d, want that of their own list", revision)
+		t.Errorf("jobs are watched from revision %d, want 7, the revision of their list", revision)
 	}
 }
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -7,12 +7,11 @@
 	"swiftledge/internal/peer"
 )
 
-// statusTimeout bounds how long an operator's request for the status waits for the leader's actor, which may be
-// busy.
+// statusTimeout bounds how long an operator's status request waits for the leader's actor, which may be busy.
 const statusTimeout = 3 * time.Second
 
-// status answers an operator's request: what the leader's actor knows, whom this controller follows, and its
-// pauses. If the actor is too busy, the rest has to do.
+// status returns the controller's status for operators: the status from the leader's actor, the leader that this
+// controller follows, and the process pauses. If the actor is too busy, its part is missing.
 func (c *Controller) status() peer.Status {
 	status := c.leaderStatus()
 	status.Pauses, status.LastPause = c.pauses.status()
@@ -22,15 +21,15 @@
 }
 
 func (c *Controller) leaderStatus() peer.Status {
-	known := peer.Status{Controller: c.cfg.Name}
+	fallback := peer.Status{Controller: c.cfg.Name}
 	reply := make(chan peer.Status, 1)
 	if !c.leader.offer(leader.StatusRequested{ReplyTo: reply}) {
-		return known
+		return fallback
 	}
 	select {
 	case status := <-reply:
 		return status
 	case <-time.After(statusTimeout):
-		return known
+		return fallback
 	}
 }
--- a/internal/controller/store_health.go
+++ b/internal/controller/store_health.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-// storeOutage is for how long the store may fail without a break before it counts as unavailable.
-const storeOutage = 2 * time.Second
+// storeOutageThreshold is how long all requests to the store must fail before it counts as unavailable.
+const storeOutageThreshold = 2 * time.Second
 
-// storeHealth tells from the answers of the store whether it is available. Any goroutine may use it.
+// storeHealth derives from the results of requests whether the store is available. It is safe for concurrent use.
 type storeHealth struct {
-	start       time.Time
-	failedSince atomic.Int64 // nanoseconds from start to the first failure of a row; 0: the last answer was good
+	startTime      time.Time
+	failingSinceNs atomic.Int64 // from startTime to the first consecutive failure; 0 if the last request succeeded
 }
 
-func newStoreHealth() *storeHealth { return &storeHealth{start: time.Now()} }
+func newStoreHealth() *storeHealth { return &storeHealth{startTime: time.Now()} }
 
-// record takes in whether the store answered a request.
+// record records whether the store answered a request.
 func (h *storeHealth) record(answered bool) {
 	if answered {
-		h.failedSince.Store(0)
+		h.failingSinceNs.Store(0)
 		return
 	}
-	h.failedSince.CompareAndSwap(0, int64(time.Since(h.start))+1)
+	h.failingSinceNs.CompareAndSwap(0, int64(time.Since(h.startTime))+1)
 }
 
-// available returns false after a while in which every request to the store has failed.
+// available returns false if every request to the store has failed for storeOutageThreshold.
 func (h *storeHealth) available() bool {
-	since := time.Duration(h.failedSince.Load())
-	return since == 0 || time.Since(h.start)-since < storeOutage
+	since := time.Duration(h.failingSinceNs.Load())
+	return since == 0 || time.Since(h.startTime)-since < storeOutageThreshold
 }
--- a/internal/controller/ticker.go
+++ b/internal/controller/ticker.go
@@ -9,12 +9,12 @@
 	"swiftledge/internal/shard"
 )
 
-// tickInterval is how often the actors are told that time passes, all of them at once: on a small machine each
-// wake-up costs more than what is then done.
+// tickInterval is the time between two ticks. All actors receive a tick at the same time, because on a small machine
+// each wake-up costs more than the work that it triggers.
 const tickInterval = 250 * time.Millisecond
 
-// tick tells the actors that time passes, until the context ends. An actor whose mailbox is full has messages
-// that tell it the time anyway.
+// tick sends ticks to the actors until the context ends. It skips an actor whose mailbox is full, because every message
+// that the actor handles advances its time, too.
 func (c *Controller) tick(ctx context.Context) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
