--- a/internal/peer/transport.go
+++ b/internal/peer/transport.go
@@ -22,7 +22,7 @@
 	// readTimeout is how long a link may be without incoming messages before it is closed. Both sides send a message
 	// every second.
 	readTimeout = 4 * time.Second
-	// storeTimeout replaces both timeouts on links through the store.
+	// storeTimeout is the handshake timeout and the read timeout of links through the store.
 	storeTimeout = 12 * time.Second
 	// bufferBytes is the size of a link's read and write buffers.
 	bufferBytes = 8192
