--- a/internal/peer/attempt_page.go
+++ b/internal/peer/attempt_page.go
@@ -15,8 +15,8 @@
 	Machine string
 }
 
-// AttemptCountBits is the number of low bits of an attempt ID that hold the count of the attempt within its shard grant.
-// The remaining bits hold the fencing token of the grant.
+// AttemptCountBits is the number of low bits of an attempt ID that hold the count of the attempt within its grant. The
+// remaining bits hold the fencing token of the grant.
 const AttemptCountBits = 20
 
 // NewAttemptID returns the ID of the attempt with the given count within the grant that has the given fencing token.
