--- a/internal/leader/failure_attribution.go
+++ b/internal/leader/failure_attribution.go
@@ -102,7 +102,7 @@
 		if job := l.jobs.Get(ref); job.Failures.Suspect() {
 			suspects = append(suspects, peer.SuspectStatus{Job: ref, Team: job.Spec.Team,
 				Machines: len(job.Failures.FailedMachines()), Probes: job.Failures.Probes(),
-				NextS: max(0, (job.Failures.NextProbeAt() - now).Seconds())})
+				NextProbeS: max(0, (job.Failures.NextProbeAt() - now).Seconds())})
 		}
 	}
 	return suspects
--- a/internal/leader/rebalancing_test.go
+++ b/internal/leader/rebalancing_test.go
@@ -274,13 +274,13 @@
 	l.inventory.machines[machineNames[5]].draining, l.inventory.machines[machineNames[5]].state.Tasks = true, 1
 	collectStops(l)
 	s := l.status(startTime + 95*clock.Second)
-	if !s.Leading || !s.Rebalancing || len(s.Shards) != 2 || len(s.Machines) != len(machineNames) || len(s.Migrations) != 1 || s.MigrationOutcomes.Begun != 1 {
+	if !s.IsLeader || !s.Rebalancing || len(s.Shards) != 2 || len(s.Machines) != len(machineNames) || len(s.Migrations) != 1 || s.MigrationOutcomes.Started != 1 {
 		t.Fatalf("status %+v, want the leader's shards, machines and one migration", s)
 	}
-	if m := s.Machines[0]; m.Load != 1 || m.OverMean < 2 || !m.TakesWork {
+	if m := s.Machines[0]; m.Load != 1 || m.RelativeLoad < 2 || !m.Schedulable {
 		t.Errorf("status of the full machine: %+v", m)
 	}
-	if m := s.Machines[5]; m.TakesWork || m.WhyNot != "drained" {
+	if m := s.Machines[5]; m.Schedulable || m.UnschedulableReason != "drained" {
 		t.Errorf("status of the drained machine: %+v", m)
 	}
 	if s.Migrations[0].From != machineNames[0] || s.Migrations[0].Stage != "stopping" || len(s.Refusals) == 0 {
@@ -290,7 +290,7 @@
 		t.Errorf("team status %+v, want one team with 4 processors", s.Teams)
 	}
 	l.Step(startTime+96*clock.Second, LeadershipLost{})
-	if s := l.status(startTime + 96*clock.Second); s.Leading || len(s.Machines) > 0 {
+	if s := l.status(startTime + 96*clock.Second); s.IsLeader || len(s.Machines) > 0 {
 		t.Errorf("status %+v of a controller that is not the leader", s)
 	}
 }
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -13,9 +13,9 @@
 // status returns the operator status: what the leader knows about loads, waiting work and migrations.
 func (l *Leader) status(now clock.Micros) peer.Status {
 	status := peer.Status{
-		Controller: l.self, Term: l.term, Leading: l.leading && l.loaded, Rebalancing: l.rebalancing != nil,
+		Controller: l.self, Term: l.term, IsLeader: l.leading && l.loaded, Rebalancing: l.rebalancing != nil,
 	}
-	if !status.Leading {
+	if !status.IsLeader {
 		return status
 	}
 	status.MeanLoad, status.Shards = l.shardLoads()
@@ -55,8 +55,8 @@
 		if !m.takesWork() {
 			continue
 		}
-		status.TakeWork++
-		status.MostLoad = max(status.MostLoad, m.load())
+		status.SchedulableMachines++
+		status.MaxLoad = max(status.MaxLoad, m.load())
 		total.Add(m.load())
 		means[m.shard.ID].Add(m.load())
 	}
@@ -83,10 +83,10 @@
 func (l *Leader) machineStatus(m *machine, mean float64) peer.MachineStatus {
 	status := peer.MachineStatus{
 		Name: m.name, Shard: m.shard.ID, Type: m.option.Type.Name, Zone: m.option.Zone, Load: m.load(),
-		Tasks: m.state.Tasks, TakesWork: m.takesWork(), WhyNot: m.exclusionReason(),
+		Tasks: m.state.Tasks, Schedulable: m.takesWork(), UnschedulableReason: m.exclusionReason(),
 	}
 	if mean > 0 {
-		status.OverMean = status.Load / mean
+		status.RelativeLoad = status.Load / mean
 	}
 	return status
 }
@@ -126,7 +126,7 @@
 		}
 		status.Waiting += job.Waiting()
 		if team := l.teams[spec.Team]; !l.usage.Of(spec.Team).FitsLimit(spec, team) {
-			status.AtLimit += job.Waiting()
+			status.WaitingAtLimit += job.Waiting()
 		}
 	}
 	var statuses []peer.TeamStatus
@@ -151,7 +151,7 @@
 // migrationOutcomes returns how many migrations of the term ended in each way.
 func migrationOutcomes(o rebalancer.Outcomes) peer.MigrationOutcomes {
 	return peer.MigrationOutcomes{
-		Begun: o.Started, Arrived: o.Arrived, Elsewhere: o.Diverted, Cancelled: o.Cancelled, GivenUp: o.TimedOut,
+		Started: o.Started, Arrived: o.Arrived, Diverted: o.Diverted, Cancelled: o.Cancelled, TimedOut: o.TimedOut,
 	}
 }
 
--- a/internal/shard/attempt_log_test.go
+++ b/internal/shard/attempt_log_test.go
@@ -238,8 +238,8 @@
 		wantPlaced, wantRegrant bool
 	}{
 		{0, true, false},
-		{1<<peer.AttemptBits - attemptReserve - 1, true, true},
-		{1<<peer.AttemptBits - attemptReserve, false, true},
+		{1<<peer.AttemptCountBits - attemptReserve - 1, true, true},
+		{1<<peer.AttemptCountBits - attemptReserve, false, true},
 	} {
 		h := newTestHolder(t)
 		h.Step(now, heartbeat("m1", 1, testToken))
@@ -257,7 +257,7 @@
 		if (placed > 0) != c.wantPlaced || regrant != c.wantRegrant {
 			t.Errorf("%d attempt IDs issued: %d tasks placed, new grant requested: %v", c.count, placed, regrant)
 		}
-		if attempts.issuedIDs >= 1<<peer.AttemptBits {
+		if attempts.issuedIDs >= 1<<peer.AttemptCountBits {
 			t.Errorf("attempt number %d does not fit into its bits", attempts.issuedIDs)
 		}
 	}
--- a/internal/shard/attempts.go
+++ b/internal/shard/attempts.go
@@ -137,7 +137,7 @@
 
 // maxAttempts is the number of attempts at which a lease places no more. The attempt IDs then left under its fencing
 // token are more than one placement cycle can record in a transaction. An ID past them would belong to another token.
-const maxAttempts = 1<<peer.AttemptBits - attemptReserve
+const maxAttempts = 1<<peer.AttemptCountBits - attemptReserve
 
 // attemptReserve is the number of attempt IDs left under a lease when a new lease is requested.
 const attemptReserve = 1 << 14
--- a/internal/status/status_test.go
+++ b/internal/status/status_test.go
@@ -38,9 +38,9 @@
 // Every controller is a row: one that leads, one of a version that does not know the question, one that
 // sends something else, and one that is not there.
 func TestEveryControllerIsARow(t *testing.T) {
-	leads := peer.Status{Controller: "c0", Leader: "c0", Term: 7, Leading: true, Rebalancing: true, MeanLoad: 0.5,
-		Shards:     []peer.ShardStatus{{Shard: 0, Holder: "c0", Granted: true, Machines: 2, TakeWork: 2, MeanLoad: 0.5, MostLoad: 0.75}},
-		Machines:   []peer.MachineStatus{{Name: "host-1", Load: 0.75, OverMean: 1.5, WhyNot: "not needed"}},
+	leads := peer.Status{Controller: "c0", Leader: "c0", Term: 7, IsLeader: true, Rebalancing: true, MeanLoad: 0.5,
+		Shards:     []peer.ShardStatus{{Shard: 0, Holder: "c0", Granted: true, Machines: 2, SchedulableMachines: 2, MeanLoad: 0.5, MaxLoad: 0.75}},
+		Machines:   []peer.MachineStatus{{Name: "host-1", Load: 0.75, RelativeLoad: 1.5, UnschedulableReason: "not needed"}},
 		Migrations: []peer.MigrationStatus{{Task: "j-000001/3", From: "host-1", To: "host-2", Stage: "stopping"}},
 		Refusals:   []peer.RefusalStatus{{Machine: "host-3", Reason: "cannot save", Tasks: 4, Task: "j-000002/0"}, {Reason: "work waits for room", Tasks: 1}}}
 	cfg := &config.Config{}
@@ -109,14 +109,14 @@
 // Pauses of any controller, suspect jobs and teams without a limit show; a site without them has no such rows.
 func TestBadNightsShow(t *testing.T) {
 	var quiet, bad bytes.Buffer
-	plain := peer.Status{Controller: "c0", Leading: true, Teams: []peer.TeamStatus{{Team: "guest", CPUs: 2}}}
+	plain := peer.Status{Controller: "c0", IsLeader: true, Teams: []peer.TeamStatus{{Team: "guest", CPUs: 2}}}
 	if err := WriteTable(&quiet, []Controller{{Name: "c0", Status: &plain}}, WithoutMachines); err != nil {
 		t.Fatal(err)
 	}
 	if s := quiet.String(); strings.Contains(s, "STOOD STILL") || strings.Contains(s, "SUSPECT") || !strings.Contains(s, "none") {
 		t.Errorf("a quiet site shows\n%s", s)
 	}
-	plain.Suspects = []peer.SuspectStatus{{Job: "j-000007", Team: "guest", Machines: 3, Probes: 2, NextS: 7.5}}
+	plain.Suspects = []peer.SuspectStatus{{Job: "j-000007", Team: "guest", Machines: 3, Probes: 2, NextProbeS: 7.5}}
 	froze := peer.Status{Controller: "c1", Pauses: 4, LastPause: &peer.PauseStatus{
 		AgoS: 61, LengthS: 12.5, Expired: []string{"grant of block 1", "view of the jobs"}}}
 	if err := WriteTable(&bad, []Controller{{Name: "c0", Status: &plain}, {Name: "c1", Status: &froze}}, WithoutMachines); err != nil {
@@ -139,7 +139,7 @@
 
 // What cannot be written is an error, in both forms.
 func TestWriteErrorsAreReturned(t *testing.T) {
-	controllers := []Controller{{Name: "c0", Status: &peer.Status{Leading: true}}}
+	controllers := []Controller{{Name: "c0", Status: &peer.Status{IsLeader: true}}}
 	if err := WriteTable(fullDisk{}, controllers, WithMachines); !errors.Is(err, errFullDisk) {
 		t.Errorf("table: error %v", err)
 	}
--- a/internal/status/table.go
+++ b/internal/status/table.go
@@ -28,7 +28,7 @@
 	t.writeControllers(controllers)
 	t.writePauses(controllers)
 	for _, c := range controllers {
-		if c.Status != nil && c.Status.Leading {
+		if c.Status != nil && c.Status.IsLeader {
 			t.writeLeader(c.Status, detail)
 		}
 	}
@@ -88,7 +88,7 @@
 
 func role(s *peer.Status) string {
 	switch {
-	case s.Leading:
+	case s.IsLeader:
 		return "leads"
 	case s.Leader == "":
 		return "follows nobody"
@@ -130,7 +130,7 @@
 		if !s.Granted {
 			holder += " (not granted)"
 		}
-		t.row(s.Shard, holder, s.Machines, s.TakeWork, s.MeanLoad, s.MostLoad, s.Tasks, s.Unstarted)
+		t.row(s.Shard, holder, s.Machines, s.SchedulableMachines, s.MeanLoad, s.MaxLoad, s.Tasks, s.Unstarted)
 	}
 }
 
@@ -138,10 +138,10 @@
 	t.heading("MACHINE", "BLOCK", "TYPE", "ZONE", "LOAD", "OVER MEAN", "TASKS", "TAKES WORK")
 	for _, m := range machines {
 		takesWork := "yes"
-		if !m.TakesWork {
-			takesWork = "no: " + m.WhyNot
+		if !m.Schedulable {
+			takesWork = "no: " + m.UnschedulableReason
 		}
-		t.row(m.Name, m.Shard, m.Type, m.Zone, m.Load, m.OverMean, m.Tasks, takesWork)
+		t.row(m.Name, m.Shard, m.Type, m.Zone, m.Load, m.RelativeLoad, m.Tasks, takesWork)
 	}
 }
 
@@ -152,7 +152,7 @@
 		if team.Limit != 0 {
 			limit = fmt.Sprintf("%.2f", team.Limit)
 		}
-		t.row(team.Team, team.CPUs, limit, team.Waiting, team.AtLimit)
+		t.row(team.Team, team.CPUs, limit, team.Waiting, team.WaitingAtLimit)
 	}
 }
 
@@ -163,7 +163,7 @@
 	}
 	t.heading("SUSPECT JOB", "TEAM", "FAILED ON", "PROBES", "NEXT IN S")
 	for _, s := range suspects {
-		t.row(s.Job, s.Team, fmt.Sprintf("%d machines", s.Machines), s.Probes, s.NextS)
+		t.row(s.Job, s.Team, fmt.Sprintf("%d machines", s.Machines), s.Probes, s.NextProbeS)
 	}
 }
 
@@ -176,7 +176,7 @@
 	t.heading("MOVES", "BEGUN", "ARRIVED", "ELSEWHERE", "CANCELLED", "GIVEN UP")
 	outcomes := s.MigrationOutcomes
 	t.row("this epoch",
-		outcomes.Begun, outcomes.Arrived, outcomes.Elsewhere, outcomes.Cancelled, outcomes.GivenUp)
+		outcomes.Started, outcomes.Arrived, outcomes.Diverted, outcomes.Cancelled, outcomes.TimedOut)
 	if len(s.Migrations) > 0 {
 		t.heading("MOVING", "TEAM", "FROM", "TO", "STAGE", "SINCE S", "GAIN S", "COST S")
 		for _, m := range s.Migrations {
