--- a/internal/store/backoff.go
+++ b/internal/store/backoff.go
@@ -8,12 +8,12 @@
 
 const (
 	minBackoff = 50 * time.Millisecond
-	// maxBackoffDoublings bounds the growth of the backoff.
+	// maxBackoffDoublings limits the exponential growth of the backoff.
 	maxBackoffDoublings = 4
 )
 
-// Backoff waits, with jitter, after a try that failed; attempt counts them from 0. It returns false when ctx ends
-// before that.
+// Backoff waits after a failed attempt, with exponential backoff and jitter. attempt counts the failed attempts from 0.
+// Backoff returns false if ctx ends before the wait is over.
 func Backoff(ctx context.Context, attempt int) bool {
 	backoff := minBackoff << min(attempt, maxBackoffDoublings)
 	timer := time.NewTimer(backoff/2 + rand.N(backoff))
--- a/internal/store/errors.go
+++ b/internal/store/errors.go
@@ -7,21 +7,21 @@
 	"github.com/valyala/fasthttp"
 )
 
-// What became of a request that failed. Every error of this package is an *Error that wraps one of these.
+// Outcomes of failed requests. Every error of this package is an *Error that wraps one of these.
 var (
-	// ErrNotExecuted means that the request was certainly not carried out; it may be repeated.
+	// ErrNotExecuted means that the request was certainly not executed; it may be retried.
 	ErrNotExecuted = errors.New("not executed")
-	// ErrOutcomeUnknown means that the request may have been carried out, or may be later.
+	// ErrOutcomeUnknown means that the request may have been executed, or may still be executed later.
 	ErrOutcomeUnknown = errors.New("outcome unknown")
-	// ErrMalformed means that the request was not carried out and would be refused whenever it is repeated.
+	// ErrMalformed means that the request was not executed and that every retry would be rejected, too.
 	ErrMalformed = errors.New("malformed")
 	// ErrNotFound means that the key or lease does not exist.
 	ErrNotFound = errors.New("not found")
-	// ErrCompacted means that the events after a watch's revision are no longer kept.
+	// ErrCompacted means that the service no longer keeps the events after a watch's revision.
 	ErrCompacted = errors.New("revision compacted")
 )
 
-// ErrRateLimited comes with ErrNotExecuted when only the limits were in the way: trying again soon is fine.
+// ErrRateLimited accompanies ErrNotExecuted when the request only exceeded a rate limit; it may be retried soon.
 var ErrRateLimited = errors.New("rate limited")
 
 // Operation is a kind of request to the state service.
@@ -38,12 +38,12 @@
 	OperationWatch       Operation = "watch"
 )
 
-// Error is a request to the state service that failed.
+// Error describes a failed request to the state service.
 type Error struct {
 	Operation Operation
-	Key       string // key, prefix or lease that was asked for; of a transaction the first key that it writes
+	Key       string // requested key, prefix or lease; for a transaction the first key that it writes
 	Outcome   error  // ErrNotExecuted, ErrOutcomeUnknown, ErrMalformed, ErrNotFound or ErrCompacted
-	Cause     error  // nil if the outcome says it all
+	Cause     error  // nil if the outcome is a sufficient description
 }
 
 // Error implements error.
@@ -67,18 +67,18 @@
 	return []error{e.Outcome, e.Cause}
 }
 
-// MayHaveExecuted says whether the request may have been carried out, or may be later.
+// MayHaveExecuted reports whether the request may have been executed, or may still be executed later.
 func (e *Error) MayHaveExecuted() bool { return errors.Is(e.Outcome, ErrOutcomeUnknown) }
 
-// failed is the error of a request with this outcome.
-func (r request) failed(outcome, cause error) error {
+// newError returns the error of a request with the given outcome and cause.
+func (r request) newError(outcome, cause error) error {
 	return &Error{Operation: r.operation, Key: r.key, Outcome: outcome, Cause: cause}
 }
 
-// refused is the error of an answer whose status says that the request was not carried out.
-func (r request) refused(status int) error {
+// statusError returns the error for an HTTP status which says that the request was not executed.
+func (r request) statusError(status int) error {
 	if status == fasthttp.StatusTooManyRequests {
-		return r.failed(ErrNotExecuted, ErrRateLimited)
+		return r.newError(ErrNotExecuted, ErrRateLimited)
 	}
-	return r.failed(ErrNotExecuted, fmt.Errorf("status %d", status))
+	return r.newError(ErrNotExecuted, fmt.Errorf("status %d", status))
 }
--- a/internal/store/leases.go
+++ b/internal/store/leases.go
@@ -10,7 +10,7 @@
 	"swiftledge/wire"
 )
 
-// GrantLease makes a lease and returns its number.
+// GrantLease creates a lease and returns its ID.
 func (c *Client) GrantLease(ctx context.Context, ttl clock.Micros) (uint64, error) {
 	r := request{
 		operation: OperationGrantLease, priority: PriorityUrgent, connections: c.connections,
@@ -20,7 +20,7 @@
 	var response wire.LeaseResponse
 	status, err := c.do(ctx, r, &response)
 	if err == nil && status != fasthttp.StatusOK {
-		err = r.refused(status)
+		err = r.statusError(status)
 	}
 	if err != nil {
 		return 0, err
@@ -28,13 +28,13 @@
 	return response.Lease, nil
 }
 
-// RenewLease renews a lease; ErrNotFound when it has ended. It waits for an answer for as long as one may still be
-// of use: one that is late is better than none.
+// RenewLease renews a lease. It returns ErrNotFound if the lease has expired. Its timeout is longer than that of other
+// requests, since a late renewal is better than none.
 func (c *Client) RenewLease(ctx context.Context, lease uint64) error {
-	number := strconv.FormatUint(lease, 10)
+	leaseID := strconv.FormatUint(lease, 10)
 	r := request{
-		operation: OperationRenewLease, key: number, priority: PriorityLeaseRenewal, connections: c.connections,
-		method: fasthttp.MethodPost, uri: "/grants/" + number + "/touch", body: struct{}{}, timeout: 2 * requestTimeout,
+		operation: OperationRenewLease, key: leaseID, priority: PriorityLeaseRenewal, connections: c.connections,
+		method: fasthttp.MethodPost, uri: "/grants/" + leaseID + "/touch", body: struct{}{}, timeout: 2 * requestTimeout,
 	}
 	status, err := c.do(ctx, r, nil)
 	switch {
@@ -43,19 +43,19 @@
 	case status == fasthttp.StatusOK:
 		return nil
 	case status == fasthttp.StatusNotFound:
-		return r.failed(ErrNotFound, nil)
+		return r.newError(ErrNotFound, nil)
 	}
-	return r.refused(status)
+	return r.statusError(status)
 }
 
-// RevokeLease ends a lease at once. Whether that succeeds changes nothing: the lease expires either way.
+// RevokeLease ends a lease at once. It ignores errors, since the lease expires anyway.
 func (c *Client) RevokeLease(ctx context.Context, lease uint64) {
 	if lease == 0 {
 		return
 	}
-	number := strconv.FormatUint(lease, 10)
+	leaseID := strconv.FormatUint(lease, 10)
 	_, _ = c.do(ctx, request{
-		operation: OperationRevokeLease, key: number, priority: PriorityUrgent, connections: c.connections,
-		method: fasthttp.MethodDelete, uri: "/grants/" + number, timeout: requestTimeout,
+		operation: OperationRevokeLease, key: leaseID, priority: PriorityUrgent, connections: c.connections,
+		method: fasthttp.MethodDelete, uri: "/grants/" + leaseID, timeout: requestTimeout,
 	}, nil)
 }
--- a/internal/store/rate_limiter.go
+++ b/internal/store/rate_limiter.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// Budget is a controller's share of the state service's limits. Most of the time the controllers do not all need
-// theirs at once, so the shares may add up to more than the whole: when the service answers that a limit is
-// exceeded, the part of the share that is used shrinks, and then grows back.
+// Budget is a controller's share of the state service's rate limits. The controllers seldom use their shares fully at
+// the same time, so the shares may add up to more than the limits. When the service answers that a limit is exceeded,
+// the client reduces the fraction of its budget that it uses, and then lets that fraction recover over time.
 type Budget struct{ RequestsPerSecond, WritesPerSecond float64 }
 
-// Priority orders the requests that wait for the budget: the lowest goes first.
+// Priority orders the requests that wait for the budget: the lowest value is sent first.
 type Priority int
 
 // Priorities of requests.
@@ -20,40 +20,40 @@
 	PriorityLeaseRenewal Priority = iota // renewal of the leader's lease
 	PriorityUrgent                       // election, submissions and cancellations, watches
 	PriorityAttempts                     // attempt records, final states
-	PriorityStarvedReads                 // reads of a job's status that were refused for a while
+	PriorityStarvedReads                 // reads of a job's status that have failed for some time
 	PriorityReads                        // reads of a job's status, inventory
-	PriorityBackground                   // completed tasks, clean-up
+	PriorityBackground                   // completed tasks, cleanup
 )
 
 const (
-	arrivalBacklog = 256
-	budgetBacklog  = 4
-	limitedBacklog = 16
+	arrivalBuffer       = 256
+	budgetBuffer        = 4
+	limitExceededBuffer = 16
 )
 
-// errStopped means that the rate limiter no longer runs.
+// errStopped means that the rate limiter is no longer running.
 var errStopped = errors.New("client stopped")
 
-// rateLimiter lets requests pass within the budget, the important ones first. The goroutine of run owns its state.
+// rateLimiter admits requests within the budget, in order of priority. The goroutine of run owns the mutable state.
 type rateLimiter struct {
-	initial  Budget
-	arrivals chan *pendingRequest
-	budgets  chan Budget
-	limited  chan struct{} // the state service answered that a limit is exceeded
-	stopped  chan struct{} // closed when run returns
+	initialBudget Budget
+	arrivals      chan *pendingRequest
+	budgets       chan Budget
+	limitExceeded chan struct{} // signals that the state service answered with a rate limit error
+	stopped       chan struct{} // closed when run returns
 }
 
 func newRateLimiter(initial Budget) *rateLimiter {
 	return &rateLimiter{
-		initial:  initial,
-		arrivals: make(chan *pendingRequest, arrivalBacklog),
-		budgets:  make(chan Budget, budgetBacklog),
-		limited:  make(chan struct{}, limitedBacklog),
-		stopped:  make(chan struct{}),
+		initialBudget: initial,
+		arrivals:      make(chan *pendingRequest, arrivalBuffer),
+		budgets:       make(chan Budget, budgetBuffer),
+		limitExceeded: make(chan struct{}, limitExceededBuffer),
+		stopped:       make(chan struct{}),
 	}
 }
 
-// wait returns when the request may be sent, or with an error when ctx or the rate limiter ends before.
+// wait blocks until the request may be sent. It returns an error if ctx ends or the rate limiter stops before that.
 func (l *rateLimiter) wait(ctx context.Context, priority Priority, writes int) error {
 	r := &pendingRequest{priority: priority, writes: writes, admitted: make(chan struct{}), abandoned: ctx.Done()}
 	select {
@@ -81,10 +81,10 @@
 	}
 }
 
-// reportLimited makes the rate limiter slow down. Of many reports at once some may be dropped.
-func (l *rateLimiter) reportLimited() {
+// reportLimitExceeded makes the rate limiter slow down. It drops the signal when the buffer is full.
+func (l *rateLimiter) reportLimitExceeded() {
 	select {
-	case l.limited <- struct{}{}:
+	case l.limitExceeded <- struct{}{}:
 	default:
 	}
 }
@@ -92,7 +92,7 @@
 // run admits requests until ctx ends.
 func (l *rateLimiter) run(ctx context.Context) {
 	defer close(l.stopped)
-	bucket := newTokenBucket(l.initial, time.Now())
+	bucket := newTokenBucket(l.initialBudget, time.Now())
 	var queues requestQueues
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
@@ -103,14 +103,14 @@
 		case r := <-l.arrivals:
 			queues.push(r)
 		case bucket.budget = <-l.budgets:
-		case <-l.limited:
+		case <-l.limitExceeded:
 			bucket.slowDown()
 		case <-timer.C:
 		}
-		bucket.fill(time.Now())
+		bucket.refill(time.Now())
 		queues.admit(&bucket)
-		if wait := queues.wait(&bucket); !math.IsInf(wait, 1) {
-			timer.Reset(time.Duration(wait*float64(time.Second)) + time.Millisecond)
+		if waitS := queues.waitSeconds(&bucket); !math.IsInf(waitS, 1) {
+			timer.Reset(time.Duration(waitS*float64(time.Second)) + time.Millisecond)
 		}
 	}
 }
--- a/internal/store/rate_limiter_test.go
+++ b/internal/store/rate_limiter_test.go
@@ -8,92 +8,92 @@
 	"time"
 )
 
-// queueOf returns a queue that holds one request.
-func queueOf(priority Priority, writes int) requestQueue {
+// singleRequestQueue returns a queue with one request.
+func singleRequestQueue(priority Priority, writes int) requestQueue {
 	return requestQueue{{priority: priority, writes: writes}}
 }
 
-// A bucket fills at the rate of its budget, up to what comes in a second. After the state service answered that a
-// limit is exceeded it is empty, fills more slowly, and recovers its rate in time.
-func TestTokenBucketFollowsTheBudget(t *testing.T) {
-	begin := time.Now()
-	bucket := tokenBucket{budget: Budget{RequestsPerSecond: 10, WritesPerSecond: 4}, usedPart: 1, filledAt: begin}
-	bucket.fill(begin.Add(500 * time.Millisecond))
+// The bucket refills at the rate of its budget and holds at most one second's worth. When the state service reports an
+// exceeded limit, the bucket is emptied and refills more slowly until its rate has recovered.
+func TestTokenBucketRateAndRecovery(t *testing.T) {
+	start := time.Now()
+	bucket := tokenBucket{budget: Budget{RequestsPerSecond: 10, WritesPerSecond: 4}, budgetFraction: 1, refilledAt: start}
+	bucket.refill(start.Add(500 * time.Millisecond))
 	if bucket.requests != 5 || bucket.writes != 2 {
 		t.Errorf("%g requests and %g writes after half a second, want 5 and 2", bucket.requests, bucket.writes)
 	}
-	bucket.fill(begin.Add(time.Minute))
+	bucket.refill(start.Add(time.Minute))
 	if bucket.requests != 10 || bucket.writes != 4 {
-		t.Errorf("%g requests and %g writes at most, want 10 and 4", bucket.requests, bucket.writes)
+		t.Errorf("%g requests and %g writes after a minute, want 10 and 4 as the maximum", bucket.requests, bucket.writes)
 	}
 	for range 20 {
 		bucket.slowDown()
 	}
-	if bucket.requests != 0 || bucket.usedPart != minUsedPart {
-		t.Errorf("%g requests after refusals, at %g of the budget", bucket.requests, bucket.usedPart)
+	if bucket.requests != 0 || bucket.budgetFraction != minBudgetFraction {
+		t.Errorf("%g requests at %g of the budget after repeated slowdowns, want 0 at the minimum", bucket.requests, bucket.budgetFraction)
 	}
-	bucket.fill(begin.Add(2 * time.Minute))
-	if bucket.usedPart != 1 {
-		t.Errorf("%g of the budget a minute later", bucket.usedPart)
+	bucket.refill(start.Add(2 * time.Minute))
+	if bucket.budgetFraction != 1 {
+		t.Errorf("%g of the budget a minute later, want all of it", bucket.budgetFraction)
 	}
 }
 
-// Reads are sent while writes wait for the write limit, a transaction larger than the bucket is sent when the
-// bucket is full, and the more important request goes first.
+// Reads are sent while writes wait for the write limit. A transaction larger than the bucket is sent when the bucket is
+// full. The request with the higher priority is sent first.
 func TestNextRequest(t *testing.T) {
 	for _, c := range []struct {
 		name             string
 		requests, writes float64
 		queues           requestQueues
-		read, write      bool // is sent next
-		wait             float64
+		read, write      bool // expected to be sent next
+		waitS            float64
 	}{
-		{"nothing waits", 5, 4, requestQueues{}, false, false, math.Inf(1)},
-		{"a read", 1, 0, requestQueues{reads: queueOf(PriorityReads, 0)}, true, false, 0},
-		{"a write beyond the limit", 5, 1, requestQueues{writes: queueOf(PriorityUrgent, 3)}, false, false, 0.5},
-		{"a read beside a write beyond the limit", 5, 1,
-			requestQueues{reads: queueOf(PriorityBackground, 0), writes: queueOf(PriorityUrgent, 3)}, true, false, -0.4},
-		{"a write larger than the bucket", 5, 4, requestQueues{writes: queueOf(PriorityReads, 9)}, false, true, 0},
-		{"the more important of both", 5, 4,
-			requestQueues{reads: queueOf(PriorityBackground, 0), writes: queueOf(PriorityUrgent, 1)}, false, true, -0.75},
-		{"no request left", 0, 4,
-			requestQueues{reads: queueOf(PriorityReads, 0), writes: queueOf(PriorityUrgent, 1)}, false, false, 0.1},
+		{"empty queues", 5, 4, requestQueues{}, false, false, math.Inf(1)},
+		{"a read", 1, 0, requestQueues{reads: singleRequestQueue(PriorityReads, 0)}, true, false, 0},
+		{"a write over the limit", 5, 1, requestQueues{writes: singleRequestQueue(PriorityUrgent, 3)}, false, false, 0.5},
+		{"a read and a write over the limit", 5, 1,
+			requestQueues{reads: singleRequestQueue(PriorityBackground, 0), writes: singleRequestQueue(PriorityUrgent, 3)}, true, false, -0.4},
+		{"a write larger than the bucket", 5, 4, requestQueues{writes: singleRequestQueue(PriorityReads, 9)}, false, true, 0},
+		{"the higher priority of both", 5, 4,
+			requestQueues{reads: singleRequestQueue(PriorityBackground, 0), writes: singleRequestQueue(PriorityUrgent, 1)}, false, true, -0.75},
+		{"empty bucket", 0, 4,
+			requestQueues{reads: singleRequestQueue(PriorityReads, 0), writes: singleRequestQueue(PriorityUrgent, 1)}, false, false, 0.1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			budget := Budget{RequestsPerSecond: 10, WritesPerSecond: 4}
-			bucket := tokenBucket{budget: budget, usedPart: 1, requests: c.requests, writes: c.writes}
-			next := c.queues.next(&bucket)
+			bucket := tokenBucket{budget: budget, budgetFraction: 1, requests: c.requests, writes: c.writes}
+			next := c.queues.nextQueue(&bucket)
 			if (next == &c.queues.reads) != c.read || (next == &c.queues.writes) != c.write {
-				t.Errorf("%v is sent next", next)
+				t.Errorf("queue %v is sent next", next)
 			}
-			if wait := c.queues.wait(&bucket); next == nil && math.Abs(wait-c.wait) > 1e-9 && wait != c.wait {
-				t.Errorf("%g s to wait, want %g", wait, c.wait)
+			if waitS := c.queues.waitSeconds(&bucket); next == nil && math.Abs(waitS-c.waitS) > 1e-9 && waitS != c.waitS {
+				t.Errorf("wait of %g s, want %g s", waitS, c.waitS)
 			}
 		})
 	}
 }
 
-// Requests that wait when the rate limiter ends, and those that come later, are told so.
-func TestRateLimiterEnds(t *testing.T) {
+// When the rate limiter stops, wait returns an error to waiting requests and to later ones, and setBudget does not block.
+func TestWaitFailsAfterRateLimiterStops(t *testing.T) {
 	limiter := newRateLimiter(Budget{})
 	ctx, stop := context.WithCancel(t.Context())
 	go limiter.run(ctx)
-	waited := make(chan error, 1)
-	go func() { waited <- limiter.wait(t.Context(), PriorityReads, 0) }()
+	waitResult := make(chan error, 1)
+	go func() { waitResult <- limiter.wait(t.Context(), PriorityReads, 0) }()
 	stop()
 	<-limiter.stopped
-	if err := <-waited; !errors.Is(err, errStopped) {
-		t.Errorf("a request that waited: %v", err)
+	if err := <-waitResult; !errors.Is(err, errStopped) {
+		t.Errorf("waiting request: error %v", err)
 	}
 	if err := limiter.wait(t.Context(), PriorityReads, 0); !errors.Is(err, errStopped) {
-		t.Errorf("a request afterwards: %v", err)
+		t.Errorf("later request: error %v", err)
 	}
-	for range budgetBacklog + 1 {
+	for range budgetBuffer + 1 {
 		limiter.setBudget(Budget{})
 	}
 }
 
-// A request that its sender gave up uses nothing of the budget.
+// A request whose sender no longer waits consumes nothing of the budget.
 func TestAbandonedRequestIsDropped(t *testing.T) {
 	ctx, abandon := context.WithCancel(t.Context())
 	abandon()
@@ -102,7 +102,7 @@
 	waiting := &pendingRequest{admitted: make(chan struct{})}
 	queues.push(abandoned)
 	queues.push(waiting)
-	bucket := tokenBucket{budget: Budget{RequestsPerSecond: 1, WritesPerSecond: 1}, usedPart: 1, requests: 1}
+	bucket := tokenBucket{budget: Budget{RequestsPerSecond: 1, WritesPerSecond: 1}, budgetFraction: 1, requests: 1}
 	queues.admit(&bucket)
 	select {
 	case <-waiting.admitted:
--- a/internal/store/reads.go
+++ b/internal/store/reads.go
@@ -9,7 +9,7 @@
 	"swiftledge/wire"
 )
 
-// Get reads one key; ErrNotFound if it does not exist.
+// Get reads one key. It returns ErrNotFound if the key does not exist.
 func (c *Client) Get(ctx context.Context, priority Priority, key string) (wire.Item, error) {
 	r := request{
 		operation: OperationGet, key: key, priority: priority, connections: c.connections,
@@ -23,13 +23,13 @@
 	case status == fasthttp.StatusOK:
 		return item, nil
 	case status == fasthttp.StatusNotFound:
-		return item, r.failed(ErrNotFound, nil)
+		return item, r.newError(ErrNotFound, nil)
 	}
-	return item, r.refused(status)
+	return item, r.statusError(status)
 }
 
-// List reads all keys with a prefix. The revision is that of the first page: a watch that begins after it misses
-// nothing, and may repeat what later pages already show.
+// List reads all keys with a prefix. It returns the revision of the first page: a watch from that revision misses no
+// change, but may repeat changes that later pages already include.
 func (c *Client) List(ctx context.Context, priority Priority, prefix string) ([]wire.Item, uint64, error) {
 	var items []wire.Item
 	page, err := c.listPage(ctx, priority, prefix, "")
@@ -44,7 +44,7 @@
 	return nil, 0, err
 }
 
-// listPage reads the keys with a prefix that come after the given key, as many as go into an answer.
+// listPage reads one page of the keys with a prefix, beginning after the given key.
 func (c *Client) listPage(ctx context.Context, priority Priority, prefix, after string) (wire.ItemList, error) {
 	uri := "/store?prefix=" + url.QueryEscape(prefix) + "&most=1000"
 	if after != "" {
@@ -57,7 +57,7 @@
 	var page wire.ItemList
 	status, err := c.do(ctx, r, &page)
 	if err == nil && status != fasthttp.StatusOK {
-		err = r.refused(status)
+		err = r.statusError(status)
 	}
 	return page, err
 }
--- a/internal/store/request_queue.go
+++ b/internal/store/request_queue.go
@@ -5,16 +5,16 @@
 	"math"
 )
 
-// pendingRequest waits for the budget.
+// pendingRequest is a request that waits for the budget.
 type pendingRequest struct {
 	priority  Priority
 	sequence  int // order of arrival
 	writes    int
 	admitted  chan struct{}   // closed when the request may be sent
-	abandoned <-chan struct{} // closed when its sender no longer waits
+	abandoned <-chan struct{} // closed when the sender no longer waits
 }
 
-// before says whether r is to be sent before other.
+// before reports whether r has to be sent before other.
 func (r *pendingRequest) before(other *pendingRequest) bool {
 	if r.priority != other.priority {
 		return r.priority < other.priority
@@ -31,7 +31,7 @@
 	}
 }
 
-// requestQueue is a heap for container/heap: the most important request first, then the oldest.
+// requestQueue is a priority queue for container/heap. Requests of the same priority are in order of arrival.
 type requestQueue []*pendingRequest
 
 // Len implements heap.Interface.
@@ -54,23 +54,23 @@
 	return r
 }
 
-// dropAbandoned removes requests from the head that nobody waits for any more.
+// dropAbandoned removes abandoned requests from the head of the queue.
 func (q *requestQueue) dropAbandoned() {
 	for len(*q) > 0 && (*q)[0].isAbandoned() {
 		heap.Pop(q)
 	}
 }
 
-// requestQueues are the requests that wait for the budget. Reads and writes are apart: what waits for the write
-// limit must not hold up reads, which do not need it.
+// requestQueues holds the requests that wait for the budget. Reads and writes have separate queues, so that requests
+// that wait for the write limit do not delay reads, which the write limit does not apply to.
 type requestQueues struct {
 	reads, writes requestQueue
-	arrived       int
+	nextSequence  int
 }
 
 func (q *requestQueues) push(r *pendingRequest) {
-	r.sequence = q.arrived
-	q.arrived++
+	r.sequence = q.nextSequence
+	q.nextSequence++
 	if r.writes > 0 {
 		heap.Push(&q.writes, r)
 	} else {
@@ -78,23 +78,23 @@
 	}
 }
 
-// admit lets all requests pass that the bucket has enough for.
+// admit admits all requests that the bucket has enough tokens for.
 func (q *requestQueues) admit(bucket *tokenBucket) {
 	for {
 		q.reads.dropAbandoned()
 		q.writes.dropAbandoned()
-		queue := q.next(bucket)
+		queue := q.nextQueue(bucket)
 		if queue == nil {
 			return
 		}
 		r := heap.Pop(queue).(*pendingRequest)
-		bucket.take(r)
+		bucket.consume(r)
 		close(r.admitted)
 	}
 }
 
-// next returns the queue whose first request may be sent now; nil if none may.
-func (q *requestQueues) next(bucket *tokenBucket) *requestQueue {
+// nextQueue returns the queue whose first request may be sent now, or nil if there is none.
+func (q *requestQueues) nextQueue(bucket *tokenBucket) *requestQueue {
 	queue := &q.reads
 	if len(q.writes) > 0 && bucket.missingWrites(q.writes[0]) <= 0 &&
 		(len(q.reads) == 0 || q.writes[0].before(q.reads[0])) {
@@ -106,15 +106,15 @@
 	return queue
 }
 
-// wait returns for how many seconds no request may be sent; infinity if there is none.
-func (q *requestQueues) wait(bucket *tokenBucket) float64 {
-	rate, wait := bucket.rate(), math.Inf(1)
+// waitSeconds returns the time in seconds until the next request may be sent, or infinity if both queues are empty.
+func (q *requestQueues) waitSeconds(bucket *tokenBucket) float64 {
+	rate, waitS := bucket.rate(), math.Inf(1)
 	if len(q.writes) > 0 {
-		wait = max(bucket.missingRequests()/rate.RequestsPerSecond,
+		waitS = max(bucket.missingRequests()/rate.RequestsPerSecond,
 			bucket.missingWrites(q.writes[0])/rate.WritesPerSecond)
 	}
 	if len(q.reads) > 0 {
-		wait = min(wait, bucket.missingRequests()/rate.RequestsPerSecond)
+		waitS = min(waitS, bucket.missingRequests()/rate.RequestsPerSecond)
 	}
-	return wait
+	return waitS
 }
--- a/internal/store/transactions.go
+++ b/internal/store/transactions.go
@@ -10,7 +10,7 @@
 	"swiftledge/wire"
 )
 
-// TxnResult is what became of a transaction.
+// TxnResult is the outcome of a transaction.
 type TxnResult struct {
 	Committed bool
 	Revision  uint64
@@ -18,29 +18,30 @@
 	FailedKeys []string
 	// LeaseExpired is set when the transaction names a lease that no longer exists.
 	LeaseExpired bool
-	// Ambiguous is set when an earlier try of the same transaction got no answer, so that a condition that failed
-	// may be its own doing.
+	// Ambiguous is set when an earlier attempt of the same transaction got no answer. That attempt may have been
+	// executed, and may itself be the reason why a condition failed.
 	Ambiguous bool
-	// Rejected is set when this try was refused for its form, so most likely for its size, and would be for ever.
+	// Rejected is set when the service rejected this attempt as malformed, most likely because of its size. Every
+	// retry of the same transaction would be rejected, too.
 	Rejected bool
 }
 
-// FailedOn says whether the condition on key failed.
+// FailedOn reports whether the condition on key failed.
 func (r TxnResult) FailedOn(key string) bool { return slices.Contains(r.FailedKeys, key) }
 
-// What a transaction is reduced to at least.
+// Lower bounds for ReducedLimits.
 const (
 	minValueBytes = 900
 	minTxnOps     = 2
 )
 
-// ReducedLimits returns the bytes of a value and the operations of a transaction to keep to after a transaction
-// was rejected, as the same again would be rejected for ever.
+// ReducedLimits halves the limits of bytes per value and of operations per transaction, down to their lower bounds. It
+// is called after a transaction was rejected, since a transaction of the same size would be rejected each time.
 func ReducedLimits(valueBytes, txnOps int) (reducedBytes, reducedOps int) {
 	return max(valueBytes/2, minValueBytes), max(txnOps/2, minTxnOps)
 }
 
-// TryCommit tries a transaction once.
+// TryCommit sends a transaction once, without retries.
 func (c *Client) TryCommit(ctx context.Context, priority Priority, txn wire.Txn) (TxnResult, error) {
 	if txn.Conditions == nil {
 		txn.Conditions = []wire.Condition{}
@@ -62,12 +63,12 @@
 	case fasthttp.StatusBadRequest:
 		leaseExpired := response.Error == "no such lease"
 		result := TxnResult{LeaseExpired: leaseExpired, Rejected: !leaseExpired}
-		return result, r.failed(ErrMalformed, errors.New(response.Error))
+		return result, r.newError(ErrMalformed, errors.New(response.Error))
 	}
-	return TxnResult{}, r.refused(status)
+	return TxnResult{}, r.statusError(status)
 }
 
-// firstWrittenKey returns the key that stands for a transaction in errors.
+// firstWrittenKey returns the key that identifies a transaction in error texts.
 func firstWrittenKey(txn wire.Txn) string {
 	if len(txn.Writes) == 0 {
 		return ""
@@ -75,7 +76,7 @@
 	return txn.Writes[0].Put + txn.Writes[0].Delete // one of them is empty
 }
 
-// Commit repeats a transaction until the state service has decided on it or ctx ends.
+// Commit retries a transaction with backoff until the state service gives a definite answer or ctx ends.
 func (c *Client) Commit(ctx context.Context, priority Priority, txn wire.Txn) (TxnResult, error) {
 	ambiguous := false
 	for attempt := 0; ; attempt++ {
@@ -84,7 +85,8 @@
 		case errors.Is(err, ErrOutcomeUnknown):
 			ambiguous = true
 		case !errors.Is(err, ErrNotExecuted):
-			// It was decided on. That it is malformed, as limits may have fallen, is proven of this try only.
+			// The answer is definite. If it says that the transaction is malformed, that holds for this attempt only: the
+			// limits may have been lowered since an earlier attempt.
 			result.Ambiguous = ambiguous
 			return result, err
 		}
--- a/internal/store/watch.go
+++ b/internal/store/watch.go
@@ -11,14 +11,15 @@
 	"swiftledge/wire"
 )
 
-// Watch waits, for as long as blockFor, for changes of keys with a prefix after a revision; ErrCompacted if they are
-// no longer kept. Users' requests must not hold it up: what is decided on a view of the jobs waits for a fresh one.
+// Watch waits for at most blockFor for changes of keys with a prefix after a revision. It returns ErrCompacted if the
+// service no longer keeps those changes. Users' requests must not delay it: decisions that depend on a view of
+// the jobs wait until that view is fresh.
 func (c *Client) Watch(
 	ctx context.Context, prefix string, after uint64, blockFor clock.Micros,
 ) (wire.WatchResponse, error) {
 	r := request{
 		operation: OperationWatch, key: prefix, priority: PriorityUrgent, connections: c.watchConnections,
-		method: fasthttp.MethodGet, timeout: blockFor.Duration() + watchGrace,
+		method: fasthttp.MethodGet, timeout: blockFor.Duration() + watchTimeoutMargin,
 		uri: fmt.Sprintf("/watch?prefix=%s&since=%d&blockMs=%d",
 			url.QueryEscape(prefix), after, int64(blockFor/clock.Millisecond)),
 	}
@@ -30,7 +31,7 @@
 	case status == fasthttp.StatusOK:
 		return response, nil
 	case status == fasthttp.StatusGone:
-		return response, r.failed(ErrCompacted, nil)
+		return response, r.newError(ErrCompacted, nil)
 	}
-	return response, r.refused(status)
+	return response, r.statusError(status)
 }
