--- a/internal/api/admission.go
+++ b/internal/api/admission.go
@@ -7,53 +7,53 @@
 )
 
 const (
-	// admissionBatch is how many heartbeats are admitted before the network is polled again.
-	admissionBatch = 8
-	// admissionPause is the break between two batches while more heartbeats wait. It only has to make the
-	// program idle for a moment, so that the runtime polls the network.
+	// admissionBatchSize is the number of heartbeats that are admitted before the runtime polls the network again.
+	admissionBatchSize = 8
+	// admissionPause is the pause between two batches while more heartbeats wait. It only has to make the
+	// process idle for a moment, so that the runtime polls the network.
 	admissionPause = 100 * time.Microsecond
-	// admissionQueue is how many heartbeats may wait without blocking on the queue itself.
-	admissionQueue = 1024
+	// admissionQueueSize is the number of heartbeats that can be queued before senders block on the queue itself.
+	admissionQueueSize = 1024
 )
 
-// heartbeatAdmission is the actor that keeps heartbeats from starving all other requests: it admits them in
-// small batches. Most of a controller's work is to answer heartbeats. When it falls behind, hundreds of them
-// are ready at once, and users, health probes and answers of the store, lease renewals among them, would wait
-// until all were answered. Between two batches these get their turn.
+// heartbeatAdmission is the actor that prevents heartbeats from starving all other requests: it admits them in
+// small batches. Answering heartbeats is most of a controller's work. When the controller falls behind, hundreds
+// of heartbeats are ready at once. Without batches, users' requests, health probes and the store's answers, which
+// include those to lease renewals, would wait until all of them are answered. They are served between two batches.
 type heartbeatAdmission struct {
-	arrivals chan chan struct{}
-	pause    func()    // between two batches
-	turns    sync.Pool // of channels that are free for the next heartbeat
+	arrivals    chan chan struct{}
+	pause       func()    // called between two batches
+	channelPool sync.Pool // channels for reuse by later heartbeats
 }
 
 func newHeartbeatAdmission() *heartbeatAdmission {
 	return &heartbeatAdmission{
-		arrivals: make(chan chan struct{}, admissionQueue),
-		pause:    func() { time.Sleep(admissionPause) },
-		turns:    sync.Pool{New: func() any { return make(chan struct{}, 1) }}, // any: as sync.Pool wants it
+		arrivals:    make(chan chan struct{}, admissionQueueSize),
+		pause:       func() { time.Sleep(admissionPause) },
+		channelPool: sync.Pool{New: func() any { return make(chan struct{}, 1) }}, // any: required by sync.Pool
 	}
 }
 
-// wait returns when the caller's heartbeat is admitted.
+// wait blocks until the caller's heartbeat is admitted.
 func (a *heartbeatAdmission) wait() {
-	turn := a.turns.Get().(chan struct{})
-	a.arrivals <- turn
-	<-turn
-	a.turns.Put(turn)
+	admitted := a.channelPool.Get().(chan struct{})
+	a.arrivals <- admitted
+	<-admitted
+	a.channelPool.Put(admitted)
 }
 
-// run admits heartbeats in the order in which they came until ctx ends.
+// run admits heartbeats in order of arrival until ctx ends.
 func (a *heartbeatAdmission) run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case turn := <-a.arrivals:
-			turn <- struct{}{}
+		case admitted := <-a.arrivals:
+			admitted <- struct{}{}
 		}
-		for range min(admissionBatch-1, len(a.arrivals)) {
-			turn := <-a.arrivals
-			turn <- struct{}{}
+		for range min(admissionBatchSize-1, len(a.arrivals)) {
+			admitted := <-a.arrivals
+			admitted <- struct{}{}
 		}
 		if len(a.arrivals) > 0 {
 			a.pause()
--- a/internal/api/bounded_map.go
+++ b/internal/api/bounded_map.go
@@ -1,7 +1,7 @@
 package api
 
-// boundedMap keeps at least the latest entries of a map up to a size, and at most twice as many: it has two
-// generations, and drops the older one when the newer is full.
+// boundedMap is a map that keeps at least its latest size entries, and at most twice as many. It has two generations
+// and drops the older one when the newer one is full.
 type boundedMap[V any] struct {
 	size         int
 	newer, older map[string]V
--- a/internal/api/bounded_map_test.go
+++ b/internal/api/bounded_map_test.go
@@ -5,20 +5,20 @@
 	"testing"
 )
 
-// However much is remembered, the latest is, and the size is bounded: a list that was emptied when it was
-// full lost the entries that are asked for right now.
-func TestBoundedMapKeepsTheLatest(t *testing.T) {
+// The map keeps its latest entries and its size is bounded. A map that is cleared whenever it is full would lose the
+// entries that are currently in use.
+func TestBoundedMapKeepsLatestEntries(t *testing.T) {
 	const size = 100
 	m := newBoundedMap[int](size)
 	for i := range 10 * size {
 		m.put(strconv.Itoa(i), i)
-		for back := range min(i+1, size) {
-			if v, ok := m.get(strconv.Itoa(i - back)); !ok || v != i-back {
-				t.Fatalf("entry %d is lost when %d is the latest", i-back, i)
+		for age := range min(i+1, size) {
+			if v, ok := m.get(strconv.Itoa(i - age)); !ok || v != i-age {
+				t.Fatalf("entry %d is lost although %d is the latest entry", i-age, i)
 			}
 		}
 		if n := len(m.newer) + len(m.older); n > 2*size {
-			t.Fatalf("%d entries", n)
+			t.Fatalf("%d entries, want at most twice the size", n)
 		}
 	}
 	m.put("999", -1)
--- a/internal/api/cancel.go
+++ b/internal/api/cancel.go
@@ -10,22 +10,23 @@
 	"swiftledge/wire"
 )
 
-// Cancel ends a job unless it is over; the store decides between done and cancelled.
+// Cancel cancels a job unless it is already in a final state. A transaction in the store decides whether a job that
+// ends at the same time is done or cancelled.
 func (s *Service) Cancel(ref string) Result {
 	if !s.validator.isJobRef(ref) {
-		return notFound()
+		return notFoundResult()
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), userWriteTimeout)
 	defer cancel()
 	result, err := s.withRetries(ctx, func() (Result, error) { return s.tryCancel(ctx, ref) })
 	if err != nil {
-		return storeUnavailable()
+		return storeUnavailableResult()
 	}
 	return result
 }
 
-// tryCancel cancels a job in the state in which it is read; it returns errJobChanged if that is no longer its
-// state.
+// tryCancel reads a job and cancels it on condition that it has not changed since. It returns errJobChanged if the job
+// has changed.
 func (s *Service) tryCancel(ctx context.Context, ref string) (Result, error) {
 	item, err := s.options.Store.Get(ctx, store.PriorityUrgent, leader.JobPrefix+ref)
 	if errors.Is(err, store.ErrNotFound) {
@@ -50,7 +51,8 @@
 	return finalResult(ref, final), nil
 }
 
-// endTxn replaces the record of a job, in its given version, by its final state.
+// endTxn returns the transaction that replaces a job's record by its final state, on condition that the record still
+// has the given version.
 func endTxn(version uint64, ref string, final leader.FinalStateRecord) (wire.Txn, error) {
 	record, err := json.Marshal(final)
 	if err != nil {
--- a/internal/api/decode_error.go
+++ b/internal/api/decode_error.go
@@ -2,8 +2,8 @@
 
 import "strings"
 
-// decodeErrorText is the text of a decoding error for the sender of a body. The decoder names Go types; what it says
-// of them keeps the names that clients have known since the first version.
+// decodeErrorText returns the text of a decoding error for the sender of the body. The decoder's text has names of Go
+// types and fields. decodeErrorText replaces them by the names that clients know from the first version.
 func decodeErrorText(err error) string {
 	return strings.NewReplacer(
 		"field JobSubmission.", "field JobForm.",
--- a/internal/api/doc.go
+++ b/internal/api/doc.go
@@ -1,11 +1,11 @@
-// Package api serves users and the workers' agents over HTTP: submissions, polls and cancellations of jobs,
+// Package api serves users and the machines' agents over HTTP: submissions, status polls and cancellations of jobs,
 // heartbeats, and the readiness probe of the load balancer.
 //
-// A Service translates between HTTP and the rest of the controller. What becomes of a job is decided by
-// conditional transactions in the store alone, so that any controller may serve any user; heartbeats are
-// handed to whoever holds the machine's shard, through a function that the controller provides. The one
-// state that is kept here is the JobCache, an actor that remembers what other controllers and the store have
-// told, for display and to spare the store reads. It takes messages (Message) and answers lookups.
+// A Service translates between HTTP and the rest of the controller. Only conditional transactions in the store change
+// the state of a job, so any controller can serve any user. Heartbeats are passed to the holder of the machine's
+// shard through a function that the controller provides. The package's only state is the JobCache, an actor that
+// caches what other controllers and the store have sent, for display and to save reads from the store. It handles
+// messages (Message) and answers lookups.
 //
-// The package never schedules, never commands a worker by itself and never overrides what the store says.
+// The package never schedules, never sends commands to an agent on its own and never overrides the store.
 package api
--- a/internal/api/feasibility.go
+++ b/internal/api/feasibility.go
@@ -11,14 +11,14 @@
 	"swiftledge/wire"
 )
 
-// quotaTolerance absorbs rounding when the use of many tasks is compared with a quota.
+// quotaTolerance absorbs rounding errors when the total demand of many tasks is compared with a quota.
 const quotaTolerance = 1e-9
 
-// checkFeasible rejects a job that can never run. Without machine types in the cache it reads those in the
-// store.
+// checkFeasible rejects a job that can never run. If types is empty because the cache has no machine types, it
+// reads them from the store.
 func (s *Service) checkFeasible(job *wire.Job, types []wire.MachineType) *rejection {
 	if len(types) == 0 {
-		types = s.storedTypes()
+		types = s.readStoredTypes()
 	}
 	if len(types) == 0 {
 		return &rejection{job.Ref, http.StatusServiceUnavailable, "machine types are not known yet"}
@@ -29,8 +29,9 @@
 	return nil
 }
 
-// storedTypes reads the catalog that the leader has stored; it returns none if there is none or no answer.
-func (s *Service) storedTypes() []wire.MachineType {
+// readStoredTypes reads the machine types of the catalog that the leader has stored. It returns nil if there is no
+// catalog or the read fails.
+func (s *Service) readStoredTypes() []wire.MachineType {
 	ctx, cancel := context.WithTimeout(context.Background(), userReadTimeout)
 	defer cancel()
 	item, err := s.options.Store.Get(ctx, store.PriorityReads, leader.CatalogKey)
@@ -42,8 +43,8 @@
 	return catalog.Types
 }
 
-// infeasibleReason says why a job can never run, whatever machines there are and however long it waits; it is
-// empty if the job can run.
+// infeasibleReason returns why a job can never run, regardless of the current machines and of how long it waits. It
+// returns "" if the job can run.
 func (s *Service) infeasibleReason(job *wire.Job, types []wire.MachineType) string {
 	team, ok := s.options.Config.Team(job.Team)
 	if !ok {
@@ -52,7 +53,7 @@
 	if job.CPUs > team.CPULimit() || job.GPUs > team.GPULimit() {
 		return "one task needs more than the team's limit"
 	}
-	// A service runs with all its replicas at once, or its users miss some of it.
+	// A service needs all its replicas at the same time: with fewer, its users get only part of the service.
 	replicas := float64(job.Tasks)
 	exceedsLimit := replicas*job.CPUs > team.CPULimit()+quotaTolerance ||
 		replicas*job.GPUs > team.GPULimit()+quotaTolerance
@@ -67,7 +68,7 @@
 	return "a task fits no allowed machine type and zone"
 }
 
-// fitsMachineType reports whether one task of a job may and can run on an empty machine of a type.
+// fitsMachineType reports whether one task of a job is allowed on, and fits, an empty machine of a type.
 func fitsMachineType(job *wire.Job, machineType *wire.MachineType) bool {
 	isAllowedType := len(job.Types) == 0 || slices.Contains(job.Types, machineType.Name)
 	isAllowedZone := job.Zone == "" || slices.Contains(machineType.ZoneNames, job.Zone)
--- a/internal/api/handlers.go
+++ b/internal/api/handlers.go
@@ -12,24 +12,24 @@
 	"swiftledge/wire"
 )
 
-// retryAfterSeconds is when a user that could not be served should come back.
+// retryAfterSeconds is the Retry-After time for users that could not be served.
 const retryAfterSeconds = 1
 
-// writeError answers for a handler that failed, and for requests that reach none.
+// writeError writes the response for a handler that failed and for requests that no handler matches.
 func writeError(c fiber.Ctx, err error) error {
 	code := fiber.StatusInternalServerError
 	var httpError *fiber.Error
 	if errors.As(err, &httpError) {
 		code = httpError.Code
 	}
-	// A body over the limit is a malformed submission.
+	// A submission with a body over the size limit counts as malformed.
 	if code == fiber.StatusRequestEntityTooLarge {
 		code = fiber.StatusBadRequest
 	}
 	return c.Status(code).JSON(wire.ErrorResponse{Error: err.Error()})
 }
 
-// writeResult answers a user.
+// writeResult writes the response to a user's request.
 func writeResult(c fiber.Ctx, result Result) error {
 	c.Status(result.Code)
 	if result.Code == fiber.StatusServiceUnavailable {
@@ -41,18 +41,18 @@
 	return c.JSON(result.Status)
 }
 
-// jobRef returns the reference in the path. It is copied: fiber's strings live only as long as the request,
-// and the cache keeps references for longer.
+// jobRef returns the job reference in the path. It copies the string, since fiber's strings are only valid during the
+// request and the cache keeps references for longer.
 func jobRef(c fiber.Ctx) string { return strings.Clone(c.Params("ref")) }
 
 func (s *Service) serveSubmit(c fiber.Ctx) error {
-	begin := s.options.Jobs.now()
+	start := s.options.Jobs.now()
 	result := s.Submit(c.Body())
 	if result.Status.Ref != "" {
 		s.options.Tracer.Post(trace.Span{
 			Job:        result.Status.Ref,
 			Name:       "submit",
-			Begin:      begin,
+			Begin:      start,
 			End:        s.options.Jobs.now(),
 			Attributes: []trace.Attribute{{Key: "answer", Value: strconv.Itoa(result.Code)}},
 		})
@@ -79,9 +79,9 @@
 		return fiber.NewError(fiber.StatusBadRequest, "report: "+decodeErrorText(err))
 	}
 	reply := s.options.HandleHeartbeat(heartbeat)
-	// A worker that is refused goes to another controller and closes its connection: to close it first
-	// spares this controller the wake-up for that.
-	if reply.Status != fiber.StatusOK || s.isNearSocketLimit(c.App()) {
+	// An agent whose heartbeat is refused goes to another controller and closes its connection. Closing the
+	// connection with the answer saves this controller a wake-up.
+	if reply.Status != fiber.StatusOK || s.isNearConnectionLimit(c.App()) {
 		c.RequestCtx().SetConnectionClose()
 	}
 	switch reply.Status {
@@ -93,8 +93,8 @@
 	return c.SendStatus(reply.Status)
 }
 
-// isNearSocketLimit reports whether workers are to give their connections up after each answer: they come
-// every few seconds, and must not keep users and health probes out.
-func (s *Service) isNearSocketLimit(app *fiber.App) bool {
+// isNearConnectionLimit reports whether agents have to close their connections after each answer. They send heartbeats
+// every few seconds, and their open connections must not prevent users and health probes from connecting.
+func (s *Service) isNearConnectionLimit(app *fiber.App) bool {
 	return int(app.Server().GetOpenConnectionsCount()) > s.options.Config.MaxHTTPConnections()*9/10
 }
--- a/internal/api/heartbeat_test.go
+++ b/internal/api/heartbeat_test.go
@@ -27,7 +27,7 @@
 	reads, writes *atomic.Int64
 }
 
-// Accept returns the next connection.
+// Accept returns the next connection, wrapped in a countedConn.
 func (l countingListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
@@ -41,56 +41,57 @@
 	listener countingListener
 }
 
-// Read counts a read.
+// Read counts the call and reads.
 func (c countedConn) Read(b []byte) (int, error) {
 	c.listener.reads.Add(1)
 	return c.Conn.Read(b)
 }
 
-// Write counts a write.
+// Write counts the call and writes.
 func (c countedConn) Write(b []byte) (int, error) {
 	c.listener.writes.Add(1)
 	return c.Conn.Write(b)
 }
 
-// testAgent is a worker's connection to a controller that holds its machine's shard.
+// testAgent is an agent with a connection to a controller that holds its machine's shard.
 type testAgent struct {
 	conn      net.Conn
-	in        *bufio.Reader
+	reader    *bufio.Reader
 	seq       uint64
 	heartbeat wire.Heartbeat
 	response  fasthttp.Response
-	// Of the controller, on all its connections.
+	// reads and writes count the controller's calls on all its connections.
 	reads, writes *atomic.Int64
 	address       string
 }
 
-// newHolder makes the holder of a shard, which accepts all workers.
-func newHolder() *shard.Holder {
+// newTestHolder returns a shard holder that accepts the heartbeats of all agents.
+func newTestHolder() *shard.Holder {
 	params := shard.Params{Controller: "n0", GrantTime: 20 * clock.Second, LongestGrant: 20 * clock.Second,
 		AgentLease: 20 * clock.Second, HeartbeatInterval: 3 * clock.Second, MaxValueBytes: 4000, MaxTxnOps: 8}
 	weights := placement.Params{DecayRate: 0.001, Eta: 0.05, Epsilon: 0.01, LoadOffset: 0.5}
-	h := shard.New(params, weights, func() bool { return true })
-	h.Step(0, shard.LeaderConnected{Term: 9})
+	holder := shard.New(params, weights, func() bool { return true })
+	holder.Step(0, shard.LeaderConnected{Term: 9})
 	for _, message := range []*peer.FromLeader{
 		{Term: 9, Holders: []string{"n0"}, Grants: []peer.ShardGrant{{Shard: 0, FencingToken: 50, KeyVersion: 7}}},
 		{Term: 9, RenewedSeq: 2, FencingTokens: map[int]wire.FencingToken{0: 50}},
 	} {
-		h.Step(0, shard.LeaderMessage{Message: message})
+		holder.Step(0, shard.LeaderMessage{Message: message})
 	}
-	return h
+	return holder
 }
 
-// replyChannel takes the reply to one heartbeat.
+// replyChannel receives the reply to one heartbeat.
 type replyChannel chan shard.HeartbeatReply
 
-// Respond gives the reply to whoever waits for it.
+// Respond sends the reply to the waiting goroutine.
 func (c replyChannel) Respond(reply shard.HeartbeatReply) { c <- reply }
 
-// startHolder has a goroutine of its own answer heartbeats until the test ends.
+// startHolder starts a goroutine that answers heartbeats until the test ends. It returns a function that sends it a
+// heartbeat and waits for the reply.
 func startHolder(tb testing.TB) func(*wire.Heartbeat) shard.HeartbeatReply {
 	tb.Helper()
-	h := newHolder()
+	holder := newTestHolder()
 	received := make(chan shard.HeartbeatReceived)
 	go func() {
 		for {
@@ -98,7 +99,7 @@
 			case <-tb.Context().Done():
 				return
 			case message := <-received:
-				for _, effect := range h.Step(clock.Second, message) {
+				for _, effect := range holder.Step(clock.Second, message) {
 					if reply, ok := effect.(shard.HeartbeatReply); ok {
 						reply.ReplyTo.Respond(reply)
 					}
@@ -113,7 +114,7 @@
 	}
 }
 
-// newTestAgent starts a controller and connects an agent with so many tasks to it.
+// newTestAgent starts a controller and connects an agent with the given number of tasks to it.
 func newTestAgent(tb testing.TB, tasks int) *testAgent {
 	tb.Helper()
 	cfg := &config.Config{Tuning: config.DefaultTuning()}
@@ -131,7 +132,7 @@
 	tb.Cleanup(func() { conn.Close() })
 	agent := &testAgent{
 		conn:    conn,
-		in:      bufio.NewReader(conn),
+		reader:  bufio.NewReader(conn),
 		reads:   counting.reads,
 		writes:  counting.writes,
 		address: listener.Addr().String(),
@@ -139,14 +140,14 @@
 			AgentEpoch: 1, FencingToken: 50},
 	}
 	for i := range tasks {
-		// No record names them, and they have ended: the answer is the same each time.
+		// The tasks have exited and no attempt record names them, so the answer is the same each time.
 		agent.heartbeat.Tasks = append(agent.heartbeat.Tasks, wire.TaskStatus{Task: fmt.Sprintf("j-000412/%d", i),
 			Attempt: wire.AttemptID(i + 1), State: wire.TaskExited, Cause: wire.ExitDone})
 	}
 	return agent
 }
 
-// request is the next heartbeat.
+// request encodes the next heartbeat as an HTTP request.
 func (a *testAgent) request(tb testing.TB) []byte {
 	tb.Helper()
 	a.seq++
@@ -159,23 +160,22 @@
 	return append(fmt.Appendf(nil, header, len(body)), body...)
 }
 
-// send sends a request and reads the response, which must be that of the shard's holder.
+// send sends a request and reads the response, which must have the fencing token of the shard.
 func (a *testAgent) send(tb testing.TB, request []byte) {
 	tb.Helper()
 	if _, err := a.conn.Write(request); err != nil {
 		tb.Fatal(err)
 	}
-	if err := a.response.Read(a.in); err != nil {
+	if err := a.response.Read(a.reader); err != nil {
 		tb.Fatal(err)
 	}
 	if a.response.StatusCode() != 200 || !strings.Contains(string(a.response.Body()), "50") {
-		tb.Fatalf("%d %s", a.response.StatusCode(), a.response.Body())
+		tb.Fatalf("heartbeat: status %d %s", a.response.StatusCode(), a.response.Body())
 	}
 }
 
-// BenchmarkHeartbeatReport is what an unchanged heartbeat costs from the socket to the answer, the
-// worker's side included.
-func BenchmarkHeartbeatReport(b *testing.B) {
+// BenchmarkHeartbeat measures an unchanged heartbeat from the socket to the answer, including the agent's side.
+func BenchmarkHeartbeat(b *testing.B) {
 	for _, tasks := range []int{0, 4, 40} {
 		b.Run(fmt.Sprint(tasks, " tasks"), func(b *testing.B) {
 			agent := newTestAgent(b, tasks)
@@ -192,30 +192,30 @@
 	}
 }
 
-// The unchanged heartbeat of an unchanged machine is what a controller is asked most: two hundred
-// times a second at the sizes that operators name, with a thirtieth of a core to answer them.
-// From the socket to the answer it takes few allocations, and each task that it lists a few more.
-func TestUnchangedHeartbeatCostsLittle(t *testing.T) {
+// Unchanged heartbeats of unchanged machines are a controller's most frequent requests: 200 per second at the cluster
+// sizes that operators name, with a thirtieth of a core to answer them. From the socket to the answer such a heartbeat
+// takes few allocations, and a few more for each task that it lists.
+func TestUnchangedHeartbeatAllocations(t *testing.T) {
 	for _, c := range []struct {
-		tasks int
-		most  float64
+		tasks          int
+		maxAllocations float64
 	}{{0, 16}, {4, 34}, {40, 170}} {
 		agent := newTestAgent(t, c.tasks)
 		const n = 300
-		requests := make([][]byte, n+1) // one goes before the count
+		requests := make([][]byte, n+1) // AllocsPerRun calls the function once before it counts
 		for i := range requests {
 			requests[i] = agent.request(t)
 		}
-		i := 0
-		got := testing.AllocsPerRun(n, func() { agent.send(t, requests[i]); i++ })
-		if got > c.most {
-			t.Errorf("%.0f allocations for a heartbeat of %d tasks, want %.0f at most", got, c.tasks, c.most)
+		next := 0
+		got := testing.AllocsPerRun(n, func() { agent.send(t, requests[next]); next++ })
+		if got > c.maxAllocations {
+			t.Errorf("%.0f allocations for a heartbeat of %d tasks, want at most %.0f", got, c.tasks, c.maxAllocations)
 		}
 	}
 }
 
-// Each read and write is a system call, which is most of what a heartbeat costs: one write
-// answers it, and one read brings the next.
+// System calls are most of the cost of a heartbeat, and each read and write is one. A heartbeat takes one read for the
+// request and one write for the answer.
 func TestHeartbeatTakesOneReadAndOneWrite(t *testing.T) {
 	agent := newTestAgent(t, 4)
 	agent.send(t, agent.request(t))
@@ -225,23 +225,23 @@
 		agent.send(t, agent.request(t))
 	}
 	if r, wr := agent.reads.Load()-reads, agent.writes.Load()-writes; r > n+1 || wr > n {
-		t.Errorf("%d reads and %d writes for %d heartbeats", r, wr, n)
+		t.Errorf("%d reads and %d writes for %d heartbeats, want one of each per heartbeat", r, wr, n)
 	}
 }
 
-// A worker's connection, kept open between its heartbeats, holds little: a controller has up to
-// as many as it is allowed sockets.
-func TestIdleConnectionHoldsLittle(t *testing.T) {
+// An agent's connection, which stays open between heartbeats, takes little memory. A controller may have as many of
+// them as its socket limit allows.
+func TestIdleConnectionMemory(t *testing.T) {
 	agent := newTestAgent(t, 4)
 	agent.send(t, agent.request(t))
-	held := func() uint64 {
+	memoryInUse := func() uint64 {
 		runtime.GC()
 		runtime.GC()
 		var m runtime.MemStats
 		runtime.ReadMemStats(&m)
 		return m.HeapInuse + m.StackInuse
 	}
-	before := held()
+	before := memoryInUse()
 	const n = 400
 	for range n {
 		c, err := net.Dial("tcp4", agent.address)
@@ -249,13 +249,13 @@
 			t.Fatal(err)
 		}
 		defer c.Close()
-		another := &testAgent{conn: c, in: bufio.NewReaderSize(c, 256), seq: agent.seq, heartbeat: agent.heartbeat}
-		another.send(t, another.request(t))
-		agent.seq = another.seq
+		otherAgent := &testAgent{conn: c, reader: bufio.NewReaderSize(c, 256), seq: agent.seq, heartbeat: agent.heartbeat}
+		otherAgent.send(t, otherAgent.request(t))
+		agent.seq = otherAgent.seq
 	}
-	if per := (held() - before) / n; per > 30<<10 {
-		t.Errorf("%d bytes for each connection, its worker's side included", per)
+	if perConnection := (memoryInUse() - before) / n; perConnection > 30<<10 {
+		t.Errorf("%d bytes per connection including the agent's side, want at most 30 KiB", perConnection)
 	} else {
-		t.Logf("%d bytes for each connection, its worker's side included", per)
+		t.Logf("%d bytes per connection including the agent's side", perConnection)
 	}
 }
--- a/internal/api/job_cache.go
+++ b/internal/api/job_cache.go
@@ -12,32 +12,32 @@
 )
 
 const (
-	// leaderContactTimeout is how long without a word a leader counts as reachable.
+	// leaderContactTimeout is how long the leader counts as reachable after its last message.
 	leaderContactTimeout = 3 * clock.Second
-	// isolatedAfter is how long without contact to any other controller makes a controller isolated.
-	isolatedAfter = 5 * clock.Second
+	// isolationTimeout is how long after its last contact with any other controller a controller counts as isolated.
+	isolationTimeout = 5 * clock.Second
 )
 
 const (
-	// bytesPerCachedJob is about what an entry of one of the cache's maps takes.
+	// bytesPerCachedJob is the approximate size of one entry in one of the cache's maps.
 	bytesPerCachedJob = 300
-	// mapsMemoryDivisor is the part of the controller's memory that each of the cache's maps may take.
+	// mapsMemoryDivisor divides the controller's memory: each of the cache's maps may take 1/mapsMemoryDivisor of it.
 	mapsMemoryDivisor = 100
-	// minCachedJobs is how many entries each map holds at least.
+	// minCachedJobs is the minimum capacity of each map.
 	minCachedJobs = 5000
-	// cacheMailbox is how many messages may wait for the cache.
-	cacheMailbox = 1024
+	// cacheMailboxSize is the number of messages that can be queued for the cache.
+	cacheMailboxSize = 1024
 )
 
-// cachedJobs is how many jobs each map of the cache holds: counts, final states and failed polls. The store
-// has all that is dropped.
-func cachedJobs(cfg *config.Config) int {
+// cachedJobsPerMap returns the number of jobs that each of the cache's maps holds: task counts, final states and failed
+// polls. The store has all data that is dropped here.
+func cachedJobsPerMap(cfg *config.Config) int {
 	const bytesPerMB = 1 << 20
 	return max(minCachedJobs, int(cfg.Facts.Quota.MemMB*bytesPerMB/mapsMemoryDivisor/bytesPerCachedJob))
 }
 
-// JobCache is the actor that keeps what users' requests need at hand: the catalog, counts of tasks for
-// display, final states (which never change), and what is known of the leader.
+// JobCache is the actor that caches data for users' requests: the catalog, task counts for display, final states
+// (which never change), and the state of the leader as far as known.
 type JobCache struct {
 	cfg     *config.Config
 	now     func() clock.Micros
@@ -50,25 +50,26 @@
 	message  Message
 }
 
-// NewJobCache makes a cache; Run serves it.
+// NewJobCache returns a cache. It handles messages while Run runs.
 func NewJobCache(cfg *config.Config, now func() clock.Micros) *JobCache {
-	return &JobCache{cfg: cfg, now: now, mailbox: make(chan envelope, cacheMailbox)}
+	return &JobCache{cfg: cfg, now: now, mailbox: make(chan envelope, cacheMailboxSize)}
 }
 
-// Post hands a message over. It waits while the mailbox is full.
+// Post queues a message. It blocks while the mailbox is full.
 func (c *JobCache) Post(message Message) { c.mailbox <- envelope{c.now(), message} }
 
-// Lookup asks for a View of a job; with an empty reference, for what concerns none. It waits for Run's answer.
+// Lookup returns a View of a job. With an empty reference, the View has only the data that concerns no job. Lookup
+// waits for Run to answer.
 func (c *JobCache) Lookup(ref string) View {
 	request := viewRequested{ref, make(chan View, 1)}
 	c.Post(request)
 	return <-request.reply
 }
 
-// Term is the leader's, as far as known.
+// Term returns the latest known term of the leader.
 func (c *JobCache) Term() cluster.Term { return c.Lookup("").Term }
 
-// Run handles messages, one after the other, until ctx ends.
+// Run handles messages one at a time until ctx ends.
 func (c *JobCache) Run(ctx context.Context) {
 	state := newCacheState(c.cfg)
 	for {
@@ -81,20 +82,21 @@
 	}
 }
 
-// View is what the cache knows, at one moment, of one job and in general.
+// View is a snapshot of what the cache knows about one job and about the cluster.
 type View struct {
 	Term       cluster.Term
 	Leader     string
 	Types      []wire.MachineType
 	Count      peer.TaskCount
 	FinalState *leader.FinalStateRecord
-	// UnansweredFor is since when polls for the job have failed here, none being answered; 0: the last one was.
+	// UnansweredFor is how long all polls for the job on this controller have failed. It is 0 if the last one was
+	// answered.
 	UnansweredFor   clock.Micros
-	LeaderReachable bool // a leader that the store serves spoke to this controller lately
-	Isolated        bool // no other controller has been reached for a while
+	LeaderReachable bool // a leader with access to the store sent a message to this controller recently
+	Isolated        bool // no recent contact with any other controller
 }
 
-// cacheState is the state of a JobCache, owned by its Run.
+// cacheState is the state of a JobCache. It is owned by the goroutine of Run.
 type cacheState struct {
 	hasPeers bool
 
@@ -102,7 +104,7 @@
 	leader string
 	types  []wire.MachineType
 
-	lastLeaderContact clock.Micros // 0: none since the leader changed
+	lastLeaderContact clock.Micros // 0: none since the last change of leader
 	lastPeerContact   clock.Micros
 
 	counts          *boundedMap[peer.TaskCount]
@@ -111,7 +113,7 @@
 }
 
 func newCacheState(cfg *config.Config) *cacheState {
-	size := cachedJobs(cfg)
+	size := cachedJobsPerMap(cfg)
 	return &cacheState{
 		hasPeers:        len(cfg.Peers) > 0,
 		counts:          newBoundedMap[peer.TaskCount](size),
@@ -120,16 +122,16 @@
 	}
 }
 
-// handle carries out one message that was posted at a given time.
-func (s *cacheState) handle(message Message, at clock.Micros) {
+// handle handles one message that was posted at the given time.
+func (s *cacheState) handle(message Message, postedAt clock.Micros) {
 	switch m := message.(type) {
 	case PeerContacted:
-		s.lastPeerContact = at
+		s.lastPeerContact = postedAt
 	case LeaderChanged:
 		s.term, s.leader = m.Term, m.Controller
 		s.lastLeaderContact = 0
 	case LeaderMessage:
-		s.handleLeaderMessage(m.Message, at)
+		s.handleLeaderMessage(m.Message, postedAt)
 	case catalogRead:
 		s.types = m.types
 	case jobEnded:
@@ -139,35 +141,35 @@
 		s.unansweredSince.remove(m.ref)
 	case pollFailed:
 		if _, ok := s.unansweredSince.get(m.ref); !ok {
-			s.unansweredSince.put(m.ref, at)
+			s.unansweredSince.put(m.ref, postedAt)
 		}
 	case viewRequested:
-		m.reply <- s.view(m.ref, at)
+		m.reply <- s.view(m.ref, postedAt)
 	}
 }
 
-func (s *cacheState) handleLeaderMessage(m *peer.FromLeader, at clock.Micros) {
+func (s *cacheState) handleLeaderMessage(m *peer.FromLeader, postedAt clock.Micros) {
 	if len(m.Types) > 0 {
 		s.types = m.Types
 	}
 	if m.RenewedSeq > 0 && m.StoreOK && m.Term == s.term {
-		s.lastLeaderContact = at
+		s.lastLeaderContact = postedAt
 	}
 	for _, count := range m.TaskCounts {
 		s.counts.put(count.Job, count)
 	}
 }
 
-func (s *cacheState) view(ref string, at clock.Micros) View {
+func (s *cacheState) view(ref string, now clock.Micros) View {
 	view := View{
 		Term:            s.term,
 		Leader:          s.leader,
 		Types:           s.types,
-		LeaderReachable: s.lastLeaderContact > 0 && at-s.lastLeaderContact < leaderContactTimeout,
-		Isolated:        s.hasPeers && at-s.lastPeerContact > isolatedAfter,
+		LeaderReachable: s.lastLeaderContact > 0 && now-s.lastLeaderContact < leaderContactTimeout,
+		Isolated:        s.hasPeers && now-s.lastPeerContact > isolationTimeout,
 	}
 	if since, ok := s.unansweredSince.get(ref); ok {
-		view.UnansweredFor = at - since
+		view.UnansweredFor = now - since
 	}
 	view.Count, _ = s.counts.get(ref)
 	if final, ok := s.finalStates.get(ref); ok {
--- a/internal/api/job_cache_messages.go
+++ b/internal/api/job_cache_messages.go
@@ -7,39 +7,39 @@
 	"swiftledge/wire"
 )
 
-// Message is what a JobCache is told or asked.
+// Message is a notification or a request that a JobCache handles.
 //
 //sumtype:decl
 type Message interface{ jobCacheMessage() }
 
-// LeaderChanged says who leads now.
+// LeaderChanged names the new leader and its term.
 type LeaderChanged struct {
 	Term       cluster.Term
 	Controller string
 }
 
-// LeaderMessage passes on what the leader sends to the holders of shards.
+// LeaderMessage carries a message of the leader to the shard holders.
 type LeaderMessage struct{ Message *peer.FromLeader }
 
-// PeerContacted says that another controller was reached, whatever it said.
+// PeerContacted reports contact with another controller, regardless of what it sent.
 type PeerContacted struct{}
 
-// catalogRead brings the machine types that the store has.
+// catalogRead carries the machine types of the stored catalog.
 type catalogRead struct{ types []wire.MachineType }
 
-// jobEnded brings the final state of a job, which never changes.
+// jobEnded carries the final state of a job, which never changes.
 type jobEnded struct {
 	ref   string
 	final leader.FinalStateRecord
 }
 
-// pollAnswered and pollFailed tell what became of a poll for a job.
+// pollAnswered and pollFailed report the outcome of a status poll for a job.
 type (
 	pollAnswered struct{ ref string }
 	pollFailed   struct{ ref string }
 )
 
-// viewRequested asks for the View of a job; reply is buffered.
+// viewRequested requests the View of a job. The reply channel is buffered.
 type viewRequested struct {
 	ref   string
 	reply chan View
--- a/internal/api/job_cache_test.go
+++ b/internal/api/job_cache_test.go
@@ -16,28 +16,29 @@
 	return newCacheState(cfg)
 }
 
-// A leader is reachable for a while after a message of its term that says that the store serves it.
+// The leader counts as reachable until a timeout after its last message, if that has the current term, a renewal and
+// working access to the store.
 func TestLeaderIsReachableAfterItsMessages(t *testing.T) {
-	served := peer.FromLeader{Term: 7, RenewedSeq: 1, StoreOK: true}
+	reachable := peer.FromLeader{Term: 7, RenewedSeq: 1, StoreOK: true}
 	for _, c := range []struct {
 		name    string
 		message peer.FromLeader
 		after   clock.Micros
 		want    bool
 	}{
-		{"at once", served, 0, true},
-		{"just in time", served, leaderContactTimeout - 1, true},
-		{"too long ago", served, leaderContactTimeout, false},
-		{"of another term", peer.FromLeader{Term: 6, RenewedSeq: 1, StoreOK: true}, 0, false},
-		{"without the store", peer.FromLeader{Term: 7, RenewedSeq: 1}, 0, false},
-		{"without a renewal", peer.FromLeader{Term: 7, StoreOK: true}, 0, false},
+		{"immediately after the message", reachable, 0, true},
+		{"just before the timeout", reachable, leaderContactTimeout - 1, true},
+		{"at the timeout", reachable, leaderContactTimeout, false},
+		{"message of another term", peer.FromLeader{Term: 6, RenewedSeq: 1, StoreOK: true}, 0, false},
+		{"message without access to the store", peer.FromLeader{Term: 7, RenewedSeq: 1}, 0, false},
+		{"message without a renewal", peer.FromLeader{Term: 7, StoreOK: true}, 0, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := newTestCacheState()
 			s.handle(LeaderChanged{Term: 7, Controller: "c1"}, clock.Second)
 			s.handle(LeaderMessage{&c.message}, 2*clock.Second)
 			if got := s.view("", 2*clock.Second+c.after).LeaderReachable; got != c.want {
-				t.Errorf("reachable: %v, want %v", got, c.want)
+				t.Errorf("leader reachable: %v, want %v", got, c.want)
 			}
 			s.handle(LeaderChanged{Term: 8, Controller: "c2"}, 2*clock.Second)
 			if view := s.view("", 2*clock.Second); view.LeaderReachable || view.Term != 8 || view.Leader != "c2" {
@@ -47,23 +48,24 @@
 	}
 }
 
-// A controller is isolated while it reaches none of the others; one without others never is.
+// A controller is isolated if it has had no contact with any other controller for a time. A controller without peers is
+// never isolated.
 func TestIsolation(t *testing.T) {
 	s := newTestCacheState()
 	s.handle(PeerContacted{}, clock.Second)
-	if s.view("", clock.Second+isolatedAfter).Isolated {
+	if s.view("", clock.Second+isolationTimeout).Isolated {
 		t.Error("isolated too early")
 	}
-	if !s.view("", clock.Second+isolatedAfter+1).Isolated {
-		t.Error("not isolated though no other was reached")
+	if !s.view("", clock.Second+isolationTimeout+1).Isolated {
+		t.Error("not isolated without contact to other controllers")
 	}
-	if newCacheState(&config.Config{}).view("", isolatedAfter+1).Isolated {
-		t.Error("isolated without others")
+	if newCacheState(&config.Config{}).view("", isolationTimeout+1).Isolated {
+		t.Error("isolated although it has no peers")
 	}
 }
 
-// A job's final state replaces its counts; a poll that is answered forgets those that failed.
-func TestViewOfAJob(t *testing.T) {
+// A job's final state replaces its task counts. An answered poll resets the record of failed polls.
+func TestJobView(t *testing.T) {
 	s := newTestCacheState()
 	count := peer.TaskCount{Job: testRef, Done: 2, Running: 3}
 	s.handle(LeaderMessage{&peer.FromLeader{TaskCounts: []peer.TaskCount{count}}}, clock.Second)
@@ -71,26 +73,26 @@
 	s.handle(pollFailed{testRef}, 2*clock.Second)
 	view := s.view(testRef, 4*clock.Second)
 	if view.Count != count || view.FinalState != nil || view.UnansweredFor != 3*clock.Second {
-		t.Errorf("while it runs: %+v", view)
+		t.Errorf("view of a running job: %+v", view)
 	}
 	s.handle(pollAnswered{testRef}, 4*clock.Second)
 	s.handle(jobEnded{testRef, leader.FinalStateRecord{State: wire.JobDone, Tasks: 5}}, 4*clock.Second)
 	view = s.view(testRef, 5*clock.Second)
 	if view.Count.Done != 0 || view.FinalState == nil || view.FinalState.Tasks != 5 || view.UnansweredFor != 0 {
-		t.Errorf("after its end: %+v", view)
+		t.Errorf("view of a finished job: %+v", view)
 	}
 }
 
-// Machine types stay known when the leader does not repeat them.
+// The cache keeps the machine types if a message of the leader has none.
 func TestMachineTypesAreKept(t *testing.T) {
 	s := newTestCacheState()
 	s.handle(catalogRead{[]wire.MachineType{{Name: "small"}}}, 0)
 	s.handle(LeaderMessage{&peer.FromLeader{}}, 0)
 	if types := s.view("", 0).Types; len(types) != 1 || types[0].Name != "small" {
-		t.Errorf("types are %+v", types)
+		t.Errorf("machine types %+v", types)
 	}
 	s.handle(LeaderMessage{&peer.FromLeader{Types: []wire.MachineType{{Name: "large"}, {Name: "g8"}}}}, 0)
 	if types := s.view("", 0).Types; len(types) != 2 {
-		t.Errorf("types are %+v", types)
+		t.Errorf("machine types %+v", types)
 	}
 }
--- a/internal/api/result.go
+++ b/internal/api/result.go
@@ -7,7 +7,7 @@
 	"swiftledge/wire"
 )
 
-// Result is the outcome of a user's request: an HTTP status code, and with 200 and 201 the job's status, else
+// Result is the outcome of a user's request: an HTTP status code, and either the job's status (with 200 and 201) or
 // the reason.
 type Result struct {
 	Code   int
@@ -15,10 +15,10 @@
 	Reason string
 }
 
-// statusResult tells the status of a job that exists.
+// statusResult returns the result with the status of an existing job.
 func statusResult(status wire.JobStatus) Result { return Result{Code: http.StatusOK, Status: status} }
 
-// finalResult tells the status of a job that is over.
+// finalResult returns the result with the status of a job in its final state.
 func finalResult(ref string, final leader.FinalStateRecord) Result {
 	status := wire.JobStatus{Ref: ref, State: final.State}
 	if final.State == wire.JobDone {
@@ -27,26 +27,26 @@
 	return statusResult(status)
 }
 
-// acceptedResult tells that a job was stored.
+// acceptedResult returns the result for a job that was accepted and stored.
 func acceptedResult(ref string) Result {
 	return Result{Code: http.StatusCreated, Status: wire.JobStatus{Ref: ref, State: wire.JobQueued}}
 }
 
-// notFound tells that no such job was ever accepted.
-func notFound() Result { return Result{Code: http.StatusNotFound, Reason: "no such job"} }
+// notFoundResult returns the result for a job that was never accepted.
+func notFoundResult() Result { return Result{Code: http.StatusNotFound, Reason: "no such job"} }
 
-// unavailable tells a user to come back soon.
-func unavailable(reason string) Result {
+// unavailableResult returns the result that asks a user to retry soon.
+func unavailableResult(reason string) Result {
 	return Result{Code: http.StatusServiceUnavailable, Reason: reason}
 }
 
-// storeUnavailable is the result when the store answers no request.
-func storeUnavailable() Result { return unavailable("the state service is away") }
+// storeUnavailableResult returns the result for a request that failed because the store did not serve it.
+func storeUnavailableResult() Result { return unavailableResult("the state service is away") }
 
-// rejection says why a submission is not accepted. It counts only for a job that does not exist yet: see
-// Service.existingOr.
+// rejection is the reason why a submission is not accepted. It applies only to a job that does not exist yet: see
+// Service.existingStatusOr.
 type rejection struct {
-	ref    string // the job that the submission names, as far as that could be read
+	ref    string // the job named by the submission; empty if that could not be read
 	code   int
 	reason string
 }
--- a/internal/api/retry.go
+++ b/internal/api/retry.go
@@ -8,26 +8,26 @@
 	"swiftledge/internal/store"
 )
 
-// How long a user waits at most.
+// Timeouts of users' requests.
 const (
 	userWriteTimeout = 3500 * time.Millisecond // for a submission or a cancellation
 	userReadTimeout  = 1500 * time.Millisecond // for a poll
 )
 
-// How often a request to the store is repeated.
+// Maximum numbers of retries of a request to the store, by the cause of the failure.
 const (
 	maxRateLimitRetries      = 4
 	maxConflictRetries       = 4
 	maxUnknownOutcomeRetries = 1
 )
 
-// errJobChanged says that a job was changed by someone else between a read and the transaction based on it.
+// errJobChanged means that another writer changed a job between a read and the transaction based on it.
 var errJobChanged = errors.New("the job changed meanwhile")
 
-// isWorthRetrying reports whether a request that has failed, after as many retries, is worth the user's wait
-// once more: after a moment when only a limit or a conflicting change was in the way, once when no answer
-// came. Else the store is away, and the user is told at once when to come back.
-func isWorthRetrying(err error, retries int) bool {
+// shouldRetry reports whether a failed request should be retried while the user waits, given the number of retries so
+// far. It allows several retries after a rate limit or a conflicting change, which pass soon, and one if there was no
+// answer. After any other error the store counts as unavailable, and the user is asked at once to retry later.
+func shouldRetry(err error, retries int) bool {
 	switch {
 	case errors.Is(err, errJobChanged):
 		return retries < maxConflictRetries
@@ -39,11 +39,11 @@
 	return false
 }
 
-// withRetries calls request until it succeeds or is not worth retrying, and returns its last error.
+// withRetries calls request until it succeeds or should not be retried, and returns its last result and error.
 func (s *Service) withRetries(ctx context.Context, request func() (Result, error)) (Result, error) {
 	for retries := 0; ; retries++ {
 		result, err := request()
-		if err == nil || !isWorthRetrying(err, retries) || !s.options.Backoff(ctx, retries) {
+		if err == nil || !shouldRetry(err, retries) || !s.options.Backoff(ctx, retries) {
 			return result, err
 		}
 	}
--- a/internal/api/retry_test.go
+++ b/internal/api/retry_test.go
@@ -9,7 +9,7 @@
 	"swiftledge/internal/store"
 )
 
-// How often a request is sent whose every attempt fails in the same way.
+// The number of attempts of a request depends on the cause of its failures.
 func TestRetriesByCause(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -19,8 +19,8 @@
 		{"rate limited", fmt.Errorf("%w: %w", store.ErrNotExecuted, store.ErrRateLimited), 5},
 		{"conflict", errJobChanged, 5},
 		{"unknown outcome", fmt.Errorf("write: %w", store.ErrOutcomeUnknown), 2},
-		{"refused", store.ErrNotExecuted, 1},
-		{"undecodable", errors.New("decode"), 1},
+		{"not executed", store.ErrNotExecuted, 1},
+		{"other error", errors.New("decode"), 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := newService(t, newHookedStore())
@@ -36,8 +36,8 @@
 	}
 }
 
-// A request is not sent again once the time for the user's answer is over.
-func TestNoRetryAfterBackoffEnds(t *testing.T) {
+// A request is not retried if the user's timeout ends during the backoff.
+func TestNoRetryWhenBackoffIsCancelled(t *testing.T) {
 	s := newService(t, newHookedStore())
 	s.options.Backoff = func(context.Context, int) bool { return false }
 	attempts := 0
--- a/internal/api/service.go
+++ b/internal/api/service.go
@@ -25,44 +25,44 @@
 	readTimeout  = 60 * time.Second
 )
 
-// Store is what the users' requests need of the store.
+// Store has the operations of the store that users' requests need.
 type Store interface {
 	Get(ctx context.Context, priority store.Priority, key string) (wire.Item, error)
 	TryCommit(ctx context.Context, priority store.Priority, txn wire.Txn) (store.TxnResult, error)
 }
 
-// Options are what a Service works with.
+// Options configures a Service and provides its dependencies.
 type Options struct {
 	Config *config.Config
 	Store  Store
-	// Backoff waits before a request to the store is sent again; attempt counts from 0. It returns false
-	// when ctx ends first.
+	// Backoff waits before a retry of a request to the store. attempt counts from 0. It returns false if ctx
+	// ends first.
 	Backoff func(ctx context.Context, attempt int) bool
 	Jobs    *JobCache
-	// StoreHealthy reports whether the store has served this controller lately.
+	// StoreHealthy reports whether the store has served this controller recently.
 	StoreHealthy func() bool
-	// HandleHeartbeat answers a worker's heartbeat. It may block.
+	// HandleHeartbeat returns the reply to an agent's heartbeat. It may block.
 	HandleHeartbeat func(*wire.Heartbeat) shard.HeartbeatReply
-	// TimeOfDay is the time at which jobs are accepted.
+	// TimeOfDay returns the current time, which is stored as the acceptance time of jobs.
 	TimeOfDay func() clock.Micros
-	// Tracer takes the spans of submissions; with nil nothing is traced.
+	// Tracer receives the spans of submissions. If it is nil, nothing is traced.
 	Tracer *trace.Tracer
 }
 
-// Service is the HTTP side of a controller.
+// Service is the HTTP server of a controller.
 type Service struct {
 	options    Options
 	validator  submissionValidator
 	heartbeats *heartbeatAdmission
 }
 
-// New makes a service; Serve runs it.
+// New returns a service. Serve runs it.
 func New(options Options) *Service {
 	return &Service{options: options, validator: newSubmissionValidator(), heartbeats: newHeartbeatAdmission()}
 }
 
-// Serve answers requests on l until ctx ends, which closes l, or l fails. It is called once. Requests that
-// are under way when it returns are not awaited.
+// Serve answers requests on l until ctx ends, which closes l, or until l fails. It must be called only once. It
+// does not wait for requests in progress before it returns.
 func (s *Service) Serve(ctx context.Context, l net.Listener) error {
 	ctx, stop := context.WithCancel(ctx)
 	var admission sync.WaitGroup
@@ -94,10 +94,11 @@
 	return app
 }
 
-// Ready reports whether the load balancer should send users here. It is false where they fare better
-// elsewhere: when the store fails this controller but not the leader, or when the store is gone together with
-// all other controllers, which may well have it. In an outage for all, all controllers stay ready, as the
-// load balancer takes one back only slowly.
+// Ready reports whether the load balancer should send users to this controller. It returns false when other
+// controllers probably serve them better: when the store fails for this controller but not for the leader, or when
+// this controller has contact neither with the store nor with any other controller, which may still reach the store.
+// In an outage of the store for all controllers, all stay ready, since the load balancer is slow to include a
+// controller again.
 func (s *Service) Ready() bool {
 	if s.options.StoreHealthy() {
 		return true
--- a/internal/api/service_test.go
+++ b/internal/api/service_test.go
@@ -18,7 +18,7 @@
 	"swiftledge/wire"
 )
 
-// serveInBackground runs a service until the test ends, which then awaits it.
+// serveInBackground runs a service until the test ends, and then waits for it to return.
 func serveInBackground(tb testing.TB, s *Service, l net.Listener) {
 	tb.Helper()
 	ctx, stop := context.WithCancel(context.Background())
@@ -34,7 +34,7 @@
 	})
 }
 
-// newHeartbeatService makes a service that has heartbeats answered by a function.
+// newHeartbeatService returns a service that answers heartbeats by a function.
 func newHeartbeatService(
 	tb testing.TB, cfg *config.Config, handle func(*wire.Heartbeat) shard.HeartbeatReply,
 ) *Service {
@@ -50,8 +50,8 @@
 	})
 }
 
-// startService starts a service that gives all heartbeats one reply, and returns a function that sends it a
-// request on a connection of its own.
+// startService starts a service that gives the same reply to all heartbeats. It returns a function that sends a request
+// to the service on a new connection.
 func startService(
 	t *testing.T, cfg *config.Config, reply shard.HeartbeatReply,
 ) (send func(request string) *fasthttp.Response) {
@@ -80,56 +80,56 @@
 	}
 }
 
-// heartbeatRequest is a worker's heartbeat.
+// heartbeatRequest returns an agent's heartbeat as an HTTP request.
 func heartbeatRequest() string {
 	body := `{"rig":"host-000001","stint":1,"tally":1}`
 	return "POST /agent/beat HTTP/1.1\r\nHost: a\r\nContent-Type: application/json\r\n" +
 		"Content-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n" + body
 }
 
-// smallConfig is that of a controller with few sockets.
-func smallConfig() *config.Config {
+// fewSocketsConfig returns the configuration of a controller with a low socket limit.
+func fewSocketsConfig() *config.Config {
 	cfg := &config.Config{}
 	cfg.Facts.Quota.MaxSockets = 100
 	return cfg
 }
 
-// With as many workers as there may be connections, users and probes still get in:
-// the workers' connections are given up first, after an answer.
-func TestWorkersLeaveConnectionsToUsers(t *testing.T) {
-	cfg := smallConfig()
-	// A connection counts until the server's goroutine for it has returned, which is somewhat later than its client
-	// sees the end. The tenth that is left to users has to hold those that are on their way out, too.
+// Users and health probes can connect even if there are as many agents as the connection limit allows. Near the limit,
+// the service closes an agent's connection after each answer.
+func TestAgentsLeaveConnectionsForUsers(t *testing.T) {
+	cfg := fewSocketsConfig()
+	// The server counts a connection until its goroutine has returned, which is slightly later than the client sees the
+	// end of the connection. The tenth of the limit that is left to users must have room for closing connections, too.
 	cfg.Facts.Quota.MaxSockets = 400
 	send := startService(t, cfg, shard.HeartbeatReply{Status: 200})
-	kept := 0
+	keptOpen := 0
 	for range 2 * cfg.MaxHTTPConnections() {
 		res := send(heartbeatRequest())
 		if res.StatusCode() != 200 {
-			t.Fatalf("a worker gets %d: %s", res.StatusCode(), res.Body())
+			t.Fatalf("heartbeat: status %d: %s", res.StatusCode(), res.Body())
 		}
 		if !res.ConnectionClose() {
-			kept++
+			keptOpen++
 		}
 	}
-	if kept < cfg.MaxHTTPConnections()/2 || kept >= cfg.MaxHTTPConnections() {
-		t.Errorf("%d workers keep their connections, of %d in all", kept, cfg.MaxHTTPConnections())
+	if keptOpen < cfg.MaxHTTPConnections()/2 || keptOpen >= cfg.MaxHTTPConnections() {
+		t.Errorf("%d agents keep their connections, with a limit of %d connections", keptOpen, cfg.MaxHTTPConnections())
 	}
 	for range 5 {
 		if res := send("GET /ready HTTP/1.1\r\nHost: a\r\n\r\n"); res.StatusCode() != 200 || res.ConnectionClose() {
-			t.Errorf("a probe gets %d", res.StatusCode())
+			t.Errorf("health probe: status %d", res.StatusCode())
 		}
 	}
 	if !strings.HasPrefix(string(send("GET /api/jobs/nothing HTTP/1.1\r\nHost: a\r\n\r\n").Body()), "{") {
-		t.Error("a user gets no answer")
+		t.Error("user's request: no JSON answer")
 	}
 }
 
-// A worker that is refused goes to another controller and closes its connection. Closing it with
-// the answer spares a controller that is left alone hundreds of wake-ups a second.
-func TestRefusedWorkersConnectionIsClosed(t *testing.T) {
+// An agent whose heartbeat is refused goes to another controller and closes its connection. A controller that refuses
+// all agents saves hundreds of wake-ups per second by closing the connections with the answers.
+func TestConnectionOfRefusedAgentIsClosed(t *testing.T) {
 	for _, status := range []int{200, 421, 503} {
-		send := startService(t, smallConfig(), shard.HeartbeatReply{Status: status})
+		send := startService(t, fewSocketsConfig(), shard.HeartbeatReply{Status: status})
 		res := send(heartbeatRequest())
 		if res.StatusCode() != status || res.ConnectionClose() != (status != 200) {
 			t.Errorf("status %d, want %d; connection closed: %v", res.StatusCode(), status, res.ConnectionClose())
--- a/internal/api/status.go
+++ b/internal/api/status.go
@@ -11,13 +11,13 @@
 	"swiftledge/wire"
 )
 
-// starvedAfter is for how long polls for a job may fail before the next goes first.
-const starvedAfter = 15 * clock.Second
+// starvationThreshold is how long polls for a job may fail before the next poll gets a higher priority.
+const starvationThreshold = 15 * clock.Second
 
-// Status reads a job's state: 200, 404 once the store has said so, or 503.
+// Status returns a job's status: 200; 404 only if the store has answered that the job does not exist; or 503.
 func (s *Service) Status(ref string) Result {
 	if !s.validator.isJobRef(ref) {
-		return notFound()
+		return notFoundResult()
 	}
 	view := s.options.Jobs.Lookup(ref)
 	if view.FinalState != nil {
@@ -28,7 +28,7 @@
 	result, err := s.withRetries(ctx, func() (Result, error) { return s.readStatus(ctx, ref, view) })
 	if err != nil {
 		s.options.Jobs.Post(pollFailed{ref})
-		return storeUnavailable()
+		return storeUnavailableResult()
 	}
 	if view.UnansweredFor > 0 {
 		s.options.Jobs.Post(pollAnswered{ref})
@@ -36,10 +36,10 @@
 	return result
 }
 
-// readStatus reads a job's state from the store. Counts of tasks come from the view.
+// readStatus reads a job's state from the store. The task counts come from the view.
 func (s *Service) readStatus(ctx context.Context, ref string, view View) (Result, error) {
 	priority := readPriority(view)
-	// One transaction replaces the job's record by its final state, so this order never misses both.
+	// A single transaction replaces a job's record by its final state. Reading in this order cannot miss both.
 	_, err := s.options.Store.Get(ctx, priority, leader.JobPrefix+ref)
 	if err == nil {
 		return statusResult(unfinishedStatus(ref, view)), nil
@@ -49,7 +49,7 @@
 	}
 	item, err := s.options.Store.Get(ctx, priority, leader.FinalStatePrefix+ref)
 	if errors.Is(err, store.ErrNotFound) {
-		return notFound(), nil
+		return notFoundResult(), nil
 	}
 	if err != nil {
 		return Result{}, err
@@ -62,16 +62,16 @@
 	return finalResult(ref, final), nil
 }
 
-// readPriority is that of a poll. With more polls than the store takes, chance would leave some jobs without
-// an answer for minutes: those that have waited go first.
+// readPriority returns the priority of a status poll. With more polls than the store's limit allows, some jobs would
+// by chance get no answer for minutes. Polls for jobs that have waited long get a higher priority.
 func readPriority(view View) store.Priority {
-	if view.UnansweredFor > starvedAfter {
+	if view.UnansweredFor > starvationThreshold {
 		return store.PriorityStarvedReads
 	}
 	return store.PriorityReads
 }
 
-// unfinishedStatus is the status of a job that is not over.
+// unfinishedStatus returns the status of a job that has no final state yet.
 func unfinishedStatus(ref string, view View) wire.JobStatus {
 	status := wire.JobStatus{Ref: ref, State: wire.JobQueued, Done: view.Count.Done, Running: view.Count.Running}
 	if status.Running > 0 {
--- a/internal/api/status_test.go
+++ b/internal/api/status_test.go
@@ -14,23 +14,23 @@
 	"swiftledge/wire"
 )
 
-// testRef is the job that tests of single jobs are about.
+// testRef is the job reference for tests with a single job.
 const testRef = "j-000001"
 
-// hookedStore is a store in which others write between two requests of the service.
+// hookedStore is a store with hooks through which other controllers write between two requests of the service.
 type hookedStore struct {
 	*fake.Store
-	beforeRead   map[string]func() // before a key is read, once
-	afterRead    func()            // after the next read
-	lostOutcomes int               // so many of the next transactions are carried out without an answer
-	afterLost    func()            // after each of these
+	beforeRead   map[string]func() // by key: called once, before the next read of the key
+	afterRead    func()            // called once, after the next read
+	lostOutcomes int               // number of next transactions that are executed without an answer
+	afterLost    func()            // called after each of these transactions
 }
 
 func newHookedStore() *hookedStore {
 	return &hookedStore{Store: fake.NewStore(4, 8), beforeRead: map[string]func(){}}
 }
 
-// Get reads a key between its hooks.
+// Get reads a key and calls the hooks before and after.
 func (h *hookedStore) Get(_ context.Context, _ store.Priority, key string) (wire.Item, error) {
 	if hook := h.beforeRead[key]; hook != nil {
 		delete(h.beforeRead, key)
@@ -47,7 +47,7 @@
 	return wire.Item{}, store.ErrNotFound
 }
 
-// TryCommit carries a transaction out, and loses its outcome if it is told to.
+// TryCommit executes a transaction and returns its outcome, unless the outcome is to be lost.
 func (h *hookedStore) TryCommit(_ context.Context, _ store.Priority, txn wire.Txn) (store.TxnResult, error) {
 	outcome, _ := h.Store.Txn(txn)
 	if h.lostOutcomes > 0 {
@@ -60,70 +60,70 @@
 	return outcome, nil
 }
 
-// endJob moves the job testRef to its final state, as its leader or another controller does.
+// endJob moves the job testRef to a final state, as the leader or another controller does.
 func (h *hookedStore) endJob(t *testing.T, state wire.JobState) {
 	t.Helper()
-	raw, err := json.Marshal(leader.FinalStateRecord{State: state, Tasks: 1})
+	record, err := json.Marshal(leader.FinalStateRecord{State: state, Tasks: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
 	item, _ := h.Store.Get(leader.JobPrefix + testRef)
 	outcome, problem := h.Txn(wire.Txn{
 		Conditions: []wire.Condition{{Key: leader.JobPrefix + testRef, Version: item.Version}},
-		Writes:     []wire.Write{{Put: leader.FinalStatePrefix + testRef, Value: raw}, {Delete: leader.JobPrefix + testRef}},
+		Writes:     []wire.Write{{Put: leader.FinalStatePrefix + testRef, Value: record}, {Delete: leader.JobPrefix + testRef}},
 	})
 	if !outcome.Committed {
-		t.Fatal("the job does not end: ", problem)
+		t.Fatal("cannot move the job to its final state: ", problem)
 	}
 }
 
-// Whatever other controllers write between two requests of this one, and whatever becomes of an answer from
-// the store, no user gets an older answer than one that was given before.
-func TestAnswersNeverGoBack(t *testing.T) {
+// No user gets an older status of a job than one that was already given, regardless of what other controllers write
+// between two requests to the store and of lost answers from the store.
+func TestJobStatusNeverRegresses(t *testing.T) {
 	const ref = testRef
 	body := []byte(`{"ref":"` + ref + `","lane":"l","owner":"red","shape":"batch","rank":"high","lots":1,"cpus":1,"accelerators":0,"ramGb":1,
 "kit":"i","imageGb":1,"breeds":null,"paddock":null,"together":false,"scatter":false,"stray":true,"reckonS":5,"waypointS":0,"stashS":0,"dueS":null}`)
 	cases := []struct {
 		name string
-		play func(h *hookedStore, s *Service) Result
+		call func(h *hookedStore, s *Service) Result
 		code int
 		want wire.JobState
 	}{
 		{"done between the two reads of a poll", func(h *hookedStore, s *Service) Result {
-			// Whichever is read first, the job moves right after.
+			// The job ends right after the first read, whichever key that reads.
 			h.afterRead = func() { h.endJob(t, wire.JobDone) }
 			if r := s.Status(ref); r.Code == 404 {
 				return r
 			}
 			return s.Status(ref)
 		}, 200, wire.JobDone},
-		{"done while a cancellation is under way", func(h *hookedStore, s *Service) Result {
+		{"done during a cancellation", func(h *hookedStore, s *Service) Result {
 			h.beforeRead[leader.JobPrefix+ref] = func() { h.endJob(t, wire.JobDone) }
 			return s.Cancel(ref)
 		}, 200, wire.JobDone},
-		{"cancelled, and only the answer is lost", func(h *hookedStore, s *Service) Result {
+		{"cancelled, answer lost", func(h *hookedStore, s *Service) Result {
 			h.lostOutcomes = 1
 			return s.Cancel(ref)
 		}, 200, wire.JobCancelled},
-		{"submitted again as it ends", func(h *hookedStore, s *Service) Result {
+		{"submitted again after its end", func(h *hookedStore, s *Service) Result {
 			h.endJob(t, wire.JobCancelled)
 			return s.Submit(body)
 		}, 200, wire.JobCancelled},
-		{"submitted again malformed, once it is over", func(h *hookedStore, s *Service) Result {
+		{"malformed submission after its end", func(h *hookedStore, s *Service) Result {
 			h.endJob(t, wire.JobDone)
 			return s.Submit([]byte(`{"ref":"` + ref + `"}`))
 		}, 200, wire.JobDone},
-		{"submitted again by an unknown team", func(h *hookedStore, s *Service) Result {
-			var form map[string]any
-			if err := json.Unmarshal(body, &form); err != nil {
+		{"submitted again with an unknown team", func(h *hookedStore, s *Service) Result {
+			var submission map[string]any
+			if err := json.Unmarshal(body, &submission); err != nil {
 				t.Fatal(err)
 			}
-			form["owner"] = "nobody"
-			raw, err := json.Marshal(form)
+			submission["owner"] = "nobody"
+			changedBody, err := json.Marshal(submission)
 			if err != nil {
 				t.Fatal(err)
 			}
-			return s.Submit(raw)
+			return s.Submit(changedBody)
 		}, 200, wire.JobQueued},
 	}
 	for _, c := range cases {
@@ -131,94 +131,94 @@
 			h := newHookedStore()
 			s := newService(t, h)
 			if r := s.Submit(body); r.Code != 201 {
-				t.Fatalf("submission gets %d %s", r.Code, r.Reason)
+				t.Fatalf("submission: status %d %s", r.Code, r.Reason)
 			}
-			if r := c.play(h, s); r.Code != c.code || r.Status.State != c.want {
+			if r := c.call(h, s); r.Code != c.code || r.Status.State != c.want {
 				t.Errorf("%d %s %s, want %d %s", r.Code, r.Status.State, r.Reason, c.code, c.want)
 			}
-			// Another controller, which knows nothing of it, answers the same.
+			// Another controller, without anything in its cache, gives the same answer.
 			if r := newService(t, h).Status(ref); r.Code != c.code || r.Status.State != c.want {
-				t.Errorf("another controller says %d %s", r.Code, r.Status.State)
+				t.Errorf("another controller answers %d %s", r.Code, r.Status.State)
 			}
 		})
 	}
-	// Accepted by a transaction whose outcome was lost, and over before it is tried again.
+	// A transaction without an answer accepts the job, and the job ends before the retry.
 	h := newHookedStore()
 	h.lostOutcomes = 1
 	h.afterLost = func() { h.endJob(t, wire.JobCancelled) }
 	if r := newService(t, h).Submit(body); r.Code != 200 || r.Status.State != wire.JobCancelled {
-		t.Errorf("accepted, cancelled by another controller, tried again: %d %s", r.Code, r.Status.State)
+		t.Errorf("retry after the job was accepted and cancelled: %d %s", r.Code, r.Status.State)
 	}
 }
 
-// refusingStore is a store that may refuse reads; it notes their priorities.
+// refusingStore is a store that can refuse reads. It records their priorities.
 type refusingStore struct {
 	*hookedStore
-	refuses    bool
-	priorities []store.Priority
+	refuseReads bool
+	priorities  []store.Priority
 }
 
-// Get refuses to read a key, or reads it.
+// Get records the priority, and then refuses the read or reads the key.
 func (r *refusingStore) Get(ctx context.Context, priority store.Priority, key string) (wire.Item, error) {
 	r.priorities = append(r.priorities, priority)
-	if r.refuses {
+	if r.refuseReads {
 		return wire.Item{}, store.ErrNotExecuted
 	}
 	return r.hookedStore.Get(ctx, priority, key)
 }
 
-// When there are more polls than the store takes, chance must not leave those for one job unanswered for a
-// minute: once they have failed for a while, the next goes first.
-func TestStarvedPollsGoFirst(t *testing.T) {
+// If there are more polls than the store's limit allows, the polls for one job must not by chance stay unanswered for a
+// minute. After they have failed for some time, the next poll gets a higher priority.
+func TestStarvedPollsGetPriority(t *testing.T) {
 	const ref = testRef
-	st := &refusingStore{hookedStore: newHookedStore(), refuses: true}
+	refusing := &refusingStore{hookedStore: newHookedStore(), refuseReads: true}
 	var now clock.Micros
-	s := newServiceAt(t, st, func() clock.Micros { return now })
-	poll := func(at clock.Micros) store.Priority {
-		now = at
-		st.priorities = nil
+	s := newServiceWithClock(t, refusing, func() clock.Micros { return now })
+	pollAt := func(pollTime clock.Micros) store.Priority {
+		now = pollTime
+		refusing.priorities = nil
 		s.Status(ref)
-		return st.priorities[0]
+		return refusing.priorities[0]
 	}
-	for _, at := range []clock.Micros{0, starvedAfter / 2, starvedAfter - 1} {
-		if priority := poll(clock.Second + at); priority != store.PriorityReads {
-			t.Errorf("after %g s of refusals: priority %d, want %d", at.Seconds(), priority, store.PriorityReads)
+	for _, failingFor := range []clock.Micros{0, starvationThreshold / 2, starvationThreshold - 1} {
+		if priority := pollAt(clock.Second + failingFor); priority != store.PriorityReads {
+			t.Errorf("after %g s of refusals: priority %d, want %d", failingFor.Seconds(), priority, store.PriorityReads)
 		}
 	}
-	st.refuses = false
-	if priority := poll(clock.Second + starvedAfter + 1); priority != store.PriorityStarvedReads {
-		t.Errorf("a job that has waited: priority %d, want %d", priority, store.PriorityStarvedReads)
+	refusing.refuseReads = false
+	if priority := pollAt(clock.Second + starvationThreshold + 1); priority != store.PriorityStarvedReads {
+		t.Errorf("after the threshold: priority %d, want %d", priority, store.PriorityStarvedReads)
 	}
-	if priority := poll(clock.Second + 2*starvedAfter); priority != store.PriorityReads {
-		t.Errorf("after an answer: priority %d, want %d", priority, store.PriorityReads)
+	if priority := pollAt(clock.Second + 2*starvationThreshold); priority != store.PriorityReads {
+		t.Errorf("after an answered poll: priority %d, want %d", priority, store.PriorityReads)
 	}
 }
 
-// Jobs whose polls failed once and are then sent elsewhere must not use up the space for those that starve
-// here.
-func TestStarvedPollsAreRememberedAfterManyOthers(t *testing.T) {
-	st := &refusingStore{hookedStore: newHookedStore(), refuses: true}
+// Jobs with one failed poll on this controller, whose later polls go to other controllers, must not displace the
+// starved jobs from the cache.
+func TestStarvedPollsAreRememberedAfterManyFailedPolls(t *testing.T) {
+	refusing := &refusingStore{hookedStore: newHookedStore(), refuseReads: true}
 	var now clock.Micros
-	s := newServiceAt(t, st, func() clock.Micros { return now })
+	s := newServiceWithClock(t, refusing, func() clock.Micros { return now })
 	for i := range minCachedJobs {
 		s.options.Jobs.Post(pollFailed{fmt.Sprint("j-", 100000+i)})
 	}
 	s.Status(testRef)
-	now = starvedAfter + 1
-	st.priorities = nil
+	now = starvationThreshold + 1
+	refusing.priorities = nil
 	s.Status(testRef)
-	if priority := st.priorities[0]; priority != store.PriorityStarvedReads {
+	if priority := refusing.priorities[0]; priority != store.PriorityStarvedReads {
 		t.Errorf("priority %d, want %d", priority, store.PriorityStarvedReads)
 	}
 }
 
-func newService(t *testing.T, st Store) *Service {
+func newService(t *testing.T, testStore Store) *Service {
 	t.Helper()
-	return newServiceAt(t, st, func() clock.Micros { return 0 })
+	return newServiceWithClock(t, testStore, func() clock.Micros { return 0 })
 }
 
-// newServiceAt makes a service with a clock, two teams and one machine type.
-func newServiceAt(t *testing.T, st Store, now func() clock.Micros) *Service {
+// newServiceWithClock returns a service with the given clock, two teams and one machine type.
+func newServiceWithClock(t *testing.T, testStore Store, now func() clock.Micros) *Service {
 	t.Helper()
 	cfg := &config.Config{Tuning: config.DefaultTuning()}
 	cfg.Facts.Teams = []config.Team{{Name: "red", CPUs: 8, CPUsMax: 8}, {Name: "guest"}}
@@ -228,7 +228,7 @@
 	jobs.Post(catalogRead{[]wire.MachineType{{Name: "small", CPUs: 4, MemoryGB: 8, ZoneNames: []string{"a"}}}})
 	return New(Options{
 		Config:       cfg,
-		Store:        st,
+		Store:        testStore,
 		Backoff:      func(context.Context, int) bool { return true },
 		Jobs:         jobs,
 		StoreHealthy: func() bool { return true },
--- a/internal/api/submit.go
+++ b/internal/api/submit.go
@@ -10,30 +10,30 @@
 	"swiftledge/wire"
 )
 
-// Submit accepts the job in a request's body unless it exists already, is invalid or can never run. A
-// submission that is repeated gets the job's status.
+// Submit accepts the job in a request's body unless it already exists, is invalid or can never run. A repeated
+// submission gets the job's status.
 func (s *Service) Submit(body []byte) Result {
 	job, rejected := s.validator.decode(body)
 	if rejected != nil {
-		return s.existingOr(rejected)
+		return s.existingStatusOr(rejected)
 	}
 	view := s.options.Jobs.Lookup(job.Ref)
 	if view.FinalState != nil {
 		return finalResult(job.Ref, *view.FinalState)
 	}
 	if rejected := s.checkFeasible(&job, view.Types); rejected != nil {
-		return s.existingOr(rejected)
+		return s.existingStatusOr(rejected)
 	}
 	record, rejected := s.encodeRecord(job)
 	if rejected != nil {
-		return s.existingOr(rejected)
+		return s.existingStatusOr(rejected)
 	}
 	return s.commitJob(job.Ref, record)
 }
 
-// existingOr returns the status of the rejected submission's job if it was accepted before, whatever its
-// retry holds, else the rejection.
-func (s *Service) existingOr(rejected *rejection) Result {
+// existingStatusOr returns the job's status if an earlier submission of the job was accepted, regardless of the content
+// of the rejected one. Otherwise it returns the rejection.
+func (s *Service) existingStatusOr(rejected *rejection) Result {
 	if !s.validator.isJobRef(rejected.ref) {
 		return rejected.result()
 	}
@@ -45,7 +45,7 @@
 	return rejected.result()
 }
 
-// encodeRecord encodes the record under which a job is stored.
+// encodeRecord encodes the record of a job for the store.
 func (s *Service) encodeRecord(job wire.Job) (json.RawMessage, *rejection) {
 	record, err := json.Marshal(leader.JobRecord{Spec: job, AcceptedAt: s.options.TimeOfDay()})
 	if err != nil {
@@ -57,7 +57,7 @@
 	return record, nil
 }
 
-// commitJob stores a job that neither exists nor has existed; if it does or has, it returns its status.
+// commitJob stores a job on condition that it neither exists nor has existed. Otherwise it returns the job's status.
 func (s *Service) commitJob(ref string, record json.RawMessage) Result {
 	ctx, cancel := context.WithTimeout(context.Background(), userWriteTimeout)
 	defer cancel()
@@ -73,19 +73,19 @@
 		if outcome.Committed {
 			return acceptedResult(ref), nil
 		}
-		return s.statusOfConflict(ref), nil
+		return s.statusAfterConflict(ref), nil
 	})
 	if err != nil {
-		return storeUnavailable()
+		return storeUnavailableResult()
 	}
 	return result
 }
 
-// statusOfConflict returns the status of a job that could not be stored since it was there.
-func (s *Service) statusOfConflict(ref string) Result {
+// statusAfterConflict returns the status of a job that could not be stored because it already exists.
+func (s *Service) statusAfterConflict(ref string) Result {
 	result := s.Status(ref)
 	if result.Code == http.StatusNotFound {
-		return unavailable("the job's state changed meanwhile")
+		return unavailableResult("the job's state changed meanwhile")
 	}
 	return result
 }
--- a/internal/api/validate.go
+++ b/internal/api/validate.go
@@ -13,10 +13,10 @@
 	"swiftledge/wire"
 )
 
-// jobRefPattern is the form of all references to jobs.
+// jobRefPattern is the pattern of all job references.
 const jobRefPattern = `^j-[0-9]{6,18}$`
 
-// submissionValidator decodes submissions and checks the form of their fields.
+// submissionValidator decodes submissions and validates their fields.
 type submissionValidator struct {
 	fields *validator.Validate
 	refs   *regexp.Regexp
@@ -35,16 +35,16 @@
 	return submissionValidator{fields, refs}
 }
 
-// isJobRef reports whether a string has the form of a reference to a job.
+// isJobRef reports whether a string is a well-formed job reference.
 func (v submissionValidator) isJobRef(ref string) bool { return v.refs.MatchString(ref) }
 
-// decode returns the job of a well-formed submission.
+// decode returns the job of a valid submission, or else the rejection.
 func (v submissionValidator) decode(body []byte) (wire.Job, *rejection) {
 	var submission wire.JobSubmission
 	if err := json.Unmarshal(body, &submission); err != nil {
-		return wire.Job{}, &rejection{refOf(body), http.StatusBadRequest, "not a job: " + decodeErrorText(err)}
+		return wire.Job{}, &rejection{extractRef(body), http.StatusBadRequest, "not a job: " + decodeErrorText(err)}
 	}
-	if reason := v.invalidField(&submission); reason != "" {
+	if reason := v.invalidFieldReason(&submission); reason != "" {
 		var ref string
 		if submission.Ref != nil {
 			ref = *submission.Ref
@@ -54,18 +54,18 @@
 	return submission.Job(), nil
 }
 
-// refOf returns the reference in a body of which little else can be read.
-func refOf(body []byte) string {
+// extractRef returns the job reference in a body that cannot be decoded as a whole.
+func extractRef(body []byte) string {
 	var submission struct {
 		Ref string `json:"ref"`
 	}
-	// What was read before an error counts: an empty reference is no job's.
+	// The decoder sets the fields that it reads before an error. An empty reference names no job.
 	_ = json.Unmarshal(body, &submission)
 	return submission.Ref
 }
 
-// invalidField tells the first field that is missing or invalid; it is empty if there is none.
-func (v submissionValidator) invalidField(submission *wire.JobSubmission) string {
+// invalidFieldReason names the first field that is missing or invalid. It returns "" if all fields are valid.
+func (v submissionValidator) invalidFieldReason(submission *wire.JobSubmission) string {
 	var invalid validator.ValidationErrors
 	if errors.As(v.fields.Struct(submission), &invalid) {
 		return invalid[0].Field() + " is missing or invalid (" + invalid[0].Tag() + ")"
