--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -1,8 +1,8 @@
 // Package cloud is the client of the cloud's API, which provisions and deletes machines.
 //
-// It owns the leader's share of the API's rate limit: each call waits until the limit allows it. It never retries by
-// itself, since a call that got no answer may have been carried out, and keeps nothing of what the cloud answers. What
-// is provisioned and deleted, and when, is decided by the leader.
+// The client owns the leader's share of the API's rate limit: each call waits until the limit allows it. The client
+// never retries, since a call without an answer may have been executed, and it does not cache answers. The leader
+// decides what to provision and delete, and when.
 package cloud
 
 import (
@@ -23,24 +23,24 @@
 	maxConnections = 4
 	dialTimeout    = 2 * time.Second
 	callTimeout    = 5 * time.Second
-	// usedLimit is the part of the rate limit that is used.
-	usedLimit = 0.95
-	// burstSeconds is how many seconds' worth of calls may be made at once. The cloud allows two; the rest is left
-	// for a leader before this one.
+	// rateLimitFraction is the fraction of the rate limit that the client uses.
+	rateLimitFraction = 0.95
+	// burstSeconds is the burst size in seconds of the rate limit. The cloud allows bursts of two seconds. The rest is
+	// left for calls of the previous leader.
 	burstSeconds = 1.5
 )
 
-// Client calls the cloud's API within its rate limit. Only the leader calls it.
+// Client calls the cloud's API within its rate limit. Only the leader uses it.
 type Client struct {
 	connections *fasthttp.HostClient
 	limiter     *rate.Limiter
 }
 
-// New makes a client of the API at address that keeps to a limit of calls.
+// New returns a client of the API at address that keeps within a rate limit of callsPerSecond.
 func New(address string, callsPerSecond float64) *Client {
 	return &Client{
 		connections: jsonhttp.NewHostClient(address, maxConnections, dialTimeout),
-		limiter:     rate.NewLimiter(rate.Limit(usedLimit*callsPerSecond), max(1, int(burstSeconds*callsPerSecond))),
+		limiter:     rate.NewLimiter(rate.Limit(rateLimitFraction*callsPerSecond), max(1, int(burstSeconds*callsPerSecond))),
 	}
 }
 
@@ -51,8 +51,8 @@
 	return catalog, err
 }
 
-// Provision asks for machines and returns the names of those that it got, which may be fewer. The same request gives
-// the same machines. ErrNoCapacity means that none are available.
+// Provision requests machines and returns the names of the provisioned machines, which may be fewer than requested. It
+// is idempotent: the same request returns the same machines. ErrNoCapacity means that no machine is available.
 func (c *Client) Provision(ctx context.Context, request wire.ProvisionRequest) ([]string, error) {
 	var machines wire.MachineNames
 	err := c.do(ctx, call{
@@ -62,7 +62,7 @@
 	return machines.Names, err
 }
 
-// Delete deletes machines; when it succeeds they are gone.
+// Delete deletes machines. When it returns without an error, the machines no longer exist.
 func (c *Client) Delete(ctx context.Context, names []string) error {
 	return c.do(ctx, call{
 		operation: OperationDelete, subject: fmt.Sprintf("%d machines", len(names)),
@@ -70,7 +70,7 @@
 	}, nil)
 }
 
-// List reads the page of the machine list that begins after a name.
+// List reads the page of the machine list that begins after the given name.
 func (c *Client) List(ctx context.Context, after string) (wire.MachineList, error) {
 	var page wire.MachineList
 	err := c.do(ctx, call{
@@ -80,36 +80,36 @@
 	return page, err
 }
 
-// call is one call of the API.
+// call describes one call of the API.
 type call struct {
 	operation   Operation
-	subject     string // for errors
+	subject     string // what the call is about, for error texts
 	method, uri string
-	body        any // of any type that JSON encodes; nil: no body
+	body        any // any type that JSON can encode; nil: no body
 }
 
-// do makes a call once the limit allows it, and decodes the answer into response unless that is nil.
+// do makes a call once the rate limit allows it. It decodes the answer's body into response unless response is nil.
 func (c *Client) do(ctx context.Context, call call, response any) error {
 	if err := c.limiter.Wait(ctx); err != nil {
-		return call.failed(ErrNotExecuted, err)
+		return call.newError(ErrNotExecuted, err)
 	}
 	httpRequest, httpResponse := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(httpRequest)
 	defer fasthttp.ReleaseResponse(httpResponse)
 	if err := jsonhttp.Encode(httpRequest, call.method, c.connections.Addr, call.uri, call.body); err != nil {
-		return call.failed(ErrNotExecuted, fmt.Errorf("encode: %w", err))
+		return call.newError(ErrNotExecuted, fmt.Errorf("encode request: %w", err))
 	}
 	if err := c.connections.DoTimeout(httpRequest, httpResponse, callTimeout); err != nil {
-		return call.failed(ErrOutcomeUnknown, err)
+		return call.newError(ErrOutcomeUnknown, err)
 	}
 	if httpResponse.StatusCode() != fasthttp.StatusOK {
-		return call.refused(httpResponse)
+		return call.statusError(httpResponse)
 	}
 	if response == nil {
 		return nil
 	}
 	if err := json.Unmarshal(httpResponse.Body(), response); err != nil {
-		return call.failed(ErrOutcomeUnknown, fmt.Errorf("decode: %w", err))
+		return call.newError(ErrOutcomeUnknown, fmt.Errorf("decode response: %w", err))
 	}
 	return nil
 }
--- a/internal/cloud/client_test.go
+++ b/internal/cloud/client_test.go
@@ -13,7 +13,7 @@
 	"swiftledge/wire"
 )
 
-// startClient serves the API on loopback and returns a client of it.
+// startClient serves handler as the cloud's API on the loopback interface and returns a client of it.
 func startClient(t *testing.T, handler http.HandlerFunc) *Client {
 	t.Helper()
 	server := httptest.NewServer(handler)
@@ -21,71 +21,71 @@
 	return New(server.Listener.Addr().String(), 100)
 }
 
-// Requests and answers have the protocol's form.
-func TestCalls(t *testing.T) {
-	asked := make(chan string, 1)
+// Provision and Delete encode requests and decode answers as the protocol requires.
+func TestProvisionAndDeleteRequests(t *testing.T) {
+	requests := make(chan string, 1)
 	client := startClient(t, func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
 			t.Error(err)
 		}
-		asked <- r.Method + " " + r.URL.String() + " " + string(body)
+		requests <- r.Method + " " + r.URL.String() + " " + string(body)
 		fmt.Fprint(w, `{"rigs":["host-000231"]}`)
 	})
 	request := wire.ProvisionRequest{RequestID: "r-17", Type: "g8", Zone: "a", Spot: true, Count: 12}
 	names, err := client.Provision(t.Context(), request)
 	if err != nil || !slices.Equal(names, []string{"host-000231"}) {
-		t.Errorf("provisioned %v, %v", names, err)
+		t.Errorf("provision: machines %v, error %v", names, err)
 	}
-	if got, want := <-asked, `POST /hosts {"hire":"r-17","breed":"g8","paddock":"a","stray":true,"count":12}`; got != want {
-		t.Errorf("asked %s, want %s", got, want)
+	if got, want := <-requests, `POST /hosts {"hire":"r-17","breed":"g8","paddock":"a","stray":true,"count":12}`; got != want {
+		t.Errorf("request %s, want %s", got, want)
 	}
 	if err := client.Delete(t.Context(), names); err != nil {
 		t.Error(err)
 	}
-	if got, want := <-asked, `POST /hosts/delete {"rigs":["host-000231"]}`; got != want {
-		t.Errorf("asked %s, want %s", got, want)
+	if got, want := <-requests, `POST /hosts/delete {"rigs":["host-000231"]}`; got != want {
+		t.Errorf("request %s, want %s", got, want)
 	}
 }
 
-func TestPages(t *testing.T) {
-	asked := make(chan string, 1)
+func TestListAndCatalogRequests(t *testing.T) {
+	requests := make(chan string, 1)
 	client := startClient(t, func(w http.ResponseWriter, r *http.Request) {
-		asked <- r.Method + " " + r.URL.String()
+		requests <- r.Method + " " + r.URL.String()
 		fmt.Fprint(w, `{"rigs":[{"ref":"host-000231"}],"more":true}`)
 	})
 	page, err := client.List(t.Context(), "host-000230")
 	if err != nil || len(page.Machines) != 1 || page.Machines[0].Name != "host-000231" || !page.More {
-		t.Errorf("listed %+v, %v", page, err)
+		t.Errorf("list: page %+v, error %v", page, err)
 	}
-	if got, want := <-asked, "GET /hosts?most=500&since=host-000230"; got != want {
-		t.Errorf("asked %s, want %s", got, want)
+	if got, want := <-requests, "GET /hosts?most=500&since=host-000230"; got != want {
+		t.Errorf("request %s, want %s", got, want)
 	}
 	if _, err := client.Catalog(t.Context()); err != nil {
 		t.Error(err)
 	}
-	if got, want := <-asked, "GET /catalog"; got != want {
-		t.Errorf("asked %s, want %s", got, want)
+	if got, want := <-requests, "GET /catalog"; got != want {
+		t.Errorf("request %s, want %s", got, want)
 	}
 }
 
-// An error says what was asked, and whether it may have been carried out.
-func TestErrors(t *testing.T) {
+// An error names the failed call and wraps the outcome, which says whether the call may have been executed.
+func TestErrorsWrapOutcomeAndNameCall(t *testing.T) {
 	const noAnswer = 0
 	for _, c := range []struct {
-		name    string
-		status  int
-		body    string
-		outcome error
-		full    bool   // it is for want of capacity
-		text    string // "" if it depends on the system
+		name       string
+		status     int
+		body       string
+		outcome    error
+		noCapacity bool   // whether the error wraps ErrNoCapacity
+		text       string // "" if the text depends on the operating system
 	}{
 		{"no capacity", 503, `{"error":"no capacity"}`, ErrNotExecuted, true, "cloud: provision r-17: not executed: no capacity"},
 		{"outage", 503, `{"error":"trouble"}`, ErrNotExecuted, false, "cloud: provision r-17: not executed: status 503"},
 		{"over the limit", 429, "", ErrNotExecuted, false, "cloud: provision r-17: not executed: status 429"},
 		{"malformed", 400, "", ErrNotExecuted, false, "cloud: provision r-17: not executed: status 400"},
 		{"other status", 500, "", ErrOutcomeUnknown, false, "cloud: provision r-17: outcome unknown: status 500"},
-		{"answer that is cut short", 200, `{"rigs":`, ErrOutcomeUnknown, false, ""},
+		{"truncated answer", 200, `{"rigs":`, ErrOutcomeUnknown, false, ""},
 		{"no answer", noAnswer, "", ErrOutcomeUnknown, false, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -99,10 +99,10 @@
 			_, err := client.Provision(t.Context(), wire.ProvisionRequest{RequestID: "r-17"})
 			var typed *Error
 			if !errors.Is(err, c.outcome) || !errors.As(err, &typed) || typed.MayHaveExecuted() != errors.Is(c.outcome, ErrOutcomeUnknown) {
-				t.Errorf("error %v, want one that is %v", err, c.outcome)
+				t.Errorf("error %v, want a cloud.Error with outcome %v", err, c.outcome)
 			}
-			if errors.Is(err, ErrNoCapacity) != c.full {
-				t.Errorf("error %v, for want of capacity: %t", err, c.full)
+			if errors.Is(err, ErrNoCapacity) != c.noCapacity {
+				t.Errorf("error %v, want one that wraps ErrNoCapacity: %t", err, c.noCapacity)
 			}
 			if c.text != "" && err.Error() != c.text {
 				t.Errorf("error %q, want %q", err, c.text)
@@ -111,12 +111,12 @@
 	}
 }
 
-// A call that waits for the limit ends with its context, and is not made.
+// A call that waits for the rate limit fails without being sent when its context ends.
 func TestCallEndsWithContext(t *testing.T) {
-	client := startClient(t, func(http.ResponseWriter, *http.Request) { t.Error("the call was made") })
+	client := startClient(t, func(http.ResponseWriter, *http.Request) { t.Error("the call was sent") })
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	if _, err := client.Catalog(ctx); !errors.Is(err, ErrNotExecuted) || !errors.Is(err, context.Canceled) {
-		t.Errorf("error %v", err)
+		t.Errorf("error %v, want ErrNotExecuted and context.Canceled", err)
 	}
 }
--- a/internal/cloud/errors.go
+++ b/internal/cloud/errors.go
@@ -10,18 +10,19 @@
 	"swiftledge/wire"
 )
 
-// What became of a call that failed. Every error of this package is an *Error that wraps one of these.
+// Outcomes of failed calls. Every error of this package is an *Error that wraps one of these.
 var (
-	// ErrNotExecuted means that the call was certainly not carried out.
+	// ErrNotExecuted means that the call was certainly not executed.
 	ErrNotExecuted = errors.New("not executed")
-	// ErrOutcomeUnknown means that the call may have been carried out, or may be later.
+	// ErrOutcomeUnknown means that the call may have been executed, or may still be executed later.
 	ErrOutcomeUnknown = errors.New("outcome unknown")
 )
 
-// ErrNoCapacity comes with ErrNotExecuted when no machines are available of the type, zone and kind asked for.
+// ErrNoCapacity accompanies ErrNotExecuted when no machine of the requested type, zone and kind (spot or on-demand) is
+// available.
 var ErrNoCapacity = errors.New("no capacity")
 
-// Operation is a kind of call of the API.
+// Operation is a kind of API call.
 type Operation string
 
 // Operations of a Client.
@@ -32,10 +33,10 @@
 	OperationList      Operation = "list"
 )
 
-// Error is a call of the API that failed.
+// Error describes a failed API call.
 type Error struct {
 	Operation Operation
-	Subject   string // the request's name, the number of machines, or the name after which a list begins
+	Subject   string // the ID of the request, the number of machines, or the name after which a list begins
 	Outcome   error  // ErrNotExecuted or ErrOutcomeUnknown
 	Cause     error
 }
@@ -52,16 +53,16 @@
 // Unwrap lets errors.Is and errors.As find the outcome and the cause.
 func (e *Error) Unwrap() []error { return []error{e.Outcome, e.Cause} }
 
-// MayHaveExecuted says whether the call may have been carried out, or may be later.
+// MayHaveExecuted reports whether the call may have been executed, or may still be executed later.
 func (e *Error) MayHaveExecuted() bool { return errors.Is(e.Outcome, ErrOutcomeUnknown) }
 
-// failed is the error of a call with this outcome.
-func (c call) failed(outcome, cause error) error {
+// newError returns the error of a call with the given outcome and cause.
+func (c call) newError(outcome, cause error) error {
 	return &Error{Operation: c.operation, Subject: c.subject, Outcome: outcome, Cause: cause}
 }
 
-// refused is the error of a call whose answer has a status other than 200.
-func (c call) refused(response *fasthttp.Response) error {
+// statusError returns the error of a call whose answer has a status other than 200.
+func (c call) statusError(response *fasthttp.Response) error {
 	status := response.StatusCode()
 	cause := fmt.Errorf("status %d", status)
 	switch status {
@@ -69,15 +70,15 @@
 		if isNoCapacity(response.Body()) {
 			cause = ErrNoCapacity
 		}
-		return c.failed(ErrNotExecuted, cause)
+		return c.newError(ErrNotExecuted, cause)
 	case fasthttp.StatusBadRequest, fasthttp.StatusTooManyRequests:
-		return c.failed(ErrNotExecuted, cause)
+		return c.newError(ErrNotExecuted, cause)
 	}
-	return c.failed(ErrOutcomeUnknown, cause)
+	return c.newError(ErrOutcomeUnknown, cause)
 }
 
-// isNoCapacity says whether the body of a refusal names the lack of capacity, not an outage.
+// isNoCapacity reports whether the body of an error response says that capacity is lacking, as opposed to an outage.
 func isNoCapacity(body []byte) bool {
-	var refusal wire.ErrorResponse
-	return json.Unmarshal(body, &refusal) == nil && refusal.Error == "no capacity"
+	var response wire.ErrorResponse
+	return json.Unmarshal(body, &response) == nil && response.Error == "no capacity"
 }
