--- a/internal/jsonhttp/jsonhttp.go
+++ b/internal/jsonhttp/jsonhttp.go
@@ -1,6 +1,6 @@
-// Package jsonhttp holds what the clients of services that speak JSON over HTTP have in common: connections that never
-// repeat a request by themselves, and the encoding of a request. It sends nothing; limits, retries and the meaning of
-// answers are each client's own.
+// Package jsonhttp has the common parts of clients for JSON over HTTP: host clients that never retry a request on their
+// own, and the encoding of requests. It sends nothing. Each client implements its own limits, retries and handling of
+// answers.
 package jsonhttp
 
 import (
@@ -13,8 +13,8 @@
 	"swiftledge/internal/netio"
 )
 
-// NewHostClient makes an HTTP client of one address. It never repeats a request, as one that got no answer may have
-// been carried out: whether that is harmless is the caller's decision.
+// NewHostClient returns an HTTP client for one address. The client never retries a request, since a request without an
+// answer may have been executed. The caller has to decide whether a retry is harmless.
 func NewHostClient(address string, maxConnections int, dialTimeout time.Duration) *fasthttp.HostClient {
 	return &fasthttp.HostClient{
 		Addr:                      address,
@@ -25,7 +25,8 @@
 	}
 }
 
-// Encode fills in a request for a path at a host. The body is of any type that JSON encodes; nil stands for none.
+// Encode sets the method, URI and JSON body of a request. The body is of any type that JSON can encode. With nil, the
+// request has no body.
 func Encode(request *fasthttp.Request, method, host, path string, body any) error {
 	request.Header.SetMethod(method)
 	request.SetRequestURI("http://" + host + path)
--- a/internal/jsonhttp/jsonhttp_test.go
+++ b/internal/jsonhttp/jsonhttp_test.go
@@ -10,7 +10,7 @@
 	"github.com/valyala/fasthttp"
 )
 
-// A request that gets no answer is sent once.
+// The client sends a request without an answer only once.
 func TestHostClientNeverRepeats(t *testing.T) {
 	var requests atomic.Int32
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
@@ -28,10 +28,10 @@
 			t.Fatal(err)
 		}
 		if err := client.DoTimeout(&request, &response, 5*time.Second); err == nil {
-			t.Errorf("%s: answer %s", method, response.Body())
+			t.Errorf("%s: got answer %s, want an error", method, response.Body())
 		}
 		if n := requests.Load(); n != 1 {
-			t.Errorf("%s: sent %d times", method, n)
+			t.Errorf("%s: sent %d times, want once", method, n)
 		}
 	}
 }
@@ -47,6 +47,6 @@
 		t.Errorf("request %s, want %s", got, want)
 	}
 	if err := Encode(&request, fasthttp.MethodPost, "127.0.0.1:80", "/", func() {}); err == nil {
-		t.Error("a function was encoded")
+		t.Error("no error for a body that JSON cannot encode")
 	}
 }
--- a/internal/netio/conn_linux.go
+++ b/internal/netio/conn_linux.go
@@ -1,9 +1,10 @@
-// Package netio makes TCP connections that cost little processor time.
+// Package netio provides TCP connections with a low CPU cost per message.
 //
-// A read or write of package net tells Go's scheduler of a system call that may block, which wakes the runtime's
-// monitor thread; on a machine that is mostly idle between small messages that doubles the system calls of each.
-// The sockets are non-blocking, so the scheduler need not know: waiting, deadlines and closing stay those of net.
-// Elsewhere than on Linux the connections are those of package net.
+// Package net announces each read and write to Go's scheduler as a system call that may block, which wakes the
+// runtime's monitor thread. On a machine that is mostly idle between small messages, that doubles the number of system
+// calls per message. Since the sockets are non-blocking, the announcement is unnecessary: package netio makes the
+// system calls without it. Waiting, deadlines and closing are still those of package net. On systems other than Linux,
+// the connections are those of package net.
 package netio
 
 import (
@@ -14,7 +15,7 @@
 	"unsafe"
 )
 
-// Conn is a TCP connection. Like any, it is for one reader and one writer at a time.
+// Conn is a TCP connection. It supports one reader and one writer at a time.
 type Conn struct {
 	*net.TCPConn
 	raw   syscall.RawConn
@@ -22,8 +23,8 @@
 	write transfer
 }
 
-// transfer is the read or the write that is under way, and the function that carries it out when the socket is
-// ready. The function is made once for each connection, as one for each call would have to be allocated.
+// transfer is the state of the current read or write, and the function that performs it when the socket is ready. The
+// function is created once per connection, since a new one for each call would have to be allocated.
 type transfer struct {
 	buffer []byte
 	count  int // bytes transferred
@@ -31,7 +32,7 @@
 	run    func(fd uintptr) (done bool)
 }
 
-// Wrap makes a Conn of a TCP connection. It returns any other as it is.
+// Wrap returns a Conn for a TCP connection. It returns any other connection unchanged.
 func Wrap(conn net.Conn) net.Conn {
 	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
@@ -46,17 +47,17 @@
 	return c
 }
 
-// readOnce reads what is there. It returns false if that is nothing.
+// readOnce reads the available bytes. It returns false if there are none yet.
 func (c *Conn) readOnce(fd uintptr) (done bool) {
-	c.read.count, c.read.err = call(syscall.SYS_READ, fd, c.read.buffer)
+	c.read.count, c.read.err = rawTransfer(syscall.SYS_READ, fd, c.read.buffer)
 	return c.read.err != syscall.EAGAIN
 }
 
-// writeAll writes what is left of the buffer. It returns false if the socket takes no more for now.
+// writeAll writes the rest of the buffer. It returns false if the socket's send buffer is full.
 func (c *Conn) writeAll(fd uintptr) (done bool) {
 	w := &c.write
 	for w.count < len(w.buffer) {
-		count, err := call(syscall.SYS_WRITE, fd, w.buffer[w.count:])
+		count, err := rawTransfer(syscall.SYS_WRITE, fd, w.buffer[w.count:])
 		if err != 0 {
 			w.err = err
 			return err != syscall.EAGAIN
@@ -67,8 +68,8 @@
 	return true
 }
 
-// call makes a system call that reads or writes a buffer, without telling the scheduler.
-func call(number, fd uintptr, buffer []byte) (int, syscall.Errno) {
+// rawTransfer makes a system call that reads or writes a buffer, without notifying the scheduler.
+func rawTransfer(number, fd uintptr, buffer []byte) (int, syscall.Errno) {
 	length := uintptr(len(buffer))
 	for {
 		count, _, err := syscall.RawSyscall(number, fd, uintptr(unsafe.Pointer(unsafe.SliceData(buffer))), length)
@@ -81,7 +82,7 @@
 	}
 }
 
-// Read reads what is there, waiting for something to come.
+// Read reads the available bytes. It waits until there are any.
 func (c *Conn) Read(buffer []byte) (int, error) {
 	if len(buffer) == 0 {
 		return 0, nil
@@ -111,7 +112,7 @@
 	return c.write.count, err
 }
 
-// ReadFrom keeps io.Copy from going around Write.
+// ReadFrom copies from r with Write. It hides the ReadFrom of net.TCPConn, so that io.Copy does not bypass Write.
 func (c *Conn) ReadFrom(r io.Reader) (int64, error) {
 	return io.Copy(struct{ io.Writer }{c}, r)
 }
--- a/internal/netio/conn_other.go
+++ b/internal/netio/conn_other.go
@@ -1,10 +1,10 @@
 //go:build !linux
 
-// Package netio makes TCP connections that cost little processor time; elsewhere than on Linux they are those of
-// package net.
+// Package netio provides TCP connections with a low CPU cost per message. On systems other than Linux, they are the
+// connections of package net.
 package netio
 
 import "net"
 
-// Wrap returns the connection as it is.
+// Wrap returns the connection unchanged.
 func Wrap(conn net.Conn) net.Conn { return conn }
--- a/internal/netio/conn_test.go
+++ b/internal/netio/conn_test.go
@@ -12,34 +12,34 @@
 	"time"
 )
 
-// connect returns the two ends of one connection.
-func connect(t *testing.T) (a, b net.Conn) {
+// newConnPair returns both ends of a new connection.
+func newConnPair(t *testing.T) (a, b net.Conn) {
 	t.Helper()
 	l, err := Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	got := make(chan net.Conn, 1)
+	accepted := make(chan net.Conn, 1)
 	go func() {
 		c, err := l.Accept()
 		if err != nil {
 			t.Error(err)
 		}
-		got <- c
+		accepted <- c
 	}()
 	a, err = Dial(l.Addr().String(), 10*time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b = <-got
+	b = <-accepted
 	t.Cleanup(func() { a.Close(); b.Close() })
 	return a, b
 }
 
-// More than the socket's buffers hold goes through whole, and the end is seen.
-func TestCarriesAllBytesAndTheEnd(t *testing.T) {
-	a, b := connect(t)
+// A transfer that is larger than the socket buffers arrives completely and ends with EOF.
+func TestTransfersAllBytesAndEOF(t *testing.T) {
+	a, b := newConnPair(t)
 	want := make([]byte, 8<<20)
 	r := rand.New(rand.NewPCG(1, 1))
 	for i := range want {
@@ -47,7 +47,7 @@
 	}
 	go func() {
 		if n, err := a.Write(want); n != len(want) || err != nil {
-			t.Errorf("wrote %d of %d: %v", n, len(want), err)
+			t.Errorf("wrote %d of %d bytes: %v", n, len(want), err)
 		}
 		a.Close()
 	}()
@@ -57,8 +57,8 @@
 	}
 }
 
-func TestDeadlineAndCloseEndWaiting(t *testing.T) {
-	a, b := connect(t)
+func TestDeadlineAndCloseUnblockRead(t *testing.T) {
+	a, b := newConnPair(t)
 	a.SetReadDeadline(time.Now().Add(-time.Second))
 	if _, err := a.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("read past the deadline: %v", err)
@@ -66,7 +66,7 @@
 	b.Close()
 	a.SetReadDeadline(time.Time{})
 	if _, err := a.Read(make([]byte, 1)); err == nil {
-		t.Error("read from a closed connection succeeds")
+		t.Error("read from a connection that the peer closed: no error")
 	}
 	a.Close()
 	if _, err := a.Read(make([]byte, 1)); !errors.Is(err, net.ErrClosed) {
@@ -74,7 +74,7 @@
 	}
 }
 
-// failingListener fails some accepts before one succeeds.
+// failingListener returns the given errors from Accept, one per call, before it accepts connections.
 type failingListener struct {
 	net.Listener
 	errs []error
@@ -89,7 +89,7 @@
 	return l.Listener.Accept()
 }
 
-// A server takes the first error of Accept for the end; a lack of sockets must not end it.
+// A server stops at the first error of Accept, so Accept must retry after a temporary lack of sockets.
 func TestAcceptRetriesTransientErrors(t *testing.T) {
 	inner, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -108,6 +108,6 @@
 	b.Close()
 	inner.Close()
 	if _, err := l.Accept(); err == nil {
-		t.Error("accepts on a closed listener")
+		t.Error("accept on a closed listener: no error")
 	}
 }
--- a/internal/netio/listen.go
+++ b/internal/netio/listen.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// acceptRetry is how long to wait after an accept failed for a reason that passes.
-const acceptRetry = 20 * time.Millisecond
+// acceptRetryDelay is the delay before a retry after a transient error of accept.
+const acceptRetryDelay = 20 * time.Millisecond
 
-// listener accepts connections that Wrap has wrapped.
+// listener is a listener whose connections are wrapped by Wrap.
 type listener struct{ net.Listener }
 
-// Accept waits for the next connection. It retries after a failure that passes, such as the limit of open
-// sockets: a server that takes any error for the last would end.
+// Accept waits for the next connection. It retries after transient errors, such as exceeding the limit of open sockets,
+// since a server that treats every error as permanent would stop.
 func (l listener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
@@ -24,12 +24,12 @@
 		if !isTransient(err) {
 			return nil, err
 		}
-		time.Sleep(acceptRetry)
+		time.Sleep(acceptRetryDelay)
 	}
 }
 
-// isTransient reports whether a later accept may succeed: sockets or memory were wanting, or the connection was
-// given up before it was accepted.
+// isTransient reports whether a later accept may succeed: there was a lack of sockets or memory, or the client aborted
+// the connection before it was accepted.
 func isTransient(err error) bool {
 	for _, transient := range []syscall.Errno{
 		syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ECONNABORTED, syscall.EPROTO,
@@ -41,7 +41,7 @@
 	return false
 }
 
-// Listen listens on a TCP address.
+// Listen listens on a TCP address (IPv4). Accepted connections are wrapped by Wrap.
 func Listen(address string) (net.Listener, error) {
 	inner, err := net.Listen("tcp4", address)
 	if err != nil {
@@ -50,7 +50,7 @@
 	return listener{inner}, nil
 }
 
-// Dial connects to a TCP address.
+// Dial connects to a TCP address (IPv4). The connection is wrapped by Wrap.
 func Dial(address string, timeout time.Duration) (net.Conn, error) {
 	conn, err := net.DialTimeout("tcp4", address, timeout)
 	if err != nil {
