--- a/internal/api/heartbeat_test.go
+++ b/internal/api/heartbeat_test.go
@@ -33,22 +33,22 @@
 	if err != nil {
 		return nil, err
 	}
-	return countedConn{conn, l}, nil
+	return countingConn{conn, l}, nil
 }
 
-type countedConn struct {
+type countingConn struct {
 	net.Conn
 	listener countingListener
 }
 
 // Read counts the call and reads.
-func (c countedConn) Read(b []byte) (int, error) {
+func (c countingConn) Read(b []byte) (int, error) {
 	c.listener.reads.Add(1)
 	return c.Conn.Read(b)
 }
 
 // Write counts the call and writes.
-func (c countedConn) Write(b []byte) (int, error) {
+func (c countingConn) Write(b []byte) (int, error) {
 	c.listener.writes.Add(1)
 	return c.Conn.Write(b)
 }
@@ -224,8 +224,8 @@
 	for range n {
 		agent.send(t, agent.request(t))
 	}
-	if r, wr := agent.reads.Load()-reads, agent.writes.Load()-writes; r > n+1 || wr > n {
-		t.Errorf("%d reads and %d writes for %d heartbeats, want one of each per heartbeat", r, wr, n)
+	if newReads, newWrites := agent.reads.Load()-reads, agent.writes.Load()-writes; newReads > n+1 || newWrites > n {
+		t.Errorf("%d reads and %d writes for %d heartbeats, want one of each per heartbeat", newReads, newWrites, n)
 	}
 }
 
--- a/internal/api/job_cache.go
+++ b/internal/api/job_cache.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// leaderContactTimeout is how long the leader counts as reachable after its last message.
+	// leaderContactTimeout is how long the leader counts as reachable after the last contact.
 	leaderContactTimeout = 3 * clock.Second
 	// isolationTimeout is how long after its last contact with any other controller a controller counts as isolated.
 	isolationTimeout = 5 * clock.Second
@@ -89,8 +89,8 @@
 	Types      []wire.MachineType
 	Count      peer.TaskCount
 	FinalState *leader.FinalStateRecord
-	// UnansweredFor is how long all polls for the job on this controller have failed. It is 0 if the last one was
-	// answered.
+	// UnansweredFor is how long polls for the job have failed on this controller without one being answered. It is 0
+	// if the last one was answered.
 	UnansweredFor   clock.Micros
 	LeaderReachable bool // a leader with access to the store sent a message to this controller recently
 	Isolated        bool // no recent contact with any other controller
--- a/internal/api/job_cache_test.go
+++ b/internal/api/job_cache_test.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// A controller is isolated if it has had no contact with any other controller for a time. A controller without peers is
-// never isolated.
+// A controller is isolated if it has had no contact with any other controller for longer than the timeout. A controller
+// without peers is never isolated.
 func TestIsolation(t *testing.T) {
 	s := newTestCacheState()
 	s.handle(PeerContacted{}, clock.Second)
--- a/internal/api/service.go
+++ b/internal/api/service.go
@@ -61,16 +61,16 @@
 	return &Service{options: options, validator: newSubmissionValidator(), heartbeats: newHeartbeatAdmission()}
 }
 
-// Serve answers requests on l until ctx ends, which closes l, or until l fails. It must be called only once. It
-// does not wait for requests in progress before it returns.
-func (s *Service) Serve(ctx context.Context, l net.Listener) error {
+// Serve answers requests on listener until ctx ends, which closes listener, or until listener fails. It must be called
+// only once. It does not wait for requests in progress before it returns.
+func (s *Service) Serve(ctx context.Context, listener net.Listener) error {
 	ctx, stop := context.WithCancel(ctx)
 	var admission sync.WaitGroup
 	admission.Go(func() { s.heartbeats.run(ctx) })
 	defer admission.Wait()
 	defer stop()
-	context.AfterFunc(ctx, func() { l.Close() })
-	if err := s.routes().Listener(l, fiber.ListenConfig{DisableStartupMessage: true}); err != nil {
+	context.AfterFunc(ctx, func() { listener.Close() })
+	if err := s.routes().Listener(listener, fiber.ListenConfig{DisableStartupMessage: true}); err != nil {
 		return fmt.Errorf("serve: %w", err)
 	}
 	return nil
--- a/internal/api/service_test.go
+++ b/internal/api/service_test.go
@@ -19,12 +19,12 @@
 )
 
 // serveInBackground runs a service until the test ends, and then waits for it to return.
-func serveInBackground(tb testing.TB, s *Service, l net.Listener) {
+func serveInBackground(tb testing.TB, s *Service, listener net.Listener) {
 	tb.Helper()
 	ctx, stop := context.WithCancel(context.Background())
 	var serving sync.WaitGroup
 	serving.Go(func() {
-		if err := s.Serve(ctx, l); err != nil {
+		if err := s.Serve(ctx, listener); err != nil {
 			tb.Error(err)
 		}
 	})
@@ -34,7 +34,7 @@
 	})
 }
 
-// newHeartbeatService returns a service that answers heartbeats by a function.
+// newHeartbeatService returns a service that answers heartbeats with the given function.
 func newHeartbeatService(
 	tb testing.TB, cfg *config.Config, handle func(*wire.Heartbeat) shard.HeartbeatReply,
 ) *Service {
@@ -57,26 +57,26 @@
 ) (send func(request string) *fasthttp.Response) {
 	t.Helper()
 	s := newHeartbeatService(t, cfg, func(*wire.Heartbeat) shard.HeartbeatReply { return reply })
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	serveInBackground(t, s, l)
+	serveInBackground(t, s, listener)
 	return func(request string) *fasthttp.Response {
 		t.Helper()
-		c, err := net.Dial("tcp4", l.Addr().String())
+		conn, err := net.Dial("tcp4", listener.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { c.Close() })
-		if _, err := io.WriteString(c, request); err != nil {
+		t.Cleanup(func() { conn.Close() })
+		if _, err := io.WriteString(conn, request); err != nil {
 			t.Fatal(err)
 		}
-		var res fasthttp.Response
-		if err := res.Read(bufio.NewReader(c)); err != nil {
+		var response fasthttp.Response
+		if err := response.Read(bufio.NewReader(conn)); err != nil {
 			t.Fatal(err)
 		}
-		return &res
+		return &response
 	}
 }
 
@@ -104,11 +104,11 @@
 	send := startService(t, cfg, shard.HeartbeatReply{Status: 200})
 	keptOpen := 0
 	for range 2 * cfg.MaxHTTPConnections() {
-		res := send(heartbeatRequest())
-		if res.StatusCode() != 200 {
-			t.Fatalf("heartbeat: status %d: %s", res.StatusCode(), res.Body())
+		response := send(heartbeatRequest())
+		if response.StatusCode() != 200 {
+			t.Fatalf("heartbeat: status %d: %s", response.StatusCode(), response.Body())
 		}
-		if !res.ConnectionClose() {
+		if !response.ConnectionClose() {
 			keptOpen++
 		}
 	}
@@ -116,8 +116,8 @@
 		t.Errorf("%d agents keep their connections, with a limit of %d connections", keptOpen, cfg.MaxHTTPConnections())
 	}
 	for range 5 {
-		if res := send("GET /ready HTTP/1.1\r\nHost: a\r\n\r\n"); res.StatusCode() != 200 || res.ConnectionClose() {
-			t.Errorf("health probe: status %d", res.StatusCode())
+		if response := send("GET /ready HTTP/1.1\r\nHost: a\r\n\r\n"); response.StatusCode() != 200 || response.ConnectionClose() {
+			t.Errorf("health probe: status %d", response.StatusCode())
 		}
 	}
 	if !strings.HasPrefix(string(send("GET /api/jobs/nothing HTTP/1.1\r\nHost: a\r\n\r\n").Body()), "{") {
@@ -125,14 +125,14 @@
 	}
 }
 
-// An agent whose heartbeat is refused goes to another controller and closes its connection. A controller that refuses
-// all agents saves hundreds of wake-ups per second by closing the connections with the answers.
+// An agent whose heartbeat is refused goes to another controller and closes its connection. An isolated controller
+// refuses all heartbeats. It saves hundreds of wake-ups per second by closing the connections with the answers.
 func TestConnectionOfRefusedAgentIsClosed(t *testing.T) {
 	for _, status := range []int{200, 421, 503} {
 		send := startService(t, fewSocketsConfig(), shard.HeartbeatReply{Status: status})
-		res := send(heartbeatRequest())
-		if res.StatusCode() != status || res.ConnectionClose() != (status != 200) {
-			t.Errorf("status %d, want %d; connection closed: %v", res.StatusCode(), status, res.ConnectionClose())
+		response := send(heartbeatRequest())
+		if response.StatusCode() != status || response.ConnectionClose() != (status != 200) {
+			t.Errorf("status %d, want %d; connection closed: %v", response.StatusCode(), status, response.ConnectionClose())
 		}
 	}
 }
--- a/internal/api/status_test.go
+++ b/internal/api/status_test.go
@@ -85,35 +85,35 @@
 "kit":"i","imageGb":1,"breeds":null,"paddock":null,"together":false,"scatter":false,"stray":true,"reckonS":5,"waypointS":0,"stashS":0,"dueS":null}`)
 	cases := []struct {
 		name string
-		call func(h *hookedStore, s *Service) Result
+		call func(hooked *hookedStore, service *Service) Result
 		code int
 		want wire.JobState
 	}{
-		{"done between the two reads of a poll", func(h *hookedStore, s *Service) Result {
+		{"done between the two reads of a poll", func(hooked *hookedStore, service *Service) Result {
 			// The job ends right after the first read, whichever key that reads.
-			h.afterRead = func() { h.endJob(t, wire.JobDone) }
-			if r := s.Status(ref); r.Code == 404 {
+			hooked.afterRead = func() { hooked.endJob(t, wire.JobDone) }
+			if r := service.Status(ref); r.Code == 404 {
 				return r
 			}
-			return s.Status(ref)
+			return service.Status(ref)
 		}, 200, wire.JobDone},
-		{"done during a cancellation", func(h *hookedStore, s *Service) Result {
-			h.beforeRead[leader.JobPrefix+ref] = func() { h.endJob(t, wire.JobDone) }
-			return s.Cancel(ref)
+		{"done during a cancellation", func(hooked *hookedStore, service *Service) Result {
+			hooked.beforeRead[leader.JobPrefix+ref] = func() { hooked.endJob(t, wire.JobDone) }
+			return service.Cancel(ref)
 		}, 200, wire.JobDone},
-		{"cancelled, answer lost", func(h *hookedStore, s *Service) Result {
-			h.lostOutcomes = 1
-			return s.Cancel(ref)
+		{"cancelled, answer lost", func(hooked *hookedStore, service *Service) Result {
+			hooked.lostOutcomes = 1
+			return service.Cancel(ref)
 		}, 200, wire.JobCancelled},
-		{"submitted again after its end", func(h *hookedStore, s *Service) Result {
-			h.endJob(t, wire.JobCancelled)
-			return s.Submit(body)
+		{"submitted again after its end", func(hooked *hookedStore, service *Service) Result {
+			hooked.endJob(t, wire.JobCancelled)
+			return service.Submit(body)
 		}, 200, wire.JobCancelled},
-		{"malformed submission after its end", func(h *hookedStore, s *Service) Result {
-			h.endJob(t, wire.JobDone)
-			return s.Submit([]byte(`{"ref":"` + ref + `"}`))
+		{"malformed submission after its end", func(hooked *hookedStore, service *Service) Result {
+			hooked.endJob(t, wire.JobDone)
+			return service.Submit([]byte(`{"ref":"` + ref + `"}`))
 		}, 200, wire.JobDone},
-		{"submitted again with an unknown team", func(h *hookedStore, s *Service) Result {
+		{"submitted again with an unknown team", func(hooked *hookedStore, service *Service) Result {
 			var submission map[string]any
 			if err := json.Unmarshal(body, &submission); err != nil {
 				t.Fatal(err)
@@ -123,30 +123,30 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			return s.Submit(changedBody)
+			return service.Submit(changedBody)
 		}, 200, wire.JobQueued},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			h := newHookedStore()
-			s := newService(t, h)
-			if r := s.Submit(body); r.Code != 201 {
+			hooked := newHookedStore()
+			service := newService(t, hooked)
+			if r := service.Submit(body); r.Code != 201 {
 				t.Fatalf("submission: status %d %s", r.Code, r.Reason)
 			}
-			if r := c.call(h, s); r.Code != c.code || r.Status.State != c.want {
+			if r := c.call(hooked, service); r.Code != c.code || r.Status.State != c.want {
 				t.Errorf("%d %s %s, want %d %s", r.Code, r.Status.State, r.Reason, c.code, c.want)
 			}
 			// Another controller, without anything in its cache, gives the same answer.
-			if r := newService(t, h).Status(ref); r.Code != c.code || r.Status.State != c.want {
+			if r := newService(t, hooked).Status(ref); r.Code != c.code || r.Status.State != c.want {
 				t.Errorf("another controller answers %d %s", r.Code, r.Status.State)
 			}
 		})
 	}
 	// A transaction without an answer accepts the job, and the job ends before the retry.
-	h := newHookedStore()
-	h.lostOutcomes = 1
-	h.afterLost = func() { h.endJob(t, wire.JobCancelled) }
-	if r := newService(t, h).Submit(body); r.Code != 200 || r.Status.State != wire.JobCancelled {
+	hooked := newHookedStore()
+	hooked.lostOutcomes = 1
+	hooked.afterLost = func() { hooked.endJob(t, wire.JobCancelled) }
+	if r := newService(t, hooked).Submit(body); r.Code != 200 || r.Status.State != wire.JobCancelled {
 		t.Errorf("retry after the job was accepted and cancelled: %d %s", r.Code, r.Status.State)
 	}
 }
