--- a/internal/api/status.go
+++ b/internal/api/status.go
@@ -14,7 +14,8 @@
 // starvationThreshold is how long polls for a job may fail before the next poll gets a higher priority.
 const starvationThreshold = 15 * clock.Second
 
-// Status returns a job's status: 200; 404 only if the store has answered that the job does not exist; or 503.
+// Status returns the result of a status poll: 200 with the job's status, 404 only if the reference is malformed or the
+// store has answered that the job does not exist, or 503.
 func (s *Service) Status(ref string) Result {
 	if !s.validator.isJobRef(ref) {
 		return notFoundResult()
