--- a/internal/failures/failures.go
+++ b/internal/failures/failures.go
@@ -1,28 +1,27 @@
-// Package failures attributes failures of tasks to jobs or to machines, by which tasks fail where.
+// Package failures attributes task failures to jobs or to machines, depending on which tasks fail on which machines.
 //
-// A job is sound once one of its tasks has completed, and suspect once its tasks have failed on several machines and
-// none has completed. A suspect job is probed, one task at a time with growing backoff. A machine is faulty when sound
-// jobs fail on it, or several jobs of which nothing is known; failures of suspect jobs say nothing about it. A sound
-// job's task that fails on several machines is faulty itself.
+// A job is sound once one of its tasks has completed. It is suspect once its tasks have failed on several machines and
+// none has completed. A suspect job is probed, one task at a time with exponential backoff. A machine is faulty when
+// sound jobs, or several jobs with an unknown verdict, fail on it. Failures of suspect jobs are no evidence against
+// machines. A task of a sound job that fails on several machines is faulty itself.
 //
-// The package owns the evidence about each job and each machine. Failures, completions and the time go in; verdicts
-// and backoffs come out. It performs no I/O, reads no clock, and neither stops tasks nor drains machines: the leader
-// does.
+// The package owns the evidence about each job and each machine. It turns failures, completions and the time into
+// verdicts and backoffs. It performs no I/O and reads no clock. The leader stops tasks and drains machines.
 package failures
 
 import "swiftledge/internal/clock"
 
 const (
-	// suspectMachines is on how many machines a job's tasks have to fail for the job to be suspect, and a task of a
-	// sound job for the task to be faulty.
-	suspectMachines = 2
-	// maxBackoff bounds the wait between two tries, so that a job that was suspected wrongly recovers soon.
+	// failedMachinesThreshold is the number of machines on which the tasks of a job must fail for the job to be
+	// suspect. It is also the number of machines on which a task of a sound job must fail for the task to be faulty.
+	failedMachinesThreshold = 2
+	// maxBackoff limits the wait between two attempts, so that a wrongly suspected job recovers soon.
 	maxBackoff = 30 * clock.Second
-	// firstBackoff is the first wait; each later one is twice as long.
+	// firstBackoff is the first wait. Each later wait is twice as long.
 	firstBackoff = 2 * clock.Second
 )
 
-// Backoff returns how long to wait after a number of failures before the next try.
+// Backoff returns how long to wait before the next attempt after the given number of failures.
 func Backoff(failures int) clock.Micros {
 	backoff := firstBackoff
 	for ; failures > 1 && backoff < maxBackoff; failures-- {
@@ -31,9 +30,9 @@
 	return min(backoff, maxBackoff)
 }
 
-// Failure is one failed run of a task.
+// Failure is one failed attempt of a task.
 type Failure struct {
 	TaskIndex int
 	Machine   string
-	Runtime   clock.Micros // since it had its image; 0: unknown
+	Runtime   clock.Micros // since its image was fetched; 0: unknown
 }
--- a/internal/failures/failures_test.go
+++ b/internal/failures/failures_test.go
@@ -6,173 +6,174 @@
 	"swiftledge/internal/clock"
 )
 
-// fail has a task fail on a machine after a second, and reports whether that made its job suspect.
-func fail(job *Job, now clock.Micros, machine *Machine, name string, index int) (becameSuspect bool) {
+// failTask records a failure of a task on a machine after a run of 1 s, and reports whether it made the job suspect.
+func failTask(job *Job, now clock.Micros, machine *Machine, name string, index int) (becameSuspect bool) {
 	return job.TaskFailed(now, machine, Failure{TaskIndex: index, Machine: name, Runtime: clock.Second})
 }
 
-// A job that fails on two machines is suspect, and neither machine is faulty for it, however often it fails.
+// A job that fails on two machines is suspect. Its failures make neither machine faulty, however many there are.
 func TestSuspectJobIsNoEvidenceAgainstMachines(t *testing.T) {
-	var j Job
+	var job Job
 	var a, b Machine
 	for i := range 20 {
-		fail(&j, clock.Second, &a, "a", i)
+		failTask(&job, clock.Second, &a, "a", i)
 	}
-	if j.Suspect() || a.Faulty() {
-		t.Error("judged by failures on one machine, which are no evidence of either")
+	if job.Suspect() || a.Faulty() {
+		t.Error("the job is suspect or the machine faulty after failures of one job on one machine")
 	}
-	if !fail(&j, clock.Second, &b, "b", 20) || !j.Suspect() {
-		t.Error("not suspect after failures on two machines")
+	if !failTask(&job, clock.Second, &b, "b", 20) || !job.Suspect() {
+		t.Error("the job is not suspect after failures on two machines")
 	}
 	if a.Faulty() || b.Faulty() {
-		t.Error("a machine is faulty for a suspect job's failures")
+		t.Error("a machine is faulty after failures of a suspect job")
 	}
 }
 
-// Several suspect jobs on one machine do not make it faulty once they are known to fail elsewhere.
-func TestSeveralSuspectJobsOnOneMachine(t *testing.T) {
+// Failures of several suspect jobs do not make a machine faulty, because these jobs fail on other machines, too.
+func TestSuspectJobsOnOneMachineAreNoEvidence(t *testing.T) {
 	var a, b Machine
 	for range 5 {
-		j := &Job{}
-		fail(j, clock.Second, &a, "a", 0)
-		fail(j, clock.Second, &b, "b", 1)
+		job := &Job{}
+		failTask(job, clock.Second, &a, "a", 0)
+		failTask(job, clock.Second, &b, "b", 1)
 	}
 	if a.Faulty() || b.Faulty() {
-		t.Error("a machine is faulty for jobs that fail everywhere")
+		t.Error("a machine is faulty after failures of jobs that fail on all machines")
 	}
 }
 
-// A machine is faulty that fails sound jobs twice in a row, or three jobs of which nothing else is known; a
-// completion there ends the row.
+// Two consecutive failures of sound jobs make a machine faulty, and so do consecutive failures of three jobs with an
+// unknown verdict. A completion on the machine resets its failures.
 func TestFaultyMachine(t *testing.T) {
 	var faulty, busy, healthy Machine
-	var good Job
-	good.TaskCompleted(0, "h", &healthy)
-	if fail(&good, clock.Second, &faulty, "f", 1); faulty.Faulty() {
-		t.Error("faulty after a single failure")
+	var soundJob Job
+	soundJob.TaskCompleted(0, "h", &healthy)
+	if failTask(&soundJob, clock.Second, &faulty, "f", 1); faulty.Faulty() {
+		t.Error("the machine is faulty after a single failure")
 	}
-	if fail(&good, clock.Second, &faulty, "f", 2); !faulty.Faulty() {
-		t.Error("not faulty after two failures of a sound job")
+	if failTask(&soundJob, clock.Second, &faulty, "f", 2); !faulty.Faulty() {
+		t.Error("the machine is not faulty after two failures of a sound job")
 	}
 	jobs := make([]Job, 3)
 	for i := range jobs {
 		if busy.Faulty() {
-			t.Errorf("faulty after %d unknown jobs", i)
+			t.Errorf("the machine is faulty after failures of %d unknown jobs", i)
 		}
-		fail(&jobs[i], clock.Second, &busy, "u", 0)
+		failTask(&jobs[i], clock.Second, &busy, "u", 0)
 	}
 	if !busy.Faulty() {
-		t.Error("not faulty after three unknown jobs")
+		t.Error("the machine is not faulty after failures of three unknown jobs")
 	}
-	if good.TaskCompleted(7, "u", &busy); busy.Faulty() {
-		t.Error("faulty after a completion")
+	if soundJob.TaskCompleted(7, "u", &busy); busy.Faulty() {
+		t.Error("the machine is faulty after a completion")
 	}
 }
 
-// A sound job whose first failures were on faulty machines: what failed counts against them once it has completed
-// elsewhere, and no task waits any more.
+// A sound job first fails on faulty machines and becomes suspect. Once a task has completed elsewhere, its failures
+// count against these machines, and its tasks no longer wait.
 func TestWronglySuspectedJobRecovers(t *testing.T) {
-	var j Job
+	var job Job
 	var a, b, c Machine
-	fail(&j, clock.Second, &a, "a", 0)
-	fail(&j, clock.Second, &b, "b", 1)
-	fail(&j, clock.Second, &a, "a", 2)
-	if !j.InBackoff(clock.Second) || j.InBackoff(clock.Second+Backoff(1)) {
-		t.Error("a suspect job is probed after its backoff")
+	failTask(&job, clock.Second, &a, "a", 0)
+	failTask(&job, clock.Second, &b, "b", 1)
+	failTask(&job, clock.Second, &a, "a", 2)
+	if !job.InBackoff(clock.Second) || job.InBackoff(clock.Second+Backoff(1)) {
+		t.Error("want the suspect job to be probed when its backoff ends")
 	}
-	j.TaskCompleted(0, "c", &c)
-	if j.Suspect() || j.InBackoff(clock.Second) {
-		t.Error("still suspect after a completion")
+	job.TaskCompleted(0, "c", &c)
+	if job.Suspect() || job.InBackoff(clock.Second) {
+		t.Error("the job is suspect or in backoff after a completion")
 	}
 	if !a.Faulty() || b.Faulty() {
 		t.Error("want the machine with two failures faulty, and the other not")
 	}
 }
 
-// A task that runs for much longer than those that failed ends the suspicion without a completion.
-func TestLongRunEndsTheSuspicion(t *testing.T) {
-	var j Job
+// A task that runs much longer than the failed ones clears the suspicion without a completion.
+func TestLongRunEndsSuspicion(t *testing.T) {
+	var job Job
 	var a, b Machine
-	j.TaskFailed(0, &a, Failure{TaskIndex: 0, Machine: "a", Runtime: 8 * clock.Second})
-	j.TaskFailed(0, &b, Failure{TaskIndex: 1, Machine: "b", Runtime: 2 * clock.Second})
-	if j.TaskSurvived(23 * clock.Second) {
-		t.Error("ended by a run little longer than the failed ones")
+	job.TaskFailed(0, &a, Failure{TaskIndex: 0, Machine: "a", Runtime: 8 * clock.Second})
+	job.TaskFailed(0, &b, Failure{TaskIndex: 1, Machine: "b", Runtime: 2 * clock.Second})
+	if job.TaskSurvived(23 * clock.Second) {
+		t.Error("suspicion cleared by a run shorter than three times the longest failed run")
 	}
-	if !j.TaskSurvived(24*clock.Second) || j.Suspect() || j.Sound() {
-		t.Error("want nothing known again after a long run")
+	if !job.TaskSurvived(24*clock.Second) || job.Suspect() || job.Sound() {
+		t.Error("want an unknown verdict after a long run")
 	}
-	if _, failed := j.FailedOn("a"); failed {
-		t.Error("still kept from a machine")
+	if _, failed := job.FailedOn("a"); failed {
+		t.Error("failures on a machine are kept after a long run")
 	}
 }
 
-// The backoff between probes grows up to a bound; failures of tasks that were out before do not extend it.
+// The backoff between probes grows up to a maximum. Failures of tasks that started before do not extend it.
 func TestBackoffIsBounded(t *testing.T) {
-	var j Job
-	var m Machine
+	var job Job
+	var machine Machine
 	now := clock.Micros(0)
-	fail(&j, now, &m, "a", 0)
-	fail(&j, now, &m, "b", 1)
+	failTask(&job, now, &machine, "a", 0)
+	failTask(&job, now, &machine, "b", 1)
 	for i := range 8 {
-		at := j.NextProbeAt()
-		if fail(&j, now, &m, "c", 100+i); j.NextProbeAt() != at {
-			t.Error("a failure during the backoff extended it")
+		probeAt := job.NextProbeAt()
+		if failTask(&job, now, &machine, "c", 100+i); job.NextProbeAt() != probeAt {
+			t.Error("a failure during the backoff extended the backoff")
 		}
-		if backoff := at - now; backoff != Backoff(i+1) || backoff > maxBackoff {
+		if backoff := probeAt - now; backoff != Backoff(i+1) || backoff > maxBackoff {
 			t.Errorf("backoff %d is %.0f s", i+1, backoff.Seconds())
 		}
-		now = at
-		j.ProbeStarted(now)
+		now = probeAt
+		job.ProbeStarted(now)
 	}
 	if Backoff(5) != maxBackoff || Backoff(1) != firstBackoff {
-		t.Errorf("backoffs from %.0f to %.0f s", Backoff(1).Seconds(), Backoff(5).Seconds())
+		t.Errorf("backoffs range from %.0f to %.0f s", Backoff(1).Seconds(), Backoff(5).Seconds())
 	}
 }
 
-// One task of a sound job that fails everywhere is tried with growing backoff, and is no evidence against machines.
+// A task of a sound job that fails on all machines is retried with exponential backoff. Its failures are no evidence
+// against machines.
 func TestFaultyTaskOfASoundJob(t *testing.T) {
-	var j Job
+	var job Job
 	machines := make([]Machine, 4)
-	j.TaskCompleted(0, "h", &Machine{})
+	job.TaskCompleted(0, "h", &Machine{})
 	for i := range machines {
-		fail(&j, 0, &machines[i], string(rune('a'+i)), 9)
+		failTask(&job, 0, &machines[i], string(rune('a'+i)), 9)
 	}
 	for i := range machines {
-		fail(&j, 0, &machines[i], string(rune('a'+i)), 9)
+		failTask(&job, 0, &machines[i], string(rune('a'+i)), 9)
 	}
 	for i := range machines {
 		if machines[i].Faulty() {
-			t.Errorf("machine %d is faulty for one task", i)
+			t.Errorf("machine %d is faulty after failures of one faulty task", i)
 		}
 	}
-	if j.TaskBackoff(9) == 0 || j.TaskBackoff(1) != 0 {
-		t.Error("want backoff for the task that fails alone")
+	if job.TaskBackoff(9) == 0 || job.TaskBackoff(1) != 0 {
+		t.Error("want a backoff for the faulty task only")
 	}
-	if j.TaskCompleted(9, "a", &machines[0]); j.TaskBackoff(9) != 0 {
-		t.Error("still in backoff after it completed")
+	if job.TaskCompleted(9, "a", &machines[0]); job.TaskBackoff(9) != 0 {
+		t.Error("the task is in backoff after it completed")
 	}
 }
 
-// A job that is cancelled before anything was known says nothing about machines.
+// Failures of a job that is cancelled with an unknown verdict are no evidence against machines.
 func TestCancelledJobIsNoEvidence(t *testing.T) {
-	var m Machine
+	var machine Machine
 	jobs := make([]Job, 3)
 	for i := range jobs {
-		fail(&jobs[i], 0, &m, "a", 0)
+		failTask(&jobs[i], 0, &machine, "a", 0)
 	}
-	if jobs[0].Cancel(); m.Faulty() {
-		t.Error("a cancelled job's failures count")
+	if jobs[0].Cancel(); machine.Faulty() {
+		t.Error("the failures of a cancelled job make the machine faulty")
 	}
 }
 
-// A machine remembers a bounded number of failures.
-func TestRememberedFailuresAreBounded(t *testing.T) {
-	var m Machine
-	var j Job
+// The number of failures that are kept for a machine is bounded.
+func TestRecordedFailuresAreBounded(t *testing.T) {
+	var machine Machine
+	var job Job
 	for i := range 10 * maxFailures {
-		fail(&j, 0, &m, "a", i)
+		failTask(&job, 0, &machine, "a", i)
 	}
-	if len(m.failures) != maxFailures {
-		t.Errorf("%d failures remembered", len(m.failures))
+	if len(machine.failures) != maxFailures {
+		t.Errorf("%d failures are kept", len(machine.failures))
 	}
 }
--- a/internal/failures/job.go
+++ b/internal/failures/job.go
@@ -8,47 +8,47 @@
 )
 
 const (
-	// minSurvival is how long a task has to run to show that its job does not fail at once.
-	minSurvival = 10 * clock.Second
-	// survivalFactor is how many times as long as the longest failed run it has to run, too.
+	// minSurvivalTime is the minimum run time that shows that the tasks of a job do not fail immediately.
+	minSurvivalTime = 10 * clock.Second
+	// survivalFactor is the minimum ratio of that run time to the longest failed run of the job.
 	survivalFactor = 3
 )
 
-// verdict is what is known of a job.
+// verdict is the conclusion from the evidence about a job.
 type verdict int
 
 const (
 	unknown verdict = iota
 	suspect
 	sound
-	cancelled // before anything was known: its failures say nothing
+	cancelled // before it was known to be sound: its failures are no evidence against machines
 )
 
-// Job is the evidence about one job. The zero value is a job of which nothing is known.
+// Job is the evidence about one job. The zero value is a job without evidence.
 type Job struct {
-	verdict     verdict
-	failedOn    map[string]clock.Micros // by machine: when a task last failed there
-	tasks       map[int]*taskFailures   // by index: tasks whose latest tries failed
-	backoffs    int                     // of a suspect job: one when it became suspect, and one for each probe
-	nextProbeAt clock.Micros
-	longestRun  clock.Micros // of the runs that failed
+	verdict          verdict
+	failedOn         map[string]clock.Micros // by machine: time of the last failure there
+	failedTasks      map[int]*taskFailures   // by index: tasks that failed since they last completed
+	backoffCount     int                     // of a suspect job: 1 when it became suspect, and 1 for each probe
+	nextProbeAt      clock.Micros
+	longestFailedRun clock.Micros // duration of the longest failed run
 }
 
 // taskFailures are the failures of one task of a job since it last completed.
 type taskFailures struct {
-	machines []string // the first different ones, up to suspectMachines
+	machines []string // the first distinct ones, up to failedMachinesThreshold
 	count    int
 }
 
 func (f *taskFailures) add(machine string) {
 	f.count++
-	if len(f.machines) < suspectMachines && !slices.Contains(f.machines, machine) {
+	if len(f.machines) < failedMachinesThreshold && !slices.Contains(f.machines, machine) {
 		f.machines = append(f.machines, machine)
 	}
 }
 
-// faulty reports whether the task fails wherever it runs.
-func (f *taskFailures) faulty() bool { return f != nil && len(f.machines) >= suspectMachines }
+// isFaulty reports whether the task has failed on several machines.
+func (f *taskFailures) isFaulty() bool { return f != nil && len(f.machines) >= failedMachinesThreshold }
 
 // Suspect reports whether the job is suspect.
 func (j *Job) Suspect() bool { return j.verdict == suspect }
@@ -56,10 +56,10 @@
 // Sound reports whether the job is known to be sound.
 func (j *Job) Sound() bool { return j.verdict == sound }
 
-// FailedOn returns when a task of the job last failed on a machine, and whether any did.
-func (j *Job) FailedOn(machine string) (at clock.Micros, failed bool) {
-	at, failed = j.failedOn[machine]
-	return at, failed
+// FailedOn returns the time at which a task of the job last failed on the machine, and whether any did.
+func (j *Job) FailedOn(machine string) (failedAt clock.Micros, failed bool) {
+	failedAt, failed = j.failedOn[machine]
+	return failedAt, failed
 }
 
 // FailedMachines returns the names of the machines on which tasks of the job have failed, sorted.
@@ -69,41 +69,42 @@
 	return names
 }
 
-// InBackoff reports whether no task of the job may start now: it is suspect, and its next probe is not due.
+// InBackoff reports whether no task of the job may start now, because it is suspect and its next probe is not due.
 func (j *Job) InBackoff(now clock.Micros) bool { return j.Suspect() && now < j.nextProbeAt }
 
-// NextProbeAt returns when the next probe of a suspect job may start.
+// NextProbeAt returns the earliest time for the next probe of a suspect job.
 func (j *Job) NextProbeAt() clock.Micros { return j.nextProbeAt }
 
-// Probes returns how many probes were started since the job became suspect.
-func (j *Job) Probes() int { return max(0, j.backoffs-1) }
+// Probes returns the number of probes started since the job became suspect.
+func (j *Job) Probes() int { return max(0, j.backoffCount-1) }
 
-// ProbeStarted records that a task of a suspect job is handed out. The next one waits, longer each time.
+// ProbeStarted records that a task of a suspect job was started as a probe, and extends the backoff before the next
+// probe.
 func (j *Job) ProbeStarted(now clock.Micros) { j.extendBackoff(now) }
 
 func (j *Job) extendBackoff(now clock.Micros) {
-	j.backoffs++
-	j.nextProbeAt = now + Backoff(j.backoffs)
+	j.backoffCount++
+	j.nextProbeAt = now + Backoff(j.backoffCount)
 }
 
-// TaskFailed records a failure, and reports whether it made the job suspect. The machine is nil if it is not known
-// any more.
+// TaskFailed records a failure, and reports whether it made the job suspect. The machine is nil if it is no longer
+// known.
 func (j *Job) TaskFailed(now clock.Micros, machine *Machine, failure Failure) (becameSuspect bool) {
 	if j.failedOn == nil {
-		j.failedOn, j.tasks = map[string]clock.Micros{}, map[int]*taskFailures{}
+		j.failedOn, j.failedTasks = map[string]clock.Micros{}, map[int]*taskFailures{}
 	}
-	j.longestRun = max(j.longestRun, failure.Runtime)
-	task := j.tasks[failure.TaskIndex]
+	j.longestFailedRun = max(j.longestFailedRun, failure.Runtime)
+	task := j.failedTasks[failure.TaskIndex]
 	if task == nil {
 		task = &taskFailures{}
-		j.tasks[failure.TaskIndex] = task
+		j.failedTasks[failure.TaskIndex] = task
 	}
 	task.add(failure.Machine)
 	j.failedOn[failure.Machine] = now
 	if machine != nil {
 		machine.add(j, failure.TaskIndex)
 	}
-	if j.verdict != unknown || len(j.failedOn) < suspectMachines {
+	if j.verdict != unknown || len(j.failedOn) < failedMachinesThreshold {
 		return false
 	}
 	j.verdict = suspect
@@ -111,44 +112,45 @@
 	return true
 }
 
-// TaskBackoff returns how long a task waits before its next try. One that fails wherever it runs, though its job is
-// sound, waits longer each time; others do not wait.
+// TaskBackoff returns how long a task waits before its next attempt. A faulty task of a sound job waits longer after
+// each failure. Other tasks do not wait.
 func (j *Job) TaskBackoff(index int) clock.Micros {
-	task := j.tasks[index]
-	if j.verdict != sound || !task.faulty() {
+	task := j.failedTasks[index]
+	if j.verdict != sound || !task.isFaulty() {
 		return 0
 	}
-	return Backoff(task.count - suspectMachines + 1)
+	return Backoff(task.count - failedMachinesThreshold + 1)
 }
 
-// TaskCompleted records that a task has completed on a machine: the job is sound, and the machine does its work. The
-// machine is nil if it is not known any more.
+// TaskCompleted records that a task has completed on a machine. The job is sound from now on, and the machine's earlier
+// failures are dropped. The machine is nil if it is no longer known.
 func (j *Job) TaskCompleted(index int, name string, machine *Machine) {
 	j.MarkSound()
-	delete(j.tasks, index)
+	delete(j.failedTasks, index)
 	delete(j.failedOn, name)
 	if machine != nil {
 		machine.failures = nil
 	}
 }
 
-// TaskSurvived records for how long a task of a suspect job has run by now. One that outlives the failed ones by far
-// ends the suspicion; TaskSurvived then reports true.
+// TaskSurvived records how long a task of a suspect job has been running. If it has run much longer than the failed
+// tasks, the job is no longer suspect, its recorded failures are dropped, and TaskSurvived returns true.
 func (j *Job) TaskSurvived(runtime clock.Micros) bool {
-	if j.verdict != suspect || runtime < max(minSurvival, survivalFactor*j.longestRun) {
+	if j.verdict != suspect || runtime < max(minSurvivalTime, survivalFactor*j.longestFailedRun) {
 		return false
 	}
 	j.verdict = unknown
 	clear(j.failedOn)
-	clear(j.tasks)
+	clear(j.failedTasks)
 	return true
 }
 
-// MarkSound records that the job is known to be sound: a task of it completed, or one that has no end runs well.
-func (j *Job) MarkSound() { j.verdict, j.backoffs, j.nextProbeAt = sound, 0, 0 }
+// MarkSound records that the job is known to be sound, because one of its tasks completed or a service replica runs
+// well.
+func (j *Job) MarkSound() { j.verdict, j.backoffCount, j.nextProbeAt = sound, 0, 0 }
 
-// Cancel records that the job was cancelled. What failed of it before anything was known says nothing about the
-// machines any more.
+// Cancel records that the job was cancelled. Unless the job was known to be sound, its failures are no longer evidence
+// against machines.
 func (j *Job) Cancel() {
 	if j.verdict != sound {
 		j.verdict = cancelled
--- a/internal/failures/machine.go
+++ b/internal/failures/machine.go
@@ -1,26 +1,26 @@
 package failures
 
 const (
-	// faultySoundFailures is how many failures of sound jobs in a row make a machine faulty.
-	faultySoundFailures = 2
-	// faultyJobs is how many different jobs, sound or unknown, have to fail on a machine in a row for it to be
+	// soundFailuresThreshold is the number of consecutive failures of sound jobs that make a machine faulty.
+	soundFailuresThreshold = 2
+	// failedJobsThreshold is the number of different jobs, sound or unknown, whose consecutive failures make a machine
 	// faulty.
-	faultyJobs = 3
-	// maxFailures is how many failures in a row a machine is remembered for.
+	failedJobsThreshold = 3
+	// maxFailures is the maximum number of consecutive failures that are kept for a machine.
 	maxFailures = 32
 )
 
-// Machine is the evidence about one machine: what failed there since a task last completed. The zero value is a
+// Machine is the evidence about one machine: the failures there since a task last completed. The zero value is a
 // machine without failures.
 type Machine struct{ failures []machineFailure }
 
-// machineFailure is a failure that a machine is remembered for.
+// machineFailure is one task failure on a machine.
 type machineFailure struct {
 	job       *Job
 	taskIndex int
 }
 
-// add adds a failure, and drops the oldest beyond maxFailures.
+// add adds a failure, and drops the oldest failure beyond maxFailures.
 func (m *Machine) add(job *Job, taskIndex int) {
 	m.failures = append(m.failures, machineFailure{job, taskIndex})
 	if len(m.failures) > maxFailures {
@@ -28,23 +28,23 @@
 	}
 }
 
-// Faulty reports whether the machine is at fault for what failed on it since a task last completed there.
+// Faulty reports whether the failures on the machine since a task last completed there are attributed to the machine.
 func (m *Machine) Faulty() bool {
 	soundFailures := 0
 	jobs := map[*Job]bool{}
 	for _, failure := range m.failures {
 		switch failure.job.verdict {
 		case sound:
-			// A task that fails wherever it runs says nothing.
-			if !failure.job.tasks[failure.taskIndex].faulty() {
+			// A faulty task of a sound job is no evidence against the machine.
+			if !failure.job.failedTasks[failure.taskIndex].isFaulty() {
 				soundFailures++
 				jobs[failure.job] = true
 			}
 		case unknown:
 			jobs[failure.job] = true
 		case suspect, cancelled:
-			// These failures say nothing about the machine.
+			// These failures are no evidence against the machine.
 		}
 	}
-	return soundFailures >= faultySoundFailures || len(jobs) >= faultyJobs
+	return soundFailures >= soundFailuresThreshold || len(jobs) >= failedJobsThreshold
 }
--- a/internal/load/mean.go
+++ b/internal/load/mean.go
@@ -1,21 +1,21 @@
 package load
 
-// Mean is the mean load of a set of machines, updated as tasks are placed. The zero value is the mean of none.
+// Mean is the mean load of a set of machines, updated as tasks are placed. The zero value has no machines.
 type Mean struct {
 	sum      float64
 	machines int
 }
 
-// Add adds a machine.
+// Add adds a machine with the given load.
 func (m *Mean) Add(load float64) {
 	m.sum += load
 	m.machines++
 }
 
-// Update records that a machine's load has changed.
+// Update records a change of a machine's load.
 func (m *Mean) Update(before, after float64) { m.sum += after - before }
 
-// Value returns the mean; 0 of no machines.
+// Value returns the mean load, or 0 if there are no machines.
 func (m *Mean) Value() float64 {
 	if m.machines == 0 {
 		return 0
