--- a/internal/placement/auction.go
+++ b/internal/placement/auction.go
@@ -5,20 +5,20 @@
 	"slices"
 )
 
-// edge joins a group with a machine for which its affinity is above η.
+// edge connects a group with a machine for which its image has an affinity above η.
 type edge struct {
 	machine int
 	weight  float64
 }
 
-// edgeList holds the edges that all tasks of some groups have in common.
+// edgeList is a list of edges that all tasks of one or more groups share.
 type edgeList struct {
 	edges   []edge
-	bidders int // how many tasks bid on them
+	bidders int // number of tasks that bid on these edges
 }
 
-// auction is the paper's Algorithm 1 for at most as many tasks as machines. Tasks that it leaves without a machine
-// are assigned by the fallback.
+// auction runs the paper's Algorithm 1 for at most as many tasks as machines. Tasks that the bidding leaves without a
+// machine are assigned by the fallback.
 func (p *placer) auction(tasks []bidder) {
 	for i := range p.owner {
 		p.owner[i], p.price[i] = none, 0
@@ -28,8 +28,8 @@
 	p.assignFallbacks(tasks)
 }
 
-// edgesOf returns the edges of a group, by machine. The weight is the affinity divided by the load (equation 4 of
-// the paper). An image has few visits: the graph is sparse, and nothing here is done for every machine.
+// edgesOf returns the edges of a group, ordered by machine. The weight is the affinity divided by the load (equation 4
+// of the paper). It iterates over the visits, not the machines: an image has few visits, so the graph is sparse.
 func (p *placer) edgesOf(group *Group) []edge {
 	var edges []edge
 	for _, v := range p.History.visits[group.Image] {
@@ -49,40 +49,40 @@
 	return edges
 }
 
-// selectBidders finds the edges of each group, and the tasks that bid. Of the tasks with the same edges only as many
-// bid as these have machines: more could not win, and would only drive the prices up by steps of ε.
-func (p *placer) selectBidders(tasks []bidder) (byGroup map[*Group]*edgeList, bidders []int) {
-	byGroup = map[*Group]*edgeList{}
-	byImage := map[string][]*edgeList{}
+// selectBidders returns the edges of each group, and the tasks that bid. Of the tasks with the same edges, only as many
+// bid as there are edges. Further tasks could not win, and would only raise the prices in steps of ε.
+func (p *placer) selectBidders(tasks []bidder) (edgesByGroup map[*Group]*edgeList, bidders []int) {
+	edgesByGroup = map[*Group]*edgeList{}
+	listsByImage := map[string][]*edgeList{}
 	for i, task := range tasks {
-		list := byGroup[task.group]
+		list := edgesByGroup[task.group]
 		if list == nil {
-			list = sharedEdgeList(byImage, task.group.Image, p.edgesOf(task.group))
-			byGroup[task.group] = list
+			list = sharedEdgeList(listsByImage, task.group.Image, p.edgesOf(task.group))
+			edgesByGroup[task.group] = list
 		}
 		if list.bidders < len(list.edges) {
 			list.bidders++
 			bidders = append(bidders, i)
 		}
 	}
-	return byGroup, bidders
+	return edgesByGroup, bidders
 }
 
-// sharedEdgeList returns the list of an image with just these edges, and adds it if there is none.
-func sharedEdgeList(byImage map[string][]*edgeList, image string, edges []edge) *edgeList {
-	lists := byImage[image]
+// sharedEdgeList returns the list of an image with exactly these edges, and adds it if there is none.
+func sharedEdgeList(listsByImage map[string][]*edgeList, image string, edges []edge) *edgeList {
+	lists := listsByImage[image]
 	i := slices.IndexFunc(lists, func(list *edgeList) bool { return slices.Equal(list.edges, edges) })
 	if i >= 0 {
 		return lists[i]
 	}
 	list := &edgeList{edges: edges}
-	byImage[image] = append(lists, list)
+	listsByImage[image] = append(lists, list)
 	return list
 }
 
-// runBidding lets tasks bid until none is outbid and the total weight changes by less than η.
+// runBidding lets tasks bid until no task is outbid and the total weight changes by less than η.
 func (p *placer) runBidding(tasks []bidder, edges map[*Group]*edgeList, bidders []int) {
-	total := 0.0
+	previousWeight := 0.0
 	for queue := bidders; len(queue) > 0; {
 		var outbid []int
 		for _, i := range queue {
@@ -90,45 +90,44 @@
 				outbid = append(outbid, previous)
 			}
 		}
-		sum := 0.0
+		totalWeight := 0.0
 		for _, i := range bidders {
 			if tasks[i].machine != none {
-				sum += weightOf(edges[tasks[i].group].edges, tasks[i].machine)
+				totalWeight += weightOf(edges[tasks[i].group].edges, tasks[i].machine)
 			}
 		}
 		queue = outbid
-		if math.Abs(sum-total) < p.Params.Eta && len(outbid) == 0 {
+		if math.Abs(totalWeight-previousWeight) < p.Params.Eta && len(outbid) == 0 {
 			break
 		}
-		total = sum
+		previousWeight = totalWeight
 	}
 }
 
-// bid lets a task bid for the machine that gives it the highest profit, its weight less its price, and returns the
-// task that is outbid, or none. A machine whose price leaves no profit is worth no more than the fallback, and gets
-// no bid.
+// bid lets a task bid on the machine with the highest profit, which is the weight minus the price, and returns the task
+// that is outbid, or none. A machine without profit is no better than the fallback, and gets no bid.
 func (p *placer) bid(tasks []bidder, bidder int, edges []edge) (outbid int) {
-	best, second, machine := math.Inf(-1), math.Inf(-1), none
+	bestProfit, secondProfit, machine := math.Inf(-1), math.Inf(-1), none
 	for _, e := range edges {
-		if profit := e.weight - p.price[e.machine]; profit > best {
-			best, second, machine = profit, best, e.machine
-		} else if profit > second {
-			second = profit
+		if profit := e.weight - p.price[e.machine]; profit > bestProfit {
+			bestProfit, secondProfit, machine = profit, bestProfit, e.machine
+		} else if profit > secondProfit {
+			secondProfit = profit
 		}
 	}
-	if machine == none || best <= 0 {
+	if machine == none || bestProfit <= 0 {
 		return none
 	}
 	outbid = p.owner[machine]
 	if outbid != none {
 		tasks[outbid].machine = none
 	}
-	p.price[machine] += best - max(second, 0) + p.Params.Epsilon
+	p.price[machine] += bestProfit - max(secondProfit, 0) + p.Params.Epsilon
 	p.owner[machine], tasks[bidder].machine = bidder, machine
 	return outbid
 }
 
-// weightOf returns the weight of a machine among the edges; 0 if it is not among them.
+// weightOf returns the weight of the edge to a machine, or 0 if there is none.
 func weightOf(edges []edge, machine int) float64 {
 	for _, e := range edges {
 		if e.machine == machine {
--- a/internal/placement/auction_test.go
+++ b/internal/placement/auction_test.go
@@ -10,7 +10,7 @@
 	"swiftledge/internal/load"
 )
 
-// randomAuction returns a cycle with a few machines whose images have visits, and tasks for one auction.
+// randomAuction returns a random cycle with a few machines and image visits, and tasks for one auction.
 func randomAuction(seed uint64) (Cycle, []bidder) {
 	random := rand.New(rand.NewPCG(seed, 7))
 	cycle := Cycle{History: NewVisitHistory(), Now: 100 * clock.Second,
@@ -33,8 +33,8 @@
 	return cycle, tasks
 }
 
-// weightMatrix returns the weights of an auction by task and machine, as equation 4 of the paper gives them; 0 where
-// there is no edge.
+// weightMatrix returns the weights of an auction by task and machine, computed by equation 4 of the paper. The weight
+// is 0 where there is no edge.
 func weightMatrix(cycle Cycle, tasks []bidder) [][]float64 {
 	weights := make([][]float64, len(tasks))
 	for i, task := range tasks {
@@ -49,8 +49,8 @@
 	return weights
 }
 
-// bestTotalWeight returns the largest total weight of any matching of the tasks from the first on with the machines
-// that are not used, by trying all.
+// bestTotalWeight returns the largest total weight of any matching of the tasks from index first on with the unused
+// machines, by exhaustive search.
 func bestTotalWeight(weights [][]float64, first int, used []bool) float64 {
 	if first == len(weights) {
 		return 0
@@ -66,27 +66,27 @@
 	return best
 }
 
-// An auction ends within n times ε of the best matching.
-func TestAuctionIsNearTheBestMatching(t *testing.T) {
+// The total weight of an auction of n tasks is within n·ε of the best matching.
+func TestAuctionIsNearOptimal(t *testing.T) {
 	for seed := range uint64(300) {
 		cycle, tasks := randomAuction(seed)
 		weights := weightMatrix(cycle, tasks)
 		newPlacer(cycle).auction(tasks)
-		total := 0.0
-		taken := map[int]bool{}
+		totalWeight := 0.0
+		assigned := map[int]bool{}
 		for i, task := range tasks {
 			if task.machine == none {
 				continue
 			}
-			if taken[task.machine] || !task.group.Fits(cycle.Machines[task.machine]) {
-				t.Fatalf("seed %d: machine %d is taken twice or does not fit", seed, task.machine)
+			if assigned[task.machine] || !task.group.Fits(cycle.Machines[task.machine]) {
+				t.Fatalf("seed %d: machine %d is assigned twice or does not fit", seed, task.machine)
 			}
-			taken[task.machine] = true
-			total += weights[i][task.machine]
+			assigned[task.machine] = true
+			totalWeight += weights[i][task.machine]
 		}
-		best := bestTotalWeight(weights, 0, make([]bool, len(cycle.Machines)))
-		if total < best-float64(len(tasks))*cycle.Params.Epsilon-1e-9 {
-			t.Errorf("seed %d: total weight %.4f, best %.4f", seed, total, best)
+		bestWeight := bestTotalWeight(weights, 0, make([]bool, len(cycle.Machines)))
+		if totalWeight < bestWeight-float64(len(tasks))*cycle.Params.Epsilon-1e-9 {
+			t.Errorf("seed %d: total weight is %.4f, the best is %.4f", seed, totalWeight, bestWeight)
 		}
 	}
 }
--- a/internal/placement/fallback.go
+++ b/internal/placement/fallback.go
@@ -5,7 +5,7 @@
 	"container/heap"
 )
 
-// fallback is a machine as a candidate for tasks that have no machine with affinity above η.
+// fallback is a candidate machine for tasks without a machine with affinity above η.
 type fallback struct {
 	machine        int
 	unstartedTasks int
@@ -14,8 +14,8 @@
 	freeCPUs       float64
 }
 
-// compare orders fallbacks, the best first: a machine that is not avoided; with the fewest unstarted tasks; of these
-// one that has or fetches the image, so that it is not fetched again; then the fullest.
+// compare orders fallbacks, the best first: by avoid rank, then by the number of unstarted tasks, then machines that
+// have the image or fetch it, which saves a fetch, then by free CPUs, the fewest first.
 func (f *fallback) compare(other *fallback) int {
 	if f.avoidRank != other.avoidRank {
 		return cmp.Compare(f.avoidRank, other.avoidRank)
@@ -32,7 +32,7 @@
 	return cmp.Or(cmp.Compare(f.freeCPUs, other.freeCPUs), cmp.Compare(f.machine, other.machine))
 }
 
-// fallbackHeap is a heap of fallbacks, the best on top. Push and Pop have the types that heap.Interface asks for.
+// fallbackHeap is a heap of fallbacks, the best on top. Push and Pop have the types that heap.Interface requires.
 type fallbackHeap []fallback
 
 // Len implements heap.Interface.
@@ -55,7 +55,7 @@
 	return last
 }
 
-// assignFallbacks assigns each task that the bidding left without a machine to its best fallback.
+// assignFallbacks assigns each task that has no machine after the bidding to its best fallback.
 func (p *placer) assignFallbacks(tasks []bidder) {
 	byGroup := map[*Group]*fallbackHeap{}
 	for i := range tasks {
@@ -77,7 +77,7 @@
 	}
 }
 
-// fallbacksOf returns the machines that a group fits on and that no task is assigned to.
+// fallbacksOf returns the admitted machines for a group to which no task is assigned in this auction.
 func (p *placer) fallbacksOf(group *Group) *fallbackHeap {
 	hasImage := p.machinesWithImage(group.Image)
 	candidates := make(fallbackHeap, 0, len(p.Machines))
--- a/internal/placement/loadbound.go
+++ b/internal/placement/loadbound.go
@@ -6,17 +6,17 @@
 	"swiftledge/internal/load"
 )
 
-// LoadBound limits the candidates of a cycle's auctions by their load relative to the mean.
+// LoadBound limits the candidates of a cycle's auctions by their load relative to the mean load.
 type LoadBound struct {
 	Bound      load.Bound
 	FetchRates *load.FetchRates
-	// Mean is the load of the shard's machines that take work, those without free capacity included.
+	// Mean is the mean load of the shard's schedulable machines, including those without free capacity.
 	Mean load.Mean
-	// FleetMean is the mean load of the whole fleet once all offered tasks are placed; 0: unknown.
+	// FleetMean is the mean load of the whole fleet after all offered tasks are placed; 0: unknown.
 	FleetMean float64
 }
 
-// mean returns the mean load that machines are compared with.
+// mean returns the mean load that the bound is relative to.
 func (b *LoadBound) mean() float64 {
 	if b.FleetMean > 0 {
 		return b.FleetMean
@@ -24,7 +24,7 @@
 	return b.Mean.Value()
 }
 
-// candidate returns what a machine's load would be with a task of the group, which fits there.
+// candidate returns the load of a machine if it ran one more task of the group, which must fit there.
 func (p *placer) candidate(group *Group, machineIndex int) load.Candidate {
 	machine := p.Machines[machineIndex]
 	candidate := load.Candidate{
@@ -37,8 +37,8 @@
 	return candidate
 }
 
-// admits reports whether a machine is a candidate for a task of the group: the task fits there, and its load stays
-// within the bound.
+// admits reports whether a machine is a candidate for a task of the group: the task fits there, and the machine's load
+// stays within the bound.
 func (p *placer) admits(group *Group, machineIndex int) bool {
 	if !group.Fits(p.Machines[machineIndex]) {
 		return false
@@ -47,9 +47,10 @@
 	return loadBound == nil || p.bound.Allows(p.candidate(group, machineIndex), loadBound.mean())
 }
 
-// widenBound widens the bound until the least loaded machine admits one of the tasks, which fit only beyond it.
+// widenBound widens the bound so that the least loaded machine admits one of the tasks, which fit only on machines
+// beyond the bound.
 func (p *placer) widenBound(tasks []bidder) {
-	least := load.Candidate{Load: math.Inf(1)}
+	leastLoaded := load.Candidate{Load: math.Inf(1)}
 	seen := map[*Group]bool{}
 	for _, task := range tasks {
 		if seen[task.group] {
@@ -60,10 +61,10 @@
 			if !task.group.Fits(machine) {
 				continue
 			}
-			if candidate := p.candidate(task.group, i); candidate.Load < least.Load {
-				least = candidate
+			if candidate := p.candidate(task.group, i); candidate.Load < leastLoaded.Load {
+				leastLoaded = candidate
 			}
 		}
 	}
-	p.bound = p.bound.Widened(least, p.Params.LoadBound.mean())
+	p.bound = p.bound.Widened(leastLoaded, p.Params.LoadBound.mean())
 }
--- a/internal/placement/loadbound_test.go
+++ b/internal/placement/loadbound_test.go
@@ -13,7 +13,7 @@
 	"swiftledge/internal/load"
 )
 
-// TestMain fixes what the property tests draw: the same on every run.
+// TestMain fixes the seed of the property tests, so that every run draws the same cases.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.checks": "400", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
@@ -23,8 +23,8 @@
 	os.Exit(m.Run())
 }
 
-// fixture is a drawn cycle that can be placed any number of times.
-type fixture struct {
+// drawnCycle is a randomly drawn cycle that can be placed repeatedly.
+type drawnCycle struct {
 	machines []Machine
 	groups   []Group
 	visits   []drawnVisit
@@ -32,46 +32,46 @@
 
 type drawnVisit struct{ image, machine string }
 
-func drawFixture(t *rapid.T) (f fixture) {
+func drawCycle(t *rapid.T) (cycle drawnCycle) {
 	images := []string{"a", "b", "c"}
 	for i := range rapid.IntRange(1, 25).Draw(t, "machines") {
 		cpus := rapid.SampledFrom([]float64{4, 4, 16}).Draw(t, "cpus")
 		capacity := load.Resources{CPUs: cpus, Memory: 2 * cpus}
 		machine := Machine{Name: fmt.Sprintf("m%02d", i), Type: "t",
 			Zone: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "zone"), Capacity: capacity}
-		used := float64(rapid.IntRange(0, int(cpus)).Draw(t, "used"))
+		used := float64(rapid.IntRange(0, int(cpus)).Draw(t, "used cpus"))
 		machine.Free = capacity.Minus(load.Resources{CPUs: used, Memory: used})
-		f.machines = append(f.machines, machine)
+		cycle.machines = append(cycle.machines, machine)
 		if rapid.Bool().Draw(t, "visited") {
-			f.visits = append(f.visits, drawnVisit{rapid.SampledFrom(images).Draw(t, "image"), machine.Name})
+			cycle.visits = append(cycle.visits, drawnVisit{rapid.SampledFrom(images).Draw(t, "image"), machine.Name})
 		}
 	}
 	for i := range rapid.IntRange(1, 5).Draw(t, "groups") {
 		group := Group{Job: fmt.Sprint("j", i), Image: rapid.SampledFrom(images).Draw(t, "image"), Spot: true,
-			Zone: rapid.SampledFrom([]string{"", "", "x"}).Draw(t, "bound to")}
-		cpus := rapid.SampledFrom([]float64{0.5, 1, 2}).Draw(t, "takes")
+			Zone: rapid.SampledFrom([]string{"", "", "x"}).Draw(t, "zone constraint")}
+		cpus := rapid.SampledFrom([]float64{0.5, 1, 2}).Draw(t, "requested cpus")
 		group.Request = load.Resources{CPUs: cpus, Memory: cpus}
 		group.TaskIndexes = taskIndexes(rapid.IntRange(1, 30).Draw(t, "tasks"))
-		f.groups = append(f.groups, group)
+		cycle.groups = append(cycle.groups, group)
 	}
-	return f
+	return cycle
 }
 
-// place places the drawn groups, and returns the machines as they are then with the matches.
-func (f *fixture) place(loadBound *LoadBound) ([]*Machine, []Match) {
+// place places the drawn groups, and returns the machines in their state afterwards and the matches.
+func (c *drawnCycle) place(loadBound *LoadBound) ([]*Machine, []Match) {
 	history := NewVisitHistory()
-	for _, visit := range f.visits {
+	for _, visit := range c.visits {
 		history.RecordVisit(visit.image, visit.machine, 0)
 	}
 	var machines []*Machine
-	for _, machine := range f.machines {
+	for _, machine := range c.machines {
 		machines = append(machines, &machine)
 		if loadBound != nil {
 			loadBound.Mean.Add(machine.Load())
 		}
 	}
 	var groups []*Group
-	for _, group := range f.groups {
+	for _, group := range c.groups {
 		groups = append(groups, &group)
 	}
 	params := testParams
@@ -80,35 +80,36 @@
 	return machines, Place(cycle)
 }
 
-// describe says which task was placed where.
-func describe(matches []Match) (lines []string) {
+// formatMatches returns a line for each match, with the task and its machine.
+func formatMatches(matches []Match) (lines []string) {
 	for _, match := range matches {
 		lines = append(lines, fmt.Sprintf("%s/%d on %s", match.Group.Job, match.TaskIndex, match.Machine.Name))
 	}
 	return lines
 }
 
-// A bound that is never reached changes nothing: tasks are placed as without it.
+// With a bound that is never reached, tasks are placed as without a bound.
 func TestUnreachedBoundChangesNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := drawFixture(t)
-		_, without := f.place(nil)
-		_, with := f.place(&LoadBound{
+		cycle := drawCycle(t)
+		_, unbounded := cycle.place(nil)
+		_, bounded := cycle.place(&LoadBound{
 			Bound:      load.Bound{MaxRelativeLoad: 1e9, ImbalanceCostS: 1},
 			FetchRates: load.NewFetchRates(),
 			FleetMean:  1,
 		})
-		if !reflect.DeepEqual(describe(without), describe(with)) {
-			t.Fatalf("without a bound %v, with one that is never reached %v", describe(without), describe(with))
+		if !reflect.DeepEqual(formatMatches(unbounded), formatMatches(bounded)) {
+			t.Fatalf("placed %v without a bound, and %v with a bound that is never reached", formatMatches(unbounded), formatMatches(bounded))
 		}
 	})
 }
 
-// The bound is kept wherever a placement within it exists: a machine ends beyond it only by a task for which every
-// machine that had free capacity would have been as full. And it keeps no task from a machine with free capacity.
-func TestBoundIsKeptWhereItCanBe(t *testing.T) {
+// The bound is kept wherever a placement within it exists: a machine exceeds it only by a task that would have led to
+// a load at least as high on every other machine with free capacity. The bound leaves no task waiting while a machine
+// has free capacity for it.
+func TestBoundIsKeptWherePossible(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := drawFixture(t)
+		cycle := drawCycle(t)
 		loadBound := &LoadBound{
 			Bound: load.Bound{
 				MaxRelativeLoad: rapid.SampledFrom([]float64{1.05, 1.5, 3}).Draw(t, "bound"),
@@ -116,42 +117,42 @@
 			},
 			FetchRates: load.NewFetchRates(),
 		}
-		machines, matches := f.place(loadBound)
-		last := map[*Machine]Match{} // the last task that each machine was given
+		machines, matches := cycle.place(loadBound)
+		lastMatches := map[*Machine]Match{} // the last match of each machine
 		for _, match := range matches {
-			last[match.Machine] = match
+			lastMatches[match.Machine] = match
 		}
-		for _, match := range last {
-			checkBound(t, loadBound, match, machines)
+		for _, match := range lastMatches {
+			checkLastTaskWithinBound(t, loadBound, match, machines)
 		}
-		checkNoneWaitsBesideFreeCapacity(t, f.groups, machines, matches)
+		checkFreeCapacityIsUsed(t, cycle.groups, machines, matches)
 	})
 }
 
-// checkBound checks that a machine's last task left it within the bound, or that no other machine would have been
-// less full.
-func checkBound(t *rapid.T, loadBound *LoadBound, last Match, machines []*Machine) {
+// checkLastTaskWithinBound checks that a machine is within the bound with its last task, or that the task would not
+// have led to a lower load on any other machine.
+func checkLastTaskWithinBound(t *rapid.T, loadBound *LoadBound, lastMatch Match, machines []*Machine) {
 	t.Helper()
-	const widening = 1.06 // the bound is widened by 5% at least
-	request, mean := last.Group.Request, loadBound.mean()
-	reached := last.Machine.Load()
-	limit := max(loadBound.Bound.MaxRelativeLoad*mean, request.DominantShare(last.Machine.Capacity))
-	if reached <= limit*widening+1e-9 {
+	const widening = 1.06 // the bound is widened by at least 5%
+	request, mean := lastMatch.Group.Request, loadBound.mean()
+	actualLoad := lastMatch.Machine.Load()
+	limit := max(loadBound.Bound.MaxRelativeLoad*mean, request.DominantShare(lastMatch.Machine.Capacity))
+	if actualLoad <= limit*widening+1e-9 {
 		return
 	}
 	for _, other := range machines {
-		if other == last.Machine || !last.Group.Fits(other) {
+		if other == lastMatch.Machine || !lastMatch.Group.Fits(other) {
 			continue
 		}
-		alternative := other.used().Plus(request).DominantShare(other.Capacity)
-		if alternative*widening+1e-9 < reached {
-			t.Fatalf("%s has %.2f, over %.1f times the mean %.2f, while %s with another task would have %.2f",
-				last.Machine.Name, reached, loadBound.Bound.MaxRelativeLoad, mean, other.Name, alternative)
+		otherLoad := other.used().Plus(request).DominantShare(other.Capacity)
+		if otherLoad*widening+1e-9 < actualLoad {
+			t.Fatalf("%s has load %.2f, over %.1f times the mean %.2f, while %s with the task would have load %.2f",
+				lastMatch.Machine.Name, actualLoad, loadBound.Bound.MaxRelativeLoad, mean, other.Name, otherLoad)
 		}
 	}
 }
 
-func checkNoneWaitsBesideFreeCapacity(t *rapid.T, groups []Group, machines []*Machine, matches []Match) {
+func checkFreeCapacityIsUsed(t *rapid.T, groups []Group, machines []*Machine, matches []Match) {
 	t.Helper()
 	type task struct {
 		job   string
@@ -165,14 +166,15 @@
 		for _, index := range group.TaskIndexes {
 			for _, machine := range machines {
 				if !placed[task{group.Job, index}] && group.Fits(machine) {
-					t.Fatalf("%s/%d waits beside free capacity on %s", group.Job, index, machine.Name)
+					t.Fatalf("%s/%d is not placed although it fits on %s", group.Job, index, machine.Name)
 				}
 			}
 		}
 	}
 }
 
-// The holder of a few machines is told the mean of the fleet: their own would let it fill those that it has.
+// The bound of a full shard is relative to the mean load of the fleet. Relative to the mean load of the shard's own few
+// machines, the bound would let the shard holder fill them.
 func TestFleetMeanBoundsAFullShard(t *testing.T) {
 	place := func(fleetMean float64) string {
 		history := NewVisitHistory()
@@ -196,14 +198,14 @@
 		return Place(cycle)[0].Machine.Name
 	}
 	if machine := place(0); machine != "m0" {
-		t.Errorf("on %s by the shard's own mean, want the machine with the image", machine)
+		t.Errorf("placed on %s with the mean of the shard, want the machine with the image", machine)
 	}
 	if machine := place(0.1); machine != "m1" {
-		t.Errorf("on %s by the fleet's mean, want the machine within the bound", machine)
+		t.Errorf("placed on %s with the mean of the fleet, want the machine within the bound", machine)
 	}
 }
 
-// A bound that admits nothing, however wide, ends the cycle all the same.
+// The cycle ends even if the bound admits no task however far it is widened.
 func TestBoundThatAdmitsNothingEndsTheCycle(t *testing.T) {
 	machine := &Machine{Name: "m0", Free: load.Resources{CPUs: 2, Memory: 2},
 		Capacity: load.Resources{CPUs: 4, Memory: 4}}
@@ -214,13 +216,13 @@
 		Machines: []*Machine{machine},
 		History:  NewVisitHistory(),
 		Params: Params{Epsilon: 0.01, LoadOffset: 0.5, LoadBound: &LoadBound{
-			Bound:      load.Bound{MaxRelativeLoad: 1.5}, // no cost of imbalance: 0/0
+			Bound:      load.Bound{MaxRelativeLoad: 1.5}, // an imbalance cost of 0 makes the limit 0/0
 			FetchRates: load.NewFetchRates(),
 			FleetMean:  0.1,
 		}},
 		Now: clock.Second,
 	})
 	if len(matches) != 0 {
-		t.Errorf("placed %v", describe(matches))
+		t.Errorf("placed %v, want nothing", formatMatches(matches))
 	}
 }
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -10,7 +10,7 @@
 
 var testParams = Params{DecayRate: 0.001, Eta: 0.05, Epsilon: 0.01, LoadOffset: 0.5}
 
-// emptyMachines returns machines m0, m1 and so on, each with 4 CPUs and 8 GB.
+// emptyMachines returns machines m0, m1, ..., each with 4 CPUs and 8 GB of memory.
 func emptyMachines(count int) []*Machine {
 	var machines []*Machine
 	for i := range count {
@@ -39,28 +39,28 @@
 	if len(matches) != 6 {
 		t.Fatalf("%d tasks placed, want 6", len(matches))
 	}
-	cpus := map[string]float64{}
+	allocatedCPUs := map[string]float64{}
 	for _, match := range matches {
-		cpus[match.Machine.Name] += match.Group.Request.CPUs
+		allocatedCPUs[match.Machine.Name] += match.Group.Request.CPUs
 		if match.Group == tooLarge {
-			t.Error("a task was placed where it does not fit")
+			t.Error("a task was placed on a machine where it does not fit")
 		}
 	}
-	for name, taken := range cpus {
-		if taken > 4 {
-			t.Errorf("%v CPUs are taken of %s", taken, name)
+	for name, allocated := range allocatedCPUs {
+		if allocated > 4 {
+			t.Errorf("%v CPUs are allocated on %s, want at most 4", allocated, name)
 		}
 	}
 }
 
-func TestPlaceWithoutMachinesEnds(t *testing.T) {
+func TestPlaceWithoutMachinesReturns(t *testing.T) {
 	group := &Group{Job: "a", TaskIndexes: []int{0}, Image: "x", Request: load.Resources{CPUs: 2}}
 	if matches := placeAll([]*Group{group}, nil, NewVisitHistory(), 0); len(matches) != 0 {
-		t.Errorf("%d tasks placed on no machine", len(matches))
+		t.Errorf("%d tasks placed without machines", len(matches))
 	}
 }
 
-// Without affinity the machine with the fewest unstarted tasks is taken, of these one with the image.
+// Without affinity, a task goes to the machine with the fewest unstarted tasks, and among these to one with the image.
 func TestFallbackPrefersMachinesWithTheImage(t *testing.T) {
 	machines := emptyMachines(4)
 	machines[1].CachedImages, machines[3].CachedImages = &ImageCache{}, &ImageCache{}
@@ -74,8 +74,8 @@
 	}
 }
 
-// Tasks with different images that come together are given to different machines as far as that is possible: several
-// fetches at once share a machine's rate.
+// Tasks with different images that arrive at the same time go to different machines as far as possible, because
+// concurrent fetches share a machine's fetch rate.
 func TestPlaceKeepsTasksWithOneImageTogether(t *testing.T) {
 	var groups []*Group
 	for _, image := range []string{"x", "y", "z", "w"} {
@@ -93,16 +93,16 @@
 		fetches[fetch{match.Machine.Name, match.Group.Image}] = true
 	}
 	if len(fetches) > 20 {
-		t.Errorf("%d fetches on 16 machines", len(fetches))
+		t.Errorf("%d image fetches on 16 machines, want at most 20", len(fetches))
 	}
 }
 
-func TestImageCacheKeepsTheLatestThatFit(t *testing.T) {
+func TestImageCacheEvictsLeastRecentlyUsed(t *testing.T) {
 	cache := &ImageCache{}
 	for _, image := range []string{"a", "b", "c", "a"} {
 		cache.Use(image, 4, 10)
 	}
 	if !cache.Has("a") || !cache.Has("c") || cache.Has("b") {
-		t.Errorf("holds %v, want a and c", cache.images)
+		t.Errorf("the cache has %v, want a and c", cache.images)
 	}
 }
--- a/internal/placement/placer.go
+++ b/internal/placement/placer.go
@@ -7,24 +7,24 @@
 	"swiftledge/internal/load"
 )
 
-// none is the index of no machine and of no bidder.
+// none is the index that stands for no machine and for no bidder.
 const none = -1
 
 // bidder is one task in an auction.
 type bidder struct {
 	group     *Group
 	taskIndex int
-	machine   int // index of the machine that it is assigned to, or none
+	machine   int // index of the assigned machine, or none
 }
 
-// placer is the state that the auctions of one cycle share. Machines are named by their index in the cycle.
+// placer is the state shared by the auctions of one cycle. Machines are identified by their index in the cycle.
 type placer struct {
 	Cycle
 	indexOf  map[string]int    // machine index by name
-	owner    []int             // by machine: index of the bidder that it is assigned to in this auction, or none
+	owner    []int             // by machine: index of its bidder in this auction, or none
 	price    []float64         // by machine, in this auction
-	hasImage map[string][]bool // by image and machine: known to be cached or being fetched there
-	bound    load.Bound        // if Params.LoadBound is set
+	hasImage map[string][]bool // by image and machine: whether the image is known to be cached or being fetched
+	bound    load.Bound        // used only if Params.LoadBound is set
 }
 
 func newPlacer(cycle Cycle) *placer {
@@ -44,57 +44,58 @@
 	return p
 }
 
-// interleaved returns the groups' tasks so that each auction has its share of every group. One group after the
-// other would give each machine a task of each group: several images to fetch at once where one would have done.
-func interleaved(groups []*Group) []bidder {
+// interleaveTasks returns the tasks of the groups in an order that gives each auction a share of every group. If the
+// groups came one after the other, each machine would get a task of each group, and would fetch several images at once
+// instead of one.
+func interleaveTasks(groups []*Group) []bidder {
 	type ranked struct {
 		bidder
 		position float64 // within its group, from 0 to 1
 	}
-	var all []ranked
+	var rankedTasks []ranked
 	for _, group := range groups {
 		for i, taskIndex := range group.TaskIndexes {
 			position := (float64(i) + 0.5) / float64(len(group.TaskIndexes))
-			all = append(all, ranked{bidder{group, taskIndex, none}, position})
+			rankedTasks = append(rankedTasks, ranked{bidder{group, taskIndex, none}, position})
 		}
 	}
-	slices.SortStableFunc(all, func(a, b ranked) int { return cmp.Compare(a.position, b.position) })
-	tasks := make([]bidder, len(all))
-	for i, task := range all {
+	slices.SortStableFunc(rankedTasks, func(a, b ranked) int { return cmp.Compare(a.position, b.position) })
+	tasks := make([]bidder, len(rankedTasks))
+	for i, task := range rankedTasks {
 		tasks[i] = task.bidder
 	}
 	return tasks
 }
 
-// place runs auctions until all tasks are placed or fit on no machine within the bound. It returns the matches, and
-// the tasks that fit only on machines beyond the bound.
+// place runs auctions until each task is placed or fits on no machine within the bound. It returns the matches, and the
+// tasks that fit only on machines beyond the bound.
 func (p *placer) place(tasks []bidder) (matches []Match, beyondBound []bidder) {
 	for len(tasks) > 0 {
 		round := tasks[:min(len(tasks), len(p.Machines))]
 		p.auction(round)
 		var unmatched []bidder
-		matches, unmatched = p.commit(round, matches)
-		// Free capacity only shrinks: a group that fits nowhere now never will.
+		matches, unmatched = p.commitAuction(round, matches)
+		// Free capacity only shrinks: a group that fits nowhere now fits nowhere later in this cycle, either.
 		fits := map[*Group]fit{}
 		p.findFits(unmatched, fits)
 		remaining := append(unmatched, tasks[len(round):]...)
 		tasks = slices.DeleteFunc(remaining, func(task bidder) bool {
-			where, checked := fits[task.group]
+			groupFit, checked := fits[task.group]
 			if !checked {
 				return false
 			}
-			if where == fitsBeyondBound {
+			if groupFit == fitsBeyondBound {
 				beyondBound = append(beyondBound, task)
 			}
-			return where != fitsWithinBound
+			return groupFit != fitsWithinBound
 		})
 	}
 	return matches, beyondBound
 }
 
-// commit takes the resources of the tasks that an auction has assigned off their machines. It appends them to the
-// matches, and returns these and the tasks that were not assigned.
-func (p *placer) commit(round []bidder, matches []Match) (_ []Match, unmatched []bidder) {
+// commitAuction allocates resources to the tasks that an auction has assigned to machines. It returns the matches with
+// these tasks appended, and the tasks that were not assigned.
+func (p *placer) commitAuction(round []bidder, matches []Match) (_ []Match, unmatched []bidder) {
 	for i := range round {
 		task := &round[i]
 		if task.machine == none {
@@ -102,7 +103,7 @@
 			continue
 		}
 		machine := p.Machines[task.machine]
-		p.take(machine, task.group)
+		p.allocate(machine, task.group)
 		p.History.RecordVisit(task.group.Image, machine.Name, p.Now)
 		p.machinesWithImage(task.group.Image)[task.machine] = true
 		matches = append(matches, Match{task.group, task.taskIndex, machine})
@@ -110,8 +111,8 @@
 	return matches, unmatched
 }
 
-// take takes a task's resources off a machine.
-func (p *placer) take(machine *Machine, group *Group) {
+// allocate subtracts the request of a task from the free capacity of a machine.
+func (p *placer) allocate(machine *Machine, group *Group) {
 	before := machine.Load()
 	machine.Free = machine.Free.Minus(group.Request)
 	machine.UnstartedTasks++
@@ -120,7 +121,7 @@
 	}
 }
 
-// fit tells where a group has free capacity.
+// fit tells on which machines a group fits.
 type fit int
 
 const (
@@ -129,7 +130,7 @@
 	fitsWithinBound
 )
 
-// findFits adds to fits where the groups of the tasks fit. The map is the caller's, to be kept off the heap.
+// findFits adds the fits of the tasks' groups to the map. The caller provides the map, so that it stays off the heap.
 func (p *placer) findFits(tasks []bidder, fits map[*Group]fit) {
 	for _, task := range tasks {
 		if _, known := fits[task.group]; !known {
@@ -151,7 +152,7 @@
 	return best
 }
 
-// machinesWithImage tells by machine whether an image is known to be cached or being fetched there.
+// machinesWithImage returns, by machine, whether an image is known to be cached or being fetched there.
 func (p *placer) machinesWithImage(image string) []bool {
 	has, known := p.hasImage[image]
 	if !known {
