--- a/internal/autoscaler/option.go
+++ b/internal/autoscaler/option.go
@@ -7,20 +7,20 @@
 	"swiftledge/wire"
 )
 
-// slotTolerance absorbs the rounding of how many tasks fit on a machine.
+// slotTolerance absorbs rounding errors in the number of tasks that fit on a machine.
 const slotTolerance = 1e-9
 
-// Option is a kind of machine that can be provisioned.
+// Option is a machine type in a zone, spot or on demand, that can be provisioned.
 type Option struct {
 	Type wire.MachineType
 	Zone string
-	Spot bool // else on demand
-	// DelayS is by how much longer than usual its machines are expected to boot, as some lately did not come up.
-	// Other options that serve the demand are used before it; how many machines are needed does not depend on it.
+	Spot bool // false: on demand
+	// DelayS is the expected boot delay of the machines beyond the usual boot time, because some recently failed to
+	// boot. Other options that serve the demand are preferred. The number of machines does not depend on the delay.
 	DelayS float64
 }
 
-// OptionKey is what distinguishes one option from another.
+// OptionKey identifies an option.
 type OptionKey struct {
 	Type, Zone string
 	Spot       bool
@@ -29,7 +29,7 @@
 // Key returns the key of the option.
 func (o *Option) Key() OptionKey { return OptionKey{o.Type.Name, o.Zone, o.Spot} }
 
-// Price returns the price of one machine per hour.
+// Price returns the hourly price of one machine.
 func (o *Option) Price() float64 {
 	if o.Spot {
 		return o.Type.SpotPrice
@@ -39,23 +39,24 @@
 
 func (o *Option) pricePerCPU() float64 { return o.Price() / max(o.Type.CPUs, 1e-6) }
 
-// priceStep groups prices that differ by less than about half: what runs on the machines tells better which of them
-// to keep.
-func (o *Option) priceStep() float64 {
+// priceBand returns the same number for prices that differ by less than about half. Among machines in one band, the
+// load is a better criterion for which of them to keep.
+func (o *Option) priceBand() float64 {
 	return math.Floor(math.Log(max(o.pricePerCPU(), 1e-9)) / math.Log(1.5))
 }
 
-// Demand is work of one shape that wants machines.
+// Demand is the demand for machines by tasks with the same resource requests and constraints.
 type Demand struct {
 	CPUs, GPUs, MemoryGB float64 // of one task
 	Types                []string
 	Zone                 string
-	Spot                 bool    // it may run on spot machines, too
-	Tasks                int     // that could run at once, within the teams' quotas
-	TaskSeconds          float64 // of work left
+	Spot                 bool    // spot machines are allowed, too
+	Tasks                int     // number of tasks that could run concurrently within the teams' quotas
+	TaskSeconds          float64 // remaining run time of all tasks
 }
 
-// Slots returns how many tasks of the demand fit on one machine of the option; 0 if none may run there.
+// Slots returns the number of tasks of the demand that fit on one machine of the option, or 0 if the constraints do not
+// allow the option.
 func (d *Demand) Slots(option *Option) int {
 	if !d.allows(option) {
 		return 0
@@ -78,15 +79,15 @@
 		(len(d.Types) == 0 || slices.Contains(d.Types, option.Type.Name))
 }
 
-// usageS is for how many seconds a new machine is taken to be used when the time that it boots, which is paid for
-// too, is spread over its price.
-const usageS = 120
+// expectedUsageS is the assumed time in seconds for which a new machine is used. The cost of its boot time, which is
+// also billed, is spread over this time.
+const expectedUsageS = 120
 
-// pricePerSlot returns what a slot for the demand costs on the option, its boot time included.
+// pricePerSlot returns the hourly price of a slot for the demand on the option, including the cost of the boot time.
 func (d *Demand) pricePerSlot(option *Option) float64 {
 	slots := d.Slots(option)
 	if slots == 0 {
 		return math.Inf(1)
 	}
-	return option.Price() / float64(slots) * (1 + (option.Type.BootS+option.DelayS)/usageS)
+	return option.Price() / float64(slots) * (1 + (option.Type.BootS+option.DelayS)/expectedUsageS)
 }
--- a/internal/autoscaler/plan.go
+++ b/internal/autoscaler/plan.go
@@ -1,10 +1,10 @@
-// Package autoscaler plans which machines a cluster is to have. From the demand for capacity, the machines that are
-// there or coming, and the options that the cloud has, it decides what to scale out, which idle machines to scale
-// in, which busy on-demand machines to cordon so that they can be scaled in later, and which busy spot machines to
-// deprioritize so that they empty.
+// Package autoscaler plans the size of a cluster. From the demand for capacity, the existing and pending machines, and
+// the options of the cloud, it decides which machines to provision, which idle machines to scale in, which busy
+// on-demand machines to cordon so that they can be scaled in later, and which busy spot machines to deprioritize so
+// that they become idle.
 //
-// A plan is a pure function: the package owns no state, performs no I/O and reads no clock. Whoever asks for a plan
-// carries it out, and may leave parts of it for later.
+// Planning is a pure function: the package owns no state, performs no I/O and reads no clock. The caller carries out
+// the plan, and may defer parts of it.
 package autoscaler
 
 import (
@@ -13,33 +13,33 @@
 	"slices"
 )
 
-// Machine is a machine that is there or coming.
+// Machine is an existing or pending machine.
 type Machine struct {
 	Option
-	Name   string // "" while it has none
+	Name   string // "": none yet
 	Up     bool
-	Idle   bool    // up, without a task
-	Retain bool    // scaling it in now saves nothing or is not wanted yet
-	Load   float64 // part of its processors in use
+	Idle   bool    // up and without tasks
+	Retain bool    // not to be scaled in now, because that is premature or saves no cost
+	Load   float64 // share of its CPUs in use
 }
 
-// Params bound the wait that is worth a machine, and the capacity that is kept free for work to come.
+// Params limit how long tasks may wait before machines are provisioned, and set the reserve for future tasks.
 type Params struct {
-	// SpotBacklogS is in how many seconds the machines are to clear the demand, as long as spot machines do it.
+	// SpotBacklogS is the time in seconds in which the machines should clear the demand, if spot machines serve it.
 	SpotBacklogS float64
-	// OnDemandBacklogS is the same for on-demand machines.
+	// OnDemandBacklogS is the same time if on-demand machines serve the demand.
 	OnDemandBacklogS float64
-	// ReserveRatio is the capacity that is kept beyond the demand, relative to it.
+	// ReserveRatio is the capacity that is kept in addition to the demand, relative to the demand.
 	ReserveRatio float64
 }
 
-// Input is what a plan is made from.
+// Input is the input of a plan.
 type Input struct {
 	Demands  []Demand
 	Machines []Machine
 	Options  []Option
 	Params   Params
-	// Allowed reports whether machines of an option may be requested now.
+	// Allowed reports whether machines of an option may be requested from the cloud now.
 	Allowed func(*Option) bool
 }
 
@@ -49,19 +49,19 @@
 	Count int
 }
 
-// Decision is a plan.
+// Decision is a plan for the machines of a cluster.
 type Decision struct {
 	ScaleOut     []Launch
 	ScaleIn      []string // idle machines to delete
-	Cordon       []string // busy on-demand machines that get no more tasks, so that they can be deleted
-	Deprioritize []string // busy spot machines that get no tasks while others have free capacity
+	Cordon       []string // busy on-demand machines that get no new tasks, so that they can be deleted
+	Deprioritize []string // busy spot machines that get no new tasks while others have free capacity
 }
 
-// onDemandRetention is how far the demand for on-demand machines may fall before those that are there are given up:
-// with less, machines would be provisioned and deleted in turns.
+// onDemandRetention is the factor by which existing on-demand machines may exceed the demand for them before they are
+// given up. With a lower factor, machines would be provisioned and deleted in turns.
 const onDemandRetention = 1.4
 
-// Plan decides about the machines of a cluster.
+// Plan decides which machines of a cluster to provision, delete, cordon and deprioritize.
 func Plan(input Input) Decision {
 	options, optionOf := optionsInUse(input.Machines)
 	order := preferenceOrder(input.Machines)
@@ -74,28 +74,28 @@
 		for k := range options {
 			slots[k] = demand.Slots(options[k])
 		}
-		existing := demanded.take(slots, demandedSlots(demand, input.Params))
+		existing := demanded.allocate(slots, demandedSlots(demand, input.Params))
 		reserve := math.Ceil(float64(demand.Tasks) * (1 + input.Params.ReserveRatio))
-		reserved.take(slots, slotLimits{spot: reserve, onDemand: reserve})
+		reserved.allocate(slots, slotLimits{spot: reserve, onDemand: reserve})
 		scaleOut.add(demand, existing)
 	}
 	decision := Decision{ScaleOut: scaleOut.requests()}
 	for _, i := range slices.Backward(order) {
 		machine := &input.Machines[i]
-		surplus := reserved
+		assignedPool := reserved
 		if !machine.Spot {
-			surplus = demanded
+			assignedPool = demanded
 		}
-		if machine.Name != "" && machine.Up && surplus.unused(i) {
+		if machine.Name != "" && machine.Up && assignedPool.unused(i) {
 			decision.addSurplus(machine)
 		}
 	}
 	return decision
 }
 
-// demandedSlots returns how many slots the demand is worth: as many as clear it in time, and never more than can be
-// used at once. An on-demand machine is kept only while the wait without it would be long; its slots are then worth
-// more than their price.
+// demandedSlots returns the number of slots that the demand justifies: as many as clear it in time, but not more than
+// can be used concurrently. An on-demand machine is kept only while tasks would wait long without it, because only then
+// are its slots worth their price.
 func demandedSlots(demand *Demand, params Params) slotLimits {
 	spot := min(float64(demand.Tasks), math.Ceil(demand.TaskSeconds/params.SpotBacklogS))
 	onDemand := min(float64(demand.Tasks), math.Ceil(demand.TaskSeconds/params.OnDemandBacklogS))
@@ -105,7 +105,7 @@
 	return slotLimits{spot: spot, onDemand: min(spot, onDemand*onDemandRetention)}
 }
 
-// addSurplus decides about a machine that no demand needs.
+// addSurplus adds the decision about a machine that no demand needs.
 func (d *Decision) addSurplus(machine *Machine) {
 	switch {
 	case machine.Idle && machine.Retain:
@@ -118,7 +118,7 @@
 	}
 }
 
-// optionsInUse returns the different options of the machines, and for each machine the index of its option.
+// optionsInUse returns the distinct options of the machines, and the index of the option of each machine.
 func optionsInUse(machines []Machine) (options []*Option, optionOf []int) {
 	optionOf = make([]int, len(machines))
 	indexOf := map[OptionKey]int{}
@@ -135,8 +135,8 @@
 	return options, optionOf
 }
 
-// preferenceOrder returns the indexes of the machines in the order in which they are to serve the demand: those that
-// cost least per hour first, of these the fullest. The others are those that empty soonest.
+// preferenceOrder returns the indexes of the machines in the order in which they serve the demand: the cheapest first,
+// and among these the ones with the highest load. The machines with the lowest load become idle soonest.
 func preferenceOrder(machines []Machine) []int {
 	order := make([]int, len(machines))
 	for i := range order {
@@ -144,7 +144,7 @@
 	}
 	slices.SortStableFunc(order, func(i, j int) int {
 		a, b := &machines[i], &machines[j]
-		if c := cmp.Compare(a.priceStep(), b.priceStep()); c != 0 {
+		if c := cmp.Compare(a.priceBand(), b.priceBand()); c != 0 {
 			return c
 		}
 		return cmp.Or(cmp.Compare(a.idleRank(), b.idleRank()), cmp.Compare(b.Load, a.Load))
@@ -152,7 +152,7 @@
 	return order
 }
 
-// idleRank orders machines in use before idle ones.
+// idleRank sorts machines in use before idle machines.
 func (m *Machine) idleRank() int {
 	if m.Idle {
 		return 1
--- a/internal/autoscaler/plan_test.go
+++ b/internal/autoscaler/plan_test.go
@@ -15,9 +15,9 @@
 	testParams = Params{SpotBacklogS: 20, OnDemandBacklogS: 100}
 )
 
-func allowAll(*Option) bool { return true }
+func allowEveryOption(*Option) bool { return true }
 
-// countMachines returns how many machines the launches ask for: spot machines, and on-demand machines.
+// countMachines returns the number of spot machines and of on-demand machines in the launches.
 func countMachines(launches []Launch) (spot, onDemand int) {
 	for _, launch := range launches {
 		if launch.Spot {
@@ -39,9 +39,9 @@
 		allowed                func(*Option) bool
 		wantSpot, wantOnDemand int
 	}{
-		{"20 slots on spot machines", flexible, allowAll, 10, 0},
+		{"20 slots on spot machines", flexible, allowEveryOption, 10, 0},
 		{"4 slots on on-demand machines", flexible, func(o *Option) bool { return !o.Spot }, 0, 2},
-		{"work that may not use spot machines", onDemandOnly, allowAll, 0, 10},
+		{"tasks that do not allow spot machines", onDemandOnly, allowEveryOption, 0, 10},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			launches := Plan(Input{
@@ -62,7 +62,7 @@
 		{Option: onDemand, Name: "busy on demand", Up: true},
 	}
 	demand := Demand{CPUs: 4, Spot: true, Tasks: 2, TaskSeconds: 1000}
-	decision := Plan(Input{Demands: []Demand{demand}, Machines: machines, Params: testParams, Allowed: allowAll})
+	decision := Plan(Input{Demands: []Demand{demand}, Machines: machines, Params: testParams, Allowed: allowEveryOption})
 	if len(decision.Cordon) != 1 || decision.Cordon[0] != "busy on demand" {
 		t.Errorf("cordons %v, want the busy on-demand machine", decision.Cordon)
 	}
@@ -71,38 +71,38 @@
 	}
 }
 
-// On-demand machines are not launched while spot machines are only left for the next plan.
+// The plan launches no on-demand machines if it only postpones spot machines to the next plan.
 func TestPlanPostponesSpotMachinesBeyondItsLimit(t *testing.T) {
 	demand := Demand{CPUs: 2, MemoryGB: 1, Spot: true, Tasks: 1000, TaskSeconds: 90000}
 	launches := Plan(Input{
-		Demands: []Demand{demand}, Options: []Option{onDemand, spot}, Params: testParams, Allowed: allowAll,
+		Demands: []Demand{demand}, Options: []Option{onDemand, spot}, Params: testParams, Allowed: allowEveryOption,
 	}).ScaleOut
 	if gotSpot, gotOnDemand := countMachines(launches); gotSpot != maxMachinesPerPlan || gotOnDemand != 0 {
-		t.Errorf("launches %v, want %d spot machines and no other", launches, maxMachinesPerPlan)
+		t.Errorf("launches %v, want %d spot machines and no on-demand machines", launches, maxMachinesPerPlan)
 	}
 	for _, launch := range launches {
 		if launch.Count > MaxMachinesPerRequest {
-			t.Errorf("requests %d machines at once", launch.Count)
+			t.Errorf("launches %d machines in one request, want at most MaxMachinesPerRequest", launch.Count)
 		}
 	}
 }
 
-// The running tasks fit on fewer machines: the emptiest get no more tasks, so that they can be deleted.
-func TestPlanDeprioritizesTheEmptiest(t *testing.T) {
+// The running tasks fit on fewer machines. The least loaded machine gets no new tasks, so that it can be deleted.
+func TestPlanDeprioritizesLeastLoadedMachine(t *testing.T) {
 	params := Params{SpotBacklogS: 20, OnDemandBacklogS: 100, ReserveRatio: 0.5}
 	var machines []Machine
 	for i, load := range []float64{0.25, 1, 0.5, 0.25} {
 		machines = append(machines, Machine{Option: spot, Name: string(rune('a' + i)), Up: true, Load: load})
 	}
 	demand := Demand{CPUs: 1, Spot: true, Tasks: 8, TaskSeconds: 80}
-	decision := Plan(Input{Demands: []Demand{demand}, Machines: machines, Params: params, Allowed: allowAll})
+	decision := Plan(Input{Demands: []Demand{demand}, Machines: machines, Params: params, Allowed: allowEveryOption})
 	if len(decision.Deprioritize) != 1 || decision.Deprioritize[0] != "d" {
-		t.Errorf("deprioritizes %v, want d: 12 slots are kept for 8 tasks", decision.Deprioritize)
+		t.Errorf("deprioritizes %v, want only d, because 12 slots are kept for 8 tasks", decision.Deprioritize)
 	}
 }
 
-// A machine that takes longer to boot than the others need for all the work is not launched.
-func TestPlanCountsWhatIsDoneWhileMachinesBoot(t *testing.T) {
+// The plan launches no machine if the existing ones complete all tasks before it has booted.
+func TestPlanCountsWorkDoneWhileMachinesBoot(t *testing.T) {
 	slow := spot
 	slow.Type.BootS = 30
 	plan := func(taskSeconds float64) []Launch {
@@ -111,20 +111,20 @@
 			Machines: []Machine{{Option: slow, Name: "a", Up: true}},
 			Options:  []Option{slow},
 			Params:   Params{SpotBacklogS: 10, OnDemandBacklogS: 100},
-			Allowed:  allowAll,
+			Allowed:  allowEveryOption,
 		}).ScaleOut
 	}
 	if launches := plan(120); len(launches) != 0 {
-		t.Errorf("launches %v for work that is done before they are up", launches)
+		t.Errorf("launches %v for tasks that complete before the machines have booted", launches)
 	}
 	launches := plan(400)
 	if gotSpot, _ := countMachines(launches); gotSpot != 6 {
-		t.Errorf("launches %v, want 6 machines for what is left", launches)
+		t.Errorf("launches %v, want 6 machines for the remaining tasks", launches)
 	}
 }
 
-// Of two options that serve the demand the one whose machines come up is preferred; how many are launched does not
-// depend on it.
+// Of two options that serve the demand, the plan prefers the one without an expected boot delay. The number of machines
+// does not depend on the delay.
 func TestPlanPrefersOptionsThatBootInTime(t *testing.T) {
 	machineType := wire.MachineType{
 		Name: "small", CPUs: 4, MemoryGB: 8, Price: 0.3, SpotPrice: 0.1, BootS: 30, ZoneNames: []string{"a", "b"},
@@ -136,13 +136,13 @@
 			Demands: []Demand{{CPUs: 1, MemoryGB: 1, Spot: true, Tasks: 40, TaskSeconds: 4000}},
 			Options: options,
 			Params:  Params{SpotBacklogS: 25, OnDemandBacklogS: 200, ReserveRatio: 0.4},
-			Allowed: allowAll,
+			Allowed: allowEveryOption,
 		}).ScaleOut
 	}
 	if launches := plan(delayed, prompt); len(launches) != 1 || launches[0].Zone != "b" || launches[0].Count != 10 {
-		t.Errorf("launches %+v, want 10 in b", launches)
+		t.Errorf("launches %+v, want 10 machines in zone b", launches)
 	}
 	if launches := plan(delayed); len(launches) != 1 || launches[0].Count != 10 {
-		t.Errorf("launches %+v, want 10 though they are delayed", launches)
+		t.Errorf("launches %+v, want 10 machines despite the delay", launches)
 	}
 }
--- a/internal/autoscaler/pool.go
+++ b/internal/autoscaler/pool.go
@@ -1,28 +1,28 @@
 package autoscaler
 
-// freeTolerance is the part of a machine that counts as nothing, to absorb rounding.
+// freeTolerance is the share of a machine below which it counts as fully assigned. It absorbs rounding errors.
 const freeTolerance = 1e-9
 
-// pool assigns the capacity of machines to demands, in a fixed order of preference.
+// pool assigns the capacity of machines to demands in a fixed order of preference.
 type pool struct {
 	machines []Machine
 	optionOf []int     // by machine: index of its option
-	order    []int     // machine indexes, the preferred first
-	free     []float64 // by machine: the part that is not assigned yet
-	next     int       // all machines before it in the order are assigned
+	order    []int     // machine indexes, the most preferred first
+	free     []float64 // by machine: the share that is not assigned yet
+	next     int       // position in the order before which all machines are fully assigned
 }
 
-// slotLimits are how many slots a demand takes at most, in all: of spot machines, and of on-demand machines.
+// slotLimits are the total numbers of slots up to which a demand gets slots on spot machines and on on-demand machines.
 type slotLimits struct{ spot, onDemand float64 }
 
-func (l slotLimits) of(machine *Machine) float64 {
+func (l slotLimits) forMachine(machine *Machine) float64 {
 	if machine.Spot {
 		return l.spot
 	}
 	return l.onDemand
 }
 
-// slotCount is how many slots a demand has, and how many of these are on machines that are up.
+// slotCount is the number of slots assigned to a demand, in total and on machines that are up.
 type slotCount struct{ total, up float64 }
 
 func newPool(machines []Machine, optionOf, order []int) *pool {
@@ -33,38 +33,38 @@
 	return p
 }
 
-// unused reports whether nothing of a machine is assigned.
+// unused reports whether no capacity of a machine is assigned.
 func (p *pool) unused(machine int) bool { return p.free[machine] == 1 }
 
-// take assigns slots to a demand up to its limits, and returns those that it got. slots has by option how many tasks
-// of the demand fit on one machine.
-func (p *pool) take(slots []int, limits slotLimits) (taken slotCount) {
-	for at := p.next; at < len(p.order); at++ {
-		i := p.order[at]
+// allocate assigns slots to a demand up to its limits, and returns the number of assigned slots. By option, slots is
+// the number of tasks of the demand that fit on one machine.
+func (p *pool) allocate(slots []int, limits slotLimits) (allocated slotCount) {
+	for position := p.next; position < len(p.order); position++ {
+		i := p.order[position]
 		if p.free[i] <= 0 {
-			if at == p.next {
+			if position == p.next {
 				p.next++
 			}
 			continue
 		}
 		machine := &p.machines[i]
-		limit := limits.of(machine)
+		limit := limits.forMachine(machine)
 		perMachine := float64(slots[p.optionOf[i]])
-		if perMachine == 0 || taken.total >= limit {
-			if taken.total >= limits.spot && taken.total >= limits.onDemand {
+		if perMachine == 0 || allocated.total >= limit {
+			if allocated.total >= limits.spot && allocated.total >= limits.onDemand {
 				break
 			}
 			continue
 		}
-		count := min(p.free[i]*perMachine, limit-taken.total)
+		count := min(p.free[i]*perMachine, limit-allocated.total)
 		p.free[i] -= count / perMachine
 		if p.free[i] < freeTolerance {
 			p.free[i] = 0
 		}
-		taken.total += count
+		allocated.total += count
 		if machine.Up {
-			taken.up += count
+			allocated.up += count
 		}
 	}
-	return taken
+	return allocated
 }
--- a/internal/autoscaler/scaleout.go
+++ b/internal/autoscaler/scaleout.go
@@ -7,83 +7,84 @@
 )
 
 const (
-	// MaxMachinesPerRequest is how many machines one request to the cloud may ask for.
+	// MaxMachinesPerRequest is the maximum number of machines in one provision request.
 	MaxMachinesPerRequest = 50
-	// maxMachinesPerPlan is how many machines of one option a plan asks for, before the answers are seen.
+	// maxMachinesPerPlan is the maximum number of machines of one option in a plan, which is made before the cloud's
+	// responses are known.
 	maxMachinesPerPlan = 100
 )
 
-// launchPlan collects the launches of one plan, demand by demand.
+// launchPlan collects the launches of one plan.
 type launchPlan struct {
 	input    *Input
 	launches []Launch
 }
 
-// add adds the launches for what a demand wants beyond the slots that it has.
+// add adds launches for the slots that a demand needs in addition to its existing ones.
 func (l *launchPlan) add(demand *Demand, existing slotCount) {
 	options := slices.Clone(l.input.Options)
 	slices.SortStableFunc(options, func(a, b Option) int {
 		return cmp.Compare(demand.pricePerSlot(&a), demand.pricePerSlot(&b))
 	})
-	postponed := false // machines of a preferred option are left for the next plan
-	total := existing.total
+	postponed := false // whether machines of a preferred option are postponed to the next plan
+	totalSlots := existing.total
 	for i := range options {
 		option := &options[i]
 		slots := demand.Slots(option)
 		if slots == 0 || !l.input.Allowed(option) || postponed && !option.Spot {
 			continue
 		}
-		missing := l.missingSlots(demand, option, slotCount{total, existing.up})
+		missing := l.missingSlots(demand, option, slotCount{totalSlots, existing.up})
 		if missing <= 0 {
 			continue
 		}
 		count := machinesFor(missing, slots)
-		if count == 0 && total == 0 {
-			count = 1 // nothing smaller serves the demand
+		if count == 0 && totalSlots == 0 {
+			count = 1 // no smaller number serves the demand
 		}
-		if limit := maxMachinesPerPlan - requested(l.launches, option); count > limit {
+		if limit := maxMachinesPerPlan - countRequested(l.launches, option); count > limit {
 			count, postponed = limit, true
 		}
 		if count > 0 {
 			l.launches = append(l.launches, Launch{*option, count})
-			total += float64(count * slots)
+			totalSlots += float64(count * slots)
 		}
 	}
 }
 
-// missingSlots returns how many slots of an option a demand wants beyond those that it has. A machine launched now
-// finds only the work that the machines that are up leave until it has booted.
+// missingSlots returns the number of slots of an option that a demand needs in addition to its existing ones. It
+// subtracts the work that the machines that are up complete while a machine of the option boots.
 func (l *launchPlan) missingSlots(demand *Demand, option *Option, existing slotCount) float64 {
 	backlogS := l.input.Params.OnDemandBacklogS
 	if option.Spot || !demand.Spot {
 		backlogS = l.input.Params.SpotBacklogS
 	}
-	left := demand.TaskSeconds - existing.up*option.Type.BootS
-	return min(float64(demand.Tasks), math.Ceil(left/backlogS)) - existing.total
+	remainingS := demand.TaskSeconds - existing.up*option.Type.BootS
+	return min(float64(demand.Tasks), math.Ceil(remainingS/backlogS)) - existing.total
 }
 
-// machinesFor returns how many machines to launch for the missing slots. The last of them is not worth it if less
-// than half of it would be used.
+// machinesFor returns the number of machines to launch for the missing slots. It omits the last machine if less than
+// half of its slots would be used.
 func machinesFor(missing float64, slotsPerMachine int) int {
 	count := int(missing) / slotsPerMachine
-	rest := missing - float64(count*slotsPerMachine)
-	if rest > 0 && rest*2 >= float64(slotsPerMachine) {
+	unserved := missing - float64(count*slotsPerMachine)
+	if unserved > 0 && unserved*2 >= float64(slotsPerMachine) {
 		count++
 	}
 	return count
 }
 
-// requests returns the launches with one for each option, the largest first, as the cloud takes few requests a
-// second; those too large for one request are divided.
+// requests merges the launches of each option, and splits those that are too large for one request. The largest request
+// is first, because the cloud accepts only a few requests per second.
 func (l *launchPlan) requests() []Launch {
 	var requests []Launch
 	for i := range l.launches {
 		option := &l.launches[i].Option
-		if requested(requests, option) > 0 {
+		if countRequested(requests, option) > 0 {
 			continue
 		}
-		for left := requested(l.launches, option); left > 0; left -= MaxMachinesPerRequest {
-			requests = append(requests, Launch{*option, min(left, MaxMachinesPerRequest)})
+		for remaining := countRequested(l.launches, option); remaining > 0; remaining -= MaxMachinesPerRequest {
+			requests = append(requests, Launch{*option, min(remaining, MaxMachinesPerRequest)})
 		}
 	}
 	slices.SortStableFunc(requests, func(a, b Launch) int {
@@ -92,8 +93,8 @@
 	return requests
 }
 
-// requested returns how many machines of an option the launches ask for.
-func requested(launches []Launch, option *Option) (count int) {
+// countRequested returns the number of machines of an option in the launches.
+func countRequested(launches []Launch, option *Option) (count int) {
 	for i := range launches {
 		if launches[i].Key() == option.Key() {
 			count += launches[i].Count
