--- a/internal/rebalancer/cluster_test.go
+++ b/internal/rebalancer/cluster_test.go
@@ -13,11 +13,11 @@
 
 const (
 	second = clock.Second
-	// later is when nothing that has only begun keeps tasks where they are any more.
-	later = 100 * second
+	// afterWarmUp is a time at which neither the start of the term nor the start of a task prevents migrations.
+	afterWarmUp = 100 * second
 )
 
-// TestMain fixes what the property tests draw: the same on every run.
+// TestMain fixes the seed of the property tests, so that every run draws the same cases.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.checks": "300", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
@@ -35,7 +35,7 @@
 	}
 }
 
-// testCluster is a cluster whose migrations are carried out as planned.
+// testCluster simulates a cluster whose machines and tasks a test can change.
 type testCluster struct {
 	machines []*Machine
 	tasks    map[string][]Task // by machine
@@ -77,7 +77,7 @@
 	return c.machines[slices.IndexFunc(c.machines, func(m *Machine) bool { return m.Name == name })]
 }
 
-func (c *testCluster) schedulable() (count int) {
+func (c *testCluster) countSchedulable() (count int) {
 	for _, machine := range c.machines {
 		if machine.Schedulable {
 			count++
@@ -86,8 +86,8 @@
 	return count
 }
 
-// movableTask returns a task that may be migrated.
-func movableTask(index int, cpus float64) Task {
+// migratableTask returns a task that meets all conditions for a migration.
+func migratableTask(index int, cpus float64) Task {
 	return Task{
 		ID: TaskID{"j-000001", index}, Team: "red", Request: load.Resources{CPUs: cpus, Memory: cpus},
 		Image: "img", CheckpointS: 1, Checkpoints: true, RunningSince: second, RemainingS: 1000,
@@ -95,15 +95,15 @@
 	}
 }
 
-// unevenCluster returns a cluster of four machines of which one has all tasks.
-func unevenCluster() *testCluster {
+// imbalancedCluster returns a cluster of four machines, one of which runs all tasks.
+func imbalancedCluster() *testCluster {
 	c := newTestCluster()
-	full := c.addMachine("m0", 4)
+	loaded := c.addMachine("m0", 4)
 	for i := 1; i < 4; i++ {
 		c.addMachine(fmt.Sprint("m", i), 4)
 	}
 	for i := range 4 {
-		c.startTask(full, movableTask(i, 1))
+		c.startTask(loaded, migratableTask(i, 1))
 	}
 	return c
 }
--- a/internal/rebalancer/migration.go
+++ b/internal/rebalancer/migration.go
@@ -8,31 +8,31 @@
 	"swiftledge/internal/clock"
 )
 
-// TaskID names a task.
+// TaskID identifies a task.
 type TaskID struct {
 	Job   string
 	Index int
 }
 
-// String returns the task's name, job/index.
+// String returns the ID as job/index.
 func (t TaskID) String() string { return fmt.Sprintf("%s/%d", t.Job, t.Index) }
 
 func (t TaskID) compare(other TaskID) int {
 	return cmp.Or(strings.Compare(t.Job, other.Job), cmp.Compare(t.Index, other.Index))
 }
 
-// Stage is how far a migration has come.
+// Stage is the progress of a migration.
 type Stage int
 
 // A migration goes from Stopping to Terminated once the old attempt is proven to be gone, and to Assigned when its
-// task is given to a machine; it ends when the task runs there.
+// task is assigned to a machine. It ends when the task runs there.
 const (
 	Stopping Stage = iota
 	Terminated
 	Assigned
 )
 
-// String returns the stage as the status and the traces show it.
+// String returns the name of the stage that the status and the traces show.
 func (s Stage) String() string {
 	switch s {
 	case Stopping:
@@ -45,20 +45,20 @@
 	return fmt.Sprintf("Stage(%d)", int(s))
 }
 
-// Migration is a task that is to run on another machine. It is a preference only: between its stop and its start the
-// task waits like any other, and it may run elsewhere.
+// Migration is the migration of a task to another machine. The target is only a preference: between its stop and its
+// start the task waits like any other task, and it may be placed elsewhere.
 type Migration struct {
 	Task         TaskID
 	Team         string
 	From, To     string
-	Assigned     string // the machine that it was given to; "": none yet
+	Assigned     string // the machine that the task was assigned to; "": none yet
 	StartedAt    clock.Micros
-	TerminatedAt clock.Micros // when the old attempt was proven to be gone; 0: not yet
+	TerminatedAt clock.Micros // time at which the old attempt was proven to be gone; 0: not yet
 	GainS, CostS float64      // in seconds of image fetch
 	Stage        Stage
 }
 
-// compareBenefit orders migrations by what they gain beyond their cost, the most first, then by their tasks.
+// compareBenefit orders migrations by gain minus cost, the highest first, then by task.
 func (m *Migration) compareBenefit(other *Migration) int {
 	return cmp.Or(
 		cmp.Compare(other.GainS-other.CostS, m.GainS-m.CostS),
@@ -66,11 +66,11 @@
 	)
 }
 
-// Outcomes counts how migrations ended.
+// Outcomes counts migrations by their outcome.
 type Outcomes struct {
 	Started   int
-	Arrived   int // on the machine that was meant
-	Diverted  int // to another machine
-	Cancelled int // the job ended or was cancelled meanwhile
+	Arrived   int // the task runs on the target machine
+	Diverted  int // the task runs on another machine
+	Cancelled int // the task or its job ended, or the job was cancelled
 	TimedOut  int
 }
--- a/internal/rebalancer/plan.go
+++ b/internal/rebalancer/plan.go
@@ -8,39 +8,39 @@
 )
 
 const (
-	// minMigrations is how many migrations may be in flight in a fleet of any size.
+	// minMigrations is the number of migrations that may be in flight even in the smallest fleet.
 	minMigrations = 2
-	// minRemainingPerCost is how many times the cost of its migration a task must have left to run.
+	// minRemainingPerCost is the minimum ratio of a task's remaining run time to the cost of its migration.
 	minRemainingPerCost = 2
-	// maxTargets is how many machines with free capacity are compared for a task, the least loaded first.
+	// maxTargets is the maximum number of target machines that are evaluated for a task, the least loaded first.
 	maxTargets = 16
 )
 
-// planner makes one plan.
+// planner is the state of one planning run.
 type planner struct {
 	*Rebalancer
-	now         clock.Micros
-	view        View
-	mean        float64
-	schedulable []*Machine      // the fullest first
-	targets     []*Machine      // the least loaded first
-	involved    map[string]bool // machines of migrations in flight
-	budget      int             // migrations that may still begin
-	byTeam      map[string]int  // migrations in flight
-	teamBudget  int             // migrations in flight that one team may have
+	now             clock.Micros
+	view            View
+	mean            float64
+	schedulable     []*Machine      // the highest load first
+	targets         []*Machine      // the lowest load first
+	involved        map[string]bool // machines of migrations in flight
+	remainingBudget int             // migrations that may still be started
+	inFlightByTeam  map[string]int  // migrations in flight, by team
+	teamBudget      int             // maximum migrations in flight of one team
 }
 
 // Plan decides which tasks to migrate now, and records these migrations as in flight.
 func (r *Rebalancer) Plan(now clock.Micros, view View) []Migration {
 	r.refusals = nil
-	if reason := r.reasonToWait(now, &view); reason != noReason {
+	if reason := r.reasonAgainstAll(now, &view); reason != noReason {
 		r.refuse("", reason, TaskID{})
 		return nil
 	}
 	p := r.newPlanner(now, view)
 	var migrations []Migration
 	for _, machine := range p.overloaded() {
-		if p.budget <= 0 {
+		if p.remainingBudget <= 0 {
 			r.refuse(machine.Name, MigrationBudgetSpent, TaskID{})
 			break
 		}
@@ -48,15 +48,15 @@
 		if !ok {
 			continue
 		}
-		r.start(migration)
-		p.spend(&migration)
+		r.recordStart(migration)
+		p.deductFromBudgets(&migration)
 		migrations = append(migrations, migration)
 	}
 	return migrations
 }
 
-// reasonToWait returns why nothing is migrated at all now, or noReason.
-func (r *Rebalancer) reasonToWait(now clock.Micros, view *View) Reason {
+// reasonAgainstAll returns the reason why no task is migrated now, or noReason.
+func (r *Rebalancer) reasonAgainstAll(now clock.Micros, view *View) Reason {
 	switch {
 	case now-r.startedAt < r.params.LeaderWarmUp:
 		return LeaderChanged
@@ -69,7 +69,7 @@
 }
 
 func (r *Rebalancer) newPlanner(now clock.Micros, view View) *planner {
-	p := &planner{Rebalancer: r, now: now, view: view, involved: map[string]bool{}, byTeam: map[string]int{}}
+	p := &planner{Rebalancer: r, now: now, view: view, involved: map[string]bool{}, inFlightByTeam: map[string]int{}}
 	var mean load.Mean
 	for _, machine := range view.Machines {
 		switch {
@@ -93,15 +93,15 @@
 	for _, migration := range r.InFlight() {
 		p.involved[migration.From], p.involved[migration.To] = true, true
 		p.involved[migration.Assigned] = true
-		p.byTeam[migration.Team]++
+		p.inFlightByTeam[migration.Team]++
 	}
 	limit := r.maxMigrations(len(p.schedulable))
-	p.budget = limit - len(r.migrations)
+	p.remainingBudget = limit - len(r.migrations)
 	p.teamBudget = r.maxTeamMigrations(limit)
 	return p
 }
 
-// maxMigrations returns how many migrations may be in flight in a fleet of that many machines.
+// maxMigrations returns the maximum number of migrations in flight in a fleet with the given number of machines.
 func (r *Rebalancer) maxMigrations(machines int) int {
 	if r.params.MigrationBudget <= 0 {
 		return 0
@@ -109,19 +109,19 @@
 	return max(minMigrations, int(float64(machines)*r.params.MigrationBudget))
 }
 
-// maxTeamMigrations returns how many of the migrations in flight one team may have.
+// maxTeamMigrations returns the maximum number of migrations in flight of one team.
 func (r *Rebalancer) maxTeamMigrations(limit int) int {
 	return max(1, int(float64(limit)*r.params.TeamShare))
 }
 
-// spend takes a new migration off the budgets.
-func (p *planner) spend(migration *Migration) {
+// deductFromBudgets deducts a new migration from the budgets, and marks its machines as involved.
+func (p *planner) deductFromBudgets(migration *Migration) {
 	p.involved[migration.From], p.involved[migration.To] = true, true
-	p.byTeam[migration.Team]++
-	p.budget--
+	p.inFlightByTeam[migration.Team]++
+	p.remainingBudget--
 }
 
-// overloaded returns the machines that are to lose tasks, the fullest first.
+// overloaded returns the machines that are to lose tasks, the highest load first.
 func (p *planner) overloaded() []*Machine {
 	end := slices.IndexFunc(p.schedulable, func(machine *Machine) bool {
 		return machine.Load() <= p.params.MigrateAbove*p.mean || machine.Load() <= p.params.MinLoad
@@ -132,7 +132,7 @@
 	return p.schedulable[:end]
 }
 
-// bestMigrationFrom returns the migration off a machine that gains most, if there is any.
+// bestMigrationFrom returns the migration off a machine with the highest benefit, if there is any.
 func (p *planner) bestMigrationFrom(machine *Machine) (best Migration, found bool) {
 	switch {
 	case machine.OfferPending:
@@ -149,7 +149,7 @@
 	}
 	for i := range tasks {
 		task := &tasks[i]
-		if reason := p.reasonToStay(task); reason != noReason {
+		if reason := p.reasonAgainstTask(task); reason != noReason {
 			p.refuse(machine.Name, reason, task.ID)
 			continue
 		}
@@ -165,8 +165,8 @@
 	return best, found
 }
 
-// reasonToStay returns why a task is not migrated wherever there may be free capacity, or noReason.
-func (p *planner) reasonToStay(task *Task) Reason {
+// reasonAgainstTask returns the reason why a task is not migrated to any target, or noReason.
+func (p *planner) reasonAgainstTask(task *Task) Reason {
 	migratedAt, migrated := p.migratedAt[task.ID]
 	switch {
 	case task.Stopping:
@@ -185,20 +185,20 @@
 		return RecentlyMigrated
 	case task.TeamAtLimit:
 		return TeamAtLimit
-	case p.byTeam[task.Team] >= p.teamBudget:
+	case p.inFlightByTeam[task.Team] >= p.teamBudget:
 		return TeamBudgetSpent
 	}
 	return noReason
 }
 
-// bestMigrationOf returns the best migration of a task, among those to the least loaded machines, or the reason why
-// there is none.
+// bestMigrationOf returns the migration of a task with the highest benefit among those to the least loaded machines, or
+// the reason why there is none.
 func (p *planner) bestMigrationOf(task *Task, from *Machine) (best Migration, reason Reason) {
 	reason = NoTarget
-	compared := 0
+	evaluated := 0
 	for _, to := range p.targets {
 		if to.Load() > p.params.Bound.MaxRelativeLoad*p.mean {
-			break // the others are fuller
+			break // the remaining targets have a higher load
 		}
 		if to == from || !p.isTarget(task, to) {
 			continue
@@ -212,14 +212,14 @@
 		case reason != noReason || migration.compareBenefit(&best) < 0:
 			best, reason = migration, noReason
 		}
-		if compared++; compared == maxTargets {
+		if evaluated++; evaluated == maxTargets {
 			break
 		}
 	}
 	return best, reason
 }
 
-// isTarget reports whether a task could be given to a machine within the bound.
+// isTarget reports whether a task could be placed on a machine within the bound.
 func (p *planner) isTarget(task *Task, to *Machine) bool {
 	if p.involved[to.Name] || !task.Allows(to) || !task.Request.Fits(to.Capacity.Minus(to.Used)) {
 		return false
@@ -228,13 +228,13 @@
 	return p.params.Bound.Allows(candidate, p.mean)
 }
 
-// loadWith returns the load of a machine with one more task.
+// loadWith returns the load of a machine with an additional task.
 func loadWith(task *Task, machine *Machine) float64 {
 	return machine.Used.Plus(task.Request).DominantShare(machine.Capacity)
 }
 
-// evaluate returns a migration with its gain and its cost, both in seconds of image fetch: what less imbalance is
-// worth, and what it takes to save a checkpoint and to fetch the image.
+// evaluate returns a migration with its gain and its cost, both in seconds of image fetch. The gain is the value of the
+// reduced imbalance. The cost is the time to save a checkpoint and to fetch the image.
 func (p *planner) evaluate(task *Task, from, to *Machine) Migration {
 	cost := task.CheckpointS
 	if !slices.Contains(to.Images, task.Image) {
@@ -246,7 +246,7 @@
 	}
 }
 
-// isWorthwhile reports whether a migration gains more than it costs, and enough is left of the task.
+// isWorthwhile reports whether a migration gains more than it costs, and the task has enough remaining run time.
 func isWorthwhile(task *Task, migration *Migration) bool {
 	return migration.GainS > migration.CostS && task.RemainingS >= minRemainingPerCost*migration.CostS
 }
--- a/internal/rebalancer/property_test.go
+++ b/internal/rebalancer/property_test.go
@@ -9,25 +9,25 @@
 	"swiftledge/internal/clock"
 )
 
-// randomRun plays rounds of plans on a random cluster, whose migrations take their time and end in any way.
-type randomRun struct {
+// simulation plans in rounds on a random cluster, in which migrations take a random time.
+type simulation struct {
 	*testCluster
-	rebalancer   *Rebalancer
-	now          clock.Micros
-	tasks        int  // drawn, some of which found no machine
-	sameSize     bool // all machines have the same capacity
-	fixed        map[TaskID]bool
-	stopped      map[TaskID]Task // neither on their old machine nor on a new one
-	migrations   int
-	lastMachines map[TaskID]string // from which a task was last migrated
+	rebalancer    *Rebalancer
+	now           clock.Micros
+	taskCount     int  // number of drawn tasks, some of which fit on no machine
+	sameSize      bool // whether all machines have the same capacity
+	notMigratable map[TaskID]bool
+	stopped       map[TaskID]Task // stopped on the source and not yet started on the target
+	migrations    int
+	lastSources   map[TaskID]string // by task: source of its last migration
 }
 
-func drawRun(t *rapid.T) *randomRun {
+func drawSimulation(t *rapid.T) *simulation {
 	params := testParams()
-	params.MigrationBudget = rapid.SampledFrom([]float64{0.02, 0.1, 0.25}).Draw(t, "part")
+	params.MigrationBudget = rapid.SampledFrom([]float64{0.02, 0.1, 0.25}).Draw(t, "migration budget")
 	params.Cooldown = rapid.SampledFrom([]clock.Micros{0, 120 * second}).Draw(t, "pause")
-	run := &randomRun{testCluster: newTestCluster(), rebalancer: New(params, 0), now: later,
-		fixed: map[TaskID]bool{}, stopped: map[TaskID]Task{}, lastMachines: map[TaskID]string{}}
+	run := &simulation{testCluster: newTestCluster(), rebalancer: New(params, 0), now: afterWarmUp,
+		notMigratable: map[TaskID]bool{}, stopped: map[TaskID]Task{}, lastSources: map[TaskID]string{}}
 	run.sameSize = rapid.Bool().Draw(t, "same size")
 	for i := range rapid.IntRange(2, 40).Draw(t, "machines") {
 		cpus := 8.0
@@ -37,15 +37,15 @@
 		machine := run.addMachine(fmt.Sprintf("m%02d", i), cpus)
 		machine.Schedulable = rapid.IntRange(0, 9).Draw(t, "serving") > 0
 	}
-	run.tasks = rapid.IntRange(0, 150).Draw(t, "tasks")
-	for i := range run.tasks {
-		task := movableTask(i, rapid.SampledFrom([]float64{0.25, 1, 2}).Draw(t, "takes"))
+	run.taskCount = rapid.IntRange(0, 150).Draw(t, "tasks")
+	for i := range run.taskCount {
+		task := migratableTask(i, rapid.SampledFrom([]float64{0.25, 1, 2}).Draw(t, "requested cpus"))
 		task.Team = rapid.SampledFrom([]string{"red", "blue"}).Draw(t, "team")
-		task.Checkpoints = rapid.IntRange(0, 3).Draw(t, "saves") > 0
-		run.fixed[task.ID] = !task.Checkpoints
-		// Most of them on the first machines.
-		on := rapid.IntRange(0, len(run.machines)-1).Draw(t, "on") / rapid.IntRange(1, 6).Draw(t, "crowd")
-		machine := run.machines[min(len(run.machines)-1, on)]
+		task.Checkpoints = rapid.IntRange(0, 3).Draw(t, "checkpoints") > 0
+		run.notMigratable[task.ID] = !task.Checkpoints
+		// Most tasks start on the first machines.
+		position := rapid.IntRange(0, len(run.machines)-1).Draw(t, "machine") / rapid.IntRange(1, 6).Draw(t, "skew")
+		machine := run.machines[min(len(run.machines)-1, position)]
 		if task.Request.Fits(machine.Capacity.Minus(machine.Used)) {
 			run.startTask(machine, task)
 		}
@@ -53,29 +53,29 @@
 	return run
 }
 
-// plan makes a plan and checks each of its migrations.
-func (r *randomRun) plan(t *rapid.T) {
+// plan makes a plan and checks its migrations.
+func (r *simulation) plan(t *rapid.T) {
 	t.Helper()
 	for _, migration := range r.rebalancer.Plan(r.now, r.view) {
 		r.migrations++
 		from, to := r.machine(migration.From), r.machine(migration.To)
-		if r.fixed[migration.Task] || !to.Schedulable || !from.Schedulable {
-			t.Fatalf("%+v must not be", migration)
+		if r.notMigratable[migration.Task] || !to.Schedulable || !from.Schedulable {
+			t.Fatalf("migration %+v is not allowed", migration)
 		}
-		if r.lastMachines[migration.Task] == migration.To && r.rebalancer.params.Cooldown > 0 {
-			t.Fatalf("%s goes back to %s", migration.Task, migration.To)
+		if r.lastSources[migration.Task] == migration.To && r.rebalancer.params.Cooldown > 0 {
+			t.Fatalf("task %s is migrated back to %s", migration.Task, migration.To)
 		}
-		r.lastMachines[migration.Task] = migration.From
+		r.lastSources[migration.Task] = migration.From
 	}
 }
 
-// checkBudgets checks how many migrations are in flight: in all, by team and by machine.
-func (r *randomRun) checkBudgets(t *rapid.T, inFlight []Migration) {
+// checkBudgets checks the number of migrations in flight: in total, by team and by machine.
+func (r *simulation) checkBudgets(t *rapid.T, inFlight []Migration) {
 	t.Helper()
-	limit := r.rebalancer.maxMigrations(r.schedulable())
+	limit := r.rebalancer.maxMigrations(r.countSchedulable())
 	teamLimit := max(1, int(float64(limit)*r.rebalancer.params.TeamShare))
 	if len(inFlight) > limit {
-		t.Fatalf("%d migrations in flight in a fleet of %d", len(inFlight), r.schedulable())
+		t.Fatalf("%d migrations in flight in a fleet of %d machines", len(inFlight), r.countSchedulable())
 	}
 	byTeam, involved := map[string]int{}, map[string]bool{}
 	for _, migration := range inFlight {
@@ -85,19 +85,19 @@
 		}
 		involved[migration.From], involved[migration.To] = true, true
 		if byTeam[migration.Team] > teamLimit {
-			t.Fatalf("%d migrations of one team", byTeam[migration.Team])
+			t.Fatalf("%d migrations of one team in flight", byTeam[migration.Team])
 		}
 	}
 }
 
-// advance lets a migration come to its next stage, or not.
-func (r *randomRun) advance(t *rapid.T, migration Migration) {
+// advance randomly moves a migration to its next stage.
+func (r *simulation) advance(t *rapid.T, migration Migration) {
 	t.Helper()
 	switch migration.Stage {
 	case Stopping:
 		if rapid.Bool().Draw(t, "stopped") {
 			r.stopped[migration.Task] = r.stopTask(r.machine(migration.From), migration.Task)
-			r.rebalancer.AttemptTerminated(later, migration.Task)
+			r.rebalancer.AttemptTerminated(afterWarmUp, migration.Task)
 		}
 	case Terminated:
 		if task, ok := r.stopped[migration.Task]; ok && rapid.Bool().Draw(t, "starts") {
@@ -108,33 +108,33 @@
 			r.rebalancer.TaskRunning(migration.Task, migration.To)
 		}
 	case Assigned:
-		t.Fatalf("%+v is in flight though its task runs", migration)
+		t.Fatalf("migration %+v is in flight although its task runs", migration)
 	}
 }
 
-// Budgets are kept, no task is migrated that must not be, nothing is migrated back and forth, and the migrations come
-// to an end.
-func TestMigrationsComeToAnEnd(t *testing.T) {
+// Migrations stay within their budgets, only migratable tasks are migrated, no task is migrated back and forth, and
+// rebalancing ends after a bounded number of migrations.
+func TestRebalancingConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		run := drawRun(t)
-		quiet := 0 // rounds in a row without a migration in flight
-		for round := 0; quiet < 3; round++ {
-			if round > 40*(run.tasks+2) {
-				t.Fatalf("%d migrations of %d tasks and no end", run.migrations, run.tasks)
+		run := drawSimulation(t)
+		idleRounds := 0 // consecutive rounds without a migration in flight
+		for round := 0; idleRounds < 3; round++ {
+			if round > 40*(run.taskCount+2) {
+				t.Fatalf("rebalancing does not end after %d migrations of %d tasks", run.migrations, run.taskCount)
 			}
 			run.now += 2 * second
 			run.plan(t)
 			inFlight := run.rebalancer.InFlight()
 			run.checkBudgets(t, inFlight)
-			quiet++
+			idleRounds++
 			for _, migration := range inFlight {
-				quiet = 0
+				idleRounds = 0
 				run.advance(t, migration)
 			}
 		}
-		// Of machines of one size none loses and gains in turns: each migration lowers the imbalance.
-		if limit := 4 * run.tasks; run.sameSize && run.migrations > limit {
-			t.Fatalf("%d migrations of %d tasks", run.migrations, run.tasks)
+		// On machines of the same size each migration reduces the imbalance, so no machine loses and gains tasks in turns.
+		if limit := 4 * run.taskCount; run.sameSize && run.migrations > limit {
+			t.Fatalf("%d migrations of %d tasks, want at most four for each task", run.migrations, run.taskCount)
 		}
 	})
 }
--- a/internal/rebalancer/reason.go
+++ b/internal/rebalancer/reason.go
@@ -1,9 +1,9 @@
 package rebalancer
 
-// Reason says why a task, or all tasks of a machine, or all tasks, are not migrated. Its text is part of the status.
+// Reason is the reason why a task, all tasks of a machine, or all tasks are not migrated. The status shows its text.
 type Reason string
 
-// noReason stands for nothing that speaks against a migration.
+// noReason means that there is no reason against a migration.
 const noReason Reason = ""
 
 // Reasons against all migrations.
@@ -13,7 +13,7 @@
 	WorkWaiting   Reason = "work waits for room"
 )
 
-// Reasons against migrations from one machine.
+// Reasons against migrations off one machine.
 const (
 	MigrationBudgetSpent Reason = "moves in flight"
 	MachineMigrating     Reason = "a move concerns the machine"
@@ -38,10 +38,10 @@
 	NotWorthwhile    Reason = "costs more than it gains"
 )
 
-// Refusal counts the migrations from one machine that were not made for one reason.
+// Refusal counts the tasks that are not migrated off one machine for one reason.
 type Refusal struct {
-	Machine string // "" if it concerns all
+	Machine string // "": all machines
 	Reason  Reason
-	Task    TaskID // the first of those concerned, if the reason is about tasks
-	Tasks   int    // how many
+	Task    TaskID // the first affected task, if the reason is about tasks
+	Tasks   int    // number of refusals with this machine and reason
 }
--- a/internal/rebalancer/rebalancer.go
+++ b/internal/rebalancer/rebalancer.go
@@ -1,10 +1,10 @@
 // Package rebalancer decides which running tasks are worth migrating off machines whose load is far above the mean,
-// and follows these migrations until their tasks run again.
+// and tracks these migrations until their tasks run again.
 //
-// A Rebalancer belongs to one leader. It owns the migrations in flight and when each task was last migrated, as soft
-// state: a leader that loses it loses preferences only. A View of the machines and what is seen of tasks go in; the
-// migrations to begin, and the reasons against others, come out. The package performs no I/O, reads no clock and has
-// no authority: the leader stops and places the tasks by its ordinary commands.
+// A Rebalancer belongs to one leader. It owns the migrations in flight and the time of each task's last migration. This
+// is soft state: a leader that loses it loses only placement preferences. From a View of the machines and the events of
+// tasks, the Rebalancer determines the migrations to start and the reasons against others. The package performs no I/O
+// and reads no clock. It only makes decisions: the leader stops and places the tasks by its ordinary commands.
 package rebalancer
 
 import (
@@ -15,30 +15,30 @@
 	"swiftledge/internal/load"
 )
 
-// Params are the operators' settings of migrations.
+// Params are the operators' settings for migrations.
 type Params struct {
 	Bound           load.Bound
-	MigrateAbove    float64      // tasks leave machines above this many times the mean load
-	MinLoad         float64      // but not machines at or below this load
-	MinRuntime      clock.Micros // nor within this of a task's start, or when less is left of it
-	Cooldown        clock.Micros // nor a task again within this
-	LeaderWarmUp    clock.Micros // nor within this of a change of leader
-	MigrationBudget float64      // migrations in flight, as a part of the machines that take work
-	TeamShare       float64      // the part of these that one team may have
-	Timeout         clock.Micros // a migration that has not ended by then has failed
+	MigrateAbove    float64      // tasks are migrated off machines above this multiple of the mean load
+	MinLoad         float64      // no task is migrated off a machine at or below this load
+	MinRuntime      clock.Micros // a task is not migrated before it has run this long, or if less run time remains
+	Cooldown        clock.Micros // minimum time between two migrations of a task
+	LeaderWarmUp    clock.Micros // no task is migrated for this long after a change of leader
+	MigrationBudget float64      // maximum migrations in flight, relative to the schedulable machines
+	TeamShare       float64      // maximum share of these for one team
+	Timeout         clock.Micros // a migration that has not ended after this time has failed
 }
 
-// Rebalancer keeps the migrations of one leader.
+// Rebalancer plans and tracks the migrations of one leader.
 type Rebalancer struct {
 	params     Params
 	startedAt  clock.Micros
 	migrations map[TaskID]*Migration
-	migratedAt map[TaskID]clock.Micros // when a task's last migration began
+	migratedAt map[TaskID]clock.Micros // start time of each task's last migration
 	refusals   []Refusal
 	outcomes   Outcomes
 }
 
-// New returns the rebalancer of a leader whose term began at that time.
+// New returns the rebalancer of a leader whose term started at startedAt.
 func New(params Params, startedAt clock.Micros) *Rebalancer {
 	return &Rebalancer{
 		params:     params,
@@ -48,13 +48,13 @@
 	}
 }
 
-func (r *Rebalancer) start(migration Migration) {
+func (r *Rebalancer) recordStart(migration Migration) {
 	r.migrations[migration.Task] = &migration
 	r.migratedAt[migration.Task] = migration.StartedAt
 	r.outcomes.Started++
 }
 
-// refuse records why something is not migrated, once for each machine and reason.
+// refuse counts a refused migration under its machine and reason.
 func (r *Rebalancer) refuse(machine string, reason Reason, task TaskID) {
 	for i := range r.refusals {
 		if refusal := &r.refusals[i]; refusal.Machine == machine && refusal.Reason == reason {
@@ -65,14 +65,14 @@
 	r.refusals = append(r.refusals, Refusal{Machine: machine, Reason: reason, Task: task, Tasks: 1})
 }
 
-// AttemptTerminated records that a task's old attempt is proven to be gone: from now on it may start elsewhere.
+// AttemptTerminated records that the old attempt of a task is proven to be gone, so that the task may start elsewhere.
 func (r *Rebalancer) AttemptTerminated(now clock.Micros, task TaskID) {
 	if migration := r.migrations[task]; migration != nil {
 		migration.Stage, migration.TerminatedAt = Terminated, now
 	}
 }
 
-// TaskAssigned records that a task was given to a machine.
+// TaskAssigned records that a task was assigned to a machine.
 func (r *Rebalancer) TaskAssigned(task TaskID, machine string) {
 	if migration := r.migrations[task]; migration != nil && migration.Stage == Terminated {
 		migration.Stage, migration.Assigned = Assigned, machine
@@ -131,7 +131,7 @@
 	return timedOut
 }
 
-// PreferredMachine returns the machine that a task is to migrate to, once it may start again; "" for none.
+// PreferredMachine returns the target of a task's migration once the task may start again, or "" if there is none.
 func (r *Rebalancer) PreferredMachine(task TaskID) string {
 	if migration := r.migrations[task]; migration != nil && migration.Stage == Terminated {
 		return migration.To
@@ -148,8 +148,8 @@
 	return migrations
 }
 
-// Refusals returns the refusals of the latest plan.
+// Refusals returns the refused migrations of the latest plan.
 func (r *Rebalancer) Refusals() []Refusal { return r.refusals }
 
-// Outcomes returns how migrations have ended since the leader's term began.
+// Outcomes returns the outcomes of migrations since the start of the leader's term.
 func (r *Rebalancer) Outcomes() Outcomes { return r.outcomes }
