--- a/internal/failures/failures_test.go
+++ b/internal/failures/failures_test.go
@@ -11,7 +11,8 @@
 	return job.TaskFailed(now, machine, Failure{TaskIndex: index, Machine: name, Runtime: clock.Second})
 }
 
-// A job that fails on two machines is suspect. Its failures make neither machine faulty, however many there are.
+// Failures of one job on one machine are no evidence against either. A job that fails on two machines is suspect. Its
+// failures make neither machine faulty, however many there are.
 func TestSuspectJobIsNoEvidenceAgainstMachines(t *testing.T) {
 	var job Job
 	var a, b Machine
