--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,19 +1,19 @@
-// Package config reads and checks the settings of a controller: the platform's file (JSON, type Settings) and
-// the operators' own (YAML, type Tuning), of which there may be several, one over the other. It derives from
-// them the limits that the rest of the program keeps to (type Config), and prints the JSON Schema of the
+// Package config loads and validates a controller's settings: the platform's file (JSON, type Settings) and the
+// operators' files (YAML, type Tuning), each of which overrides the ones before it. It derives from them the
+// limits that the rest of the program observes (methods of Config) and generates the JSON Schema of the
 // operators' settings.
 //
-// A Config is read once at the start and never changes. The keys of both files, the names of the types here
-// and of Spread.Bound are part of texts that operators see, and stay as they are.
+// A Config is loaded once at startup and never changes. The keys of both files, the names of the types in this
+// package and the field name Spread.Bound are part of error texts that operators see and must not change.
 package config
 
-// Config is the platform's settings and the operators' own.
+// Config holds the platform's settings and the operators' settings.
 type Config struct {
 	Settings
 	Tuning Tuning
 }
 
-// Team returns a team by its name.
+// Team returns the team with the given name.
 func (c *Config) Team(name string) (Team, bool) {
 	for _, team := range c.Facts.Teams {
 		if team.Name == name {
--- a/internal/config/grant.go
+++ b/internal/config/grant.go
@@ -7,51 +7,52 @@
 )
 
 const (
-	// cancelMargin is for drift (0.05% of each of the three times), and for a worker that looks at its lease
-	// only now and then.
+	// cancelMargin covers clock drift (0.05% of each of the three periods of GrantTime) and agents that check
+	// their lease only periodically.
 	cancelMargin = clock.Second
-	// minGrantTime is the shortest time that is worth having for a shard lease: it is renewed every second.
+	// minGrantTime is the shortest useful duration of a shard lease, which is renewed every second.
 	minGrantTime = 2 * clock.Second
-	// priorVersionMargin is what the version in production leaves of a cancellation's time, whatever the
-	// election's TTL.
-	priorVersionMargin = 4.0
-	// priorVersionMinGrant is the shortest grant of that version, in seconds.
-	priorVersionMinGrant = 2.0
+	// priorVersionMarginS is the part of cancel_s, besides lease_s, that the version in production does not use
+	// for a grant, regardless of the election's TTL.
+	priorVersionMarginS = 4.0
+	// priorVersionMinGrantS is the shortest grant of that version.
+	priorVersionMinGrantS = 2.0
 )
 
-// GrantTime is how long a shard is granted to its holder: the operators' value, but no longer than the time
-// for a cancellation allows. From the confirmation of a cancellation, by whichever controller, on
+// GrantTime returns how long a shard is granted to its holder: the operators' value, limited by the time that a
+// cancellation may take. After any controller has confirmed a cancellation, three periods may follow one another:
 //
-//   - for MaxViewAge a leader that has not seen it may renew grants,
-//   - for GrantTime a holder may answer heartbeats under what was renewed,
-//   - for AgentLeaseTime a task goes on after its agent's last answered heartbeat was sent,
+//   - for MaxViewAge, a leader that has not seen the cancellation may renew grants,
+//   - for GrantTime, a holder may answer heartbeats under a grant that was renewed last,
+//   - for AgentLeaseTime, a task keeps running after its agent sent the last heartbeat that was answered.
 //
-// and all of it ends cancelMargin before cancel_s is over.
+// Together they end cancelMargin before cancel_s has passed.
 func (c *Config) GrantTime() clock.Micros {
 	return min(clock.FromSeconds(c.Tuning.Grants.TimeS), c.maxGrantTime())
 }
 
-// maxGrantTime is what the time for a cancellation leaves for a grant.
+// maxGrantTime returns the part of cancel_s that is left for a grant.
 func (c *Config) maxGrantTime() clock.Micros {
 	return clock.FromSeconds(c.Facts.Workers.CancelS) - c.AgentLeaseTime() - c.MaxViewAge() - cancelMargin
 }
 
-// LongestGrantTime is how long a grant may last with a holder of this version or the one in production: a silent
-// holder's shard may go to another only after it.
+// LongestGrantTime returns the longest time that a grant may last at a holder of this version or of the version in
+// production. The shard of a silent holder may go to another holder only after that time.
 func (c *Config) LongestGrantTime() clock.Micros {
 	workers := c.Facts.Workers
-	priorGrant := max(priorVersionMinGrant, workers.CancelS-workers.LeaseS-priorVersionMargin)
-	return max(c.GrantTime(), clock.FromSeconds(min(c.Tuning.Grants.TimeS, priorGrant)))
+	priorGrantS := max(priorVersionMinGrantS, workers.CancelS-workers.LeaseS-priorVersionMarginS)
+	return max(c.GrantTime(), clock.FromSeconds(min(c.Tuning.Grants.TimeS, priorGrantS)))
 }
 
-// MaxViewAge is how old the leader's view of the jobs may be for it to act on it. It is as long as its
-// leadership lasts without a renewal, so that one bound holds whether it lost the store or only the watch.
+// MaxViewAge returns the maximum age of the leader's view of the jobs at which the leader may still act on it. It
+// equals the time that leadership lasts without a renewal, so the same bound holds whether the leader lost the
+// store or only the watch.
 func (c *Config) MaxViewAge() clock.Micros { return clock.FromSeconds(c.Tuning.Election.TTLS) }
 
-// AgentLeaseTime is how long an agent's lease lasts after its last answered heartbeat was sent.
+// AgentLeaseTime returns how long an agent's lease lasts after the agent sent the last heartbeat that was answered.
 func (c *Config) AgentLeaseTime() clock.Micros { return clock.FromSeconds(c.Facts.Workers.LeaseS) }
 
-// checkGrantTime returns an error if no grant is short enough for cancellations to be carried out in time.
+// checkGrantTime returns an error if even the shortest grant is too long for cancellations to finish in time.
 func (c *Config) checkGrantTime() error {
 	available := c.maxGrantTime()
 	if available >= minGrantTime {
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -5,23 +5,23 @@
 	bytesPerMB = 1 << 20
 )
 
-// Parts of the controller's quota of sockets. A controller that is left alone speaks to every machine of the
-// site both ways, so the quota is divided: most for what comes in, a fifth for direct commands, and the rest
-// for the store, the cloud, the other controllers and what is closing.
+// Shares of the controller's socket quota. The last controller left has connections with every machine of the site
+// in both directions. The quota is therefore divided: most of it is for incoming connections, a fifth for direct
+// commands, and the rest for the store, the cloud, the other controllers and connections that are being closed.
 const (
 	minHTTPSockets        = 64
 	httpSocketsPercent    = 70
 	commandSocketsPercent = 20
 )
 
-// Bounds of what waits to be sent through the store.
+// Limits, in bytes, of the data that waits to be sent over the store transport.
 const (
-	minRelayBacklog           = 256 << 10
-	relayBacklogMemoryDivisor = 32 // of the controller's memory
+	minTransportBacklog           = 256 << 10
+	transportBacklogMemoryDivisor = 32 // of the controller's memory
 )
 
-// MaxValueBytes is how many bytes a value in the store may hold, now and later: limits may fall at any moment, and
-// a value over them would be refused for ever.
+// MaxValueBytes returns how many bytes a value in the store may have, under the current and the next limits. The
+// limits may drop at any moment, and the store would then refuse a larger value forever.
 func (c *Config) MaxValueBytes() int {
 	limitKB := c.Facts.State.ValueKB
 	if next := c.Facts.State.Next; next != nil && next.ValueKB > 0 {
@@ -30,12 +30,12 @@
 	return int(limitKB * bytesPerKB)
 }
 
-// TargetValueBytes is how many bytes are put into one value in the store: MaxValueBytes less a tenth for what a
-// transaction adds.
+// TargetValueBytes returns how many bytes are put into one value in the store: MaxValueBytes less a tenth, which is
+// reserved for what a transaction adds.
 func (c *Config) TargetValueBytes() int { return c.MaxValueBytes() * 9 / 10 }
 
-// MaxTxnWrites is how many puts and deletes a transaction may hold, now and later. The rate of writes needs no such
-// care: it follows what the store answers.
+// MaxTxnWrites returns how many puts and deletes a transaction may have, under the current and the next limits. The
+// write rate needs no such precaution because it adapts to the store's responses.
 func (c *Config) MaxTxnWrites() int {
 	limit := c.Facts.State.TxnOps
 	if next := c.Facts.State.Next; next != nil && next.TxnOps > 0 {
@@ -44,18 +44,18 @@
 	return limit
 }
 
-// StoreTransportBacklog is how many bytes may wait on a link through the store. A grant names each machine of its
-// shard and each task there, so it grows with the site.
+// StoreTransportBacklog returns how many bytes may wait to be sent on a link over the store transport. A grant lists
+// every machine of its shard and every task on it, so its size grows with the site.
 func (c *Config) StoreTransportBacklog() int {
-	return max(minRelayBacklog, int(c.Facts.Quota.MemMB*bytesPerMB)/relayBacklogMemoryDivisor)
+	return max(minTransportBacklog, int(c.Facts.Quota.MemMB*bytesPerMB)/transportBacklogMemoryDivisor)
 }
 
-// MaxHTTPConnections is how many connections from users and workers are served at once.
+// MaxHTTPConnections returns how many connections from users and agents are served at once.
 func (c *Config) MaxHTTPConnections() int {
 	return max(minHTTPSockets, c.Facts.Quota.MaxSockets*httpSocketsPercent/100)
 }
 
-// MaxCommandConnections is how many connections for direct commands are kept open.
+// MaxCommandConnections returns how many connections for direct commands to agents are kept open.
 func (c *Config) MaxCommandConnections() int {
 	return c.Facts.Quota.MaxSockets * commandSocketsPercent / 100
 }
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -13,17 +13,17 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Load reads and checks the platform's file and the operators' own, of which there may be none.
+// Load reads and validates the platform's file and the operators' files, of which there may be none.
 func Load(settingsFile string, tuningFiles ...string) (*Config, error) {
-	c := &Config{}
-	if err := c.Settings.load(settingsFile); err != nil {
+	cfg := &Config{}
+	if err := cfg.Settings.load(settingsFile); err != nil {
 		return nil, err
 	}
 	var err error
-	if c.Tuning, err = loadTuning(tuningFiles); err != nil {
+	if cfg.Tuning, err = loadTuning(tuningFiles); err != nil {
 		return nil, err
 	}
-	return c, c.checkGrantTime()
+	return cfg, cfg.checkGrantTime()
 }
 
 func (s *Settings) load(file string) error {
@@ -34,14 +34,14 @@
 	if err := json.Unmarshal(raw, s); err != nil {
 		return fmt.Errorf("settings %s: %w", file, withoutNamedStrings(err))
 	}
-	if err := check(*s, "json"); err != nil {
+	if err := validateStruct(*s, "json"); err != nil {
 		return fmt.Errorf("settings %s: %w", file, err)
 	}
 	return nil
 }
 
-// withoutNamedStrings has a decoding error speak of a string where the Go type is a named string: operators
-// know the text from the versions before there were such types.
+// withoutNamedStrings replaces a named string type by string in a JSON type error. Operators know the error text
+// from versions that had no such types.
 func withoutNamedStrings(err error) error {
 	var typeError *json.UnmarshalTypeError
 	if errors.As(err, &typeError) && typeError.Type.Kind() == reflect.String {
@@ -50,36 +50,36 @@
 	return err
 }
 
-// loadTuning reads the operators' files over the defaults, later ones over earlier ones. Each is checked
-// with those before it, so that a bad value is told with the file that brought it.
+// loadTuning applies the operators' files to the defaults, in order. It validates the result after each file, so
+// that the error for a bad value names the file that contains it.
 func loadTuning(files []string) (Tuning, error) {
 	tuning := DefaultTuning()
 	for _, file := range files {
-		if err := tuning.overlay(file); err != nil {
+		if err := tuning.applyFile(file); err != nil {
 			return tuning, fmt.Errorf("operators' settings %s: %w", file, err)
 		}
 	}
 	return tuning, nil
 }
 
-// overlay takes in one file: only what it names changes.
-func (t *Tuning) overlay(path string) error {
+// applyFile decodes a file into t. Settings that the file does not name keep their values.
+func (t *Tuning) applyFile(path string) error {
 	file, err := os.Open(path)
 	if err != nil {
-		return errors.Unwrap(err) // the caller names the file
+		return errors.Unwrap(err) // the caller adds the file name
 	}
-	defer func() { _ = file.Close() }() // it was only read
+	defer func() { _ = file.Close() }() // the file is only read, so an error loses no data
 	decoder := yaml.NewDecoder(file)
 	decoder.KnownFields(true)
 	if err := decoder.Decode(t); err != nil && !errors.Is(err, io.EOF) {
 		return errors.New(strings.Join(strings.Fields(err.Error()), " "))
 	}
-	return check(*t, "yaml")
+	return validateStruct(*t, "yaml")
 }
 
-// check returns an error that names every missing or invalid field, in the words of the file, on one line.
-// The names are those of a struct tag. It takes any struct, as the validator does.
-func check(settings any, tag string) error {
+// validateStruct returns a one-line error that lists every missing or invalid field by its path in the file. The
+// path consists of the names in the given struct tag. Like the validator, it accepts any struct.
+func validateStruct(settings any, tag string) error {
 	validate := validator.New(validator.WithRequiredStructEnabled())
 	validate.RegisterTagNameFunc(func(field reflect.StructField) string {
 		return strings.Split(field.Tag.Get(tag), ",")[0]
@@ -91,16 +91,16 @@
 	}
 	problems := make([]string, len(invalid))
 	for i, field := range invalid {
-		problems[i] = describe(field)
+		problems[i] = describeFieldError(field)
 	}
 	return errors.New(strings.Join(problems, "; "))
 }
 
-// describe tells a field, by its path in the file, and the rule that it breaks.
-func describe(field validator.FieldError) string {
+// describeFieldError returns the field's path in the file and the rule that its value violates.
+func describeFieldError(field validator.FieldError) string {
 	path := field.Namespace()
-	if _, below, ok := strings.Cut(path, "."); ok {
-		path = below
+	if _, withoutType, ok := strings.Cut(path, "."); ok {
+		path = withoutType
 	}
 	rule := field.Tag()
 	if field.Param() != "" {
--- a/internal/config/schema.go
+++ b/internal/config/schema.go
@@ -9,9 +9,9 @@
 	"github.com/invopop/jsonschema"
 )
 
-// Schema returns the JSON Schema of the operators' settings, made from the same types and ranges that are
-// checked when they are read. One rule cannot be expressed there and stands in a description alone:
-// spread.move_above is over spread.bound.
+// Schema returns the JSON Schema of the operators' settings. It is generated from the types and ranges that also
+// validate the files when they are loaded. The schema cannot express one rule, which only a description states:
+// spread.move_above must be greater than spread.bound.
 func Schema() ([]byte, error) {
 	reflector := jsonschema.Reflector{
 		FieldNameTag:               "yaml",
@@ -32,7 +32,7 @@
 	return append(raw, '\n'), nil
 }
 
-// addRanges adds the ranges and defaults of a struct's fields to its schema.
+// addRanges adds the ranges and defaults of a struct's fields to its schema, including nested structs.
 func addRanges(schema *jsonschema.Schema, defaults reflect.Value) error {
 	for field, value := range defaults.Fields() {
 		property, ok := schema.Properties.Get(field.Tag.Get("yaml"))
@@ -55,7 +55,7 @@
 	return nil
 }
 
-// addRange translates one rule of a validate tag.
+// addRange adds one rule of a validate tag to the schema of a property.
 func addRange(property *jsonschema.Schema, rule string) error {
 	name, bound, _ := strings.Cut(rule, "=")
 	switch name {
--- a/internal/config/schema_test.go
+++ b/internal/config/schema_test.go
@@ -16,8 +16,8 @@
 
 const schemaFile = "../../deploy/settings.schema.json"
 
-// compiled is the schema that is kept in the repository.
-func compiled(t *testing.T) *jsonschema.Schema {
+// compileSchema compiles the schema that is committed in deploy.
+func compileSchema(t *testing.T) *jsonschema.Schema {
 	t.Helper()
 	raw, err := os.ReadFile(schemaFile)
 	if err != nil {
@@ -27,24 +27,24 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := jsonschema.NewCompiler()
-	if err := c.AddResource("settings", doc); err != nil {
+	compiler := jsonschema.NewCompiler()
+	if err := compiler.AddResource("settings", doc); err != nil {
 		t.Fatal(err)
 	}
-	s, err := c.Compile("settings")
+	schema, err := compiler.Compile("settings")
 	if err != nil {
 		t.Fatal(err)
 	}
-	return s
+	return schema
 }
 
-// accepts says whether the schema accepts a YAML text.
-func accepts(t interface{ Fatal(...any) }, s *jsonschema.Schema, text []byte) bool {
-	var v any
-	if err := yaml.Unmarshal(text, &v); err != nil {
+// schemaAccepts reports whether a YAML text is valid under the schema.
+func schemaAccepts(t interface{ Fatal(...any) }, schema *jsonschema.Schema, text []byte) bool {
+	var settings any
+	if err := yaml.Unmarshal(text, &settings); err != nil {
 		t.Fatal(err)
 	}
-	raw, err := json.Marshal(v)
+	raw, err := json.Marshal(settings)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -52,12 +52,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return s.Validate(doc) == nil
+	return schema.Validate(doc) == nil
 }
 
-// The schema in the repository is that of the types. `swiftledge schema > deploy/settings.schema.json`
-// renews it.
-func TestSchemaInTheRepositoryIsThatOfTheTypes(t *testing.T) {
+// The committed schema is the one that Schema generates from the types. To update it, run
+// `swiftledge schema > deploy/settings.schema.json`.
+func TestCommittedSchemaIsCurrent(t *testing.T) {
 	want, err := Schema()
 	if err != nil {
 		t.Fatal(err)
@@ -67,32 +67,32 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(got, want) {
-		t.Error("deploy/settings.schema.json is not what `swiftledge schema` prints")
+		t.Error("deploy/settings.schema.json differs from the output of `swiftledge schema`")
 	}
 }
 
-// Every file that operators start from is accepted by the schema.
-func TestDeployedFilesFollowTheSchema(t *testing.T) {
-	s := compiled(t)
+// The schema accepts every YAML file in deploy, from which operators start.
+func TestDeployedFilesMatchSchema(t *testing.T) {
+	schema := compileSchema(t)
 	files, err := filepath.Glob("../../deploy/*.yaml")
 	if err != nil || len(files) < 2 {
-		t.Fatalf("%d files, error %v", len(files), err)
+		t.Fatalf("found %d files in deploy, error %v", len(files), err)
 	}
 	for _, file := range files {
 		raw, err := os.ReadFile(file)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if !accepts(t, s, raw) {
-			t.Errorf("%s is not accepted", file)
+		if !schemaAccepts(t, schema, raw) {
+			t.Errorf("the schema rejects %s", file)
 		}
 	}
 }
 
-// What the schema accepts is what the program accepts, whatever single value is set: of each section, known
-// and unknown keys, in range and out of it, of the right form and another.
-func TestSchemaAcceptsWhatTheProgramAccepts(t *testing.T) {
-	s := compiled(t)
+// The schema accepts a file with a single value if and only if loadTuning does. The cases cover known and unknown
+// keys of every section, values in and out of range, and values of the right and of a wrong type.
+func TestSchemaAgreesWithLoadTuning(t *testing.T) {
+	schema := compileSchema(t)
 	var sections map[string]map[string]any
 	raw, err := yaml.Marshal(DefaultTuning())
 	if err != nil {
@@ -112,30 +112,30 @@
 	dir := t.TempDir()
 	values := []string{"0", "-1", "0.04", "0.05", "0.25", "0.5", "1", "1.0", "1.05", "2", "4.5", "10", "20", "64", "65", "120", "121", "3600", "3601", "86401",
 		"true", "false", "many", "[1]"}
-	accepted := 0
+	acceptedCount := 0
 	rapid.Check(t, func(t *rapid.T) {
-		at := rapid.SampledFrom(keys).Draw(t, "key")
+		sectionAndKey := rapid.SampledFrom(keys).Draw(t, "key")
 		value := rapid.SampledFrom(values).Draw(t, "value")
-		if at[1] == "file" {
-			value = strconv.Quote(value) // YAML would take a bare number for a name, the schema does not
+		if sectionAndKey[1] == "file" {
+			value = strconv.Quote(value) // the YAML decoder accepts a bare number as a file name, the schema does not
 		}
-		text := at[0] + ": {" + at[1] + ": " + value + "}\n"
+		text := sectionAndKey[0] + ": {" + sectionAndKey[1] + ": " + value + "}\n"
 		file := filepath.Join(dir, "t.yaml")
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		_, err := loadTuning([]string{file})
 		if err != nil && (strings.Contains(err.Error(), "gtfield") || strings.Contains(err.Error(), "MoveAbove")) {
-			t.Skip("between two values: the schema has no form for it")
+			t.Skip("the schema cannot express a rule that compares two values")
 		}
 		if err == nil {
-			accepted++
+			acceptedCount++
 		}
-		if got := accepts(t, s, []byte(text)); got != (err == nil) {
-			t.Errorf("%q: the schema accepts it: %v; the program: %v", text, got, err)
+		if got := schemaAccepts(t, schema, []byte(text)); got != (err == nil) {
+			t.Errorf("%q: the schema accepts it: %t; error of loadTuning: %v", text, got, err)
 		}
 	})
-	if accepted == 0 {
-		t.Error("nothing was accepted")
+	if acceptedCount == 0 {
+		t.Error("loadTuning accepted none of the drawn files")
 	}
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -9,7 +9,8 @@
 	Address string `json:"address" validate:"required,hostname_port"`
 }
 
-// Team is a team of users with its quota. A guarantee of 0 is none, and so is a limit of 0: see CPULimit.
+// Team is a team of users with its quota: guarantees and limits. A guarantee of 0 means that the team has none, and
+// a limit of 0 means that there is no limit.
 type Team struct {
 	Name    string  `json:"name" validate:"required"`
 	CPUs    float64 `json:"cpus" validate:"min=0"`
@@ -18,21 +19,21 @@
 	GPUsMax float64 `json:"gpus_max" validate:"min=0"`
 }
 
-// CPULimit is the most processors that the team's tasks may use at any moment; infinite without a limit.
-func (t Team) CPULimit() float64 { return limit(t.CPUsMax) }
+// CPULimit returns how many CPUs the team's tasks may use at any moment, or infinity if there is no limit.
+func (t Team) CPULimit() float64 { return limitOrInfinity(t.CPUsMax) }
 
-// GPULimit is the same for accelerators.
-func (t Team) GPULimit() float64 { return limit(t.GPUsMax) }
+// GPULimit returns how many GPUs the team's tasks may use at any moment, or infinity if there is no limit.
+func (t Team) GPULimit() float64 { return limitOrInfinity(t.GPUsMax) }
 
-// limit reads a limit as the platform writes it: 0 means that there is none.
-func limit(value float64) float64 {
+// limitOrInfinity converts a limit from the platform's file, where 0 means that there is no limit.
+func limitOrInfinity(value float64) float64 {
 	if value == 0 {
 		return math.Inf(1)
 	}
 	return value
 }
 
-// ObjectiveKind says which time of a job an Objective bounds.
+// ObjectiveKind says which duration of a job an Objective bounds.
 type ObjectiveKind string
 
 // Kinds of objectives.
@@ -41,11 +42,11 @@
 	ObjectiveFinished ObjectiveKind = "finished"
 	// ObjectiveWait bounds the time from a job's submission to its start.
 	ObjectiveWait ObjectiveKind = "wait"
-	// ObjectiveDeadline asks for completion within the deadline that a job names.
+	// ObjectiveDeadline requires completion within the job's own deadline.
 	ObjectiveDeadline ObjectiveKind = "deadline"
 )
 
-// Objective is one service-level objective: the share of a class's jobs that is to be served within a time.
+// Objective is a service-level objective: the share of a class's jobs for which a duration must stay within a limit.
 type Objective struct {
 	Kind    ObjectiveKind `json:"kind"`
 	Class   string        `json:"class"`
@@ -53,10 +54,10 @@
 	Share   float64       `json:"share"`
 }
 
-// Settings is the file that the platform hands over.
+// Settings is the content of the platform's settings file.
 //
-// The parts without a name of their own have none on purpose: error texts that operators know name the types
-// of what they are about.
+// The nested structs are anonymous on purpose. Decoding errors print the type of the field in question, for an
+// anonymous struct with the names of its fields, and operators know these texts.
 type Settings struct {
 	Name          string `json:"host_name" validate:"required"`
 	Zone          string `json:"site"`
@@ -97,8 +98,8 @@
 	} `json:"facts"`
 }
 
-// Next holds the limits that the store has from some moment on, without notice; what is left out stays as it
-// is.
+// Next holds the store limits that replace the current ones at some moment, without notice. A limit that is left out
+// does not change.
 type Next struct {
 	WriteRPS float64 `json:"write_rps" validate:"omitempty,gt=0"`
 	ValueKB  float64 `json:"value_kb" validate:"omitempty,min=2"`
--- a/internal/config/tuning.go
+++ b/internal/config/tuning.go
@@ -7,8 +7,8 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Tuning is the operators' own settings: what the design leaves open. The descriptions of the fields are those
-// of the JSON Schema.
+// Tuning is the operators' settings: the parameters that the design leaves open. The fields are described by the
+// tags from which the JSON Schema is generated.
 type Tuning struct {
 	Placement Placement `yaml:"placement"`
 	Queues    Queues    `yaml:"queues"`
@@ -19,7 +19,7 @@
 	Trace     Trace     `yaml:"trace"`
 }
 
-// Placement tunes how tasks are placed: the affinity of images to machines, and the auction for machines.
+// Placement tunes how tasks are placed: the image affinity of machines and the auction for machines.
 type Placement struct {
 	AffinityDecay   float64 `yaml:"k" validate:"gte=0,lte=1" jsonschema_description:"decay of image affinity, per second and task"`
 	MinAffinity     float64 `yaml:"eta" validate:"gte=0,lt=1" jsonschema_description:"affinity at or below this is none; also ends the bidding"`
@@ -28,19 +28,19 @@
 	CycleS          float64 `yaml:"cycle_s" validate:"gte=0.05,lte=10" jsonschema_description:"the longest pause between two cycles"`
 }
 
-// Queues tunes the order in which jobs are served when not all can be.
+// Queues tunes the order in which jobs are served when there is not enough capacity for all of them.
 type Queues struct {
 	StartTargetS float64 `yaml:"start_within_s" validate:"gt=0,lte=3600" jsonschema_description:"a job of which nothing has begun by then goes first with one task"`
 	MinShare     float64 `yaml:"least_share" validate:"gte=0,lte=0.5" jsonschema_description:"least share of what a team uses, for each class and for what has waited that long"`
 }
 
-// Grants tunes the shards of machines ("blocks") and how long they are granted to controllers.
+// Grants tunes the number of shards of machines (key "blocks") and how long they are granted to shard holders.
 type Grants struct {
 	Blocks Count   `yaml:"blocks" validate:"gte=1,lte=64" jsonschema_description:"blocks of machines; fixed by the first leader of a state service"`
 	TimeS  float64 `yaml:"time_s" validate:"gte=2,lte=120" jsonschema_description:"a grant's time, shortened to what cancel_s leaves"`
 }
 
-// Election tunes how soon another controller leads.
+// Election tunes how soon another controller can become leader.
 type Election struct {
 	TTLS float64 `yaml:"ttl_s" validate:"gte=1,lte=30" jsonschema_description:"the leader's store lease, and how old its view of the jobs may be"`
 }
@@ -54,7 +54,7 @@
 	Reserve           float64 `yaml:"reserve" validate:"gte=0,lte=10" jsonschema_description:"room kept for work that comes, as a part of what runs and waits"`
 }
 
-// Spread tunes rebalancing: how evenly work is kept over the machines (docs/rebalancing.md).
+// Spread tunes rebalancing: how evenly the load is spread over the machines (docs/rebalancing.md).
 type Spread struct {
 	Enabled         bool    `yaml:"enabled" jsonschema_description:"keep work even over the machines that take it"`
 	Bound           float64 `yaml:"bound" validate:"gte=1.05,lte=10" jsonschema_description:"a machine takes new work up to this many times the mean load, while another has room"`
@@ -70,10 +70,10 @@
 	TimeoutS        float64 `yaml:"give_up_s" validate:"gte=5,lte=3600" jsonschema_description:"a move that has not come to its end by then is counted as failed, and its preference dropped"`
 }
 
-// Count is a whole number. YAML by itself would accept 1.5 and make it 1.
+// Count is an integer setting. The YAML decoder alone would accept 1.5 and truncate it to 1.
 type Count int
 
-// UnmarshalYAML decodes a number and returns an error if it is not whole.
+// UnmarshalYAML decodes a number and returns an error if it is not an integer.
 func (c *Count) UnmarshalYAML(node *yaml.Node) error {
 	var number float64
 	if err := node.Decode(&number); err != nil {
@@ -86,7 +86,7 @@
 	return nil
 }
 
-// Trace tunes what of the jobs is written as spans (docs/operations.md).
+// Trace tunes which jobs are traced and where their spans are written (docs/operations.md).
 type Trace struct {
 	File      string  `yaml:"file" jsonschema_description:"where spans are written, a line each; empty: nowhere"`
 	MaxFileMB float64 `yaml:"most_mb" validate:"gte=0.1,lte=10240" jsonschema_description:"size of the file; the one before is kept beside it"`
@@ -94,7 +94,7 @@
 	Queue     Count   `yaml:"queue" validate:"gte=16,lte=1048576" jsonschema_description:"spans that may wait to be written; others are dropped and counted"`
 }
 
-// DefaultTuning is used for all that the operators' files leave out.
+// DefaultTuning returns the values of the settings that the operators' files leave out.
 func DefaultTuning() Tuning {
 	return Tuning{
 		Placement: Placement{
