--- a/internal/leader/load_state.go
+++ b/internal/leader/load_state.go
@@ -46,7 +46,7 @@
 // loadShards creates the shards, to which the machines belong, and loads the machine types. The first leader that uses
 // a store records the number of shards in it.
 func (l *Leader) loadShards(items []wire.Item) {
-	shards, layoutStored := int(l.cfg.Tuning.Grants.Blocks), false
+	shards, layoutStored := int(l.cfg.Tuning.Grants.Shards), false
 	versions := map[string]uint64{}
 	records := map[string]ShardRecord{}
 	for _, item := range items {
