--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -139,7 +139,7 @@
 	for _, ttl := range []float64{1, 3, 8, 12} {
 		for _, leaseAndCancelS := range [][2]float64{{22, 52}, {17, 37}, {31, 61}, {26.5, 46.5}} {
 			cfg := Config{Tuning: DefaultTuning()}
-			cfg.Tuning.Grants.TimeS, cfg.Tuning.Election.TTLS = 120, ttl
+			cfg.Tuning.Grants.DurationS, cfg.Tuning.Election.TTLS = 120, ttl
 			cfg.Facts.Workers.LeaseS, cfg.Facts.Workers.CancelS = leaseAndCancelS[0], leaseAndCancelS[1]
 			totalS := float64(cfg.MaxViewAge()+cfg.GrantTime()+cfg.AgentLeaseTime()) / 1e6
 			if totalS += 0.0005*leaseAndCancelS[1] + 0.5; totalS > leaseAndCancelS[1] {
--- a/internal/config/grant.go
+++ b/internal/config/grant.go
@@ -28,7 +28,7 @@
 //
 // Together they end cancelMargin before cancel_s has passed.
 func (c *Config) GrantTime() clock.Micros {
-	return min(clock.FromSeconds(c.Tuning.Grants.TimeS), c.maxGrantTime())
+	return min(clock.FromSeconds(c.Tuning.Grants.DurationS), c.maxGrantTime())
 }
 
 // maxGrantTime returns the part of cancel_s that is left for a grant.
@@ -41,7 +41,7 @@
 func (c *Config) LongestGrantTime() clock.Micros {
 	workers := c.Facts.Workers
 	priorGrantS := max(priorVersionMinGrantS, workers.CancelS-workers.LeaseS-priorVersionMarginS)
-	return max(c.GrantTime(), clock.FromSeconds(min(c.Tuning.Grants.TimeS, priorGrantS)))
+	return max(c.GrantTime(), clock.FromSeconds(min(c.Tuning.Grants.DurationS, priorGrantS)))
 }
 
 // MaxViewAge returns the maximum age of the leader's view of the jobs at which the leader may still act on it. It
--- a/internal/config/tuning.go
+++ b/internal/config/tuning.go
@@ -36,8 +36,8 @@
 
 // Grants tunes the number of shards of machines (key "blocks") and how long they are granted to shard holders.
 type Grants struct {
-	Shards Count   `yaml:"blocks" validate:"gte=1,lte=64" jsonschema_description:"blocks of machines; fixed by the first leader of a state service"`
-	TimeS  float64 `yaml:"time_s" validate:"gte=2,lte=120" jsonschema_description:"a grant's time, shortened to what cancel_s leaves"`
+	Shards    Count   `yaml:"blocks" validate:"gte=1,lte=64" jsonschema_description:"blocks of machines; fixed by the first leader of a state service"`
+	DurationS float64 `yaml:"time_s" validate:"gte=2,lte=120" jsonschema_description:"a grant's time, shortened to what cancel_s leaves"`
 }
 
 // Election tunes how soon another controller can become leader.
@@ -105,7 +105,7 @@
 			CycleS:          2,
 		},
 		Queues:   Queues{StartTargetS: 90, MinShare: 0.15},
-		Grants:   Grants{Shards: 6, TimeS: 30},
+		Grants:   Grants{Shards: 6, DurationS: 30},
 		Election: Election{TTLS: 3},
 		Fleet: Fleet{
 			SpotBacklogS:      25,
