--- a/internal/config/tuning.go
+++ b/internal/config/tuning.go
@@ -58,7 +58,7 @@
 type Spread struct {
 	Enabled         bool    `yaml:"enabled" jsonschema_description:"keep work even over the machines that take it"`
 	Bound           float64 `yaml:"bound" validate:"gte=1.05,lte=10" jsonschema_description:"a machine takes new work up to this many times the mean load, while another has room"`
-	ImbalanceS      float64 `yaml:"imbalance_s" validate:"gt=0,lte=3600" jsonschema_description:"seconds of image fetch that one unit of imbalance, a load of one mean, is worth"`
+	ImbalanceCostS  float64 `yaml:"imbalance_s" validate:"gt=0,lte=3600" jsonschema_description:"seconds of image fetch that one unit of imbalance, a load of one mean, is worth"`
 	MigrateAbove    float64 `yaml:"move_above" validate:"gtfield=Bound,lte=20" jsonschema_description:"running tasks are moved off machines above this many times the mean load; over bound"`
 	MinLoad         float64 `yaml:"least_load" validate:"gte=0,lte=1" jsonschema_description:"no task is moved off a machine at or below this load"`
 	MinRunS         float64 `yaml:"least_run_s" validate:"gte=0,lte=3600" jsonschema_description:"no task is moved within this of its start, or when less is left of it"`
@@ -116,7 +116,7 @@
 		},
 		Spread: Spread{
 			Bound:           1.5,
-			ImbalanceS:      20,
+			ImbalanceCostS:  20,
 			MigrateAbove:    1.75,
 			MinLoad:         0.1,
 			MinRunS:         30,
--- a/internal/leader/rebalancing.go
+++ b/internal/leader/rebalancing.go
@@ -30,7 +30,7 @@
 	if !s.Enabled {
 		return nil
 	}
-	bound := load.Bound{MaxRelativeLoad: s.Bound, ImbalanceCostS: s.ImbalanceS}
+	bound := load.Bound{MaxRelativeLoad: s.Bound, ImbalanceCostS: s.ImbalanceCostS}
 	params := rebalancer.Params{
 		Bound: bound, MigrateAbove: s.MigrateAbove, MinLoad: s.MinLoad, MigrationBudget: s.MigrationShare,
 		TeamShare:  s.TeamShare,
--- a/internal/scenario/random_faults_test.go
+++ b/internal/scenario/random_faults_test.go
@@ -83,7 +83,7 @@
 	spread := config.Spread{
 		Enabled:         true,
 		Bound:           1.05,
-		ImbalanceS:      3600,
+		ImbalanceCostS:  3600,
 		MigrateAbove:    1.06,
 		IntervalS:       0.25,
 		LeaderCooldownS: 1,
--- a/internal/shard/holder.go
+++ b/internal/shard/holder.go
@@ -92,7 +92,7 @@
 		TracingEnabled:    cfg.Tuning.Trace.File != "",
 	}
 	if spread := cfg.Tuning.Spread; spread.Enabled {
-		params.LoadBound = &load.Bound{MaxRelativeLoad: spread.Bound, ImbalanceCostS: spread.ImbalanceS}
+		params.LoadBound = &load.Bound{MaxRelativeLoad: spread.Bound, ImbalanceCostS: spread.ImbalanceCostS}
 	}
 	tuning := cfg.Tuning.Placement
 	auction := placement.Params{DecayRate: tuning.AffinityDecay, Eta: tuning.MinAffinity, Epsilon: tuning.MinPriceRise,
