--- a/internal/config/tuning.go
+++ b/internal/config/tuning.go
@@ -51,7 +51,7 @@
 	OnDemandBacklogS  float64 `yaml:"ordinary_clear_s" validate:"gt=0,lte=3600" jsonschema_description:"rent ordinary machines while the queue needs longer than this"`
 	IdleTimeoutS      float64 `yaml:"idle_s" validate:"gte=0,lte=3600" jsonschema_description:"an idle machine is returned after this"`
 	BootTimeoutFactor float64 `yaml:"late_factor" validate:"gte=1,lte=20" jsonschema_description:"a machine is given up after this many usual boot times"`
-	Reserve           float64 `yaml:"reserve" validate:"gte=0,lte=10" jsonschema_description:"room kept for work that comes, as a part of what runs and waits"`
+	ReserveRatio      float64 `yaml:"reserve" validate:"gte=0,lte=10" jsonschema_description:"room kept for work that comes, as a part of what runs and waits"`
 }
 
 // Spread tunes rebalancing: how evenly the load is spread over the machines (docs/rebalancing.md).
@@ -112,7 +112,7 @@
 			OnDemandBacklogS:  200,
 			IdleTimeoutS:      10,
 			BootTimeoutFactor: 2,
-			Reserve:           0.4,
+			ReserveRatio:      0.4,
 		},
 		Spread: Spread{
 			Bound:           1.5,
--- a/internal/leader/rebalancing_test.go
+++ b/internal/leader/rebalancing_test.go
@@ -22,7 +22,7 @@
 	t.Helper()
 	tuning := config.DefaultTuning()
 	tuning.Spread.Enabled = rebalance
-	tuning.Fleet.Reserve = 10
+	tuning.Fleet.ReserveRatio = 10
 	l := newLeaderWithTuning(t, tuning)
 	l.cfg.Facts.Cloud.RPS = 5
 	for _, m := range l.inventory.machines {
@@ -163,7 +163,7 @@
 	l := newUnbalancedLeader(t, true)
 	collectStops(l)
 	target := l.rebalancing.InFlight()[0].To
-	l.cfg.Tuning.Fleet.Reserve = 0
+	l.cfg.Tuning.Fleet.ReserveRatio = 0
 	deleted := map[string]bool{}
 	for now := startTime + 95*clock.Second; now < startTime+125*clock.Second; now += clock.Second {
 		l.authorityEnds, l.jobsViewedAt, l.shards.controllers["n0"].lastHeartbeat = now+clock.Minute, now, now
--- a/internal/leader/scaling.go
+++ b/internal/leader/scaling.go
@@ -22,7 +22,7 @@
 	pending, cloudUnavailable := l.pendingSupply(now)
 	tuning := l.cfg.Tuning.Fleet
 	params := autoscaler.Params{
-		SpotBacklogS: tuning.SpotBacklogS, OnDemandBacklogS: tuning.OnDemandBacklogS, ReserveRatio: tuning.Reserve,
+		SpotBacklogS: tuning.SpotBacklogS, OnDemandBacklogS: tuning.OnDemandBacklogS, ReserveRatio: tuning.ReserveRatio,
 	}
 	var options []autoscaler.Option
 	for option := range l.options() {
--- a/internal/scenario/command_args_test.go
+++ b/internal/scenario/command_args_test.go
@@ -98,7 +98,7 @@
 
 	tuning := &cfg.Tuning
 	tuning.Election.TTLS = float64(arg(t, d, "ttl", 3))
-	tuning.Fleet.Reserve = arg(t, d, "reserve", tuning.Fleet.Reserve)
+	tuning.Fleet.ReserveRatio = arg(t, d, "reserve", tuning.Fleet.ReserveRatio)
 	if d.HasArg("rebalance") {
 		tuning.Spread.Enabled = true
 		tuning.Spread.LeaderCooldownS = float64(arg(t, d, "leader_cooldown", 5))
