--- a/internal/config/tuning.go
+++ b/internal/config/tuning.go
@@ -91,7 +91,7 @@
 	File      string  `yaml:"file" jsonschema_description:"where spans are written, a line each; empty: nowhere"`
 	MaxFileMB float64 `yaml:"most_mb" validate:"gte=0.1,lte=10240" jsonschema_description:"size of the file; the one before is kept beside it"`
 	JobShare  float64 `yaml:"share" validate:"gte=0,lte=1" jsonschema_description:"part of the jobs that is traced, the same ones at every controller"`
-	Queue     Count   `yaml:"queue" validate:"gte=16,lte=1048576" jsonschema_description:"spans that may wait to be written; others are dropped and counted"`
+	QueueSize Count   `yaml:"queue" validate:"gte=16,lte=1048576" jsonschema_description:"spans that may wait to be written; others are dropped and counted"`
 }
 
 // DefaultTuning returns the values of the settings that the operators' files leave out.
@@ -127,6 +127,6 @@
 			TeamShare:       0.5,
 			TimeoutS:        90,
 		},
-		Trace: Trace{MaxFileMB: 64, JobShare: 1, Queue: 4096},
+		Trace: Trace{MaxFileMB: 64, JobShare: 1, QueueSize: 4096},
 	}
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -147,7 +147,7 @@
 		File:     tuning.File,
 		MaxBytes: int64(tuning.MaxFileMB * (1 << 20)),
 		JobShare: tuning.JobShare,
-		Queue:    int(tuning.Queue),
+		Queue:    int(tuning.QueueSize),
 	}
 	return trace.New(settings, c.cfg.Name, c.clock, c.log)
 }
