--- a/internal/compat/written_test.go
+++ b/internal/compat/written_test.go
@@ -72,7 +72,7 @@
 // A span is a line with these keys in this order.
 func TestTraceLineBytes(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "trace")
-	tracer, err := trace.New(trace.Settings{File: file, MaxBytes: 1 << 20, JobShare: 1, Queue: 16}, "c0", clock.NewSteady(), slog.New(slog.DiscardHandler))
+	tracer, err := trace.New(trace.Settings{File: file, MaxBytes: 1 << 20, JobShare: 1, QueueSize: 16}, "c0", clock.NewSteady(), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -144,10 +144,10 @@
 		return nil, nil
 	}
 	settings := trace.Settings{
-		File:     tuning.File,
-		MaxBytes: int64(tuning.MaxFileMB * (1 << 20)),
-		JobShare: tuning.JobShare,
-		Queue:    int(tuning.QueueSize),
+		File:      tuning.File,
+		MaxBytes:  int64(tuning.MaxFileMB * (1 << 20)),
+		JobShare:  tuning.JobShare,
+		QueueSize: int(tuning.QueueSize),
 	}
 	return trace.New(settings, c.cfg.Name, c.clock, c.log)
 }
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -41,10 +41,10 @@
 
 // Settings say what is traced, and where to.
 type Settings struct {
-	File     string
-	MaxBytes int64   // of the file; what was written before is kept in a second one
-	JobShare float64 // the part of the jobs that is traced
-	Queue    int     // spans that may wait to be written
+	File      string
+	MaxBytes  int64   // of the file; what was written before is kept in a second one
+	JobShare  float64 // the part of the jobs that is traced
+	QueueSize int     // spans that may wait to be written
 }
 
 // Tracer is the actor that writes spans. A nil one writes nothing.
@@ -75,7 +75,7 @@
 	)
 	return &Tracer{
 		jobShare:  settings.JobShare,
-		spans:     make(chan Span, settings.Queue),
+		spans:     make(chan Span, settings.QueueSize),
 		wallClock: clock.Wall() - steady.Now(),
 		log:       log,
 		provider:  provider,
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -54,7 +54,7 @@
 	var all []line
 	for _, controller := range []string{"c0", "c1"} {
 		file := filepath.Join(t.TempDir(), "trace")
-		tracer := newTracer(t, Settings{File: file, MaxBytes: 1 << 20, JobShare: 1, Queue: 16}, controller)
+		tracer := newTracer(t, Settings{File: file, MaxBytes: 1 << 20, JobShare: 1, QueueSize: 16}, controller)
 		tracer.Post(Span{Job: "j-000001", Task: "j-000001/3", Name: "run", Begin: clock.Second, End: 3 * clock.Second,
 			Attributes: []Attribute{{"machine", "host-1"}}})
 		tracer.Post(Span{Job: "j-000002", Name: "job", Begin: clock.Second, End: 2 * clock.Second})
@@ -81,7 +81,7 @@
 
 // With a full queue spans are dropped and counted, and nobody waits; without a tracer nothing happens.
 func TestPostNeverWaits(t *testing.T) {
-	tracer := newTracer(t, Settings{File: filepath.Join(t.TempDir(), "trace"), MaxBytes: 1 << 20, JobShare: 1, Queue: 16}, "c0")
+	tracer := newTracer(t, Settings{File: filepath.Join(t.TempDir(), "trace"), MaxBytes: 1 << 20, JobShare: 1, QueueSize: 16}, "c0")
 	for range 20 {
 		tracer.Post(Span{Job: "j-000001", Name: "run"})
 	}
@@ -97,7 +97,7 @@
 	file := filepath.Join(t.TempDir(), "trace")
 	const maxBytes = 4000
 	for range 2 { // also when a process begins again
-		tracer := newTracer(t, Settings{File: file, MaxBytes: maxBytes, JobShare: 1, Queue: 1000}, "c0")
+		tracer := newTracer(t, Settings{File: file, MaxBytes: maxBytes, JobShare: 1, QueueSize: 1000}, "c0")
 		for range 100 {
 			tracer.Post(Span{Job: "j-000001", Name: "run"})
 		}
@@ -115,8 +115,8 @@
 // A share of the jobs is traced, the same ones everywhere.
 func TestShareOfTheJobs(t *testing.T) {
 	dir := t.TempDir()
-	a := newTracer(t, Settings{File: filepath.Join(dir, "a"), MaxBytes: 1 << 20, JobShare: 0.25, Queue: 16}, "c0")
-	b := newTracer(t, Settings{File: filepath.Join(dir, "b"), MaxBytes: 1 << 20, JobShare: 0.25, Queue: 16}, "c1")
+	a := newTracer(t, Settings{File: filepath.Join(dir, "a"), MaxBytes: 1 << 20, JobShare: 0.25, QueueSize: 16}, "c0")
+	b := newTracer(t, Settings{File: filepath.Join(dir, "b"), MaxBytes: 1 << 20, JobShare: 0.25, QueueSize: 16}, "c1")
 	traced := 0
 	for i := range 4000 {
 		job := "j-" + strings.Repeat("0", 3) + string(rune('a'+i%26)) + string(rune(0x4e00+i))
@@ -134,10 +134,10 @@
 
 // What cannot be written harms nothing but itself.
 func TestBadFile(t *testing.T) {
-	if _, err := New(Settings{File: filepath.Join(t.TempDir(), "nowhere", "trace"), Queue: 16}, "c0", clock.NewSteady(), quiet); err == nil {
+	if _, err := New(Settings{File: filepath.Join(t.TempDir(), "nowhere", "trace"), QueueSize: 16}, "c0", clock.NewSteady(), quiet); err == nil {
 		t.Error("a file in a directory that is not there is no error")
 	}
-	tracer := newTracer(t, Settings{File: filepath.Join(t.TempDir(), "trace"), MaxBytes: 1 << 20, JobShare: 1, Queue: 16}, "c0")
+	tracer := newTracer(t, Settings{File: filepath.Join(t.TempDir(), "trace"), MaxBytes: 1 << 20, JobShare: 1, QueueSize: 16}, "c0")
 	e := &lineExporter{out: &rotatingFile{name: "gone", maxBytes: 1 << 20}, log: quiet}
 	e.out.file, _ = os.Open(os.DevNull) // cannot be written
 	if err := e.ExportSpans(t.Context(), nil); err != nil {
