--- a/internal/trace/export.go
+++ b/internal/trace/export.go
@@ -12,15 +12,15 @@
 	oteltrace "go.opentelemetry.io/otel/trace"
 )
 
-// spanIDGenerator makes span ids. A span's trace id is always its parent's.
+// spanIDGenerator generates span IDs. The trace ID of a span is always that of its parent.
 type spanIDGenerator struct{}
 
-// NewIDs makes ids for a span without a parent, of which there are none.
+// NewIDs returns IDs for a span without a parent. The tracer starts no such spans.
 func (g spanIDGenerator) NewIDs(ctx context.Context) (oteltrace.TraceID, oteltrace.SpanID) {
 	return oteltrace.TraceID{}, g.NewSpanID(ctx, oteltrace.TraceID{})
 }
 
-// NewSpanID makes an id that is unlikely to be another's.
+// NewSpanID returns a random ID, which is unlikely to collide with another.
 func (spanIDGenerator) NewSpanID(context.Context, oteltrace.TraceID) (id oteltrace.SpanID) {
 	for i := range id {
 		id[i] = byte(rand.Uint32())
@@ -28,72 +28,72 @@
 	return id
 }
 
-// instanceKey is the attribute that names the controller.
-const instanceKey = "service.instance.id"
+// instanceIDKey is the key of the resource attribute that names the controller.
+const instanceIDKey = "service.instance.id"
 
-// line is a span as it is written.
-type line struct {
-	Trace      string            `json:"trace"`
-	Span       string            `json:"span"`
-	Parent     string            `json:"parent"`
-	Controller string            `json:"node"`
-	Name       string            `json:"name"`
-	Begin      time.Time         `json:"begin"`
-	TookS      float64           `json:"took_s"`
-	Attributes map[string]string `json:"attributes"`
+// spanRecord is a span as it is written to the file, one JSON object per line.
+type spanRecord struct {
+	TraceID      string            `json:"trace"`
+	SpanID       string            `json:"span"`
+	ParentSpanID string            `json:"parent"`
+	Controller   string            `json:"node"`
+	Name         string            `json:"name"`
+	StartedAt    time.Time         `json:"begin"`
+	DurationS    float64           `json:"took_s"`
+	Attributes   map[string]string `json:"attributes"`
 }
 
-func newLine(span sdktrace.ReadOnlySpan) line {
-	l := line{
-		Trace:      span.SpanContext().TraceID().String(),
-		Span:       span.SpanContext().SpanID().String(),
-		Parent:     span.Parent().SpanID().String(),
-		Name:       span.Name(),
-		Begin:      span.StartTime().UTC(),
-		TookS:      span.EndTime().Sub(span.StartTime()).Seconds(),
-		Attributes: map[string]string{},
+func newSpanRecord(span sdktrace.ReadOnlySpan) spanRecord {
+	record := spanRecord{
+		TraceID:      span.SpanContext().TraceID().String(),
+		SpanID:       span.SpanContext().SpanID().String(),
+		ParentSpanID: span.Parent().SpanID().String(),
+		Name:         span.Name(),
+		StartedAt:    span.StartTime().UTC(),
+		DurationS:    span.EndTime().Sub(span.StartTime()).Seconds(),
+		Attributes:   map[string]string{},
 	}
 	for _, attribute := range span.Attributes() {
-		l.Attributes[string(attribute.Key)] = attribute.Value.AsString()
+		record.Attributes[string(attribute.Key)] = attribute.Value.AsString()
 	}
 	for _, attribute := range span.Resource().Attributes() {
-		if attribute.Key == instanceKey {
-			l.Controller = attribute.Value.AsString()
+		if attribute.Key == instanceIDKey {
+			record.Controller = attribute.Value.AsString()
 		}
 	}
-	return l
+	return record
 }
 
-// lineExporter writes spans as lines of JSON. What cannot be written is left out; of a row of failures it logs
-// the first.
-type lineExporter struct {
-	out       *rotatingFile
+// fileExporter writes spans to a file as lines of JSON. It skips spans that it cannot write, and logs only the first
+// of consecutive failures.
+type fileExporter struct {
+	file      *rotatingFile
 	log       *slog.Logger
 	isFailing bool
 }
 
-// ExportSpans writes spans. It returns no error: the spans that it could not write are not to be sent again.
-func (e *lineExporter) ExportSpans(_ context.Context, spans []sdktrace.ReadOnlySpan) error {
-	err := e.writeLines(spans)
+// ExportSpans writes spans. It always returns nil, so that the SDK does not retry the spans that were not written.
+func (e *fileExporter) ExportSpans(_ context.Context, spans []sdktrace.ReadOnlySpan) error {
+	err := e.writeSpans(spans)
 	if err != nil && !e.isFailing {
-		e.log.Warn("spans are not written", "error", err)
+		e.log.Warn("cannot write spans", "error", err)
 	}
 	e.isFailing = err != nil
 	return nil
 }
 
-func (e *lineExporter) writeLines(spans []sdktrace.ReadOnlySpan) error {
+func (e *fileExporter) writeSpans(spans []sdktrace.ReadOnlySpan) error {
 	for _, span := range spans {
-		record, err := json.Marshal(newLine(span))
+		encoded, err := json.Marshal(newSpanRecord(span))
 		if err != nil {
-			return fmt.Errorf("span: %w", err)
+			return fmt.Errorf("encode span: %w", err)
 		}
-		if err := e.out.write(append(record, '\n')); err != nil {
-			return fmt.Errorf("span: %w", err)
+		if err := e.file.write(append(encoded, '\n')); err != nil {
+			return fmt.Errorf("write span: %w", err)
 		}
 	}
 	return nil
 }
 
 // Shutdown closes the file.
-func (e *lineExporter) Shutdown(context.Context) error { return e.out.close() }
+func (e *fileExporter) Shutdown(context.Context) error { return e.file.close() }
--- a/internal/trace/rotating_file.go
+++ b/internal/trace/rotating_file.go
@@ -5,11 +5,11 @@
 	"os"
 )
 
-// formerSuffix names the file before the current one.
-const formerSuffix = ".1"
+// previousFileSuffix is appended to the name of a full file when a new one replaces it.
+const previousFileSuffix = ".1"
 
-// rotatingFile is a file of bounded size. When it is full it takes the place of the one before, and a new one
-// begins.
+// rotatingFile is a file of bounded size. A full file is renamed, replacing the previous full file, and a new file is
+// created.
 type rotatingFile struct {
 	name     string
 	maxBytes int64
@@ -22,7 +22,7 @@
 	return r, r.open(os.O_APPEND)
 }
 
-// open opens the file with one more flag, which says what becomes of its content.
+// open opens the file for writing. contentFlag is os.O_APPEND to keep its content or os.O_TRUNC to discard it.
 func (r *rotatingFile) open(contentFlag int) error {
 	file, err := os.OpenFile(r.name, os.O_CREATE|os.O_WRONLY|contentFlag, 0o600)
 	if err != nil {
@@ -36,7 +36,7 @@
 	return nil
 }
 
-// write appends a record; it never splits one between two files.
+// write appends a record. It never splits a record between two files.
 func (r *rotatingFile) write(record []byte) error {
 	if r.size > 0 && r.size+int64(len(record)) > r.maxBytes {
 		if err := r.rotate(); err != nil {
@@ -48,11 +48,12 @@
 	return err
 }
 
-// rotate begins a new file. After an error it can be called again.
+// rotate replaces the previous file by the current one and creates a new file. It can be called again after an error.
 func (r *rotatingFile) rotate() error {
-	// Each write has returned its own error; a file that is closed already has been in this place before.
+	// The error is ignored: every write has returned its own, and the file may be closed already if an earlier call
+	// failed.
 	_ = r.file.Close()
-	if err := os.Rename(r.name, r.name+formerSuffix); err != nil {
+	if err := os.Rename(r.name, r.name+previousFileSuffix); err != nil {
 		return err
 	}
 	return r.open(os.O_TRUNC)
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -1,10 +1,10 @@
-// Package trace writes what happens to jobs as OpenTelemetry spans to a file, a line each. The id of a job's
-// trace is a hash of its reference, so that the spans of all controllers make one trace although their messages
-// carry no trace context; a version that traces nothing only leaves a gap.
+// Package trace records the events of jobs as OpenTelemetry spans in a file, one per line. A job's trace ID is a hash
+// of its reference, so the spans of all controllers form one trace although their messages carry no trace context. A
+// controller of a version without tracing only leaves its spans out of the trace.
 //
-// A Tracer is an actor: it owns the queue of spans and the file. Spans are posted without waiting, and are
-// dropped and counted when the queue is full. Nothing is ever read back, and no failure here reaches those who
-// post.
+// A Tracer is an actor that owns the queue of spans and the file. Posting a span never blocks; when the queue is full,
+// the span is dropped and counted. The package never reads spans back, and none of its failures affects a caller of
+// Post.
 package trace
 
 import (
@@ -24,13 +24,13 @@
 	"swiftledge/internal/clock"
 )
 
-// instrumentationName is what the program calls itself in spans.
+// instrumentationName is the name of the service and of the instrumentation scope in spans.
 const instrumentationName = "swiftledge"
 
-// Attribute is one fact about a span.
+// Attribute is a key-value pair of a span.
 type Attribute struct{ Key, Value string }
 
-// Span is something that happened to a job or to one of its tasks, in the steady time of this process.
+// Span is an operation on a job or on one of its tasks. Begin and End are points on this process's steady clock.
 type Span struct {
 	Job        string
 	Task       string // "" for the job as a whole
@@ -39,51 +39,52 @@
 	Attributes []Attribute
 }
 
-// Settings say what is traced, and where to.
+// Settings says which jobs are traced and where their spans are written.
 type Settings struct {
 	File      string
-	MaxBytes  int64   // of the file; what was written before is kept in a second one
-	JobShare  float64 // the part of the jobs that is traced
-	QueueSize int     // spans that may wait to be written
+	MaxBytes  int64   // maximum size of the file; the previous file is kept as well
+	JobShare  float64 // share of the jobs that is traced
+	QueueSize int     // maximum number of spans that wait to be written
 }
 
-// Tracer is the actor that writes spans. A nil one writes nothing.
+// Tracer is the actor that writes spans. A nil Tracer writes nothing.
 type Tracer struct {
-	jobShare  float64
-	spans     chan Span
-	dropped   atomic.Int64
-	wallClock clock.Micros // the time of day when steady time began
-	log       *slog.Logger
-	provider  *sdktrace.TracerProvider
-	tracer    oteltrace.Tracer
+	jobShare   float64
+	spans      chan Span
+	dropped    atomic.Int64
+	wallOffset clock.Micros // the time of day at which the steady clock was zero
+	log        *slog.Logger
+	provider   *sdktrace.TracerProvider
+	tracer     oteltrace.Tracer
 }
 
-// New opens the file of a controller; Run writes to it. steady is the process's clock.
+// New opens the span file of a controller and returns a Tracer, whose Run writes to the file. steady is the process's
+// clock.
 func New(settings Settings, controller string, steady clock.Steady, log *slog.Logger) (*Tracer, error) {
-	out, err := openRotatingFile(settings.File, settings.MaxBytes)
+	file, err := openRotatingFile(settings.File, settings.MaxBytes)
 	if err != nil {
 		return nil, fmt.Errorf("trace: %w", err)
 	}
 	process := resource.NewSchemaless(
 		attribute.String("service.name", instrumentationName),
-		attribute.String(instanceKey, controller),
+		attribute.String(instanceIDKey, controller),
 	)
 	provider := sdktrace.NewTracerProvider(
-		sdktrace.WithSyncer(&lineExporter{out: out, log: log}), // on the tracer's own goroutine
+		sdktrace.WithSyncer(&fileExporter{file: file, log: log}), // exports on the goroutine of Run
 		sdktrace.WithIDGenerator(spanIDGenerator{}),
 		sdktrace.WithResource(process),
 	)
 	return &Tracer{
-		jobShare:  settings.JobShare,
-		spans:     make(chan Span, settings.QueueSize),
-		wallClock: clock.Wall() - steady.Now(),
-		log:       log,
-		provider:  provider,
-		tracer:    provider.Tracer(instrumentationName),
+		jobShare:   settings.JobShare,
+		spans:      make(chan Span, settings.QueueSize),
+		wallOffset: clock.Wall() - steady.Now(),
+		log:        log,
+		provider:   provider,
+		tracer:     provider.Tracer(instrumentationName),
 	}, nil
 }
 
-// Post hands a span over. It never waits: with a full queue the span is dropped, and counted.
+// Post queues a span for writing. It never blocks: if the queue is full, the span is dropped and counted.
 func (t *Tracer) Post(span Span) {
 	if t == nil || !t.isTraced(span.Job) {
 		return
@@ -95,28 +96,28 @@
 	}
 }
 
-// isTraced reports whether a job is among the share that is traced; all controllers agree on that.
+// isTraced reports whether a job belongs to the share that is traced. All controllers decide the same for a job.
 func (t *Tracer) isTraced(job string) bool {
 	id := traceID(job)
 	const maxPrefix = 1 << 32
 	return float64(binary.BigEndian.Uint32(id[:])) < t.jobShare*maxPrefix
 }
 
-// dropReportInterval is how often dropped spans are logged.
+// dropReportInterval is the interval at which dropped spans are logged.
 const dropReportInterval = time.Minute
 
-// Run writes spans until ctx ends, and closes the file. Spans that wait then are lost.
+// Run writes spans until ctx ends, and then closes the file. Spans that are still queued then are lost.
 func (t *Tracer) Run(ctx context.Context) {
 	defer t.close()
-	report := time.NewTicker(dropReportInterval)
-	defer report.Stop()
+	dropReport := time.NewTicker(dropReportInterval)
+	defer dropReport.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case span := <-t.spans:
 			t.write(span)
-		case <-report.C:
+		case <-dropReport.C:
 			if n := t.dropped.Swap(0); n > 0 {
 				t.log.Warn("spans were dropped", "count", n)
 			}
@@ -126,7 +127,7 @@
 
 func (t *Tracer) close() {
 	if err := t.provider.Shutdown(context.Background()); err != nil {
-		t.log.Warn("trace file is not closed", "error", err)
+		t.log.Warn("cannot close the trace file", "error", err)
 	}
 }
 
@@ -145,22 +146,24 @@
 		attributes = append(attributes, attribute.String(a.Key, a.Value))
 	}
 	ctx := oteltrace.ContextWithRemoteSpanContext(context.Background(), parent)
-	begin := oteltrace.WithTimestamp(t.timeOfDay(span.Begin))
-	_, started := t.tracer.Start(ctx, span.Name, begin, oteltrace.WithAttributes(attributes...))
-	started.End(oteltrace.WithTimestamp(t.timeOfDay(span.End)))
+	begin := oteltrace.WithTimestamp(t.wallTime(span.Begin))
+	_, otelSpan := t.tracer.Start(ctx, span.Name, begin, oteltrace.WithAttributes(attributes...))
+	otelSpan.End(oteltrace.WithTimestamp(t.wallTime(span.End)))
 }
 
-func (t *Tracer) timeOfDay(at clock.Micros) time.Time { return time.UnixMicro(int64(at + t.wallClock)) }
+func (t *Tracer) wallTime(steadyTime clock.Micros) time.Time {
+	return time.UnixMicro(int64(steadyTime + t.wallOffset))
+}
 
-// traceID names the trace of a job, the same at every controller.
+// traceID returns the ID of a job's trace, which is the same at every controller.
 func traceID(job string) (id oteltrace.TraceID) {
 	sum := sha256.Sum256([]byte(job))
 	copy(id[:], sum[:])
 	return id
 }
 
-// rootSpanID names the span that is the parent of all others of a job. That span itself is never written: its
-// begin and end are at different controllers.
+// rootSpanID returns the ID of the parent of all spans of a job. The parent itself is never written, because it begins
+// and ends at different controllers.
 func rootSpanID(job string) (id oteltrace.SpanID) {
 	sum := sha256.Sum256([]byte(job))
 	copy(id[:], sum[len(sum)-len(id):])
