--- a/internal/status/status.go
+++ b/internal/status/status.go
@@ -1,6 +1,6 @@
-// Package status shows an operator how the controllers of a site are. It asks all of them at once, over their
-// own links, and writes the answers as JSON or as tables. A controller without an answer is shown with the
-// reason. The package keeps no state and changes nothing: it only reads.
+// Package status shows operators the state of a site's controllers. It queries all of them concurrently, over the
+// protocol between controllers, and writes the answers as JSON or as tables. A controller that does not answer is
+// shown with the reason. The package is read-only and keeps no state.
 package status
 
 import (
@@ -15,7 +15,7 @@
 	"swiftledge/internal/peer"
 )
 
-// Controller is one controller's answer, or the problem for which there is none.
+// Controller is one controller's answer, or the problem that prevented it.
 type Controller struct {
 	Name    string       `json:"name"`
 	Address string       `json:"address"`
@@ -23,10 +23,10 @@
 	Status  *peer.Status `json:"status,omitempty"`
 }
 
-// ErrNoAnswer says that no controller answered.
+// ErrNoAnswer is returned if no controller answered.
 var ErrNoAnswer = errors.New("no controller answered")
 
-// Fetch asks all controllers of a site at once.
+// Fetch queries all controllers of a site concurrently.
 func Fetch(cfg *config.Config) []Controller {
 	controllers := []Controller{{Name: cfg.Name, Address: cfg.PeerAddress}}
 	for _, other := range cfg.Peers {
@@ -36,7 +36,7 @@
 	return controllers
 }
 
-// FetchEach asks controllers, by their addresses, at once, and fills their answers in.
+// FetchEach queries the controllers concurrently at their addresses and sets their Status or Problem.
 func FetchEach(controllers []Controller) {
 	var fetches sync.WaitGroup
 	for i := range controllers {
@@ -62,7 +62,7 @@
 	return slices.ContainsFunc(controllers, func(c Controller) bool { return c.Status != nil })
 }
 
-// WriteJSON writes all that is known.
+// WriteJSON writes the complete answers and problems as JSON.
 func WriteJSON(w io.Writer, controllers []Controller) error {
 	encoder := json.NewEncoder(w)
 	encoder.SetIndent("", "  ")
--- a/internal/status/table.go
+++ b/internal/status/table.go
@@ -10,10 +10,10 @@
 	"swiftledge/internal/peer"
 )
 
-// Detail is how much a table shows.
+// Detail says how much WriteTable shows.
 type Detail int
 
-// Details of tables.
+// Levels of detail.
 const (
 	// WithoutMachines leaves the machines out.
 	WithoutMachines Detail = iota
@@ -21,8 +21,8 @@
 	WithMachines
 )
 
-// WriteTable writes a row for each controller, then what the leader tells: shards, teams, migrations and why
-// others were not made, and the machines if they are asked for.
+// WriteTable writes a row for each controller, followed by the leader's view: shards, teams, suspect jobs, migrations
+// and the reasons against others, and machines if detail is WithMachines.
 func WriteTable(w io.Writer, controllers []Controller, detail Detail) error {
 	t := &table{writer: tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)}
 	t.writeControllers(controllers)
@@ -39,13 +39,13 @@
 	return nil
 }
 
-// table writes rows of aligned columns. It keeps the first error, after which it writes nothing more.
+// table writes rows with aligned columns. It keeps the first error and writes nothing after it.
 type table struct {
 	writer *tabwriter.Writer
 	err    error
 }
 
-// row writes a row. Cells are of any type, as fmt.Sprint takes them; floats are rounded to two digits.
+// row writes a row. Cells are formatted like the arguments of fmt.Sprint, and floats with two decimals.
 func (t *table) row(cells ...any) {
 	texts := make([]string, len(cells))
 	for i, cell := range cells {
@@ -58,7 +58,7 @@
 	t.write(strings.Join(texts, "\t") + "\n")
 }
 
-// heading begins a new group of rows.
+// heading writes an empty line and the column titles of a new group of rows.
 func (t *table) heading(titles ...string) {
 	t.write("\n" + strings.Join(titles, "\t") + "\n")
 }
@@ -96,7 +96,7 @@
 	return "follows"
 }
 
-// writePauses shows which controllers' processes were paused, if any were.
+// writePauses shows the controllers that had process pauses, if any.
 func (t *table) writePauses(controllers []Controller) {
 	hasHeading := false
 	for _, c := range controllers {
@@ -112,7 +112,7 @@
 	}
 }
 
-// writeLeader shows what the leader alone knows.
+// writeLeader shows the state that only the leader knows.
 func (t *table) writeLeader(s *peer.Status, detail Detail) {
 	t.writeShards(s.Shards)
 	if detail == WithMachines {
@@ -156,7 +156,7 @@
 	}
 }
 
-// writeSuspects shows the jobs whose tasks fail wherever they run, if there are any.
+// writeSuspects shows the suspect jobs, whose tasks fail on every machine, if there are any.
 func (t *table) writeSuspects(suspects []peer.SuspectStatus) {
 	if len(suspects) == 0 {
 		return
@@ -167,7 +167,7 @@
 	}
 }
 
-// writeMigrations shows the tasks that rebalancing moves, and why it moves no others.
+// writeMigrations shows the migrations of rebalancing and the reasons against other migrations.
 func (t *table) writeMigrations(s *peer.Status) {
 	if !s.Rebalancing {
 		t.heading("MOVES", "off")
@@ -186,13 +186,13 @@
 	if len(s.Refusals) > 0 {
 		t.heading("NOT MOVED", "WHY", "TASKS", "SUCH AS")
 		for _, r := range s.Refusals {
-			t.row(machineOrAll(r.Machine), r.Reason, r.Tasks, r.Task)
+			t.row(refusalScope(r.Machine), r.Reason, r.Tasks, r.Task)
 		}
 	}
 }
 
-// machineOrAll is what a refusal is about: without a machine, all of them.
-func machineOrAll(machine string) string {
+// refusalScope returns the machine that a refusal concerns, or "all" if it names none.
+func refusalScope(machine string) string {
 	if machine == "" {
 		return "all"
 	}
