--- a/cmd/swiftledge/main.go
+++ b/cmd/swiftledge/main.go
@@ -1,5 +1,6 @@
-// Command swiftledge is a controller of the cluster scheduler. Without a subcommand it serves; the subcommands
-// print the version, check the settings, print their schema, and show how the controllers of a site are.
+// Command swiftledge is a controller of the cluster scheduler. Without a subcommand it runs the controller. The
+// subcommands print the version, validate the settings, print their schema, and show the state of a site's
+// controllers.
 package main
 
 import (
@@ -23,7 +24,7 @@
 	}
 }
 
-// settingsFiles are the flags that name the settings files; all commands share them.
+// settingsFiles holds the flags that name the settings files. All commands share them.
 type settingsFiles struct {
 	platform  string
 	operators []string
--- a/cmd/swiftledge/status.go
+++ b/cmd/swiftledge/status.go
@@ -8,13 +8,13 @@
 	"swiftledge/internal/status"
 )
 
-// statusOptions are the flags of `swiftledge status`.
+// statusOptions holds the flags of `swiftledge status`.
 type statusOptions struct {
-	asJSON   bool
-	machines bool
+	asJSON       bool
+	withMachines bool
 }
 
-// statusCommand asks every controller of the site how it is.
+// statusCommand returns the command that shows the state of every controller of the site.
 func statusCommand(files *settingsFiles) *cobra.Command {
 	var options statusOptions
 	cmd := &cobra.Command{
@@ -37,7 +37,7 @@
 		},
 	}
 	cmd.Flags().BoolVar(&options.asJSON, "json", false, "print JSON, with every machine")
-	cmd.Flags().BoolVar(&options.machines, "machines", false, "print a row for each machine, too")
+	cmd.Flags().BoolVar(&options.withMachines, "machines", false, "print a row for each machine, too")
 	return cmd
 }
 
@@ -45,7 +45,7 @@
 	switch {
 	case o.asJSON:
 		return status.WriteJSON(w, controllers)
-	case o.machines:
+	case o.withMachines:
 		return status.WriteTable(w, controllers, status.WithMachines)
 	}
 	return status.WriteTable(w, controllers, status.WithoutMachines)
