--- a/internal/naming/naming_test.go
+++ b/internal/naming/naming_test.go
@@ -14,10 +14,10 @@
 	"unicode/utf8"
 )
 
-// repository is the root of the repository, seen from this package.
-const repository = "../.."
+// repositoryRoot is the path of the repository's root, relative to this package.
+const repositoryRoot = "../.."
 
-// refused are the words that must not be a whole identifier. The case of the first letter does not matter.
+// refused lists the words that must not be a whole identifier. The case of the first letter does not matter.
 var refused = []string{
 	"awaited", "baton", "beat", "blind", "blindAt", "breed", "breeds", "deaf", "doubtful", "fx", "heard",
 	"kit", "lane", "leeway", "look", "loose", "lot", "lots", "mail", "mute", "noBoots", "paddock", "rc",
@@ -25,50 +25,50 @@
 	"stint", "stirred", "stray", "stuck", "tally", "waypoint",
 }
 
-// refusedPrefix must not begin an identifier: roster, rosterPage and the like.
+// refusedPrefix is a prefix that no identifier may have, as in roster and rosterPage.
 const refusedPrefix = "roster"
 
-// ceilings are how many refused names each directory still declares. A number here is lowered when names are
-// replaced, and never raised; a directory that is not listed declares none.
+// ceilings maps a directory to the number of refused names that it still declares. A ceiling is lowered when names are
+// replaced and never raised. A directory that is not listed must not declare any.
 var ceilings = map[string]int{
 	"internal/compat": 1,
 }
 
-// TestDeclaredNames counts the refused names by directory and compares them with the ceilings.
+// TestDeclaredNames compares the number of refused names in each directory with its ceiling.
 func TestDeclaredNames(t *testing.T) {
-	found := map[string][]string{}
-	inCode := 0
+	namesByDir := map[string][]string{}
+	outsideTests := 0
 	for _, path := range goFiles(t) {
-		places := refusedNames(t, path)
+		names := refusedNames(t, path)
 		dir := filepath.ToSlash(filepath.Dir(path))
-		found[dir] = append(found[dir], places...)
+		namesByDir[dir] = append(namesByDir[dir], names...)
 		if !strings.HasSuffix(path, "_test.go") {
-			inCode += len(places)
+			outsideTests += len(names)
 		}
 	}
 	total := 0
-	for dir, places := range found {
-		total += len(places)
-		checkCeiling(t, dir, places)
+	for dir, names := range namesByDir {
+		total += len(names)
+		checkCeiling(t, dir, names)
 	}
 	for _, dir := range slices.Sorted(maps.Keys(ceilings)) {
-		if found[dir] == nil {
+		if namesByDir[dir] == nil {
 			t.Errorf("%s has no Go files any more: delete its ceiling", dir)
 		}
 	}
-	t.Logf("refused names declared: %d, of them %d outside tests", total, inCode)
+	t.Logf("refused names declared: %d, of them %d outside tests", total, outsideTests)
 }
 
-func checkCeiling(t *testing.T, dir string, places []string) {
+func checkCeiling(t *testing.T, dir string, names []string) {
 	t.Helper()
 	ceiling := ceilings[dir]
-	switch count := len(places); {
+	switch count := len(names); {
 	case count > ceiling:
-		t.Errorf("%s declares %d refused names, %d are allowed:\n%s", dir, count, ceiling, strings.Join(places, "\n"))
+		t.Errorf("%s declares %d refused names, %d are allowed:\n%s", dir, count, ceiling, strings.Join(names, "\n"))
 	case count == 0 && ceiling > 0:
 		t.Errorf("%s declares no refused names any more: delete its ceiling of %d", dir, ceiling)
 	case count < ceiling:
-		t.Errorf("%s declares fewer refused names than its ceiling of %d: write %d", dir, ceiling, count)
+		t.Errorf("%s declares fewer refused names than its ceiling of %d: lower it to %d", dir, ceiling, count)
 	}
 }
 
@@ -76,7 +76,7 @@
 func goFiles(t *testing.T) []string {
 	t.Helper()
 	var paths []string
-	err := filepath.WalkDir(repository, func(path string, entry fs.DirEntry, err error) error {
+	err := filepath.WalkDir(repositoryRoot, func(path string, entry fs.DirEntry, err error) error {
 		if err != nil {
 			return err
 		}
@@ -86,7 +86,7 @@
 		if filepath.Ext(path) != ".go" {
 			return nil
 		}
-		relative, err := filepath.Rel(repository, path)
+		relative, err := filepath.Rel(repositoryRoot, path)
 		paths = append(paths, relative)
 		return err
 	})
@@ -102,20 +102,20 @@
 // refusedNames returns the refused names that a file declares, each with its position.
 func refusedNames(t *testing.T, path string) []string {
 	t.Helper()
-	files := token.NewFileSet()
-	file, err := parser.ParseFile(files, filepath.Join(repository, path), nil, parser.SkipObjectResolution)
+	fileSet := token.NewFileSet()
+	file, err := parser.ParseFile(fileSet, filepath.Join(repositoryRoot, path), nil, parser.SkipObjectResolution)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var places []string
+	var names []string
 	for _, name := range declaredNames(file) {
 		if isRefused(name.Name) {
-			position := files.Position(name.Pos())
+			position := fileSet.Position(name.Pos())
 			position.Filename = path
-			places = append(places, position.String()+": "+name.Name)
+			names = append(names, position.String()+": "+name.Name)
 		}
 	}
-	return places
+	return names
 }
 
 // declaredNames returns the names of the types, functions, fields, parameters, constants and variables that a
