--- a/wire/agents.go
+++ b/wire/agents.go
@@ -1,8 +1,8 @@
 package wire
 
-// The agents' protocol: heartbeats to controllers (POST /agent/beat), commands to agents in the answers and
-// straight to them (POST /orders, GET /inspect). Its words in the tags below, beside those of the users'
-// protocol, and the terms that they stand for:
+// The agents' protocol: heartbeats to controllers (POST /agent/beat) with commands in the responses, and direct
+// requests to agents (POST /orders, GET /inspect). The tags below use these words of the protocol, besides those of
+// the users' protocol, for the following terms:
 //
 //	rig       machine
 //	breed     machine type
@@ -12,24 +12,24 @@
 //	warningS  preemption notice of a spot machine, in seconds
 //	lot       task; lots: the tasks of a machine
 //	try       attempt
-//	stored    the task's progress was checkpointed
+//	stored    the task's progress has been checkpointed
 //	orders    commands
 //	leewayS   grace period
 //	foreman   controller
 
-// FencingToken identifies who is entitled to command a worker; a worker obeys the highest that it has seen.
+// FencingToken identifies who may send commands to an agent. An agent obeys the highest token that it has seen.
 type FencingToken uint64
 
-// AgentEpoch counts the incarnations of a worker's agent: a new one begins each time its lease expires.
+// AgentEpoch counts the incarnations of an agent. A new epoch begins each time the agent's lease expires.
 type AgentEpoch uint64
 
-// AttemptID tells the attempts to run a task apart; it never repeats for a task.
+// AttemptID distinguishes the attempts to run a task. It is never reused for the same task.
 type AttemptID uint64
 
 // TaskState is the state of a task on its machine.
 type TaskState string
 
-// Task states. A fetching task waits for its image, a saving one writes a checkpoint before it exits.
+// Task states. A fetching task waits for its image. A saving task writes a checkpoint before it exits.
 const (
 	TaskFetching TaskState = "fetching"
 	TaskRunning  TaskState = "running"
@@ -40,8 +40,8 @@
 // ExitCause says why a task exited.
 type ExitCause string
 
-// Exit causes. The last three say that the agent refused to start the task: the machine lacks resources,
-// another attempt of the task is on it, or the job is not known.
+// Exit causes. The last three mean that the agent refused to start the task: the machine lacks resources, it has
+// another attempt of the task, or the job is unknown.
 const (
 	ExitDone    ExitCause = "done"
 	ExitStopped ExitCause = "stopped"
@@ -51,7 +51,7 @@
 	ExitUnknown ExitCause = "unknown"
 )
 
-// TaskStatus is one task in a heartbeat.
+// TaskStatus is the status of one task in a heartbeat.
 type TaskStatus struct {
 	Task         string    `json:"lot"`
 	Attempt      AttemptID `json:"try"`
@@ -60,8 +60,8 @@
 	Checkpointed bool      `json:"stored,omitempty"`
 }
 
-// Heartbeat is what an agent reports of its machine and of all tasks on it. The one with the larger agent
-// epoch and sequence number is the newer one.
+// Heartbeat is an agent's report of its machine and of all tasks on it. The heartbeat with the larger agent epoch, and
+// within an epoch with the larger sequence number, is the newer one.
 type Heartbeat struct {
 	Machine           string       `json:"rig"`
 	Address           string       `json:"address"`
@@ -75,17 +75,17 @@
 	Tasks             []TaskStatus `json:"lots"`
 }
 
-// Verb is what a command tells an agent to do.
+// Verb is the action that a command requests from an agent.
 type Verb string
 
-// Verbs of commands: start an attempt, stop a task, drop an exited task from the heartbeats.
+// Verbs: start an attempt, stop a task, remove an exited task from the heartbeats.
 const (
 	VerbRun    Verb = "run"
 	VerbKill   Verb = "kill"
 	VerbForget Verb = "forget"
 )
 
-// Command is one command to an agent. GraceS is the time that a killed task has for a checkpoint.
+// Command is one command to an agent. GraceS is the time that a stopped task has to save a checkpoint.
 type Command struct {
 	Verb    Verb      `json:"verb"`
 	Task    string    `json:"lot"`
@@ -93,19 +93,20 @@
 	GraceS  *float64  `json:"leewayS,omitempty"`
 }
 
-// HeartbeatResponse answers a heartbeat with 200. It renews the agent's lease.
+// HeartbeatResponse is the response to a heartbeat with status 200. It renews the agent's lease.
 type HeartbeatResponse struct {
 	FencingToken FencingToken `json:"baton"`
 	Commands     []Command    `json:"orders"`
 }
 
-// Redirect answers a heartbeat with 421 and names the controller that the agent should report to, if known.
+// Redirect is the response to a heartbeat with status 421. It names the controller to which the agent should send its
+// heartbeats, if known.
 type Redirect struct {
 	Controller string `json:"foreman,omitempty"`
 }
 
-// CommandBatch holds commands that are sent straight to an agent; it executes them only if token and epoch
-// still match.
+// CommandBatch holds commands that are sent directly to an agent. The agent executes them only if the fencing token
+// and the agent epoch still match.
 type CommandBatch struct {
 	FencingToken FencingToken `json:"baton"`
 	AgentEpoch   AgentEpoch   `json:"stint"`
--- a/wire/cloud.go
+++ b/wire/cloud.go
@@ -1,7 +1,7 @@
 package wire
 
-// The cloud's protocol: GET /catalog, POST /hosts, POST /hosts/delete and GET /hosts. Its words in the tags
-// below, beside those of the users' and agents' protocols, and the terms that they stand for:
+// The cloud's protocol: GET /catalog, POST /hosts, POST /hosts/delete and GET /hosts. The tags below use these words
+// of the protocol, besides those of the users' and agents' protocols, for the following terms:
 //
 //	sku         name of a machine type
 //	localGb     size of the machine's image cache
@@ -11,20 +11,20 @@
 //	paddocks    zones that offer the machine type
 //	hire        id of a provision request
 //	rigs        machines
-//	heldS       age since the provision request
+//	heldS       time since the provision request
 
-// MachineState is the state of a machine in the cloud's list.
+// MachineState is the state of a machine in the cloud's list of machines.
 type MachineState string
 
-// Machine states. A machine that failed is no longer charged but stays listed until it is deleted.
+// Machine states. A failed machine is no longer charged but stays in the list until it is deleted.
 const (
 	MachineStarting MachineState = "starting"
 	MachineRunning  MachineState = "running"
 	MachineFailed   MachineState = "failed"
 )
 
-// MachineType is one row of the cloud's catalog. Controllers send it to each other as a msgpack map whose
-// keys are the names of the fields.
+// MachineType is one entry of the cloud's catalog. Controllers send it to each other as a msgpack map whose keys are
+// the names of the Go fields.
 type MachineType struct {
 	Name      string   `json:"sku"`
 	CPUs      float64  `json:"cpus"`
@@ -38,12 +38,12 @@
 	ZoneNames []string `json:"paddocks"`
 }
 
-// Catalog lists the machine types.
+// Catalog lists the machine types that the cloud offers.
 type Catalog struct {
 	Types []MachineType `json:"breeds"`
 }
 
-// ProvisionRequest asks the cloud for machines; RequestID makes it idempotent.
+// ProvisionRequest asks the cloud to provision machines. RequestID makes the request idempotent.
 type ProvisionRequest struct {
 	RequestID string `json:"hire"`
 	Type      string `json:"breed"`
@@ -52,12 +52,12 @@
 	Count     int    `json:"count"`
 }
 
-// MachineNames names machines: the answer to a provision request and the body of a deletion.
+// MachineNames lists machines by name. It is the response to a provision request and the body of a delete request.
 type MachineNames struct {
 	Names []string `json:"rigs"`
 }
 
-// Machine is one row of the cloud's list.
+// Machine is one entry of the cloud's list of machines.
 type Machine struct {
 	Name    string       `json:"ref"`
 	Address string       `json:"address"`
@@ -68,7 +68,7 @@
 	AgeS    float64      `json:"heldS"`
 }
 
-// MachineList is one page of the cloud's list.
+// MachineList is one page of the cloud's list of machines.
 type MachineList struct {
 	Machines []Machine `json:"rigs"`
 	More     bool      `json:"more"`
--- a/wire/users.go
+++ b/wire/users.go
@@ -1,26 +1,26 @@
 package wire
 
-// The users' protocol, POST /api/jobs, GET /api/jobs/{ref} and POST /api/jobs/{ref}/abort. Its words in the
-// tags below, and the terms that they stand for:
+// The users' protocol: POST /api/jobs, GET /api/jobs/{ref} and POST /api/jobs/{ref}/abort. The tags below use these
+// words of the protocol for the following terms:
 //
 //	lane          class: jobs with the same service-level objectives
-//	owner         team, whose quota the job counts against
+//	owner         team, against whose quota the job counts
 //	rank          priority
-//	lots          tasks: here their number
+//	lots          tasks: here the number of tasks
 //	accelerators  GPUs
 //	ramGb         memory
 //	kit           container image
-//	breeds        machine types that are allowed
+//	breeds        allowed machine types
 //	paddock       zone
 //	together      all tasks in one zone
 //	scatter       tasks spread over zones
 //	stray         spot machine
 //	reckonS       estimated run time
 //	waypointS     checkpoint interval
-//	stashS        time that saving a checkpoint takes
+//	stashS        time to save a checkpoint
 //	dueS          deadline
 
-// Priority is how important a job is.
+// Priority is the priority of a job.
 type Priority string
 
 // Priorities, highest first.
@@ -31,7 +31,7 @@
 	PriorityBestEffort Priority = "best_effort"
 )
 
-// Rank orders priorities: 0 is the most important, -1 is unknown.
+// Rank returns the position of the priority, from 0 for the highest. It returns -1 for an unknown priority.
 func (p Priority) Rank() int {
 	switch p {
 	case PriorityProduction:
@@ -46,16 +46,16 @@
 	return -1
 }
 
-// Shape says how a job's tasks end.
+// Shape says whether a job is a batch or a service.
 type Shape string
 
-// A batch's tasks each run to completion, a service's replicas run until its user cancels it.
+// Shapes of jobs. The tasks of a batch run to completion. The replicas of a service run until its user cancels it.
 const (
 	ShapeBatch   Shape = "batch"
 	ShapeService Shape = "service"
 )
 
-// JobState is a job's state as its user sees it.
+// JobState is the state of a job that its user sees.
 type JobState string
 
 // Job states. The last two are final.
@@ -66,8 +66,8 @@
 	JobCancelled JobState = "cancelled"
 )
 
-// Job is the specification of a job, as its user submitted it. Controllers store it as JSON and send it to
-// each other as a msgpack map whose keys are the names of the fields.
+// Job is the specification of a job as submitted by its user. Controllers store it as JSON and send it to each other as
+// a msgpack map whose keys are the names of the Go fields.
 type Job struct {
 	Ref         string   `json:"ref"`
 	Class       string   `json:"lane"`
@@ -89,15 +89,15 @@
 	CheckpointS float64  `json:"waypointS"`
 	SaveS       float64  `json:"stashS"`
 	DeadlineS   *float64 `json:"dueS"`
-	// FleetLoad is between controllers only: with an offer, the mean load of the machines that take work
-	// (internal/rebalancer). Left out when load is not rebalanced; a version that does not know it ignores it.
+	// FleetLoad is only sent between controllers. In an offer it is the mean load of the schedulable machines
+	// (internal/rebalancer). It is omitted when rebalancing is off, and versions that do not know it ignore it.
 	FleetLoad float64 `json:"-" msgpack:",omitempty"`
 }
 
-// IsService reports whether the job's tasks run until it is cancelled.
+// IsService reports whether the job is a service, whose replicas run until it is cancelled.
 func (j *Job) IsService() bool { return j.Shape == ShapeService }
 
-// JobSubmission is a submission as received: pointers tell a missing field from zero.
+// JobSubmission is a submission as received. Its fields are pointers to distinguish a missing field from a zero value.
 type JobSubmission struct {
 	Ref         *string   `json:"ref" validate:"required,jobref"`
 	Class       *string   `json:"lane" validate:"required"`
@@ -121,7 +121,7 @@
 	DeadlineS   *float64  `json:"dueS" validate:"omitempty,min=0"`
 }
 
-// Job converts a submission that has passed validation; on any other it may panic.
+// Job converts the submission, which must have passed validation. It may panic on an invalid submission.
 func (s *JobSubmission) Job() Job {
 	job := Job{
 		Ref:         *s.Ref,
@@ -152,8 +152,8 @@
 	return job
 }
 
-// JobStatus answers submissions, polls and cancellations: the job's state and how many of its tasks are
-// completed and running.
+// JobStatus is the response to submissions, status requests and cancellations. It contains the job's state and the
+// numbers of its completed and running tasks.
 type JobStatus struct {
 	Ref     string   `json:"ref"`
 	State   JobState `json:"status"`
@@ -161,7 +161,7 @@
 	Running int      `json:"running"`
 }
 
-// ErrorResponse is the body of an answer that refuses a request.
+// ErrorResponse is the body of a response that refuses a request.
 type ErrorResponse struct {
 	Error string `json:"error"`
 }
