--- a/internal/config/grant.go
+++ b/internal/config/grant.go
@@ -23,7 +23,7 @@
 // cancellation may take. After any controller has confirmed a cancellation, three periods may follow one another:
 //
 //   - for MaxViewAge, a leader that has not seen the cancellation may renew grants,
-//   - for GrantTime, a holder may answer heartbeats under a grant that was renewed last,
+//   - for GrantTime, a holder may answer heartbeats under the grant that was last renewed,
 //   - for AgentLeaseTime, a task keeps running after its agent sent the last heartbeat that was answered.
 //
 // Together they end cancelMargin before cancel_s has passed.
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -14,7 +14,7 @@
 	commandSocketsPercent = 20
 )
 
-// Limits, in bytes, of the data that waits to be sent over the store transport.
+// Limits of the bytes that wait to be sent over the store transport.
 const (
 	minTransportBacklog           = 256 << 10
 	transportBacklogMemoryDivisor = 32 // of the controller's memory
