--- a/.ci/measure/figures.go
+++ b/.ci/measure/figures.go
@@ -10,30 +10,30 @@
 	"unicode/utf8"
 )
 
-// The limits that .golangci.yml sets for code; largeStruct is this program's own.
+// The limits that .golangci.yml sets for code. Only maxStructFields is not set there.
 const (
-	largeStruct    = 20 // fields
-	longFunction   = 50 // lines, with the first and the last
-	complexityMost = 15
-	longFile       = 300 // lines
-	wideLine       = 120 // columns
+	maxStructFields  = 20 // fields
+	maxFunctionLines = 50 // lines, the first and the last included
+	maxComplexity    = 15
+	maxFileLines     = 300 // lines
+	maxLineColumns   = 120 // columns
 )
 
-// finding is a piece of code with its measure.
+// finding is a piece of code with its measured value.
 type finding struct {
 	name  string
 	value int
 }
 
-// figures are what is measured of the code without tests.
+// figures holds the measurements of the code without tests.
 type figures struct {
-	lines     map[string]int // by directory
-	structs   []finding
-	functions []finding
-	complex   []finding
-	files     []finding
-	wideLines int
-	usesOfAny int
+	lines            map[string]int // by directory
+	largeStructs     []finding
+	longFunctions    []finding
+	complexFunctions []finding
+	longFiles        []finding
+	overlongLines    int
+	usesOfAny        int
 }
 
 func newFigures() *figures {
@@ -42,10 +42,10 @@
 
 func (s *figures) add(file *sourceFile) {
 	s.lines[file.directory()] += len(file.lines)
-	s.files = appendOver(s.files, longFile, finding{file.path, len(file.lines)})
+	s.longFiles = appendOver(s.longFiles, maxFileLines, finding{file.path, len(file.lines)})
 	for _, line := range file.lines {
-		if utf8.RuneCountInString(line) > wideLine {
-			s.wideLines++
+		if utf8.RuneCountInString(line) > maxLineColumns {
+			s.overlongLines++
 		}
 	}
 	ast.Inspect(file.tree, func(node ast.Node) bool {
@@ -63,7 +63,7 @@
 	case *ast.TypeSpec:
 		if structure, ok := node.Type.(*ast.StructType); ok {
 			name := file.tree.Name.Name + "." + node.Name.Name
-			s.structs = appendOver(s.structs, largeStruct, finding{name, countFields(structure)})
+			s.largeStructs = appendOver(s.largeStructs, maxStructFields, finding{name, countFields(structure)})
 		}
 	case *ast.FuncDecl:
 		if node.Body == nil {
@@ -71,19 +71,20 @@
 		}
 		name := file.directory() + " " + node.Name.Name
 		lines := file.line(node.End()) - file.line(node.Pos()) + 1
-		s.functions = appendOver(s.functions, longFunction, finding{name, lines})
-		s.complex = appendOver(s.complex, complexityMost, finding{name, complexity(node)})
+		s.longFunctions = appendOver(s.longFunctions, maxFunctionLines, finding{name, lines})
+		s.complexFunctions = appendOver(s.complexFunctions, maxComplexity, finding{name, complexity(node)})
 	}
 }
 
-func appendOver(findings []finding, limit int, found finding) []finding {
-	if found.value > limit {
-		findings = append(findings, found)
+// appendOver appends a finding if its value exceeds the limit.
+func appendOver(findings []finding, limit int, candidate finding) []finding {
+	if candidate.value > limit {
+		findings = append(findings, candidate)
 	}
 	return findings
 }
 
-// countFields counts the names of a struct's fields; an embedded field has one.
+// countFields counts the field names of a struct. An embedded field counts as one.
 func countFields(structure *ast.StructType) int {
 	count := 0
 	for _, field := range structure.Fields.List {
@@ -92,7 +93,7 @@
 	return count
 }
 
-// complexity is a function's cyclomatic complexity: one more than its branches.
+// complexity returns a function's cyclomatic complexity: its number of branches plus one.
 func complexity(function *ast.FuncDecl) int {
 	count := 1
 	ast.Inspect(function, func(node ast.Node) bool {
@@ -127,15 +128,15 @@
 	}
 	fmt.Fprintf(out, "lines without tests: %d; largest package %s: %d (%.1f%%)\n",
 		total, largest.name, largest.value, 100*float64(largest.value)/float64(total))
-	printFindings(out, fmt.Sprintf("structs of over %d fields", largeStruct), s.structs)
-	printFindings(out, fmt.Sprintf("functions over %d lines", longFunction), s.functions)
-	printFindings(out, fmt.Sprintf("cyclomatic complexity over %d", complexityMost), s.complex)
-	printFindings(out, fmt.Sprintf("files over %d lines", longFile), s.files)
-	fmt.Fprintf(out, "lines over %d columns: %d\n", wideLine, s.wideLines)
+	printFindings(out, fmt.Sprintf("structs of over %d fields", maxStructFields), s.largeStructs)
+	printFindings(out, fmt.Sprintf("functions over %d lines", maxFunctionLines), s.longFunctions)
+	printFindings(out, fmt.Sprintf("cyclomatic complexity over %d", maxComplexity), s.complexFunctions)
+	printFindings(out, fmt.Sprintf("files over %d lines", maxFileLines), s.longFiles)
+	fmt.Fprintf(out, "lines over %d columns: %d\n", maxLineColumns, s.overlongLines)
 	fmt.Fprintf(out, "uses of any: %d\n", s.usesOfAny)
 }
 
-// printFindings prints how many findings there are, and then each of them, the greatest first.
+// printFindings prints the number of findings, and then each of them, largest first.
 func printFindings(out io.Writer, title string, findings []finding) {
 	slices.SortStableFunc(findings, func(a, b finding) int {
 		if a.value != b.value {
@@ -144,7 +145,7 @@
 		return strings.Compare(a.name, b.name)
 	})
 	fmt.Fprintf(out, "%s: %d\n", title, len(findings))
-	for _, found := range findings {
-		fmt.Fprintf(out, "  %4d %s\n", found.value, found.name)
+	for _, item := range findings {
+		fmt.Fprintf(out, "  %4d %s\n", item.value, item.name)
 	}
 }
--- a/.ci/measure/main.go
+++ b/.ci/measure/main.go
@@ -1,5 +1,5 @@
-// Command measure prints figures of how readable the repository's Go code is. Tests are left out of all
-// but the last ones. Run it by .ci/figures, in the repository's root.
+// Command measure prints readability figures of the repository's Go code. Only the last line covers tests.
+// Run it through .ci/figures, which starts it in the repository's root.
 package main
 
 import (
@@ -14,10 +14,10 @@
 		log.Fatal(err)
 	}
 	code := newFigures()
-	tests := 0
+	testCount := 0
 	for _, file := range files {
 		if file.isTest() {
-			tests += file.testFunctions()
+			testCount += file.testFunctions()
 			continue
 		}
 		code.add(file)
@@ -28,5 +28,5 @@
 	}
 	code.print(os.Stdout)
 	fmt.Printf("tests: functions %d, scenario files %d, directives in scenarios %d\n",
-		tests, scenarios.files, scenarios.directives)
+		testCount, scenarios.files, scenarios.directives)
 }
--- a/.ci/measure/source.go
+++ b/.ci/measure/source.go
@@ -13,14 +13,14 @@
 
 // sourceFile is a parsed Go file.
 type sourceFile struct {
-	path      string
-	lines     []string
-	tree      *ast.File
-	positions *token.FileSet
+	path    string
+	lines   []string
+	tree    *ast.File
+	fileSet *token.FileSet
 }
 
-// parseRepository parses the Go files below root. Like the go command's "./...", it passes over directories
-// that begin with a dot.
+// parseRepository parses the Go files below root. Like the go command's "./...", it skips directories whose
+// names begin with a dot.
 func parseRepository(root string) ([]*sourceFile, error) {
 	var files []*sourceFile
 	err := walk(root, func(path string) error {
@@ -53,22 +53,22 @@
 	if err != nil {
 		return nil, err
 	}
-	positions := token.NewFileSet()
-	tree, err := parser.ParseFile(positions, path, text, parser.SkipObjectResolution)
+	fileSet := token.NewFileSet()
+	tree, err := parser.ParseFile(fileSet, path, text, parser.SkipObjectResolution)
 	if err != nil {
 		return nil, err
 	}
 	lines := strings.Split(strings.TrimSuffix(string(text), "\n"), "\n")
-	return &sourceFile{path: path, lines: lines, tree: tree, positions: positions}, nil
+	return &sourceFile{path: path, lines: lines, tree: tree, fileSet: fileSet}, nil
 }
 
 func (f *sourceFile) isTest() bool { return strings.HasSuffix(f.path, "_test.go") }
 
 func (f *sourceFile) directory() string { return filepath.Dir(f.path) }
 
-func (f *sourceFile) line(position token.Pos) int { return f.positions.Position(position).Line }
+func (f *sourceFile) line(position token.Pos) int { return f.fileSet.Position(position).Line }
 
-// testFunctions counts the tests, fuzz tests and benchmarks of the file.
+// testFunctions counts the tests, fuzz tests and benchmarks in the file.
 func (f *sourceFile) testFunctions() int {
 	count := 0
 	for _, declaration := range f.tree.Decls {
@@ -84,7 +84,7 @@
 	return strings.HasPrefix(name, "Test") || strings.HasPrefix(name, "Fuzz") || strings.HasPrefix(name, "Benchmark")
 }
 
-// scenarioCount counts the scenarios, which are text files in directories named testdata.
+// scenarioCount is the number of scenario files, text files in directories named testdata, and of their directives.
 type scenarioCount struct {
 	files      int
 	directives int // each is followed by a line that begins with "----"
