--- a/internal/compat/compat_test.go
+++ b/internal/compat/compat_test.go
@@ -29,37 +29,38 @@
 	return raw
 }
 
-// codec is one of the two ways in which forms cross versions.
+// codec is one of the two encodings that are exchanged between versions.
 type codec struct {
 	ext       string
-	forms     []form
+	samples   []sample
 	marshal   func(any) ([]byte, error)
 	unmarshal func([]byte, any) error
 }
 
 func codecs() []codec {
 	return []codec{
-		{".json", jsonForms(), goccy.Marshal, func(raw []byte, v any) error { return goccy.Unmarshal(raw, v) }},
-		{".msgpack", messageForms(), msgpack.Marshal, msgpack.Unmarshal},
+		{".json", storedSamples(), goccy.Marshal, func(raw []byte, v any) error { return goccy.Unmarshal(raw, v) }},
+		{".msgpack", messageSamples(), msgpack.Marshal, msgpack.Unmarshal},
 	}
 }
 
-// What the version in production wrote means here what it meant there.
+// TestReadsWhatProductionWrote checks that the samples that the version in production wrote decode to the values that
+// they had there.
 func TestReadsWhatProductionWrote(t *testing.T) {
 	for _, c := range codecs() {
-		for _, f := range c.forms {
-			got := reflect.New(reflect.TypeOf(f.value))
-			if err := c.unmarshal(testdata(t, f.name+c.ext), got.Interface()); err != nil {
-				t.Errorf("%s: %v", f.name, err)
-			} else if !reflect.DeepEqual(got.Elem().Interface(), f.value) {
-				t.Errorf("%s is read as %+v", f.name, got.Elem())
+		for _, s := range c.samples {
+			got := reflect.New(reflect.TypeOf(s.value))
+			if err := c.unmarshal(testdata(t, s.name+c.ext), got.Interface()); err != nil {
+				t.Errorf("%s: %v", s.name, err)
+			} else if !reflect.DeepEqual(got.Elem().Interface(), s.value) {
+				t.Errorf("%s decodes to %+v", s.name, got.Elem())
 			}
 		}
 	}
 }
 
-// oldForms are empty values of the frozen forms.
-func oldForms() map[string]func() any {
+// newFrozenValues returns, by sample name, functions that make an empty value of the frozen type.
+func newFrozenValues() map[string]func() any {
 	return map[string]func() any{
 		"leader": func() any { return &oldLeaderRecord{} }, "layout": func() any { return &oldLayoutRecord{} },
 		"catalog": func() any { return &oldCatalog{} }, "job": func() any { return &oldJobRecord{} },
@@ -70,76 +71,77 @@
 	}
 }
 
-// What this version writes is read by the version in production as if that had written it,
-// and what it makes of that, written again, is what there was.
-func TestProductionReadsWhatIsWritten(t *testing.T) {
+// TestProductionReadsWhatThisVersionWrites checks that the version in production decodes the output of this version like
+// its own, and that it encodes the result to the original bytes again.
+func TestProductionReadsWhatThisVersionWrites(t *testing.T) {
 	for _, c := range codecs() {
-		for _, f := range c.forms {
-			raw, err := c.marshal(f.value)
+		for _, s := range c.samples {
+			raw, err := c.marshal(s.value)
 			if err != nil {
 				t.Fatal(err)
 			}
-			old := testdata(t, f.name+c.ext)
-			got, want := oldForms()[f.name](), oldForms()[f.name]()
+			productionBytes := testdata(t, s.name+c.ext)
+			got, want := newFrozenValues()[s.name](), newFrozenValues()[s.name]()
 			if err := c.unmarshal(raw, got); err != nil {
-				t.Errorf("%s: %v", f.name, err)
+				t.Errorf("%s: %v", s.name, err)
 			}
-			if err := c.unmarshal(old, want); err != nil {
+			if err := c.unmarshal(productionBytes, want); err != nil {
 				t.Fatal(err)
 			}
 			if !reflect.DeepEqual(got, want) {
-				t.Errorf("%s is read as %+v", f.name, got)
+				t.Errorf("%s decodes to %+v in production", s.name, got)
 			}
-			if again, err := c.marshal(got); err != nil || !bytes.Equal(again, old) {
-				t.Errorf("%s is passed on as %q, %v", f.name, again, err)
+			if again, err := c.marshal(got); err != nil || !bytes.Equal(again, productionBytes) {
+				t.Errorf("%s is encoded again as %q, %v", s.name, again, err)
 			}
 		}
 	}
 }
 
-// Arrays of fields are refused by their reader when they have a field more or less, so a
-// field must never be added to a message: this is what would happen.
-func TestAFieldMoreIsRefused(t *testing.T) {
-	type longer struct {
+// TestAdditionalArrayFieldIsRefused shows why no field may ever be added to a message: the decoder refuses an array with
+// more or fewer fields than the struct has.
+func TestAdditionalArrayFieldIsRefused(t *testing.T) {
+	type longerHello struct {
 		_msgpack struct{} `msgpack:",as_array"`
 		Node     string
 		Run      uint64
 		Epoch    uint64
 		More     bool
 	}
-	raw, err := msgpack.Marshal(longer{Node: "n1"})
+	raw, err := msgpack.Marshal(longerHello{Node: "n1"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if msgpack.Unmarshal(raw, &oldHello{}) == nil {
-		t.Error("a longer array was read: messages may grow after all, see internal/peer")
+		t.Error("a longer array was decoded: messages may get new fields after all, see internal/peer")
 	}
 }
 
-// A service needs no form of its own: an older reader takes it for a batch whose tasks
-// never complete, which is what going back would mean.
-func TestProductionReadsAService(t *testing.T) {
+// TestProductionReadsService checks that a service needs no encoding of its own. The version in production reads it as
+// a batch job whose tasks never complete, which is also what a rollback would mean.
+func TestProductionReadsService(t *testing.T) {
 	service := wire.Job{Ref: "j-000413", Team: "vision", Shape: wire.ShapeService, Priority: wire.PriorityProduction, Tasks: 3, CPUs: 2}
 	raw, err := goccy.Marshal(leader.JobRecord{Spec: service})
 	if err != nil {
 		t.Fatal(err)
 	}
-	var r oldJobRecord
-	if err := goccy.Unmarshal(raw, &r); err != nil || r.Spec.Tasks != 3 || r.Spec.EstimateS != 0 {
-		t.Errorf("a service's record is read as %+v, %v", r, err)
+	var record oldJobRecord
+	if err := goccy.Unmarshal(raw, &record); err != nil || record.Spec.Tasks != 3 || record.Spec.EstimateS != 0 {
+		t.Errorf("the record of a service decodes to %+v, %v", record, err)
 	}
 	raw, err = msgpack.Marshal(peer.FromLeader{Orders: []peer.ShardOrders{{Offers: []peer.TaskOffer{{Job: service, TaskIndexes: []int{0}}}}}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	var d oldDown
-	if err := msgpack.Unmarshal(raw, &d); err != nil || d.Orders[0].Offers[0].Job.Ref != service.Ref {
-		t.Errorf("an offer of a service is read as %+v, %v", d, err)
+	var down oldDown
+	if err := msgpack.Unmarshal(raw, &down); err != nil || down.Orders[0].Offers[0].Job.Ref != service.Ref {
+		t.Errorf("an offer of a service decodes to %+v, %v", down, err)
 	}
 }
 
-// Machines belong to blocks, tokens and attempts grow and grants last as they did.
-func TestChoicesStay(t *testing.T) {
+// TestChoicesAreUnchanged checks that the mapping of machines to shards, the keys, the numbering of attempts, the size of
+// progress chunks and the grant time are the same as in production.
+func TestChoicesAreUnchanged(t *testing.T) {
 	raw, err := json.MarshalIndent(currentChoices(), "", "  ")
 	if err != nil {
 		t.Fatal(err)
@@ -149,19 +151,20 @@
 	}
 }
 
-// The version in production refuses operators' settings with a key that it does not know.
-func TestProductionReadsTheOperatorsFile(t *testing.T) {
+// TestProductionReadsOperatorSettings checks that deploy/swiftledge.yaml has only keys that the version in production
+// knows, because it refuses the file otherwise.
+func TestProductionReadsOperatorSettings(t *testing.T) {
 	raw, err := os.ReadFile(filepath.Join("..", "..", "deploy", "swiftledge.yaml"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	var old oldTuning
-	dec := yaml.NewDecoder(strings.NewReader(string(raw)))
-	dec.KnownFields(true)
-	if err := dec.Decode(&old); err != nil {
+	var tuning oldTuning
+	decoder := yaml.NewDecoder(strings.NewReader(string(raw)))
+	decoder.KnownFields(true)
+	if err := decoder.Decode(&tuning); err != nil {
 		t.Error(err)
 	}
-	if old.Grants.Blocks == 0 {
-		t.Error("the file names no blocks")
+	if tuning.Grants.Blocks == 0 {
+		t.Error("swiftledge.yaml does not set grants.blocks")
 	}
 }
--- a/internal/compat/exact_test.go
+++ b/internal/compat/exact_test.go
@@ -21,27 +21,28 @@
 	"swiftledge/wire"
 )
 
-// recordExact writes testdata/exact.txt as this version encodes the values.
+// recordExact makes the tests write testdata/exact.txt and status_output.json as this version encodes the values.
 var recordExact = flag.Bool("record-exact", false, "write testdata/exact.txt")
 
 const exactFile = "exact.txt"
 
-// exactForm is a value of one of the protocols, whose bytes are a line of testdata/exact.txt.
-type exactForm struct {
+// exactSample is a value that one of the protocols transfers. Its bytes are a line of testdata/exact.txt.
+type exactSample struct {
 	name  string
 	value any
 }
 
 var (
-	notice   = 12.5
-	grace    = 4.0
-	rawValue = json.RawMessage(`{"node":"n1","run":77}`)
+	preemptionNoticeS = 12.5
+	graceS            = 4.0
+	rawValue          = json.RawMessage(`{"node":"n1","run":77}`)
 )
 
-// protocolForms are the JSON bodies of the four protocols, filled and empty, and the platform's settings.
-func protocolForms() []exactForm {
-	return []exactForm{
-		{"Job", batch},
+// protocolSamples returns the JSON bodies of the four protocols and the platform's settings, each with all fields set
+// and empty.
+func protocolSamples() []exactSample {
+	return []exactSample{
+		{"Job", batchJob},
 		{"Job/empty", wire.Job{}},
 		{"JobStatus", wire.JobStatus{Ref: "j-000412", State: wire.JobRunning, Done: 3, Running: 13}},
 		{"JobStatus/empty", wire.JobStatus{}},
@@ -57,7 +58,7 @@
 				AgentEpoch:        5,
 				Seq:               6,
 				FencingToken:      7<<12 | 3,
-				PreemptionNoticeS: &notice,
+				PreemptionNoticeS: &preemptionNoticeS,
 				Tasks: []wire.TaskStatus{
 					{Task: "j-000412/3", Attempt: 9, State: wire.TaskExited, Cause: wire.ExitDone, Checkpointed: true},
 				},
@@ -68,7 +69,7 @@
 			"ReportAnswer",
 			wire.HeartbeatResponse{
 				FencingToken: 7<<12 | 3,
-				Commands:     []wire.Command{{Verb: wire.VerbKill, Task: "j-000412/3", Attempt: 9, GraceS: &grace}},
+				Commands:     []wire.Command{{Verb: wire.VerbKill, Task: "j-000412/3", Attempt: 9, GraceS: &graceS}},
 			},
 		},
 		{"ReportAnswer/empty", wire.HeartbeatResponse{}},
@@ -137,29 +138,29 @@
 	}
 }
 
-// platformSettings has every key that the platform's file may hold.
+// platformSettings returns settings with every key that the platform's file may contain.
 func platformSettings() config.Settings {
-	s := config.Settings{
+	settings := config.Settings{
 		Name:          "c0",
 		Zone:          "a",
 		ListenAddress: "127.0.0.1:1",
 		PeerAddress:   "127.0.0.1:2",
 		Peers:         []config.Peer{{Name: "c1", Zone: "b", Address: "127.0.0.1:3"}},
 	}
-	s.Endpoints.Cloud, s.Endpoints.State = "127.0.0.1:4", "127.0.0.1:5"
-	f := &s.Facts
-	f.InitialSize, f.Zones, f.SkewMs = 3, []string{"a", "b"}, 10
-	f.Teams = []config.Team{{Name: "vision", CPUs: 1, CPUsMax: 2, GPUs: 3, GPUsMax: 4}}
-	f.Objectives = []config.Objective{{Kind: "wait", Class: "train", WithinS: 60, Share: 0.9}}
-	f.Workers.ReportS, f.Workers.LeaseS, f.Workers.CancelS = 3, 22, 52
-	f.State.RPS, f.State.WriteRPS, f.State.ValueKB, f.State.TxnOps = 100, 20, 8, 16
-	f.State.Next = &config.Next{WriteRPS: 10, ValueKB: 4, TxnOps: 8}
-	f.Cloud.RPS, f.Cloud.ListLagS = 5, 4
-	f.Quota.CPU, f.Quota.MemMB, f.Quota.MaxSockets = 0.1, 125, 100
-	return s
+	settings.Endpoints.Cloud, settings.Endpoints.State = "127.0.0.1:4", "127.0.0.1:5"
+	facts := &settings.Facts
+	facts.InitialSize, facts.Zones, facts.SkewMs = 3, []string{"a", "b"}, 10
+	facts.Teams = []config.Team{{Name: "vision", CPUs: 1, CPUsMax: 2, GPUs: 3, GPUsMax: 4}}
+	facts.Objectives = []config.Objective{{Kind: "wait", Class: "train", WithinS: 60, Share: 0.9}}
+	facts.Workers.ReportS, facts.Workers.LeaseS, facts.Workers.CancelS = 3, 22, 52
+	facts.State.RPS, facts.State.WriteRPS, facts.State.ValueKB, facts.State.TxnOps = 100, 20, 8, 16
+	facts.State.Next = &config.Next{WriteRPS: 10, ValueKB: 4, TxnOps: 8}
+	facts.Cloud.RPS, facts.Cloud.ListLagS = 5, 4
+	facts.Quota.CPU, facts.Quota.MemMB, facts.Quota.MaxSockets = 0.1, 125, 100
+	return settings
 }
 
-// fullStatus has every field that a status may tell.
+// fullStatus returns a status with every field set.
 func fullStatus() peer.Status {
 	return peer.Status{
 		Controller:  "c0",
@@ -217,12 +218,12 @@
 	}
 }
 
-// messagePackForms travel between controllers and have no sample of the version in production.
-func messagePackForms() []exactForm {
-	spread := batch
-	spread.FleetLoad = 0.5
-	return []exactForm{
-		{"Offer/spread", peer.TaskOffer{Job: spread, Zone: "a", TaskIndexes: []int{3, 4}}},
+// msgpackSamples returns values that controllers send each other and of which no sample from production exists.
+func msgpackSamples() []exactSample {
+	rebalancedJob := batchJob
+	rebalancedJob.FleetLoad = 0.5
+	return []exactSample{
+		{"Offer/spread", peer.TaskOffer{Job: rebalancedJob, Zone: "a", TaskIndexes: []int{3, 4}}},
 		{"Offer/empty", peer.TaskOffer{}},
 		{"MachineType/empty", wire.MachineType{}},
 		{"Hello/empty", peer.Hello{}},
@@ -246,7 +247,7 @@
 	}
 }
 
-// exactLines reads the expected bytes: a name and a text on each line.
+// exactLines returns the lines of testdata/exact.txt: the expected text of each name.
 func exactLines(t *testing.T) map[string]string {
 	t.Helper()
 	lines := map[string]string{}
@@ -257,18 +258,18 @@
 	return lines
 }
 
-// decodesTo fails the test unless bytes are read as the value that they were made from.
-func decodesTo(t *testing.T, raw []byte, want any, unmarshal func([]byte, any) error) {
+// checkDecodes fails the test unless the bytes decode to the value that they were encoded from.
+func checkDecodes(t *testing.T, raw []byte, want any, unmarshal func([]byte, any) error) {
 	t.Helper()
 	got := reflect.New(reflect.TypeOf(want))
 	if err := unmarshal(raw, got.Interface()); err != nil {
 		t.Error(err)
 	} else if !reflect.DeepEqual(got.Elem().Interface(), want) {
-		t.Errorf("read as %+v", got.Elem())
+		t.Errorf("decoded as %+v", got.Elem())
 	}
 }
 
-// jsonEncoders are the two in use, by name.
+// jsonEncoders returns the two JSON encoders in use, by name.
 func jsonEncoders() map[string]func(any) ([]byte, error) {
 	return map[string]func(any) ([]byte, error){
 		"encoding/json": json.Marshal,
@@ -276,80 +277,82 @@
 	}
 }
 
-// The JSON of the protocols has these bytes and no others, by either of the encoders in use.
+// TestProtocolBytes checks that both JSON encoders in use write exactly the expected bytes of the protocols.
 func TestProtocolBytes(t *testing.T) {
 	lines := exactLines(t)
-	for _, f := range protocolForms() {
-		t.Run(f.name, func(t *testing.T) {
-			want := lines["json:"+f.name]
+	for _, s := range protocolSamples() {
+		t.Run(s.name, func(t *testing.T) {
+			want := lines["json:"+s.name]
 			for name, marshal := range jsonEncoders() {
-				if raw, err := marshal(f.value); err != nil || string(raw) != want {
-					t.Errorf("%s writes %s, %v, want %s", name, raw, err, want)
+				if raw, err := marshal(s.value); err != nil || string(raw) != want {
+					t.Errorf("%s encodes %s, %v, want %s", name, raw, err, want)
 				}
 			}
-			decodesTo(t, []byte(want), f.value, json.Unmarshal)
-			decodesTo(t, []byte(want), f.value, func(raw []byte, v any) error { return goccy.Unmarshal(raw, v) })
+			checkDecodes(t, []byte(want), s.value, json.Unmarshal)
+			checkDecodes(t, []byte(want), s.value, func(raw []byte, v any) error { return goccy.Unmarshal(raw, v) })
 		})
 	}
 }
 
-// Messages have these bytes: jobs and machine types have the names of their Go fields as keys.
+// TestMessageBytes checks the exact bytes of messages. Jobs and machine types have the names of their Go fields as keys.
 func TestMessageBytes(t *testing.T) {
 	lines := exactLines(t)
-	for _, f := range messagePackForms() {
-		t.Run(f.name, func(t *testing.T) {
-			want := lines["msgpack:"+f.name]
-			raw, err := msgpack.Marshal(f.value)
+	for _, s := range msgpackSamples() {
+		t.Run(s.name, func(t *testing.T) {
+			want := lines["msgpack:"+s.name]
+			raw, err := msgpack.Marshal(s.value)
 			if err != nil || hex.EncodeToString(raw) != want {
-				t.Errorf("written as %x, %v, want %s", raw, err, want)
+				t.Errorf("encoded as %x, %v, want %s", raw, err, want)
 			}
-			old, err := hex.DecodeString(want)
+			wantBytes, err := hex.DecodeString(want)
 			if err != nil {
 				t.Fatal(err)
 			}
-			decodesTo(t, old, f.value, msgpack.Unmarshal)
+			checkDecodes(t, wantBytes, s.value, msgpack.Unmarshal)
 		})
 	}
 }
 
-// What `swiftledge status --json` prints is read by operators' own tools.
+// TestStatusJSONBytes checks the exact output of `swiftledge status --json`, which operators' own tools read.
 func TestStatusJSONBytes(t *testing.T) {
-	full := fullStatus()
-	all := []status.Controller{
-		{Name: "c0", Address: "127.0.0.1:2", Status: &full},
+	statusOfC0 := fullStatus()
+	controllers := []status.Controller{
+		{Name: "c0", Address: "127.0.0.1:2", Status: &statusOfC0},
 		{Name: "c1", Address: "127.0.0.1:3", Problem: "no answer"},
 		{Name: "c2", Address: "127.0.0.1:4", Status: &peer.Status{}},
 	}
 	var out bytes.Buffer
-	if err := status.WriteJSON(&out, all); err != nil {
+	if err := status.WriteJSON(&out, controllers); err != nil {
 		t.Fatal(err)
 	}
 	if *recordExact {
-		write(t, "status_output.json", out.Bytes(), nil)
+		writeTestdata(t, "status_output.json", out.Bytes(), nil)
 	}
 	if want := testdata(t, "status_output.json"); !bytes.Equal(out.Bytes(), want) {
 		t.Errorf("printed\n%s", out.String())
 	}
-	decodesTo(t, out.Bytes(), all, json.Unmarshal)
+	checkDecodes(t, out.Bytes(), controllers, json.Unmarshal)
 }
 
-// The samples of the version in production are what this version writes, byte for byte.
-func TestSamplesAreWrittenAsProductionWroteThem(t *testing.T) {
+// TestSamplesEncodeAsProductionWroteThem checks that this version encodes the samples to the same bytes as the version
+// in production.
+func TestSamplesEncodeAsProductionWroteThem(t *testing.T) {
 	for _, c := range codecs() {
-		for _, f := range c.forms {
-			t.Run(f.name, func(t *testing.T) {
-				raw, err := c.marshal(f.value)
-				if want := testdata(t, f.name+c.ext); err != nil || !bytes.Equal(raw, want) {
-					t.Errorf("written as %q, %v, want %q", raw, err, want)
+		for _, s := range c.samples {
+			t.Run(s.name, func(t *testing.T) {
+				raw, err := c.marshal(s.value)
+				if want := testdata(t, s.name+c.ext); err != nil || !bytes.Equal(raw, want) {
+					t.Errorf("encoded as %q, %v, want %q", raw, err, want)
 				}
 			})
 		}
 	}
 }
 
-// A field that a sample leaves empty would not be missed when it is renamed.
+// TestSamplesFillEveryField checks that the samples set every field. The other tests cannot detect a renamed field that
+// is empty in all samples.
 func TestSamplesFillEveryField(t *testing.T) {
-	// Of two that exclude each other, or that production does not know.
+	// Fields that exclude each other, and fields that the version in production does not have.
 	exempt := []string{
 		"Job.FleetLoad",
 		"Write.Lease",
@@ -362,29 +365,29 @@
 		"ProgressChunk.Chunk",
 		"Command.GraceS",
 	}
-	var values []exactForm
+	var values []exactSample
 	for _, c := range codecs() {
-		for _, f := range c.forms {
-			values = append(values, exactForm(f))
+		for _, s := range c.samples {
+			values = append(values, exactSample(s))
 		}
 	}
-	for _, f := range slices.Concat(protocolForms(), messagePackForms()) {
-		if !strings.Contains(f.name, "/") {
-			values = append(values, f)
+	for _, s := range slices.Concat(protocolSamples(), msgpackSamples()) {
+		if !strings.Contains(s.name, "/") {
+			values = append(values, s)
 		}
 	}
-	for _, f := range values {
-		t.Run(f.name, func(t *testing.T) {
-			for _, name := range emptyFields(reflect.ValueOf(f.value)) {
+	for _, s := range values {
+		t.Run(s.name, func(t *testing.T) {
+			for _, name := range emptyFields(reflect.ValueOf(s.value)) {
 				if !slices.Contains(exempt, name) {
-					t.Errorf("%s is empty", name)
+					t.Errorf("field %s is empty", name)
 				}
 			}
 		})
 	}
 }
 
-// emptyFields names the fields of a value that hold nothing, each after its type.
+// emptyFields returns the names of the zero fields of a value, each with the name of its type before it.
 func emptyFields(v reflect.Value) (names []string) {
 	kind := v.Kind()
 	switch {
@@ -408,7 +411,7 @@
 	return names
 }
 
-// elements are the values of a map or, if it holds structs, of a slice. Numbers may be zero there.
+// elements returns the structs in a map or a slice. It leaves out other elements, such as numbers, which may be zero.
 func elements(v reflect.Value) (values []reflect.Value) {
 	for _, e := range v.Seq2() {
 		if e.Kind() == reflect.Struct {
@@ -420,22 +423,22 @@
 
 func TestRecordExact(t *testing.T) {
 	if !*recordExact {
-		t.Skip("only on demand")
+		t.Skip("runs only with -record-exact")
 	}
 	var out strings.Builder
-	for _, f := range protocolForms() {
-		raw, err := json.Marshal(f.value)
+	for _, s := range protocolSamples() {
+		raw, err := json.Marshal(s.value)
 		if err != nil {
 			t.Fatal(err)
 		}
-		out.WriteString("json:" + f.name + " " + string(raw) + "\n")
+		out.WriteString("json:" + s.name + " " + string(raw) + "\n")
 	}
-	for _, f := range messagePackForms() {
-		raw, err := msgpack.Marshal(f.value)
+	for _, s := range msgpackSamples() {
+		raw, err := msgpack.Marshal(s.value)
 		if err != nil {
 			t.Fatal(err)
 		}
-		out.WriteString("msgpack:" + f.name + " " + hex.EncodeToString(raw) + "\n")
+		out.WriteString("msgpack:" + s.name + " " + hex.EncodeToString(raw) + "\n")
 	}
 	if err := os.WriteFile(filepath.Join("testdata", exactFile), []byte(out.String()), 0o644); err != nil {
 		t.Fatal(err)
--- a/internal/compat/frozen_test.go
+++ b/internal/compat/frozen_test.go
@@ -2,9 +2,9 @@
 
 package compat
 
-// The forms as the version in production has them (commit in deploy/service.toml). They are
-// never changed: they stand for a reader that knows nothing of what came later. That is why the fields have
-// production's names, and not the terms of today.
+// These are the types of stored values and messages as the version in production declares them (commit in
+// deploy/service.toml). They never change: they stand for a reader that does not know any later change. That is why
+// the fields have production's names, and not the current terms.
 
 type oldHello struct {
 	_msgpack struct{} `msgpack:",as_array"`
@@ -138,7 +138,7 @@
 	Epoch    uint64
 	Renew    uint64
 	StoreOK  bool
-	Blind    bool // production's name of NoAgentContact
+	Blind    bool // production's name for NoAgentContact
 	Updates  []oldBlockUpdate
 }
 
@@ -231,7 +231,7 @@
 	Run  uint64 `json:"run"`
 }
 
-// oldTuning is the operators' file: a key that it does not have is refused.
+// oldTuning is the operators' settings file. The decoder refuses a key that the type does not have.
 type oldTuning struct {
 	Placement struct {
 		K       float64 `yaml:"k"`
--- a/internal/compat/samples_test.go
+++ b/internal/compat/samples_test.go
@@ -18,19 +18,19 @@
 	"swiftledge/wire"
 )
 
-// record writes the samples as this version encodes them. It was used once, with this
-// file copied into a checkout of the version in production; see testdata/README.md.
+// record makes TestRecord write the samples as the checked-out version encodes them. It was used once, with this file
+// copied into a checkout of the version in production (see testdata/README.md).
 var record = flag.Bool("record", false, "write testdata")
 
-// form is one thing that crosses versions: a store value or a message.
-type form struct {
+// sample is a stored value or a message that one version writes and another reads.
+type sample struct {
 	name  string
-	value any // as this version has it
+	value any // of this version's type
 }
 
-var due = 90.5
+var deadlineS = 90.5
 
-var batch = wire.Job{
+var batchJob = wire.Job{
 	Ref:         "j-000412",
 	Class:       "train",
 	Team:        "vision",
@@ -50,10 +50,10 @@
 	EstimateS:   240,
 	CheckpointS: 30,
 	SaveS:       4,
-	DeadlineS:   &due,
+	DeadlineS:   &deadlineS,
 }
 
-var page = peer.AttemptPage{
+var attemptPage = peer.AttemptPage{
 	FencingToken: 7<<12 | 3,
 	Prefix:       "host-0000",
 	Machines:     []string{"01", "02"},
@@ -86,13 +86,13 @@
 	ZoneNames: []string{"a", "b"},
 }
 
-// jsonForms are the values in the state service.
-func jsonForms() []form {
-	return []form{
+// storedSamples returns samples of the values in the state service.
+func storedSamples() []sample {
+	return []sample{
 		{"leader", election.Record{Controller: "n1", Incarnation: 77}},
 		{"layout", leader.LayoutRecord{Shards: 6}},
 		{"catalog", wire.Catalog{Types: []wire.MachineType{g8}}},
-		{"job", leader.JobRecord{Spec: batch, AcceptedAt: 1234567}},
+		{"job", leader.JobRecord{Spec: batchJob, AcceptedAt: 1234567}},
 		{"over", leader.FinalStateRecord{State: wire.JobDone, Tasks: 16}},
 		{
 			"prog",
@@ -104,7 +104,7 @@
 			},
 		},
 		{"block", leader.ShardRecord{FencingToken: 7<<12 | 3, Holder: "n2", Incarnation: 78}},
-		{"run", page},
+		{"run", attemptPage},
 		{
 			"fleet",
 			leader.InstanceGroupRecord{
@@ -116,10 +116,10 @@
 	}
 }
 
-// messageForms go between controllers.
-func messageForms() []form {
+// messageSamples returns samples of the messages between controllers.
+func messageSamples() []sample {
 	task := peer.Task{Job: "j-000412", Index: 3}
-	return []form{
+	return []sample{
 		{"hello", peer.Hello{Controller: "n1", Incarnation: 77, Term: 7}},
 		{
 			"up",
@@ -173,7 +173,7 @@
 						Shard:        2,
 						FencingToken: 7<<12 | 3,
 						KeyVersion:   99,
-						Pages:        map[string]peer.AttemptPage{"run/002/28675-1": page},
+						Pages:        map[string]peer.AttemptPage{"run/002/28675-1": attemptPage},
 						Machines:     []peer.InventoryMachine{{Name: "host-000001", Address: "10.1.0.1:9000"}},
 					},
 				},
@@ -182,7 +182,7 @@
 						Shard:        2,
 						FencingToken: 7<<12 | 3,
 						OfferSeq:     4,
-						Offers:       []peer.TaskOffer{{Job: batch, Zone: "a", TaskIndexes: []int{3, 4}}},
+						Offers:       []peer.TaskOffer{{Job: batchJob, Zone: "a", TaskIndexes: []int{3, 4}}},
 						Stop:         []peer.StopTask{{Task: task, Checkpoint: true}},
 						Persisted:    []peer.Task{task},
 						Added:        []string{"host-000002"},
@@ -197,7 +197,7 @@
 	}
 }
 
-// choices are what all controllers must make alike.
+// choices holds the computed values that must be the same in all controllers.
 type choices struct {
 	Blocks      map[string]int
 	BlockKey    string
@@ -209,7 +209,7 @@
 }
 
 func currentChoices() choices {
-	c := choices{
+	current := choices{
 		Blocks:      map[string]int{},
 		BlockKey:    shard.Key(2),
 		RecordKeys:  shard.AttemptPrefix(2),
@@ -217,16 +217,16 @@
 		ChunkTasks:  jobs.TasksPerChunk,
 		TaskName:    shard.TaskName(peer.Task{Job: "j-000412", Index: 3}),
 	}
-	for _, m := range []string{"host-000000", "host-000001", "host-000231", "host-123456"} {
-		c.Blocks[m] = shard.ForMachine(m, 6)
+	for _, machine := range []string{"host-000000", "host-000001", "host-000231", "host-123456"} {
+		current.Blocks[machine] = shard.ForMachine(machine, 6)
 	}
 	cfg := config.Config{Tuning: config.DefaultTuning()}
 	cfg.Facts.Workers.LeaseS, cfg.Facts.Workers.CancelS = 22, 52
-	c.GrantTime = int64(cfg.GrantTime())
-	return c
+	current.GrantTime = int64(cfg.GrantTime())
+	return current
 }
 
-func write(t *testing.T, name string, raw []byte, err error) {
+func writeTestdata(t *testing.T, name string, raw []byte, err error) {
 	t.Helper()
 	if err == nil {
 		err = os.WriteFile(filepath.Join("testdata", name), raw, 0o644)
@@ -238,16 +238,16 @@
 
 func TestRecord(t *testing.T) {
 	if !*record {
-		t.Skip("only on demand")
+		t.Skip("runs only with -record")
 	}
-	for _, f := range jsonForms() {
-		raw, err := json.Marshal(f.value)
-		write(t, f.name+".json", raw, err)
+	for _, s := range storedSamples() {
+		raw, err := json.Marshal(s.value)
+		writeTestdata(t, s.name+".json", raw, err)
 	}
-	for _, f := range messageForms() {
-		raw, err := msgpack.Marshal(f.value)
-		write(t, f.name+".msgpack", raw, err)
+	for _, s := range messageSamples() {
+		raw, err := msgpack.Marshal(s.value)
+		writeTestdata(t, s.name+".msgpack", raw, err)
 	}
 	raw, err := json.MarshalIndent(currentChoices(), "", "  ")
-	write(t, "choices.json", append(raw, '\n'), err)
+	writeTestdata(t, "choices.json", append(raw, '\n'), err)
 }
--- a/internal/compat/written_test.go
+++ b/internal/compat/written_test.go
@@ -18,15 +18,15 @@
 	"swiftledge/wire"
 )
 
-// frameStore keeps what is written to the state service.
-type frameStore struct{ written chan wire.Write }
+// frameStore is a store that passes the first write of each transaction to a channel.
+type frameStore struct{ writes chan wire.Write }
 
 func (s frameStore) Get(context.Context, store.Priority, string) (wire.Item, error) {
 	return wire.Item{}, store.ErrNotFound
 }
 
 func (s frameStore) TryCommit(_ context.Context, _ store.Priority, t wire.Txn) (store.TxnResult, error) {
-	s.written <- t.Writes[0]
+	s.writes <- t.Writes[0]
 	return store.TxnResult{Committed: true, Revision: 1}, nil
 }
 
@@ -39,37 +39,38 @@
 	return wire.WatchResponse{}, ctx.Err()
 }
 
-// Frames through the state service have these keys and these bytes, but for the connection's number.
+// TestFrameBytes checks the exact keys and bytes of frames that go through the state service, except for the
+// connection number.
 func TestFrameBytes(t *testing.T) {
-	written := make(chan wire.Write, 16)
-	transport := peer.NewStoreTransport("c0", frameStore{written}, 4096, 1<<20, time.Millisecond)
-	ctx, stop := context.WithCancel(t.Context())
-	defer stop()
+	writes := make(chan wire.Write, 16)
+	transport := peer.NewStoreTransport("c0", frameStore{writes}, 4096, 1<<20, time.Millisecond)
+	ctx, cancel := context.WithCancel(t.Context())
+	defer cancel()
 	go transport.Run(ctx, nil)
-	c := transport.Open("c1")
-	if _, err := io.WriteString(c, "abc"); err != nil {
+	connection := transport.Open("c1")
+	if _, err := io.WriteString(connection, "abc"); err != nil {
 		t.Fatal(err)
 	}
-	number := regexp.MustCompile(`"c":[0-9]+`)
+	connectionNumber := regexp.MustCompile(`"c":[0-9]+`)
 	expect := func(want string) {
 		t.Helper()
-		w := <-written
-		if got := number.ReplaceAllString(string(w.Value), `"c":0`); w.Put != "mail/c1/c0" || got != want {
-			t.Errorf("%s is %s, want %s", w.Put, got, want)
+		write := <-writes
+		if got := connectionNumber.ReplaceAllString(string(write.Value), `"c":0`); write.Put != "mail/c1/c0" || got != want {
+			t.Errorf("frame at key %s is %s, want %s", write.Put, got, want)
 		}
 	}
 	expect(`{"c":0,"o":true,"n":1,"a":0,"d":"YWJj"}`)
-	c.Close()
-	for last := range written {
-		if !strings.Contains(string(last.Value), `"d"`) { // the piece is written again until it is acknowledged
-			written <- last
+	connection.Close()
+	for write := range writes {
+		if !strings.Contains(string(write.Value), `"d"`) { // the frame is written again until it is acknowledged
+			writes <- write
 			break
 		}
 	}
 	expect(`{"c":0,"o":true,"n":1,"a":0,"e":true}`)
 }
 
-// A span is a line with these keys in this order.
+// TestTraceLineBytes checks that a span is written as one line with these keys in this order.
 func TestTraceLineBytes(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "trace")
 	tracer, err := trace.New(trace.Settings{File: file, MaxBytes: 1 << 20, JobShare: 1, Queue: 16}, "c0", clock.NewSteady(), slog.New(slog.DiscardHandler))
@@ -85,11 +86,11 @@
 	got = regexp.MustCompile(`"span":"[0-9a-f]{16}"`).ReplaceAllString(got, `"span":"RANDOM"`)
 	got = regexp.MustCompile(`"begin":"[-0-9]{10}T[0-9:.]+Z"`).ReplaceAllString(got, `"begin":"TIME"`)
 	if got != want {
-		t.Errorf("written %s, want %s", got, want)
+		t.Errorf("span is written as %s, want %s", got, want)
 	}
 }
 
-// waitForLine gives what is in a file once a whole line is.
+// waitForLine waits until a file ends with a complete line, and returns its content.
 func waitForLine(t *testing.T, file string) string {
 	t.Helper()
 	tick := time.NewTicker(time.Millisecond)
@@ -104,6 +105,6 @@
 		}
 		<-tick.C
 	}
-	t.Fatal("no span was written")
+	t.Fatal("no complete line was written")
 	return ""
 }
