--- a/internal/scenario/command_args_test.go
+++ b/internal/scenario/command_args_test.go
@@ -160,7 +160,7 @@
 	body, err := json.Marshal(job)
 	must(err)
 	w.users.submissions[ref] = body
-	w.users.failsEach[ref] = arg(t, d, "fails_each", 0)
+	w.users.failEveryNth[ref] = arg(t, d, "fails_each", 0)
 	w.users.runSeconds[ref] = float64(runSeconds)
 	if job.IsService() {
 		w.users.runSeconds[ref] = float64(arg(t, d, "ends", 0))
--- a/internal/scenario/commands_controllers_test.go
+++ b/internal/scenario/commands_controllers_test.go
@@ -41,15 +41,15 @@
 func controllerCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	for _, c := range w.controllersArg(t, d) {
 		c.faults = controllerFaults{
-			storeUnreachable:   d.HasArg("store_unreachable"),
-			peersUnreachable:   d.HasArg("peers_unreachable"),
-			agentsUnreachable:  d.HasArg("agents_unreachable"),
-			watchHangs:         d.HasArg("watch_hangs"),
-			storeAnswersToLose: arg(t, d, "lose_answers", 0),
-			lostAnswerShare:    arg(t, d, "lost_answers", 0.0),
-			lateTxnShare:       arg(t, d, "late_txns", 0.0),
-			requestsHeldUntil:  w.now + duration(t, d, "requests_held"),
-			pausedUntil:        w.now + duration(t, d, "paused"),
+			storeUnreachable:     d.HasArg("store_unreachable"),
+			peersUnreachable:     d.HasArg("peers_unreachable"),
+			agentsUnreachable:    d.HasArg("agents_unreachable"),
+			watchHangs:           d.HasArg("watch_hangs"),
+			storeResponsesToLose: arg(t, d, "lose_answers", 0),
+			lostResponseShare:    arg(t, d, "lost_answers", 0.0),
+			lateTxnShare:         arg(t, d, "late_txns", 0.0),
+			requestsDelayedUntil: w.now + duration(t, d, "requests_held"),
+			pausedUntil:          w.now + duration(t, d, "paused"),
 		}
 	}
 	return ""
--- a/internal/scenario/commands_machines_test.go
+++ b/internal/scenario/commands_machines_test.go
@@ -42,41 +42,41 @@
 
 // workerCommand sets what is wrong with machines, or does something to them.
 func workerCommand(t *testing.T, w *world, d *datadriven.TestData) string {
-	for _, s := range w.workersArg(t, d) {
+	for _, s := range w.agentsArg(t, d) {
 		s.network = machineNetwork{
-			unreachable:    d.HasArg("unreachable"),
-			inboundCut:     d.HasArg("inbound_cut"),
-			heartbeatsCut:  d.HasArg("heartbeats_cut"),
-			heldUntil:      w.now + duration(t, d, "held"),
-			duplicateDelay: duration(t, d, "duplicates"),
+			unreachable:       d.HasArg("unreachable"),
+			inboundDropped:    d.HasArg("inbound_cut"),
+			heartbeatsDropped: d.HasArg("heartbeats_cut"),
+			delayedUntil:      w.now + duration(t, d, "held"),
+			duplicateDelay:    duration(t, d, "duplicates"),
 		}
-		s.keepsHeartbeats = d.HasArg("keep_heartbeats")
+		s.capturesHeartbeats = d.HasArg("keep_heartbeats")
 		s.hungUntil = w.now + duration(t, d, "hung")
 		s.FailsTasks = d.HasArg("fails_tasks")
 		if d.HasArg("reboot") {
 			s.Reboot(w.now)
 		}
 		if d.HasArg("fail") {
-			s.ended = true
+			s.terminated = true
 			s.instance.Failed = d.HasArg("listed")
 		}
 		if d.HasArg("preemption_notice") {
 			seconds := 10.0
 			s.PreemptionNoticeS = &seconds
-			s.heartbeatSoon(w)
+			s.scheduleHeartbeat(w)
 		}
 	}
 	return ""
 }
 
-// workersArg are the workers that a command names: by their numbers, and of these only the ones that a job is on,
+// agentsArg are the workers that a command names: by their numbers, and of these only the ones that a job is on,
 // that a migration begins or ends at, or that have a preemption notice.
-func (w *world) workersArg(t *testing.T, d *datadriven.TestData) []*simWorker {
+func (w *world) agentsArg(t *testing.T, d *datadriven.TestData) []*simAgent {
 	t.Helper()
 	ref := arg(t, d, "job", "")
-	migrationEnd := w.migrationEnd(arg(t, d, "migration", ""))
-	var named []*simWorker
-	for _, s := range w.machines.workers[arg(t, d, "from", 0):arg(t, d, "to", len(w.machines.workers))] {
+	migrationEnd := w.migrationMachine(arg(t, d, "migration", ""))
+	var named []*simAgent
+	for _, s := range w.machines.agents[arg(t, d, "from", 0):arg(t, d, "to", len(w.machines.agents))] {
 		switch {
 		case d.HasArg("migration") && s.Name != migrationEnd:
 		case ref != "" && s.activeTasks(ref) == 0:
@@ -109,7 +109,7 @@
 
 // expiredLeasesCommand tells whether sessions have ended because a lease ran out.
 func expiredLeasesCommand(t *testing.T, w *world, d *datadriven.TestData) string {
-	for _, s := range w.machines.workers {
+	for _, s := range w.machines.agents {
 		if s.AgentEpoch > 1 {
 			return "leases"
 		}
@@ -137,7 +137,7 @@
 		if w.now >= end {
 			return fmt.Sprintf("%d of %d", w.countActive(ref), n)
 		}
-		w.run(step)
+		w.run(tickInterval)
 	}
 	return "in time"
 }
@@ -146,7 +146,7 @@
 func runCommandsCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	ref := arg(t, d, "ref", "")
 	n, most := 0, arg(t, d, "most", 1)
-	for _, s := range w.machines.workers {
+	for _, s := range w.machines.agents {
 		n += s.RunCommands[ref]
 	}
 	if n > most {
--- a/internal/scenario/commands_rebalancing_test.go
+++ b/internal/scenario/commands_rebalancing_test.go
@@ -19,7 +19,7 @@
 // balancedCommand tells whether no machine has more than some times the mean load, for a while.
 func balancedCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	for end := w.now + duration(t, d, "for"); ; w.run(clock.Second) {
-		if l := w.machineLoads(); l.overMean() > arg(t, d, "most", 2.0) {
+		if l := w.machineLoads(); l.highestOverMean() > arg(t, d, "most", 2.0) {
 			return l.String()
 		}
 		if w.now >= end {
@@ -31,7 +31,7 @@
 // awaitMigrationCommand lets time pass until a move is in flight that has come so far.
 func awaitMigrationCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	stage := arg(t, d, "stage", "stopping")
-	for end := w.now + duration(t, d, "within"); w.now < end; w.run(step) {
+	for end := w.now + duration(t, d, "within"); w.now < end; w.run(tickInterval) {
 		if m := w.leaderStatus().Migrations; len(m) > 0 && m[0].Stage == stage {
 			return "yes"
 		}
--- a/internal/scenario/controller_elector_test.go
+++ b/internal/scenario/controller_elector_test.go
@@ -34,7 +34,7 @@
 	case election.ReadLeaderKey:
 		c.readLeaderKey()
 	case election.AcquireLeadership:
-		c.world.releaseHeartbeats()
+		c.world.replayHeartbeats()
 		c.leaderStep(leader.LeadershipAcquired{Term: x.Term, Incarnation: cluster.Incarnation(c.incarnation)})
 		c.leaderStep(leader.LeadershipExtended{Until: x.ExpiresAt})
 	case election.ExtendLeadership:
--- a/internal/scenario/controller_holder_test.go
+++ b/internal/scenario/controller_holder_test.go
@@ -17,8 +17,8 @@
 	commandTimeout = 3 * clock.Second
 	// connectTimeout is how long it takes until a holder knows that it cannot connect to a worker.
 	connectTimeout = clock.Second
-	// lateCommandRange is how much later than minLate a delayed command arrives, at most.
-	lateCommandRange = 14 * clock.Second
+	// extraCommandDelayRange is how much later than minLate a delayed command arrives, at most.
+	extraCommandDelayRange = 14 * clock.Second
 )
 
 func (c *simController) holderStep(msg shard.Message) {
@@ -38,7 +38,7 @@
 	case shard.PauseDetected:
 		c.pauses.Add(x.Pause)
 	case shard.Log:
-		c.world.violates("%s: %v", x.Message, x.Attributes) // the fakes never contradict themselves
+		c.world.reportViolation("%s: %v", x.Message, x.Attributes) // the fakes never contradict themselves
 	case shard.SendCommands:
 		c.sendCommands(x)
 	case shard.InspectAgent:
@@ -73,13 +73,13 @@
 	for _, write := range txn.Writes {
 		isGuard := func(condition wire.Condition) bool { return condition.Key == write.Put }
 		if write.Put != "" && !slices.ContainsFunc(txn.Conditions, isGuard) {
-			c.world.violates("unguarded: a late copy could put back %s", write.Put)
+			c.world.reportViolation("unguarded: a late copy could put back %s", write.Put)
 		}
 	}
 	c.commit(commitCall{
-		txn:    txn,
-		wanted: func() bool { return true },
-		answer: func(result store.TxnResult, _ error) { c.holderStep(completed(result)) },
+		txn:      txn,
+		isNeeded: func() bool { return true },
+		onResult: func(result store.TxnResult, _ error) { c.holderStep(completed(result)) },
 	})
 }
 
@@ -96,17 +96,17 @@
 
 // inspectAgent asks a worker for its state.
 func (c *simController) inspectAgent(x shard.InspectAgent) {
-	c.recordSent(toWorker(x.Machine), "GET /inspect")
-	s := c.world.workerByName(x.Machine)
+	c.recordSent(toAgent(x.Machine), "GET /inspect")
+	s := c.world.agentByName(x.Machine)
 	settle := firstOf(func(status *wire.Heartbeat) {
 		c.holderStep(shard.InspectionAnswered{Request: x, Status: status})
 	})
 	c.world.after(inspectTimeout, c.ifSameProcess(func() { settle(nil) }))
-	if s == nil || s.ended || c.faults.agentsUnreachable || s.network.unreachable {
+	if s == nil || s.terminated || c.faults.agentsUnreachable || s.network.unreachable {
 		return
 	}
 	s.deliver(c.world, c, func() {
-		if s.ended || s.network.inboundCut {
+		if s.terminated || s.network.inboundDropped {
 			return
 		}
 		status := s.Heartbeat()
@@ -116,11 +116,11 @@
 
 // sendCommands sends direct commands to a worker.
 func (c *simController) sendCommands(x shard.SendCommands) {
-	c.recordJSON(toWorker(x.Machine), "POST /orders", &x.Body)
+	c.recordJSON(toAgent(x.Machine), "POST /orders", &x.Body)
 	w := c.world
-	s := w.workerByName(x.Machine)
+	s := w.agentByName(x.Machine)
 	answer := shard.CommandsAnswered{Request: x}
-	if s == nil || s.ended || c.faults.agentsUnreachable || s.network.unreachable && s.network.heldUntil <= w.now {
+	if s == nil || s.terminated || c.faults.agentsUnreachable || s.network.unreachable && s.network.delayedUntil <= w.now {
 		answer.Code = shard.NotSent
 		w.after(connectTimeout, c.ifSameProcess(func() { c.holderStep(answer) }))
 		return
@@ -128,22 +128,22 @@
 	settle := firstOf(func(answer shard.CommandsAnswered) { c.holderStep(answer) })
 	w.after(commandTimeout, c.ifSameProcess(func() { settle(answer) }))
 	arriveUnanswered := func() {
-		if !s.ended && !s.network.inboundCut {
+		if !s.terminated && !s.network.inboundDropped {
 			s.HandleCommands(w.now, x.Body)
 		}
 	}
 	if w.faults.lateCommandShare > 0 && w.rng.Float64() < w.faults.lateCommandShare {
-		w.after(w.lateness(lateCommandRange), arriveUnanswered)
+		w.after(w.extraDelay(extraCommandDelayRange), arriveUnanswered)
 		return
 	}
 	s.deliverDuplicate(w, arriveUnanswered)
 	s.deliver(w, c, func() {
-		if s.ended || s.network.inboundCut {
+		if s.terminated || s.network.inboundDropped {
 			return
 		}
 		result := s.HandleCommands(w.now, x.Body)
 		if result.Changed {
-			s.heartbeatSoon(w)
+			s.scheduleHeartbeat(w)
 		}
 		answered := answer
 		answered.Code, answered.Status = result.Status, result.Heartbeat
--- a/internal/scenario/controller_leader_test.go
+++ b/internal/scenario/controller_leader_test.go
@@ -88,12 +88,12 @@
 // commitLeaderTxn commits a leader's transaction for as long as its term lasts.
 func (c *simController) commitLeaderTxn(x leader.CommitTxn) {
 	if !slices.Contains(x.Txn.Conditions, wire.Condition{Key: leader.Key, Version: uint64(x.Term)}) {
-		c.world.violates("unguarded: a leader's write is not bound to its term")
+		c.world.reportViolation("unguarded: a leader's write is not bound to its term")
 	}
 	c.commit(commitCall{
-		txn:    x.Txn,
-		wanted: func() bool { return c.elector.Term() == x.Term },
-		answer: func(result store.TxnResult, err error) {
+		txn:      x.Txn,
+		isNeeded: func() bool { return c.elector.Term() == x.Term },
+		onResult: func(result store.TxnResult, err error) {
 			c.leaderStep(leader.TxnCompleted{Term: x.Term, Tag: x.Tag, Result: result, Err: err})
 		},
 	})
@@ -137,7 +137,7 @@
 		case w.faults.cloudDown:
 			c.ifSameProcess(fail)()
 		case w.faults.lateCloudShare > 0 && w.rng.Float64() < w.faults.lateCloudShare:
-			w.after(w.lateness(lateRange), func() { execute() })
+			w.after(w.extraDelay(extraDelayRange), func() { execute() })
 			w.after(cloudTimeout, c.ifSameProcess(fail))
 		default:
 			c.ifSameProcess(func() { c.leaderStep(execute()) })()
@@ -155,7 +155,7 @@
 		term:    x.Term,
 		execute: func() { items, revision = c.world.leaderState() },
 		retry:   func() { c.loadState(x) },
-		answer: func() {
+		onSuccess: func() {
 			c.loadedTerm, c.loadedRevision = x.Term, revision
 			c.leaderStep(leader.StateLoaded{
 				Term:        x.Term,
@@ -186,7 +186,7 @@
 		term:    x.Term,
 		execute: func() { items, _ = c.world.store.List(prefix) },
 		retry:   func() { c.loadAttempts(x) },
-		answer: func() {
+		onSuccess: func() {
 			pages, err := shard.DecodeAttemptPages(items)
 			must(err)
 			c.leaderStep(leader.AttemptsLoaded{Term: x.Term, Shard: x.Shard, FencingToken: x.FencingToken, Pages: pages})
@@ -203,7 +203,7 @@
 		term:    x.Term,
 		execute: func() { item, found = c.world.store.Get(x.Key) },
 		retry:   func() { c.readKey(x) },
-		answer: func() {
+		onSuccess: func() {
 			item.Key = x.Key
 			c.leaderStep(leader.KeyRead{Term: x.Term, Tag: x.Tag, Item: item, Found: found})
 		},
--- a/internal/scenario/controller_store_test.go
+++ b/internal/scenario/controller_store_test.go
@@ -17,13 +17,13 @@
 	storeRetry = 100 * clock.Millisecond
 	// leaderKeyRetry is the same for the leader's key.
 	leaderKeyRetry = 200 * clock.Millisecond
-	// minLate and lateRange bound how late a delayed message arrives.
-	minLate, lateRange = 2 * clock.Second, 10 * clock.Second
+	// minExtraDelay and extraDelayRange bound how late a delayed message arrives.
+	minExtraDelay, extraDelayRange = 2 * clock.Second, 10 * clock.Second
 )
 
-// lateness is how late a delayed message arrives.
-func (w *world) lateness(spread clock.Micros) clock.Micros {
-	return minLate + clock.Micros(w.rng.Int64N(int64(spread)))
+// extraDelay is how late a delayed message arrives.
+func (w *world) extraDelay(spread clock.Micros) clock.Micros {
+	return minExtraDelay + clock.Micros(w.rng.Int64N(int64(spread)))
 }
 
 // reachesStore says whether requests to the state service arrive and are answered.
@@ -37,7 +37,7 @@
 	w.traffic.storeRequests++
 	noAnswer := func() { answer(store.ErrOutcomeUnknown) }
 	w.after(w.latency(), func() {
-		heldUntil := c.faults.requestsHeldUntil
+		heldUntil := c.faults.requestsDelayedUntil
 		if w.isPartitioned(c.cfg.Zone, "") {
 			heldUntil = w.faults.partitionedUntil
 		}
@@ -52,8 +52,8 @@
 			w.after(storeTimeout, c.ifSameProcess(noAnswer))
 		case !c.reachesStore():
 			w.after(w.latency(), c.ifSameProcess(func() { answer(store.ErrNotExecuted) }))
-		case c.faults.storeAnswersToLose > 0:
-			c.faults.storeAnswersToLose--
+		case c.faults.storeResponsesToLose > 0:
+			c.faults.storeResponsesToLose--
 			execute()
 			w.after(storeTimeout, c.ifSameProcess(noAnswer))
 		default:
@@ -63,9 +63,9 @@
 	})
 }
 
-// losesAnswer says whether a transaction is carried out now and gets no answer.
-func (c *simController) losesAnswer() bool {
-	return c.faults.lostAnswerShare > 0 && c.world.rng.Float64() < c.faults.lostAnswerShare
+// losesResponse says whether a transaction is carried out now and gets no answer.
+func (c *simController) losesResponse() bool {
+	return c.faults.lostResponseShare > 0 && c.world.rng.Float64() < c.faults.lostResponseShare
 }
 
 // delaysTxn says whether a transaction gets no answer, and has it carried out after newer ones.
@@ -74,7 +74,7 @@
 	if c.faults.lateTxnShare == 0 || !c.reachesStore() || w.rng.Float64() >= c.faults.lateTxnShare {
 		return false
 	}
-	w.after(w.lateness(lateRange), func() {
+	w.after(w.extraDelay(extraDelayRange), func() {
 		if !w.store.Down {
 			w.store.Txn(t)
 		}
@@ -87,7 +87,7 @@
 	c.recordTxn(t)
 	w := c.world
 	noAnswer := func() { answer(store.TxnResult{}, store.ErrOutcomeUnknown) }
-	if c.reachesStore() && c.losesAnswer() {
+	if c.reachesStore() && c.losesResponse() {
 		w.store.Txn(t)
 		w.after(storeTimeout, c.ifSameProcess(noAnswer))
 		return
@@ -116,7 +116,7 @@
 func (w *world) noteMalformedTxn(problem string) {
 	w.rules.malformedTxns++
 	if !w.faults.limitsUnannounced {
-		w.violates("malformed transaction: %s", problem)
+		w.reportViolation("malformed transaction: %s", problem)
 	}
 }
 
@@ -124,14 +124,14 @@
 type commitCall struct {
 	txn       wire.Txn
 	ambiguous bool        // an earlier try may have been carried out
-	wanted    func() bool // the sender still waits
-	answer    func(store.TxnResult, error)
+	isNeeded  func() bool // the sender still waits
+	onResult  func(store.TxnResult, error)
 }
 
 // commit sends a transaction until it is answered or nobody waits for it any more.
 func (c *simController) commit(call commitCall) {
 	c.tryTxn(call.txn, func(result store.TxnResult, err error) {
-		if !call.wanted() {
+		if !call.isNeeded() {
 			return
 		}
 		outcomeUnknown := errors.Is(err, store.ErrOutcomeUnknown)
@@ -141,7 +141,7 @@
 			return
 		}
 		result.Ambiguous = call.ambiguous
-		call.answer(result, err)
+		call.onResult(result, err)
 	})
 }
 
@@ -170,8 +170,8 @@
 	if problem != "" {
 		return result, errors.New(problem)
 	}
-	if c.faults.storeAnswersToLose > 0 || c.losesAnswer() {
-		c.faults.storeAnswersToLose = max(0, c.faults.storeAnswersToLose-1)
+	if c.faults.storeResponsesToLose > 0 || c.losesResponse() {
+		c.faults.storeResponsesToLose = max(0, c.faults.storeResponsesToLose-1)
 		return store.TxnResult{}, store.ErrOutcomeUnknown
 	}
 	return result, nil
@@ -179,10 +179,10 @@
 
 // termCall is a request to the state service that a leader needs an answer to.
 type termCall struct {
-	term    cluster.Term
-	execute func()
-	answer  func()
-	retry   func() // after no answer
+	term      cluster.Term
+	execute   func()
+	onSuccess func()
+	retry     func() // after no answer
 }
 
 // callInTerm sends a request, unless nobody waits for the answer any more as another term has begun.
@@ -193,7 +193,7 @@
 		case err != nil:
 			c.world.after(storeRetry, c.ifSameProcess(call.retry))
 		default:
-			call.answer()
+			call.onSuccess()
 		}
 	})
 }
--- a/internal/scenario/controller_test.go
+++ b/internal/scenario/controller_test.go
@@ -41,22 +41,22 @@
 
 // controllerFaults is what goes wrong with a controller.
 type controllerFaults struct {
-	storeUnreachable   bool    // by it alone
-	peersUnreachable   bool    // the other controllers
-	agentsUnreachable  bool    // the workers
-	watchHangs         bool    // its watch of the jobs; all else is served
-	storeAnswersToLose int     // while the requests are carried out
-	lostAnswerShare    float64 // of its transactions that are carried out at once and get no answer
-	lateTxnShare       float64 // of its transactions that get no answer and are carried out seconds later
-	requestsHeldUntil  clock.Micros
-	pausedUntil        clock.Micros // the process does nothing while its clocks run on
+	storeUnreachable     bool    // by it alone
+	peersUnreachable     bool    // the other controllers
+	agentsUnreachable    bool    // the workers
+	watchHangs           bool    // its watch of the jobs; all else is served
+	storeResponsesToLose int     // while the requests are carried out
+	lostResponseShare    float64 // of its transactions that are carried out at once and get no answer
+	lateTxnShare         float64 // of its transactions that get no answer and are carried out seconds later
+	requestsDelayedUntil clock.Micros
+	pausedUntil          clock.Micros // the process does nothing while its clocks run on
 }
 
 // any says whether anything is wrong.
 func (f *controllerFaults) any(now clock.Micros) bool {
 	return f.storeUnreachable || f.peersUnreachable || f.agentsUnreachable || f.watchHangs ||
-		f.storeAnswersToLose > 0 || f.lostAnswerShare > 0 || f.lateTxnShare > 0 ||
-		f.requestsHeldUntil > now || f.pausedUntil > now
+		f.storeResponsesToLose > 0 || f.lostResponseShare > 0 || f.lateTxnShare > 0 ||
+		f.requestsDelayedUntil > now || f.pausedUntil > now
 }
 
 // newController describes a controller, which does not run yet.
@@ -102,7 +102,7 @@
 	mayRetry := func(_ context.Context, attempt int) bool { return attempt < 3 }
 	c.jobCache = api.NewJobCache(&c.cfg, now)
 	cache := c.jobCache
-	c.world.running.Go(func() { cache.Run(c.world.ctx) })
+	c.world.goroutines.Go(func() { cache.Run(c.world.ctx) })
 	c.service = api.New(api.Options{
 		Config:       &c.cfg,
 		Store:        c,
--- a/internal/scenario/deployments_test.go
+++ b/internal/scenario/deployments_test.go
@@ -24,7 +24,7 @@
 type deploymentLoad struct {
 	jobs, tasks int
 	cpus        float64 // of each task
-	memory      float64
+	memoryGB    float64
 	runSeconds  float64
 }
 
@@ -86,7 +86,7 @@
 		teams:    16,
 		team:     config.Team{CPUs: 375, CPUsMax: 3000},
 		types:    []wire.MachineType{smallType(zones)},
-		load:     deploymentLoad{jobs: 40, tasks: 300, cpus: 2, memory: 3.2, runSeconds: 15},
+		load:     deploymentLoad{jobs: 40, tasks: 300, cpus: 2, memoryGB: 3.2, runSeconds: 15},
 	}
 	f := &d.settings.Facts
 	f.Zones = zones
@@ -105,7 +105,7 @@
 		teams:    10,
 		team:     config.Team{CPUs: 1050, CPUsMax: 4500},
 		types:    smallAndMiddleTypes(zones),
-		load:     deploymentLoad{jobs: 40, tasks: 600, cpus: 1, memory: 1.1, runSeconds: 40},
+		load:     deploymentLoad{jobs: 40, tasks: 600, cpus: 1, memoryGB: 1.1, runSeconds: 40},
 	}
 	f := &d.settings.Facts
 	f.Zones = zones
@@ -195,7 +195,7 @@
 		Priority:  wire.PriorityStandard,
 		Tasks:     tasks,
 		CPUs:      d.load.cpus,
-		MemoryGB:  d.load.memory,
+		MemoryGB:  d.load.memoryGB,
 		Image:     fmt.Sprint("img", number%6),
 		ImageGB:   1.5,
 		Spot:      true,
--- a/internal/scenario/events_test.go
+++ b/internal/scenario/events_test.go
@@ -8,9 +8,9 @@
 
 // event is something that happens at a moment of simulated time.
 type event struct {
-	at  clock.Micros
-	seq int // orders events of one moment by when they were scheduled
-	run func()
+	dueAt clock.Micros
+	seq   int // orders events of one moment by when they were scheduled
+	run   func()
 }
 
 // eventQueue is the simulated time: it plays what is scheduled, in order.
@@ -29,9 +29,9 @@
 // run lets time pass.
 func (q *eventQueue) run(d clock.Micros) {
 	end := q.now + d
-	for len(q.pending) > 0 && q.pending[0].at <= end {
+	for len(q.pending) > 0 && q.pending[0].dueAt <= end {
 		next := heap.Pop(&q.pending).(event)
-		q.now = next.at
+		q.now = next.dueAt
 		next.run()
 	}
 	q.now = end
@@ -43,8 +43,8 @@
 func (h eventHeap) Len() int { return len(h) }
 
 func (h eventHeap) Less(i, j int) bool {
-	if h[i].at != h[j].at {
-		return h[i].at < h[j].at
+	if h[i].dueAt != h[j].dueAt {
+		return h[i].dueAt < h[j].dueAt
 	}
 	return h[i].seq < h[j].seq
 }
--- a/internal/scenario/faults_test.go
+++ b/internal/scenario/faults_test.go
@@ -9,17 +9,17 @@
 
 // fault is one fault of a random world.
 type fault struct {
-	at, duration clock.Micros
-	kind         string  // a name in faultKinds
-	target       int     // a controller, or the first of the machines
-	count        int     // of the machines or tasks
-	share        float64 // of what is lost or late
+	startAt, duration clock.Micros
+	kind              string  // a name in faultKinds
+	target            int     // a controller, or the first of the machines
+	count             int     // of the machines or tasks
+	share             float64 // of what is lost or late
 }
 
 // String describes a fault in a failed test.
 func (f fault) String() string {
 	return fmt.Sprintf("%.1f s: %s for %.1f s, target %d, count %d, share %.1f",
-		f.at.Seconds(), f.kind, f.duration.Seconds(), f.target, f.count, f.share)
+		f.startAt.Seconds(), f.kind, f.duration.Seconds(), f.target, f.count, f.share)
 }
 
 // controller is the controller that a fault is about.
@@ -27,8 +27,8 @@
 
 // faultKind is a kind of fault; begin begins one and gives what ends it, nil if it ends by itself.
 type faultKind struct {
-	name  string
-	begin func(w *world, f fault) (end func())
+	name   string
+	inject func(w *world, f fault) (end func())
 }
 
 // faultKinds are the faults that the operators name (docs/meetings.md). A seed draws them by their place in the
@@ -37,41 +37,41 @@
 	return []faultKind{
 		{"burst of jobs", submitBurst},
 		{"guest's long job", submitGuestJob},
-		{"mistaken job", submitMistakenJob},
+		{"mistaken job", submitFaultyJob},
 		{"all controllers crash", crashAll},
 		{"all controllers pause", pauseAll},
-		{"store answers are lost", loseStoreAnswers},
+		{"store answers are lost", loseStoreResponses},
 		{"cloud is late", delayCloud},
 		{"cloud is down", stopCloud},
 		{"commands are late", delayCommands},
 		{"controller crashes", crashOne},
-		{"controller loses peers", cutPeersOfOne},
-		{"controller loses workers", cutAgentsOfOne},
+		{"controller loses peers", disconnectPeersOfOne},
+		{"controller loses workers", disconnectAgentsOfOne},
 		{"controller pauses", pauseOne},
 		{"machines' messages are duplicated", eachMachine(duplicateMessages)},
 		{"jobs are cancelled", cancelJobs},
 		{"leader crashes", crashLeaders},
 		{"leader loses store and peers", isolateLeaders},
 		{"leader pauses", pauseLeaders},
-		{"machines are unreachable", eachMachine(cutMachine)},
-		{"machines' heartbeats are lost", eachMachine(cutHeartbeats)},
+		{"machines are unreachable", eachMachine(disconnectMachine)},
+		{"machines' heartbeats are lost", eachMachine(dropHeartbeats)},
 		{"machines are preempted", eachMachine(preemptMachine)},
 		{"machines reboot", eachMachine(rebootMachine)},
 		{"machines boot late or at once", changeBootTime},
 		{"machines fail", eachMachine(failMachine)},
 		{"machines fail their tasks", eachMachine(failTasks)},
 		{"machines hang", eachMachine(hangMachine)},
-		{"machines' inbound messages are lost", eachMachine(cutInbound)},
+		{"machines' inbound messages are lost", eachMachine(dropInbound)},
 		{"new machines never report", silenceNewMachines},
-		{"machines' messages are held", eachMachine(holdMessages)},
-		{"heartbeats are kept for the next leader", eachMachine(keepHeartbeats)},
-		{"store requests are held", holdStoreRequests},
+		{"machines' messages are held", eachMachine(delayMessages)},
+		{"heartbeats are kept for the next leader", eachMachine(captureHeartbeats)},
+		{"store requests are held", delayStoreRequests},
 		{"store is down", stopStore},
-		{"store refuses the leader", cutStoreOfLeaders},
-		{"store refuses one", cutStoreOfOne},
+		{"store refuses the leader", disconnectStoreOfLeaders},
+		{"store refuses one", disconnectStoreOfOne},
 		{"watch hangs", hangWatchOfLeaders},
 		{"writes are late", delayTxns},
-		{"zone is cut", cutZone},
+		{"zone is cut", partitionZone},
 	}
 }
 
@@ -84,11 +84,11 @@
 	return names
 }
 
-// beginFault begins a fault, and schedules its end.
-func (w *world) beginFault(f fault) {
+// injectFault begins a fault, and schedules its end.
+func (w *world) injectFault(f fault) {
 	kinds := faultKinds()
 	kind := slices.IndexFunc(kinds, func(k faultKind) bool { return k.name == f.kind })
-	end := kinds[kind].begin(w, f)
+	end := kinds[kind].inject(w, f)
 	if end == nil {
 		end = func() {}
 	}
@@ -97,22 +97,28 @@
 
 // Faults of controllers.
 
-func crashOne(w *world, f fault) func()       { return crash(f.controller(w)) }
-func crashLeaders(w *world, _ fault) func()   { return crash(w.leaders()...) }
-func crashAll(w *world, _ fault) func()       { return crash(w.controllers...) }
-func pauseOne(w *world, f fault) func()       { return pause(f, f.controller(w)) }
-func pauseLeaders(w *world, f fault) func()   { return pause(f, w.leaders()...) }
-func pauseAll(w *world, f fault) func()       { return pause(f, w.controllers...) }
-func cutStoreOfOne(w *world, f fault) func()  { return set(&f.controller(w).faults.storeUnreachable) }
-func cutPeersOfOne(w *world, f fault) func()  { return set(&f.controller(w).faults.peersUnreachable) }
-func cutAgentsOfOne(w *world, f fault) func() { return set(&f.controller(w).faults.agentsUnreachable) }
-
-func cutStoreOfLeaders(w *world, _ fault) func() {
+func crashOne(w *world, f fault) func()     { return crashControllers(f.controller(w)) }
+func crashLeaders(w *world, _ fault) func() { return crashControllers(w.leaders()...) }
+func crashAll(w *world, _ fault) func()     { return crashControllers(w.controllers...) }
+func pauseOne(w *world, f fault) func()     { return pauseControllers(f, f.controller(w)) }
+func pauseLeaders(w *world, f fault) func() { return pauseControllers(f, w.leaders()...) }
+func pauseAll(w *world, f fault) func()     { return pauseControllers(f, w.controllers...) }
+func disconnectStoreOfOne(w *world, f fault) func() {
+	return setFlag(&f.controller(w).faults.storeUnreachable)
+}
+func disconnectPeersOfOne(w *world, f fault) func() {
+	return setFlag(&f.controller(w).faults.peersUnreachable)
+}
+func disconnectAgentsOfOne(w *world, f fault) func() {
+	return setFlag(&f.controller(w).faults.agentsUnreachable)
+}
+
+func disconnectStoreOfLeaders(w *world, _ fault) func() {
 	return setOnLeaders(w, func(c *controllerFaults) *bool { return &c.storeUnreachable })
 }
 
 func isolateLeaders(w *world, f fault) func() {
-	restoreStore := cutStoreOfLeaders(w, f)
+	restoreStore := disconnectStoreOfLeaders(w, f)
 	restorePeers := setOnLeaders(w, func(c *controllerFaults) *bool { return &c.peersUnreachable })
 	return func() {
 		restoreStore()
@@ -124,8 +130,8 @@
 	return setOnLeaders(w, func(c *controllerFaults) *bool { return &c.watchHangs })
 }
 
-func holdStoreRequests(w *world, f fault) func() {
-	f.controller(w).faults.requestsHeldUntil = w.now + f.duration
+func delayStoreRequests(w *world, f fault) func() {
+	f.controller(w).faults.requestsDelayedUntil = w.now + f.duration
 	return nil
 }
 
@@ -133,12 +139,12 @@
 	return setShareOnAll(w, f.share, func(c *controllerFaults) *float64 { return &c.lateTxnShare })
 }
 
-func loseStoreAnswers(w *world, f fault) func() {
-	return setShareOnAll(w, f.share, func(c *controllerFaults) *float64 { return &c.lostAnswerShare })
+func loseStoreResponses(w *world, f fault) func() {
+	return setShareOnAll(w, f.share, func(c *controllerFaults) *float64 { return &c.lostResponseShare })
 }
 
-// crash ends controllers, until they are started again.
-func crash(controllers ...*simController) func() {
+// crashControllers ends controllers, until they are started again.
+func crashControllers(controllers ...*simController) func() {
 	for _, c := range controllers {
 		if c.running {
 			c.crash()
@@ -153,16 +159,16 @@
 	}
 }
 
-// pause pauses controllers.
-func pause(f fault, controllers ...*simController) func() {
+// pauseControllers pauses controllers.
+func pauseControllers(f fault, controllers ...*simController) func() {
 	for _, c := range controllers {
 		c.faults.pausedUntil = c.world.now + f.duration
 	}
 	return nil
 }
 
-// set sets a flag, until it is cleared.
-func set(flag *bool) func() {
+// setFlag sets a flag, until it is cleared.
+func setFlag(flag *bool) func() {
 	*flag = true
 	return func() { *flag = false }
 }
@@ -171,9 +177,9 @@
 func setOnLeaders(w *world, flag func(*controllerFaults) *bool) func() {
 	var ends []func()
 	for _, c := range w.leaders() {
-		ends = append(ends, set(flag(&c.faults)))
+		ends = append(ends, setFlag(flag(&c.faults)))
 	}
-	return inOrder(ends)
+	return callAll(ends)
 }
 
 // setShareOnAll sets a share of all controllers.
@@ -188,8 +194,8 @@
 	}
 }
 
-// inOrder calls functions one after the other.
-func inOrder(functions []func()) func() {
+// callAll calls functions one after the other.
+func callAll(functions []func()) func() {
 	return func() {
 		for _, f := range functions {
 			if f != nil {
@@ -206,7 +212,7 @@
 	return func() { w.store.EndOutage(w.now) }
 }
 
-func stopCloud(w *world, _ fault) func() { return set(&w.faults.cloudDown) }
+func stopCloud(w *world, _ fault) func() { return setFlag(&w.faults.cloudDown) }
 
 func delayCloud(w *world, f fault) func() {
 	w.faults.lateCloudShare = f.share
@@ -218,7 +224,7 @@
 	return func() { w.faults.lateCommandShare = 0 }
 }
 
-func cutZone(w *world, f fault) func() {
+func partitionZone(w *world, f fault) func() {
 	w.faults.partitionedZone, w.faults.partitionedUntil = "b", w.now+f.duration
 	return nil
 }
@@ -233,8 +239,8 @@
 	return nil
 }
 
-func submitMistakenJob(w *world, f fault) func() {
-	ref := w.submitMistaken(f.target, 20+f.count)
+func submitFaultyJob(w *world, f fault) func() {
+	ref := w.submitFaulty(f.target, 20+f.count)
 	return func() { w.cancelUntilAnswered(ref, f.target) }
 }
 
--- a/internal/scenario/history_checks_test.go
+++ b/internal/scenario/history_checks_test.go
@@ -68,12 +68,12 @@
 			h.checkStart(machine, attempt(1))
 		}},
 		{"one attempt on two machines", "attempt_repeated", func(_ *world, h *history) {
-			h.checkOrder(machine, attempt(1))
-			h.checkOrder("host-000002", attempt(1))
+			h.checkRunCommand(machine, attempt(1))
+			h.checkRunCommand("host-000002", attempt(1))
 		}},
 		{"an order that comes twice", "", func(_ *world, h *history) {
-			h.checkOrder(machine, attempt(1))
-			h.checkOrder(machine, attempt(1))
+			h.checkRunCommand(machine, attempt(1))
+			h.checkRunCommand(machine, attempt(1))
 		}},
 		{"one token for two grants", "token_repeated", func(_ *world, h *history) {
 			h.checkGrant(peer.ShardGrant{Shard: 1, FencingToken: token})
--- a/internal/scenario/history_test.go
+++ b/internal/scenario/history_test.go
@@ -26,24 +26,24 @@
 // history is what has happened on the machines and in the state service, kept apart from the
 // service that is judged by it.
 type history struct {
-	world     *world
-	revision  uint64                    // of the state service, up to which the rest is known
-	recorded  references[placedAttempt] // by pages of attempt records
-	inventory references[string]        // machines, by instance group records
-	progress  map[string]jobs.ProgressRecord
-	ordered   map[wire.AttemptID]placedAttempt // by number
-	granted   map[wire.FencingToken]int        // by token: the shard
-	completed map[wire.AttemptID]bool          // attempts that have completed
+	world        *world
+	revision     uint64                    // of the state service, up to which the rest is known
+	recorded     references[placedAttempt] // by pages of attempt records
+	inventory    references[string]        // machines, by instance group records
+	progress     map[string]jobs.ProgressRecord
+	runCommands  map[wire.AttemptID]placedAttempt // by number
+	shardByToken map[wire.FencingToken]int        // by token: the shard
+	completed    map[wire.AttemptID]bool          // attempts that have completed
 	// restarted counts starts of completed tasks, which exit at once, as their result is kept.
 	restarted int
 }
 
 func newHistory(w *world) *history {
 	h := &history{
-		world:     w,
-		ordered:   map[wire.AttemptID]placedAttempt{},
-		granted:   map[wire.FencingToken]int{},
-		completed: map[wire.AttemptID]bool{},
+		world:        w,
+		runCommands:  map[wire.AttemptID]placedAttempt{},
+		shardByToken: map[wire.FencingToken]int{},
+		completed:    map[wire.AttemptID]bool{},
 	}
 	h.reset()
 	return h
@@ -58,21 +58,21 @@
 
 // references counts in how many stored values something is named.
 type references[T comparable] struct {
-	byKey map[string][]T
-	times map[T]int
+	byKey  map[string][]T
+	counts map[T]int
 }
 
 func newReferences[T comparable]() references[T] {
-	return references[T]{byKey: map[string][]T{}, times: map[T]int{}}
+	return references[T]{byKey: map[string][]T{}, counts: map[T]int{}}
 }
 
 // put takes in what the value of a key names now.
 func (n *references[T]) put(key string, now []T) {
 	for _, v := range n.byKey[key] {
-		n.times[v]--
+		n.counts[v]--
 	}
 	for _, v := range now {
-		n.times[v]++
+		n.counts[v]++
 	}
 	n.byKey[key] = now
 }
@@ -138,32 +138,32 @@
 	h.inventory.put(key, r.Machines)
 }
 
-// checkOrder judges a run command that a machine carries out for the first time: attempts never repeat.
-func (h *history) checkOrder(machine string, t *fake.Task) {
+// checkRunCommand judges a run command that a machine carries out for the first time: attempts never repeat.
+func (h *history) checkRunCommand(machine string, t *fake.Task) {
 	a := placedAttempt{t.Task, t.Attempt, machine}
-	if before, ok := h.ordered[t.Attempt]; ok && before != a {
-		h.world.violates("attempt_repeated: %d is %s on %s and %s on %s", t.Attempt, before.task, before.machine, a.task, a.machine)
+	if before, ok := h.runCommands[t.Attempt]; ok && before != a {
+		h.world.reportViolation("attempt_repeated: %d is %s on %s and %s on %s", t.Attempt, before.task, before.machine, a.task, a.machine)
 	}
-	h.ordered[t.Attempt] = a
+	h.runCommands[t.Attempt] = a
 }
 
 // checkGrant judges the grant of a shard: tokens never repeat.
 func (h *history) checkGrant(g peer.ShardGrant) {
-	if b, ok := h.granted[g.FencingToken]; ok {
-		h.world.violates("token_repeated: %d was granted for shard %d and is for shard %d", g.FencingToken, b, g.Shard)
+	if b, ok := h.shardByToken[g.FencingToken]; ok {
+		h.world.reportViolation("token_repeated: %d was granted for shard %d and is for shard %d", g.FencingToken, b, g.Shard)
 	}
-	h.granted[g.FencingToken] = g.Shard
+	h.shardByToken[g.FencingToken] = g.Shard
 }
 
 // checkStart judges the start of a task that now has its image: it is recorded, its machine is in the
 // durable inventory, and its completion is not stored.
 func (h *history) checkStart(machine string, t *fake.Task) {
 	h.sync()
-	if h.recorded.times[placedAttempt{t.Task, t.Attempt, machine}] == 0 {
-		h.world.violates("unrecorded: %s runs as attempt %d on %s", t.Task, t.Attempt, machine)
+	if h.recorded.counts[placedAttempt{t.Task, t.Attempt, machine}] == 0 {
+		h.world.reportViolation("unrecorded: %s runs as attempt %d on %s", t.Task, t.Attempt, machine)
 	}
-	if h.inventory.times[machine] == 0 {
-		h.world.violates("unlisted: %s runs on %s, which is not in the inventory", t.Task, machine)
+	if h.inventory.counts[machine] == 0 {
+		h.world.reportViolation("unlisted: %s runs on %s, which is not in the inventory", t.Task, machine)
 	}
 }
 
@@ -174,7 +174,7 @@
 	h.sync()
 	h.restarted++
 	if !h.completed[t.Attempt] && h.completionStored(t.Job.Ref, t.Index) {
-		h.world.violates("ran_again: %s is started as attempt %d after its completion was stored", t.Task, t.Attempt)
+		h.world.reportViolation("ran_again: %s is started as attempt %d after its completion was stored", t.Task, t.Attempt)
 	}
 	h.completed[t.Attempt] = true
 }
--- a/internal/scenario/load_test.go
+++ b/internal/scenario/load_test.go
@@ -9,19 +9,19 @@
 
 // loadSummary sums up the loads of the machines that are up, by what is on them.
 type loadSummary struct {
-	greatest, mean float64
-	machines       int
+	highest, mean float64
+	machines      int
 }
 
-func (l loadSummary) overMean() float64 {
+func (l loadSummary) highestOverMean() float64 {
 	if l.mean == 0 {
 		return 0
 	}
-	return l.greatest / l.mean
+	return l.highest / l.mean
 }
 
 func (l loadSummary) String() string {
-	return fmt.Sprintf("%d machines, mean %.2f, greatest %.2f", l.machines, l.mean, l.greatest)
+	return fmt.Sprintf("%d machines, mean %.2f, greatest %.2f", l.machines, l.mean, l.highest)
 }
 
 // leaderStatus is what the leader tells operators; nothing while nobody leads.
@@ -37,13 +37,13 @@
 // machineLoads judges by the machines themselves; the leader is only asked which of them take work.
 func (w *world) machineLoads() (l loadSummary) {
 	for _, m := range w.leaderStatus().Machines {
-		s := w.workerByName(m.Name)
-		if !m.Schedulable || s.ended {
+		s := w.agentByName(m.Name)
+		if !m.Schedulable || s.terminated {
 			continue
 		}
 		l.machines++
 		l.mean += s.Load()
-		l.greatest = max(l.greatest, s.Load())
+		l.highest = max(l.highest, s.Load())
 	}
 	if l.machines > 0 {
 		l.mean /= float64(l.machines)
@@ -51,8 +51,8 @@
 	return l
 }
 
-// migrationEnd names the machine that the first move in flight goes from or to; "" if there is none.
-func (w *world) migrationEnd(which string) string {
+// migrationMachine names the machine that the first move in flight goes from or to; "" if there is none.
+func (w *world) migrationMachine(which string) string {
 	moves := w.leaderStatus().Migrations
 	switch {
 	case len(moves) == 0:
--- a/internal/scenario/machine_faults_test.go
+++ b/internal/scenario/machine_faults_test.go
@@ -7,59 +7,63 @@
 )
 
 // eachMachine is a fault of as many machines as it says, those with most tasks first in every other case.
-func eachMachine(begin func(*world, fault, *simWorker) (end func())) func(*world, fault) func() {
+func eachMachine(begin func(*world, fault, *simAgent) (end func())) func(*world, fault) func() {
 	return func(w *world, f fault) func() {
 		var ends []func()
-		isGone := func(s *simWorker) bool { return s.ended || s.instance.Deleted }
-		machines := slices.DeleteFunc(slices.Clone(w.machines.workers), isGone)
+		isGone := func(s *simAgent) bool { return s.terminated || s.instance.Deleted }
+		machines := slices.DeleteFunc(slices.Clone(w.machines.agents), isGone)
 		if f.target%2 == 0 {
-			slices.SortStableFunc(machines, func(a, b *simWorker) int { return len(b.Tasks) - len(a.Tasks) })
+			slices.SortStableFunc(machines, func(a, b *simAgent) int { return len(b.Tasks) - len(a.Tasks) })
 		}
 		for i := range min(f.count, len(machines)) {
 			ends = append(ends, begin(w, f, machines[i]))
 		}
-		return inOrder(ends)
+		return callAll(ends)
 	}
 }
 
-func cutMachine(_ *world, _ fault, s *simWorker) func()     { return set(&s.network.unreachable) }
-func cutInbound(_ *world, _ fault, s *simWorker) func()     { return set(&s.network.inboundCut) }
-func cutHeartbeats(_ *world, _ fault, s *simWorker) func()  { return set(&s.network.heartbeatsCut) }
-func keepHeartbeats(_ *world, _ fault, s *simWorker) func() { return set(&s.keepsHeartbeats) }
-func failTasks(_ *world, _ fault, s *simWorker) func()      { return set(&s.FailsTasks) }
+func disconnectMachine(_ *world, _ fault, s *simAgent) func() {
+	return setFlag(&s.network.unreachable)
+}
+func dropInbound(_ *world, _ fault, s *simAgent) func() { return setFlag(&s.network.inboundDropped) }
+func dropHeartbeats(_ *world, _ fault, s *simAgent) func() {
+	return setFlag(&s.network.heartbeatsDropped)
+}
+func captureHeartbeats(_ *world, _ fault, s *simAgent) func() { return setFlag(&s.capturesHeartbeats) }
+func failTasks(_ *world, _ fault, s *simAgent) func()         { return setFlag(&s.FailsTasks) }
 
-func holdMessages(w *world, f fault, s *simWorker) func() {
-	s.network.heldUntil = w.now + f.duration
+func delayMessages(w *world, f fault, s *simAgent) func() {
+	s.network.delayedUntil = w.now + f.duration
 	return nil
 }
 
-func duplicateMessages(_ *world, _ fault, s *simWorker) func() {
+func duplicateMessages(_ *world, _ fault, s *simAgent) func() {
 	s.network.duplicateDelay = 25 * clock.Second
 	return func() { s.network.duplicateDelay = 0 }
 }
 
-func hangMachine(w *world, f fault, s *simWorker) func() {
+func hangMachine(w *world, f fault, s *simAgent) func() {
 	s.hungUntil = w.now + f.duration
 	return nil
 }
 
-func failMachine(_ *world, _ fault, s *simWorker) func() {
-	s.ended, s.instance.Failed = true, true
+func failMachine(_ *world, _ fault, s *simAgent) func() {
+	s.terminated, s.instance.Failed = true, true
 	return nil
 }
 
-func rebootMachine(w *world, _ fault, s *simWorker) func() {
-	if !s.ended {
+func rebootMachine(w *world, _ fault, s *simAgent) func() {
+	if !s.terminated {
 		s.Reboot(w.now)
 	}
 	return nil
 }
 
-func preemptMachine(w *world, _ fault, s *simWorker) func() {
+func preemptMachine(w *world, _ fault, s *simAgent) func() {
 	const notice = 12 * clock.Second
 	seconds := notice.Seconds()
 	s.PreemptionNoticeS = &seconds
-	s.heartbeatSoon(w)
+	s.scheduleHeartbeat(w)
 	w.after(notice, func() { s.instance.Deleted = true })
 	return nil
 }
--- a/internal/scenario/machines_test.go
+++ b/internal/scenario/machines_test.go
@@ -9,15 +9,15 @@
 
 // machines are the workers of the cluster.
 type machines struct {
-	workers []*simWorker
-	byName  map[string]*simWorker
-	outputs *fake.Outputs
-	booting []*fake.Instance // created and not up yet
-	adopted int              // how many of the cloud's instances were taken in
+	agents        []*simAgent
+	byName        map[string]*simAgent
+	outputs       *fake.Outputs
+	booting       []*fake.Instance // created and not up yet
+	instancesSeen int              // how many of the cloud's instances were taken in
 }
 
-// workerByName is the worker of a machine; nil: it is not up.
-func (w *world) workerByName(name string) *simWorker { return w.machines.byName[name] }
+// agentByName is the worker of a machine; nil: it is not up.
+func (w *world) agentByName(name string) *simAgent { return w.machines.byName[name] }
 
 // addMachine adds a machine that is up and listed from the beginning.
 func (w *world) addMachine(machineType, zone string, spot bool) {
@@ -28,26 +28,26 @@
 // bootMachines starts the workers of instances that have come up.
 func (w *world) bootMachines() {
 	m := &w.machines
-	m.booting = append(m.booting, w.cloud.Created[m.adopted:]...)
-	m.adopted = len(w.cloud.Created)
+	m.booting = append(m.booting, w.cloud.Created[m.instancesSeen:]...)
+	m.instancesSeen = len(w.cloud.Created)
 	m.booting = slices.DeleteFunc(m.booting, func(i *fake.Instance) bool {
 		up := !i.Deleted && !i.Failed && !i.NeverBoots && !i.NeverReports && w.now >= i.BootedAt
 		if up {
-			w.bootWorker(i)
+			w.bootAgent(i)
 		}
 		return up || i.Deleted
 	})
 }
 
-// bootWorker starts the worker of an instance.
-func (w *world) bootWorker(instance *fake.Instance) {
+// bootAgent starts the worker of an instance.
+func (w *world) bootAgent(instance *fake.Instance) {
 	var machineType wire.MachineType
 	for _, t := range w.cloud.Types {
 		if t.Name == instance.Type {
 			machineType = t
 		}
 	}
-	s := &simWorker{instance: instance, Worker: &fake.Worker{
+	s := &simAgent{instance: instance, Worker: &fake.Worker{
 		Identity: fake.Identity{
 			Name:    instance.Name,
 			Address: instance.Address,
@@ -63,8 +63,8 @@
 	}}
 	s.Boot(w.now)
 	s.nextHeartbeat = w.now
-	s.controller = w.rng.IntN(len(w.controllers))
-	w.machines.workers = append(w.machines.workers, s)
+	s.controllerIndex = w.rng.IntN(len(w.controllers))
+	w.machines.agents = append(w.machines.agents, s)
 	w.machines.byName[s.Name] = s
 }
 
@@ -82,7 +82,7 @@
 
 // Fails implements fake.Workload.
 func (l workload) Fails(job *wire.Job, index int) bool {
-	each := l.world.users.failsEach[job.Ref]
+	each := l.world.users.failEveryNth[job.Ref]
 	return each > 0 && index%each == 0
 }
 
@@ -91,12 +91,12 @@
 
 // TaskOrdered implements fake.Observer.
 func (o observer) TaskOrdered(on *fake.Worker, t *fake.Task) {
-	o.world.rules.history.checkOrder(on.Name, t)
+	o.world.rules.history.checkRunCommand(on.Name, t)
 }
 
 // TaskStarted implements fake.Observer.
 func (o observer) TaskStarted(on *fake.Worker, t *fake.Task) {
-	o.world.checkStart(o.world.workerByName(on.Name), t)
+	o.world.checkStart(o.world.agentByName(on.Name), t)
 }
 
 // TaskRestarted implements fake.Observer.
@@ -111,8 +111,8 @@
 }
 
 // machinesOf lists the machines that a job's tasks are on.
-func (w *world) machinesOf(ref string) (workers []*simWorker) {
-	for _, s := range w.machines.workers {
+func (w *world) machinesOf(ref string) (workers []*simAgent) {
+	for _, s := range w.machines.agents {
 		if s.activeTasks(ref) > 0 {
 			workers = append(workers, s)
 		}
@@ -122,7 +122,7 @@
 
 // countActive counts a job's tasks that are on machines.
 func (w *world) countActive(ref string) (count int) {
-	for _, s := range w.machines.workers {
+	for _, s := range w.machines.agents {
 		count += s.activeTasks(ref)
 	}
 	return count
--- a/internal/scenario/peer_link_test.go
+++ b/internal/scenario/peer_link_test.go
@@ -27,8 +27,8 @@
 	lastDelivery                           map[*simController]clock.Micros // when the latest message to an end arrives
 }
 
-// isCutFrom says whether another controller's messages do not reach this one now.
-func (c *simController) isCutFrom(from *simController) bool {
+// isUnreachableFrom says whether another controller's messages do not reach this one now.
+func (c *simController) isUnreachableFrom(from *simController) bool {
 	return c != from && (c.faults.peersUnreachable || from.faults.peersUnreachable ||
 		c.faults.pausedUntil > c.world.now || c.world.isPartitioned(c.cfg.Zone, from.cfg.Zone))
 }
@@ -41,7 +41,7 @@
 			return
 		}
 		to := w.controllers[slices.IndexFunc(w.controllers, func(o *simController) bool { return o.name == name })]
-		isCut := to.isCutFrom(c)
+		isCut := to.isUnreachableFrom(c)
 		if to.running && !isCut && to != c {
 			c.jobCache.Post(api.PeerContacted{})
 			to.jobCache.Post(api.PeerContacted{})
@@ -71,12 +71,12 @@
 // Send implements leader.Link. It is not reached: the simulation carries messages over a link itself.
 func (*simLink) Send(*peer.FromLeader) { panic("a simulated link was sent over") }
 
-// followerThere and leaderThere say whether the process at an end is still the one that was connected.
-func (l *simLink) followerThere() bool {
+// followerAlive and leaderThere say whether the process at an end is still the one that was connected.
+func (l *simLink) followerAlive() bool {
 	return l.follower.running && l.follower.incarnation == l.followerIncarnation
 }
 
-func (l *simLink) leaderThere() bool {
+func (l *simLink) leaderAlive() bool {
 	return l.leader.running && l.leader.incarnation == l.leaderIncarnation
 }
 
@@ -87,12 +87,12 @@
 	}
 	l.broken = true
 	l.leader.whenResumed(func() {
-		if l.leaderThere() {
+		if l.leaderAlive() {
 			l.leader.leaderStep(leader.PeerDisconnected{Controller: l.follower.name, Link: l})
 		}
 	})
 	l.follower.whenResumed(func() {
-		if !l.followerThere() || l.follower.leaderLink != l {
+		if !l.followerAlive() || l.follower.leaderLink != l {
 			return
 		}
 		l.follower.leaderLink = nil
@@ -111,7 +111,7 @@
 	if to == from {
 		from = l.leader
 	}
-	if to.isCutFrom(from) {
+	if to.isUnreachableFrom(from) {
 		w.after(linkTimeout, l.disconnect)
 		return
 	}
@@ -123,7 +123,7 @@
 	l.lastDelivery[to] = at
 	w.after(at-w.now, func() {
 		to.whenResumed(func() {
-			if !l.broken && l.followerThere() && l.leaderThere() {
+			if !l.broken && l.followerAlive() && l.leaderAlive() {
 				receive()
 			}
 		})
--- a/internal/scenario/random_faults_test.go
+++ b/internal/scenario/random_faults_test.go
@@ -61,20 +61,20 @@
 }
 
 const (
-	faultsBegin = 12 * clock.Second
-	faultsEnd   = 75 * clock.Second
-	calmAfter   = 130 * clock.Second
+	earliestFault = 12 * clock.Second
+	latestFault   = 75 * clock.Second
+	recoveryTime  = 130 * clock.Second
 )
 
 // Whatever faults overlap, no rule of the protocol is violated, and once they are over all that was
 // accepted runs to its end. A world that violates one is made smaller until a few faults are left.
 func TestRandomFaults(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) { tryFaults(t, 30, 150, config.DefaultTuning().Spread) })
+	rapid.Check(t, func(t *rapid.T) { runRandomFaults(t, 30, 150, config.DefaultTuning().Spread) })
 }
 
 // The same with hundreds of machines and thousands of tasks, in fewer worlds.
 func TestRandomFaultsAtSize(t *testing.T) {
-	checkPart(t, 8, func(t *rapid.T) { tryFaults(t, 250, 450, config.DefaultTuning().Spread) })
+	checkFraction(t, 8, func(t *rapid.T) { runRandomFaults(t, 250, 450, config.DefaultTuning().Spread) })
 }
 
 // The same with work that is moved as often as can be: tasks are stopped and started again all the time,
@@ -92,15 +92,15 @@
 		TimeoutS:        30,
 	}
 	moved := 0
-	checkPart(t, 2, func(t *rapid.T) { moved += tryFaults(t, 30, 150, spread) })
+	checkFraction(t, 2, func(t *rapid.T) { moved += runRandomFaults(t, 30, 150, spread) })
 	if moved == 0 {
 		t.Error("no task was moved")
 	}
 	t.Logf("%d moves by the last leaders of the worlds", moved)
 }
 
-// checkPart checks a property on a part of the worlds that rapid is set to try.
-func checkPart(t *testing.T, part int, property func(*rapid.T)) {
+// checkFraction checks a property on a part of the worlds that rapid is set to try.
+func checkFraction(t *testing.T, part int, property func(*rapid.T)) {
 	checks := flag.Lookup("rapid.checks").Value
 	all := checks.String()
 	defer func() { must(checks.Set(all)) }()
@@ -110,15 +110,15 @@
 	rapid.Check(t, property)
 }
 
-// tryFaults draws a cluster and its faults, and plays them. It says how many tasks its last leader has
+// runRandomFaults draws a cluster and its faults, and plays them. It says how many tasks its last leader has
 // moved.
-func tryFaults(t *rapid.T, least, most int, spread config.Spread) (moved int) {
+func runRandomFaults(t *rapid.T, least, most int, spread config.Spread) (moved int) {
 	machines := rapid.IntRange(least, most).Draw(t, "machines")
 	faults := rapid.SliceOfN(rapid.Custom(drawFault), 1, 14).Draw(t, "faults")
 	seed := rapid.Uint64Range(1, 1000).Draw(t, "seed")
 	w := randomWorld(t.Name(), seed, machines, spread)
 	defer w.stop()
-	w.playFaults(faults, machines)
+	w.runFaults(faults, machines)
 	if len(w.rules.violations) > 0 {
 		t.Fatalf("%s", strings.Join(w.rules.violations[:min(len(w.rules.violations), 5)], "\n"))
 	}
@@ -134,18 +134,18 @@
 		faults   []fault
 	}{
 		"workers begin anew within a session, and their tasks are never given back": {26, 30, []fault{
-			{at: seconds(12), duration: seconds(0.2), kind: "machines reboot", count: 25, share: 0.2}}},
+			{startAt: seconds(12), duration: seconds(0.2), kind: "machines reboot", count: 25, share: 0.2}}},
 		"a task is stopped for a service while its order has no answer, and never given back": {4, 30, []fault{
-			{at: seconds(59.7), duration: seconds(35), kind: "burst of jobs", target: 7, count: 3},
-			{at: seconds(29.4), duration: seconds(0.9), kind: "jobs are cancelled", target: 7, count: 17},
-			{at: seconds(14.3), duration: seconds(33.8), kind: "leader pauses"},
-			{at: seconds(56.5), duration: seconds(0.4), kind: "machines are unreachable", count: 1},
-			{at: seconds(59.2), duration: seconds(0.2), kind: "machines' inbound messages are lost", target: 5, count: 40},
-			{at: seconds(57.1), duration: seconds(0.2), kind: "burst of jobs", count: 25},
-			{at: seconds(14.2), duration: seconds(0.3), kind: "machines reboot", count: 31}}},
+			{startAt: seconds(59.7), duration: seconds(35), kind: "burst of jobs", target: 7, count: 3},
+			{startAt: seconds(29.4), duration: seconds(0.9), kind: "jobs are cancelled", target: 7, count: 17},
+			{startAt: seconds(14.3), duration: seconds(33.8), kind: "leader pauses"},
+			{startAt: seconds(56.5), duration: seconds(0.4), kind: "machines are unreachable", count: 1},
+			{startAt: seconds(59.2), duration: seconds(0.2), kind: "machines' inbound messages are lost", target: 5, count: 40},
+			{startAt: seconds(57.1), duration: seconds(0.2), kind: "burst of jobs", count: 25},
+			{startAt: seconds(14.2), duration: seconds(0.3), kind: "machines reboot", count: 31}}},
 	} {
 		w := randomWorld(fmt.Sprintf("%s/seed-%d", t.Name(), c.seed), c.seed, c.machines, config.DefaultTuning().Spread)
-		w.playFaults(c.faults, c.machines)
+		w.runFaults(c.faults, c.machines)
 		w.stop()
 		if len(w.rules.violations) > 0 {
 			t.Errorf("%s: %v", name, w.rules.violations)
@@ -157,7 +157,7 @@
 func drawFault(t *rapid.T) fault {
 	const tenth = clock.Second / 10
 	return fault{
-		at:       clock.Micros(rapid.Int64Range(int64(faultsBegin/tenth), int64(faultsEnd/tenth)).Draw(t, "at")) * tenth,
+		startAt:  clock.Micros(rapid.Int64Range(int64(earliestFault/tenth), int64(latestFault/tenth)).Draw(t, "at")) * tenth,
 		duration: clock.Micros(rapid.Int64Range(2, 350).Draw(t, "duration")) * tenth,
 		kind:     rapid.SampledFrom(faultKindNames()).Draw(t, "kind"),
 		target:   rapid.IntRange(0, 9).Draw(t, "target"),
@@ -166,17 +166,17 @@
 	}
 }
 
-// playFaults runs the cluster through the faults and the calm after them.
-func (w *world) playFaults(faults []fault, machines int) {
+// runFaults runs the cluster through the faults and the calm after them.
+func (w *world) runFaults(faults []fault, machines int) {
 	for i := range 8 {
 		w.after(clock.Micros(3+i*7)*clock.Second, func() { w.submitRandom(i, machines*2/3+i*13, 5+i*3) })
 	}
 	for _, f := range faults {
-		w.after(f.at, func() { w.beginFault(f) })
+		w.after(f.startAt, func() { w.injectFault(f) })
 	}
-	w.run(faultsEnd + 40*clock.Second)
+	w.run(latestFault + 40*clock.Second)
 	w.startControllers()
-	w.run(calmAfter)
+	w.run(recoveryTime)
 	w.checkFinalStates()
 }
 
@@ -187,16 +187,16 @@
 		j := w.users.jobs[ref]
 		switch {
 		case r.Code != 200:
-			w.violates("forgotten: %s is answered %d", ref, r.Code)
+			w.reportViolation("forgotten: %s is answered %d", ref, r.Code)
 		case !j.IsService() && !isFinal(r.Status.State):
-			w.violates("unfinished: %s is %s", ref, r.Status.State)
+			w.reportViolation("unfinished: %s is %s", ref, r.Status.State)
 		}
 		if _, ended := w.store.Get(leader.FinalStatePrefix + ref); !ended {
 			continue
 		}
-		for _, s := range w.machines.workers {
+		for _, s := range w.machines.agents {
 			if s.activeTasks(ref) > 0 {
-				w.violates("goes on: %s on %s", ref, s.Name)
+				w.reportViolation("goes on: %s on %s", ref, s.Name)
 			}
 		}
 	}
--- a/internal/scenario/random_jobs_test.go
+++ b/internal/scenario/random_jobs_test.go
@@ -14,9 +14,9 @@
 
 // nextJob is a batch that a user of a random world submits next, of tasks that take a processor each.
 func (w *world) nextJob(class, team string, tasks int) wire.Job {
-	w.users.submitted++
+	w.users.randomJobs++
 	return wire.Job{
-		Ref:      fmt.Sprintf("j-%06d", w.users.submitted),
+		Ref:      fmt.Sprintf("j-%06d", w.users.randomJobs),
 		Class:    class,
 		Team:     team,
 		Shape:    wire.ShapeBatch,
@@ -51,13 +51,13 @@
 	w.submitUntilAccepted(j, i)
 }
 
-// submitMistaken has a user submit a job that fails on every machine, and returns its reference.
-func (w *world) submitMistaken(i, tasks int) string {
+// submitFaulty has a user submit a job that fails on every machine, and returns its reference.
+func (w *world) submitFaulty(i, tasks int) string {
 	const runSeconds = 10
 	j := w.nextJob("l", teamOf(i), tasks)
 	j.Image = "img9"
 	j.EstimateS = runSeconds
-	w.users.runSeconds[j.Ref], w.users.failsEach[j.Ref] = runSeconds, 1
+	w.users.runSeconds[j.Ref], w.users.failEveryNth[j.Ref] = runSeconds, 1
 	w.submitUntilAccepted(j, i)
 	return j.Ref
 }
--- a/internal/scenario/rules_test.go
+++ b/internal/scenario/rules_test.go
@@ -37,12 +37,12 @@
 
 // activeTask is a task on a machine.
 type activeTask struct {
-	worker *simWorker
-	task   *fake.Task
+	agent *simAgent
+	task  *fake.Task
 }
 
-// violates notes that a rule is violated, once for each text.
-func (w *world) violates(format string, args ...any) {
+// reportViolation notes that a rule is violated, once for each text.
+func (w *world) reportViolation(format string, args ...any) {
 	violation := fmt.Sprintf(format, args...)
 	if !slices.Contains(w.rules.violations, violation) {
 		w.rules.violations = append(w.rules.violations, violation)
@@ -50,7 +50,7 @@
 }
 
 // checkStart judges the rules that can be violated when a task begins to run.
-func (w *world) checkStart(on *simWorker, t *fake.Task) {
+func (w *world) checkStart(on *simAgent, t *fake.Task) {
 	ref := t.Job.Ref
 	w.rules.history.checkStart(on.Name, t)
 	w.rules.lastStartAt[ref] = w.now
@@ -58,19 +58,19 @@
 		w.rules.firstStartAt[ref] = w.now
 	}
 	if at, ok := w.users.cancelledAt[ref]; ok && w.now-at > w.cancelTime() {
-		w.violates("ran_cancelled: %s starts on %s", t.Task, on.Name)
+		w.reportViolation("ran_cancelled: %s starts on %s", t.Task, on.Name)
 	}
 	if !on.allows(&t.Job) {
-		w.violates("wrong_place: %s on %s", t.Task, on.Name)
+		w.reportViolation("wrong_place: %s on %s", t.Task, on.Name)
 	}
 	active := append(w.rules.activeTasks[t.Job.Team], activeTask{on, t})
 	active = slices.DeleteFunc(active, func(a activeTask) bool {
-		return a.worker.ended || !a.task.IsActive() || a.worker.leaseExpired(w.now)
+		return a.agent.terminated || !a.task.IsActive() || a.agent.leaseExpired(w.now)
 	})
 	w.rules.activeTasks[t.Job.Team] = active
 	for _, other := range active {
 		if other.task.Task == t.Task && other.task != t {
-			w.violates("ran_twice: %s on %s and %s", t.Task, other.worker.Name, on.Name)
+			w.reportViolation("ran_twice: %s on %s and %s", t.Task, other.agent.Name, on.Name)
 		}
 	}
 	w.checkQuota(t, active)
@@ -84,7 +84,7 @@
 		cpus += a.task.Job.CPUs
 	}
 	if team, _ := w.cfg.Team(t.Job.Team); cpus > team.CPULimit()+roundingError {
-		w.violates("quota: %s uses %.0f cpus", t.Job.Team, cpus)
+		w.reportViolation("quota: %s uses %.0f cpus", t.Job.Team, cpus)
 	}
 }
 
@@ -93,15 +93,15 @@
 	tasksByZone := map[string]int{}
 	for _, a := range active {
 		if a.task.Job.Ref == t.Job.Ref {
-			tasksByZone[a.worker.Zone]++
+			tasksByZone[a.agent.Zone]++
 		}
 	}
 	if t.Job.OneZone && len(tasksByZone) > 1 {
-		w.violates("wrong_place: %s is in several zones", t.Job.Ref)
+		w.reportViolation("wrong_place: %s is in several zones", t.Job.Ref)
 	}
 	for zone, tasks := range tasksByZone {
 		if t.Job.Spread && tasks > (t.Job.Tasks+1)/2 {
-			w.violates("wrong_place: %s has %d tasks in %s", t.Job.Ref, tasks, zone)
+			w.reportViolation("wrong_place: %s has %d tasks in %s", t.Job.Ref, tasks, zone)
 		}
 	}
 }
@@ -115,10 +115,10 @@
 		if w.now-w.users.cancelledAt[ref] <= w.cancelTime() {
 			continue
 		}
-		for _, s := range w.machines.workers {
+		for _, s := range w.machines.agents {
 			for _, t := range s.Tasks {
-				if t.Job.Ref == ref && t.IsActive() && !s.ended {
-					w.violates("ran_cancelled: %s on %s", t.Task, s.Name)
+				if t.Job.Ref == ref && t.IsActive() && !s.terminated {
+					w.reportViolation("ran_cancelled: %s on %s", t.Task, s.Name)
 				}
 			}
 		}
--- a/internal/scenario/size_test.go
+++ b/internal/scenario/size_test.go
@@ -103,7 +103,7 @@
 	w.run(down)
 	w.startControllers()
 	back := w.now
-	for w.unansweredWorkers(back) > 0 && w.now < back+clock.Minute {
+	for w.unansweredAgents(back) > 0 && w.now < back+clock.Minute {
 		w.run(clock.Second / 2)
 	}
 	return w.now - back
@@ -121,17 +121,17 @@
 // checkLeasesKept judges that no worker's lease has expired.
 func (w *world) checkLeasesKept(t *testing.T, took clock.Micros) {
 	t.Helper()
-	for _, s := range w.machines.workers {
-		if s.AgentEpoch > 1 && !s.ended {
+	for _, s := range w.machines.agents {
+		if s.AgentEpoch > 1 && !s.terminated {
 			t.Fatalf("%s lost its lease while the controllers were back after %.1f s", s.Name, took.Seconds())
 		}
 	}
 }
 
-// unansweredWorkers counts the workers that have had no answer to a heartbeat sent since then.
-func (w *world) unansweredWorkers(since clock.Micros) (count int) {
-	for _, s := range w.machines.workers {
-		if !s.ended && s.LeaseRenewedAt() < since {
+// unansweredAgents counts the workers that have had no answer to a heartbeat sent since then.
+func (w *world) unansweredAgents(since clock.Micros) (count int) {
+	for _, s := range w.machines.agents {
+		if !s.terminated && s.LeaseRenewedAt() < since {
 			count++
 		}
 	}
@@ -140,9 +140,9 @@
 
 // activeReplicas counts the replicas of services on machines.
 func (w *world) activeReplicas() (count int) {
-	for _, s := range w.machines.workers {
+	for _, s := range w.machines.agents {
 		for _, t := range s.Tasks {
-			if t.Job.IsService() && t.IsActive() && !s.ended {
+			if t.Job.IsService() && t.IsActive() && !s.terminated {
 				count++
 			}
 		}
@@ -227,7 +227,7 @@
 		w.mustSubmitBatch(t, &d, i, 100)
 	}
 	w.run(120 * clock.Second)
-	if n := len(w.machines.workers); n < 100 {
+	if n := len(w.machines.agents); n < 100 {
 		t.Fatalf("%d machines are up", n)
 	}
 	before := w.traffic
@@ -243,7 +243,7 @@
 		t.Errorf("%d requests to the state service in %d s, want %d at most", requests, seconds, most)
 	}
 	t.Logf("%d machines: %d messages and %d requests to the state service in %d s",
-		len(w.machines.workers), messages, requests, seconds)
+		len(w.machines.agents), messages, requests, seconds)
 }
 
 // leaderTerms are the terms in which controllers lead now.
@@ -257,8 +257,8 @@
 
 // rebootZone reboots all machines of a zone, and says how many these are.
 func (w *world) rebootZone(zone string) (count int) {
-	for _, s := range w.machines.workers {
-		if s.Zone == zone && !s.ended {
+	for _, s := range w.machines.agents {
+		if s.Zone == zone && !s.terminated {
 			s.Reboot(w.now)
 			count++
 		}
@@ -276,7 +276,7 @@
 	w.run(electionTime)
 	w.mustSubmitLoad(t, &d, 0)
 	w.run(120 * clock.Second)
-	if n := len(w.machines.workers); n < d.machines*9/10 {
+	if n := len(w.machines.agents); n < d.machines*9/10 {
 		t.Fatalf("%d of %d machines are up", n, d.machines)
 	}
 	before := w.leaderTerms()
@@ -287,12 +287,12 @@
 	if after := w.leaderTerms(); len(after) != 1 || !maps.Equal(before, after) {
 		t.Errorf("terms %v lead after %d machines rebooted, %v before", after, rebooted, before)
 	}
-	if late := w.unansweredWorkers(w.now - clock.FromSeconds(2*d.settings.Facts.Workers.ReportS)); late > 0 {
+	if late := w.unansweredAgents(w.now - clock.FromSeconds(2*d.settings.Facts.Workers.ReportS)); late > 0 {
 		t.Errorf("%d workers had no answer in two heartbeat intervals", late)
 	}
 
 	// The leader crashes, and a zone reboots while the next one takes over.
-	crash(w.leaders()...)
+	crashControllers(w.leaders()...)
 	w.run(2 * clock.Second)
 	rebooted += w.rebootZone("b")
 	w.run(60 * clock.Second)
@@ -306,5 +306,5 @@
 	}
 	w.checkNoViolations(t)
 	t.Logf("%d machines, %d reboots, %d tasks ran, all answered %.1f s after all controllers were back, %.0f MB",
-		len(w.machines.workers), rebooted, completed, took.Seconds(), heapMB())
+		len(w.machines.agents), rebooted, completed, took.Seconds(), heapMB())
 }
--- a/internal/scenario/transcript_test.go
+++ b/internal/scenario/transcript_test.go
@@ -42,8 +42,8 @@
 	toUser  = "user"
 )
 
-// toWorker is the receiver of what is sent to a machine.
-func toWorker(machine string) string { return "worker " + machine }
+// toAgent is the receiver of what is sent to a machine.
+func toAgent(machine string) string { return "worker " + machine }
 
 // transcript is a record of all messages that leave the controllers of one world, encoded as on the wire. It
 // names nothing of the program, so that it stays comparable while the program is restructured. A nil
@@ -219,11 +219,11 @@
 	message := "answer " + strconv.Itoa(a.Status)
 	switch a.Status {
 	case 200:
-		c.recordJSON(toWorker(machine), message, a.Body)
+		c.recordJSON(toAgent(machine), message, a.Body)
 	case 421:
-		c.recordJSON(toWorker(machine), message, a.Redirect)
+		c.recordJSON(toAgent(machine), message, a.Redirect)
 	default:
-		c.recordSent(toWorker(machine), message)
+		c.recordSent(toAgent(machine), message)
 	}
 }
 
--- a/internal/scenario/users_test.go
+++ b/internal/scenario/users_test.go
@@ -14,11 +14,11 @@
 	submissions   map[string][]byte // bodies by job
 	jobs          map[string]wire.Job
 	runSeconds    map[string]float64
-	failsEach     map[string]int // by job: each how many-eth task fails wherever it runs; 0: none
+	failEveryNth  map[string]int // by job: each how many-eth task fails wherever it runs; 0: none
 	acceptedAt    map[string]clock.Micros
 	cancelledAt   map[string]clock.Micros  // when the user was answered
 	reportedState map[string]wire.JobState // by job: the latest state that any controller answered
-	submitted     int                      // jobs that random worlds have submitted
+	randomJobs    int                      // jobs that random worlds have submitted
 	queryOften    bool                     // users ask everywhere, and submit again, as soon as something was answered
 }
 
@@ -27,7 +27,7 @@
 		submissions:   map[string][]byte{},
 		jobs:          map[string]wire.Job{},
 		runSeconds:    map[string]float64{},
-		failsEach:     map[string]int{},
+		failEveryNth:  map[string]int{},
 		acceptedAt:    map[string]clock.Micros{},
 		cancelledAt:   map[string]clock.Micros{},
 		reportedState: map[string]wire.JobState{},
@@ -74,7 +74,7 @@
 func (w *world) awaitState(c *simController, ref, state string, timeout clock.Micros) string {
 	for end := w.now + timeout; w.now < end; {
 		if state == "off" { // the last task has ended, at this very step
-			if w.run(step); w.countActive(ref) == 0 {
+			if w.run(tickInterval); w.countActive(ref) == 0 {
 				return state
 			}
 			continue
@@ -102,20 +102,20 @@
 		return r
 	}
 	if state == stateUnknown || isFinal(before) && state != before {
-		w.violates("went_back: %s is %s after %s", ref, state, before)
+		w.reportViolation("went_back: %s is %s after %s", ref, state, before)
 	}
 	if !isFinal(before) {
 		w.users.reportedState[ref] = state
 	}
 	ended := !isFinal(before) && state != before && isFinal(state)
 	if w.users.queryOften && (before == "" || ended) {
-		w.queryEverywhere(ref)
+		w.queryAllControllers(ref)
 	}
 	return r
 }
 
-// queryEverywhere asks at all controllers within milliseconds, and submits again.
-func (w *world) queryEverywhere(ref string) {
+// queryAllControllers asks at all controllers within milliseconds, and submits again.
+func (w *world) queryAllControllers(ref string) {
 	for _, delay := range []clock.Micros{0, clock.Millisecond, 5 * clock.Millisecond, 40 * clock.Millisecond} {
 		for _, c := range w.controllers {
 			w.after(delay, func() {
@@ -125,7 +125,7 @@
 				w.checkReply(ref, c.lookUpJob(ref))
 				r := c.submitJob(w.users.submissions[ref])
 				if w.checkReply(ref, r); r.Code == 400 || r.Code == 422 {
-					w.violates("forgotten: %s is answered %d", ref, r.Code)
+					w.reportViolation("forgotten: %s is answered %d", ref, r.Code)
 				}
 			})
 		}
@@ -135,7 +135,7 @@
 // queryUnfinishedJobs asks for each job that may still change, at one controller after the other.
 func (w *world) queryUnfinishedJobs() {
 	for i, ref := range sortedKeys(w.users.jobs) {
-		c := w.controllers[(int(w.now/step)+i)%len(w.controllers)]
+		c := w.controllers[(int(w.now/tickInterval)+i)%len(w.controllers)]
 		if c.isResponsive() && !isFinal(w.users.reportedState[ref]) {
 			w.checkReply(ref, c.lookUpJob(ref))
 		}
--- a/internal/scenario/waiting_rule_test.go
+++ b/internal/scenario/waiting_rule_test.go
@@ -11,19 +11,19 @@
 const (
 	// maxWait is how long a job may wait beside free capacity for it once all faults are over.
 	maxWait = 90 * clock.Second
-	// maxRetryPause is how long after its last try a task that fails wherever it runs may wait for the next: the
+	// maxRetryDelay is how long after its last try a task that fails wherever it runs may wait for the next: the
 	// longest pause, and the time to place it.
-	maxRetryPause = 40 * clock.Second
+	maxRetryDelay = 40 * clock.Second
 )
 
 // freeCapacity is what is free on a machine.
 type freeCapacity struct {
-	cpus, memory float64
+	cpus, memoryGB float64
 }
 
 // occupancy is what the tasks on all machines take.
 type occupancy struct {
-	free       map[*simWorker]freeCapacity
+	free       map[*simAgent]freeCapacity
 	cpusByTeam map[string]float64
 	tasksByJob map[string]int // that have not exited
 }
@@ -31,7 +31,7 @@
 // checkWaitingJobs judges, once a second, that no job is left waiting while a machine that fits
 // has free capacity and its team is under its limit.
 func (w *world) checkWaitingJobs() {
-	if w.now%clock.Second >= step {
+	if w.now%clock.Second >= tickInterval {
 		return
 	}
 	if w.hasFaults() {
@@ -54,7 +54,7 @@
 			w.rules.waitingSince[ref] = w.now
 		}
 		if w.now-w.rules.waitingSince[ref] > maxWait {
-			w.violates("waits: %s beside free capacity for it", ref)
+			w.reportViolation("waits: %s beside free capacity for it", ref)
 		}
 	}
 }
@@ -62,19 +62,19 @@
 // occupancy sums up the machines that may take tasks.
 func (w *world) occupancy() occupancy {
 	o := occupancy{
-		free:       map[*simWorker]freeCapacity{},
+		free:       map[*simAgent]freeCapacity{},
 		cpusByTeam: map[string]float64{},
 		tasksByJob: map[string]int{},
 	}
-	for _, s := range w.machines.workers {
-		if s.ended || s.PreemptionNoticeS != nil {
+	for _, s := range w.machines.agents {
+		if s.terminated || s.PreemptionNoticeS != nil {
 			continue
 		}
 		free := freeCapacity{s.CPUs, s.Memory}
 		for _, t := range s.Tasks {
 			if t.State != wire.TaskExited {
 				free.cpus -= t.Job.CPUs
-				free.memory -= t.Job.MemoryGB
+				free.memoryGB -= t.Job.MemoryGB
 				o.cpusByTeam[t.Job.Team] += t.Job.CPUs
 				o.tasksByJob[t.Job.Ref]++
 			}
@@ -87,7 +87,7 @@
 // fits says whether any machine has free capacity for a task of a job.
 func (o *occupancy) fits(job *wire.Job) bool {
 	for s, free := range o.free {
-		if s.allows(job) && free.cpus >= job.CPUs && free.memory >= job.MemoryGB {
+		if s.allows(job) && free.cpus >= job.CPUs && free.memoryGB >= job.MemoryGB {
 			return true
 		}
 	}
@@ -103,7 +103,7 @@
 		return false
 	}
 	// What fails wherever it runs waits as long as it is not tried.
-	if w.users.failsEach[job.Ref] > 0 && w.now-w.rules.lastStartAt[job.Ref] < maxRetryPause {
+	if w.users.failEveryNth[job.Ref] > 0 && w.now-w.rules.lastStartAt[job.Ref] < maxRetryDelay {
 		return false
 	}
 	team, _ := w.cfg.Team(job.Team)
--- a/internal/scenario/world_test.go
+++ b/internal/scenario/world_test.go
@@ -13,8 +13,8 @@
 	"swiftledge/wire"
 )
 
-// step is how often controllers and workers act.
-const step = 50 * clock.Millisecond
+// tickInterval is how often controllers and workers act.
+const tickInterval = 50 * clock.Millisecond
 
 // world is a cluster with all that it talks to.
 type world struct {
@@ -32,9 +32,9 @@
 	faults      worldFaults
 	traffic     traffic
 
-	ctx        context.Context // of the controllers' goroutines
-	endContext context.CancelFunc
-	running    sync.WaitGroup // those goroutines
+	ctx           context.Context // of the controllers' goroutines
+	cancelContext context.CancelFunc
+	goroutines    sync.WaitGroup // those goroutines
 }
 
 // worldFaults is what a scenario lets go wrong outside of controllers and machines.
@@ -58,16 +58,16 @@
 func newWorld(name string, cfg config.Config, types []wire.MachineType, seed uint64) *world {
 	ctx, endContext := context.WithCancel(context.Background())
 	w := &world{
-		transcript: transcripts.open(name),
-		rng:        rand.New(rand.NewPCG(seed, 1)),
-		cfg:        cfg,
-		nextLimits: cfg.Facts.State.Next,
-		store:      fake.NewStore(cfg.Facts.State.ValueKB, cfg.Facts.State.TxnOps),
-		cloud:      fake.NewCloud(types, clock.FromSeconds(cfg.Facts.Cloud.ListLagS)),
-		machines:   machines{byName: map[string]*simWorker{}, outputs: fake.NewOutputs()},
-		users:      newUsers(),
-		ctx:        ctx,
-		endContext: endContext,
+		transcript:    transcripts.open(name),
+		rng:           rand.New(rand.NewPCG(seed, 1)),
+		cfg:           cfg,
+		nextLimits:    cfg.Facts.State.Next,
+		store:         fake.NewStore(cfg.Facts.State.ValueKB, cfg.Facts.State.TxnOps),
+		cloud:         fake.NewCloud(types, clock.FromSeconds(cfg.Facts.Cloud.ListLagS)),
+		machines:      machines{byName: map[string]*simAgent{}, outputs: fake.NewOutputs()},
+		users:         newUsers(),
+		ctx:           ctx,
+		cancelContext: endContext,
 	}
 	w.rules = newRules(w)
 	for i := range cfg.Facts.InitialSize {
@@ -75,14 +75,14 @@
 		w.controllers = append(w.controllers, c)
 		c.start()
 	}
-	w.after(step, w.tick)
+	w.after(tickInterval, w.tick)
 	return w
 }
 
 // stop ends the goroutines of the world and waits for them.
 func (w *world) stop() {
-	w.endContext()
-	w.running.Wait()
+	w.cancelContext()
+	w.goroutines.Wait()
 }
 
 // tick is one step of everything that acts by itself.
@@ -92,7 +92,7 @@
 		c.tick()
 	}
 	w.bootMachines()
-	for _, s := range w.machines.workers {
+	for _, s := range w.machines.agents {
 		s.tick(w)
 	}
 	w.checkCancelledJobs()
@@ -100,7 +100,7 @@
 	if w.users.queryOften {
 		w.queryUnfinishedJobs()
 	}
-	w.after(step, w.tick)
+	w.after(tickInterval, w.tick)
 }
 
 // latency is the delay of one message.
@@ -116,7 +116,7 @@
 	return w.store.Down || w.faults.cloudDown || w.faults.lateCloudShare > 0 || w.faults.lateCommandShare > 0 ||
 		w.now < w.faults.partitionedUntil ||
 		slices.ContainsFunc(w.controllers, func(c *simController) bool { return !c.running || c.faults.any(w.now) }) ||
-		slices.ContainsFunc(w.machines.workers, func(s *simWorker) bool { return !s.instance.Deleted && s.hasFaults(w.now) })
+		slices.ContainsFunc(w.machines.agents, func(s *simAgent) bool { return !s.instance.Deleted && s.hasFaults(w.now) })
 }
 
 // leaders are the controllers that lead.
