--- a/internal/scenario/command_args_test.go
+++ b/internal/scenario/command_args_test.go
@@ -12,14 +12,14 @@
 	"swiftledge/wire"
 )
 
-// arg is the value of an argument, or the default.
+// arg returns the value of a command's argument. The value passed in is the default.
 func arg[T any](t *testing.T, d *datadriven.TestData, key string, value T) T {
 	t.Helper()
 	d.MaybeScanArgs(t, key, &value)
 	return value
 }
 
-// duration is an argument that is a duration; without it, zero.
+// duration returns the value of an argument that is a duration; the default is zero.
 func duration(t *testing.T, d *datadriven.TestData, key string) clock.Micros {
 	t.Helper()
 	value, err := time.ParseDuration(arg(t, d, key, "0s"))
@@ -29,30 +29,30 @@
 	return clock.Micros(value / time.Microsecond)
 }
 
-// controllerArg is the controller that a command names.
+// controllerArg returns the controller that a command selects by its index.
 func (w *world) controllerArg(t *testing.T, d *datadriven.TestData) *simController {
 	t.Helper()
 	return w.controllers[arg(t, d, "controller", 0)]
 }
 
-// controllersArg are the controllers that a command names: one by its name, "leader", "others" or "all".
+// controllersArg returns the controllers that a command selects: one by its name, "leader", "others" or "all".
 func (w *world) controllersArg(t *testing.T, d *datadriven.TestData) []*simController {
 	t.Helper()
-	who := arg(t, d, "who", "all")
-	var named []*simController
+	selector := arg(t, d, "who", "all")
+	var selected []*simController
 	for _, c := range w.controllers {
 		isOther := c.running && !c.leads()
-		if who == "all" || who == c.name || who == "leader" && c.leads() || who == "others" && isOther {
-			named = append(named, c)
+		if selector == "all" || selector == c.name || selector == "leader" && c.leads() || selector == "others" && isOther {
+			selected = append(selected, c)
 		}
 	}
-	if len(named) == 0 {
-		d.Fatalf(t, "no controller is %s", who)
+	if len(selected) == 0 {
+		d.Fatalf(t, "no controller matches who=%s", selector)
 	}
-	return named
+	return selected
 }
 
-// clusterWorld makes the cluster that a command describes.
+// clusterWorld creates the cluster that a command describes.
 func clusterWorld(t *testing.T, d *datadriven.TestData) *world {
 	t.Helper()
 	cfg := clusterConfig(t, d)
@@ -73,7 +73,7 @@
 	return w
 }
 
-// clusterConfig are the settings of a cluster.
+// clusterConfig returns the settings of the cluster that a command describes.
 func clusterConfig(t *testing.T, d *datadriven.TestData) config.Config {
 	t.Helper()
 	cfg := config.Config{Tuning: config.DefaultTuning()}
@@ -108,7 +108,7 @@
 	return cfg
 }
 
-// clusterTypes are the machine types of a cluster.
+// clusterTypes returns the machine types of the cluster that a command describes.
 func clusterTypes(t *testing.T, d *datadriven.TestData) []wire.MachineType {
 	t.Helper()
 	small := wire.MachineType{
@@ -129,7 +129,8 @@
 	return []wire.MachineType{small, big}
 }
 
-// submissionBody is the submission that a command describes; it tells the workers what the job's tasks really do.
+// submissionBody encodes the submission that a command describes. It also sets how long the job's tasks really run
+// and which of them fail, which the simulated agents look up.
 func (w *world) submissionBody(t *testing.T, d *datadriven.TestData, ref string) []byte {
 	t.Helper()
 	runSeconds := arg(t, d, "run", 10)
--- a/internal/scenario/commands_controllers_test.go
+++ b/internal/scenario/commands_controllers_test.go
@@ -12,13 +12,13 @@
 	"swiftledge/internal/leader"
 )
 
-// runCommand lets time pass.
+// runCommand runs the cluster for a duration.
 func runCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	w.run(duration(t, d, "for"))
 	return ""
 }
 
-// crashCommand ends controllers.
+// crashCommand crashes controllers.
 func crashCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	for _, c := range w.controllersArg(t, d) {
 		c.crash()
@@ -26,7 +26,7 @@
 	return ""
 }
 
-// startCommand starts those that have ended.
+// startCommand starts the controllers that have crashed.
 func startCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	for _, c := range w.controllers {
 		if !c.running {
@@ -37,7 +37,7 @@
 	return ""
 }
 
-// controllerCommand sets what is wrong with controllers.
+// controllerCommand sets the faults of controllers, and clears those that it does not name.
 func controllerCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	for _, c := range w.controllersArg(t, d) {
 		c.faults = controllerFaults{
@@ -55,7 +55,7 @@
 	return ""
 }
 
-// readyCommand tells what the load balancer is told.
+// readyCommand returns the status code that a controller sends to the load balancer's readiness check.
 func readyCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	if !w.controllerArg(t, d).isReady() {
 		return "503"
@@ -63,7 +63,7 @@
 	return "200"
 }
 
-// leaderCommand tells whether one leads.
+// leaderCommand tells whether a controller leads.
 func leaderCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	if len(w.leaders()) == 0 {
 		return "none"
@@ -71,7 +71,7 @@
 	return "one"
 }
 
-// knownCommand tells whether every accepted job answers at every controller that is up.
+// knownCommand tells whether every running controller knows every accepted job.
 func knownCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	for _, c := range w.controllers {
 		for _, r := range sortedKeys(w.users.jobs) {
@@ -83,7 +83,7 @@
 	return "all"
 }
 
-// detectedPauseCommand says what a controller noticed of the last time in which it stood still.
+// detectedPauseCommand tells what a controller detected of its last process pause: the length and what expired.
 func detectedPauseCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	c := w.controllerArg(t, d)
 	p := c.pauses.Close()
--- a/internal/scenario/commands_jobs_test.go
+++ b/internal/scenario/commands_jobs_test.go
@@ -13,14 +13,14 @@
 	"swiftledge/wire"
 )
 
-// submitCommand submits one job.
+// submitCommand submits a job and returns the response.
 func submitCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	ref := arg(t, d, "ref", "")
 	return w.submit(w.controllerArg(t, d), w.submissionBody(t, d, ref))
 }
 
-// floodCommand submits one job after the other, until a time; some of them are cancelled a while later, at
-// one controller after the other.
+// floodCommand submits jobs at a fixed rate for a duration. With cancel_each=N, every Nth job is cancelled a while
+// later, at the controllers in turn.
 func floodCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	every, end := duration(t, d, "every"), w.now+duration(t, d, "for")
 	first := arg(t, d, "first", 0)
@@ -28,19 +28,19 @@
 		ref := fmt.Sprintf("j-%06d", first+i)
 		body := w.submissionBody(t, d, ref)
 		w.after(clock.Micros(i)*every, func() { w.submit(w.controllerArg(t, d), body) })
-		if off := arg(t, d, "cancel_each", 0); off > 0 && i%off == 0 {
+		if nth := arg(t, d, "cancel_each", 0); nth > 0 && i%nth == 0 {
 			w.after(clock.Micros(i)*every+duration(t, d, "cancel_after"), func() { w.cancel(w.controllers[i%len(w.controllers)], ref) })
 		}
 	}
 	return ""
 }
 
-// rawCommand submits its input as it is.
+// rawCommand submits its input as the unchanged request body.
 func rawCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	return w.submit(w.controllerArg(t, d), []byte(d.Input))
 }
 
-// statusCommand asks for a job.
+// statusCommand returns the state of a job, or the code of an error response.
 func statusCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	ref := arg(t, d, "ref", "")
 	r := w.checkReply(ref, w.controllerArg(t, d).lookUpJob(ref))
@@ -50,14 +50,14 @@
 	return string(r.Status.State)
 }
 
-// cancelCommand cancels a job.
+// cancelCommand cancels a job and returns its state, or the code of an error response.
 func cancelCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	ref := arg(t, d, "ref", "")
 	return w.cancel(w.controllerArg(t, d), ref)
 }
 
-// cancelRepeatedlyCommand cancels as a user does that repeats the request, at one controller after the other, until
-// it is answered.
+// cancelRepeatedlyCommand cancels a job as a user who retries the request at the controllers in turn, until a
+// response has a final state.
 func cancelRepeatedlyCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	ref := arg(t, d, "ref", "")
 	for i, end := 0, w.now+duration(t, d, "within"); w.now < end; i++ {
@@ -71,32 +71,32 @@
 	return "no answer"
 }
 
-// awaitCommand waits for a job to come to a state.
+// awaitCommand waits until a job is in a state.
 func awaitCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	ref := arg(t, d, "ref", "")
 	return w.awaitState(w.controllerArg(t, d), ref, arg(t, d, "state", string(wire.JobDone)), duration(t, d, "within"))
 }
 
-// queryOftenCommand has users ask everywhere as soon as something was answered.
+// queryOftenCommand makes users query all controllers as soon as one has reported a new state of a job.
 func queryOftenCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	w.users.queryOften = !d.HasArg("off")
 	return ""
 }
 
-// startedCommand tells whether a job began in time.
+// startedCommand tells whether a job's first task started in time.
 func startedCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	ref := arg(t, d, "ref", "")
-	at, ok := w.rules.firstStartAt[ref]
+	startedAt, ok := w.rules.firstStartAt[ref]
 	if !ok {
 		return "not begun"
 	}
-	if late := at - w.users.acceptedAt[ref]; late > duration(t, d, "within") {
-		return fmt.Sprintf("after %.0f s", late.Seconds())
+	if delay := startedAt - w.users.acceptedAt[ref]; delay > duration(t, d, "within") {
+		return fmt.Sprintf("after %.0f s", delay.Seconds())
 	}
 	return "in time"
 }
 
-// completedJobsCommand tells whether enough of what was accepted of a class or team has completed.
+// completedJobsCommand tells whether at least a share of the accepted jobs of a class or team has completed.
 func completedJobsCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	done, all := 0, 0
 	for _, r := range sortedKeys(w.users.jobs) {
@@ -113,22 +113,22 @@
 	return "enough"
 }
 
-// completionsCommand tells how often a job's tasks have run.
+// completionsCommand counts a job's tasks that have completed once and those that have completed more often.
 func completionsCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	ref := arg(t, d, "ref", "")
 	once, more := 0, 0
 	for i := range w.users.jobs[ref].Tasks {
-		switch k := w.rules.completions[fmt.Sprintf("%s/%d", ref, i)]; {
-		case k == 1:
+		switch completions := w.rules.completions[fmt.Sprintf("%s/%d", ref, i)]; {
+		case completions == 1:
 			once++
-		case k > 1:
+		case completions > 1:
 			more++
 		}
 	}
 	return fmt.Sprintf("once %d, repeated %d", once, more)
 }
 
-// suspectsCommand lists the suspect jobs, as an operator is told of them.
+// suspectsCommand lists the suspect jobs that the leader's status shows to operators.
 func suspectsCommand(_ *testing.T, w *world, _ *datadriven.TestData) string {
 	var refs []string
 	for _, s := range w.leaderStatus().Suspects {
@@ -140,7 +140,7 @@
 	return strings.Join(refs, " ")
 }
 
-// rulesCommand tells which rules were violated.
+// rulesCommand lists the violated rules.
 func rulesCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	if len(w.rules.violations) == 0 {
 		return "kept"
--- a/internal/scenario/commands_machines_test.go
+++ b/internal/scenario/commands_machines_test.go
@@ -1,6 +1,6 @@
 package scenario
 
-// Commands about the cloud, the machines and their workers.
+// Commands about the cloud, the machines and their agents.
 
 import (
 	"fmt"
@@ -9,19 +9,19 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// cloudCommand has the cloud fail or serve.
+// cloudCommand begins or ends an outage of the cloud.
 func cloudCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	w.faults.cloudDown = d.HasArg("down")
 	return ""
 }
 
-// zoneCommand cuts a zone off.
+// zoneCommand partitions a zone from everything else.
 func zoneCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	w.faults.partitionedZone, w.faults.partitionedUntil = arg(t, d, "name", ""), w.now+duration(t, d, "for")
 	return ""
 }
 
-// bootCommand has the next machines boot in so many times the usual time, and the machine list be late.
+// bootCommand multiplies the boot time of the next machines by a factor, and sets the lag of the machine list.
 func bootCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	w.cloud.BootFactor = arg(t, d, "factor", 0.0)
 	if lag := duration(t, d, "lag"); lag > 0 {
@@ -30,7 +30,7 @@
 	return ""
 }
 
-// failBootsCommand keeps the next machines from booting, or has them boot and never report.
+// failBootsCommand makes the next machines fail to boot, or boot without an agent that sends heartbeats.
 func failBootsCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	if d.HasArg("no_heartbeat") {
 		w.cloud.NextNeverReport = arg(t, d, "count", 1)
@@ -40,7 +40,7 @@
 	return ""
 }
 
-// workerCommand sets what is wrong with machines, or does something to them.
+// workerCommand sets the faults of agents and their machines, or reboots, fails or preempts the machines.
 func workerCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	for _, s := range w.agentsArg(t, d) {
 		s.network = machineNetwork{
@@ -69,23 +69,23 @@
 	return ""
 }
 
-// agentsArg are the workers that a command names: by their numbers, and of these only the ones that a job is on,
-// that a migration begins or ends at, or that have a preemption notice.
+// agentsArg returns the agents that a command selects by a range of indexes. Further arguments restrict them to those
+// that run tasks of a job, that a migration starts or ends at, or that have a preemption notice.
 func (w *world) agentsArg(t *testing.T, d *datadriven.TestData) []*simAgent {
 	t.Helper()
 	ref := arg(t, d, "job", "")
-	migrationEnd := w.migrationMachine(arg(t, d, "migration", ""))
-	var named []*simAgent
+	migrationMachine := w.migrationMachine(arg(t, d, "migration", ""))
+	var selected []*simAgent
 	for _, s := range w.machines.agents[arg(t, d, "from", 0):arg(t, d, "to", len(w.machines.agents))] {
 		switch {
-		case d.HasArg("migration") && s.Name != migrationEnd:
+		case d.HasArg("migration") && s.Name != migrationMachine:
 		case ref != "" && s.activeTasks(ref) == 0:
 		case d.HasArg("with_notice") && s.PreemptionNoticeS == nil:
 		default:
-			named = append(named, s)
+			selected = append(selected, s)
 		}
 	}
-	return named
+	return selected
 }
 
 // machinesCommand counts the machines.
@@ -99,7 +99,7 @@
 	return fmt.Sprint(n)
 }
 
-// machineCommand tells whether a machine is there.
+// machineCommand tells whether a machine exists.
 func machineCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	if m := w.cloud.Instances[arg(t, d, "name", "")]; m == nil || m.Deleted {
 		return "gone"
@@ -107,7 +107,7 @@
 	return "there"
 }
 
-// expiredLeasesCommand tells whether sessions have ended because a lease ran out.
+// expiredLeasesCommand tells whether any agent has begun a new epoch because its lease expired.
 func expiredLeasesCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	for _, s := range w.machines.agents {
 		if s.AgentEpoch > 1 {
@@ -117,19 +117,19 @@
 	return "none"
 }
 
-// activeTasksCommand counts a job's tasks that are on machines.
+// activeTasksCommand counts a job's active tasks.
 func activeTasksCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	ref := arg(t, d, "ref", "")
 	return fmt.Sprint(w.countActive(ref))
 }
 
-// activeMachinesCommand counts the machines that a job is on.
+// activeMachinesCommand counts the machines with active tasks of a job.
 func activeMachinesCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	ref := arg(t, d, "ref", "")
 	return fmt.Sprint(len(w.machinesOf(ref)))
 }
 
-// awaitActiveCommand tells how soon as many tasks are on machines again.
+// awaitActiveCommand waits until a number of a job's tasks are active.
 func awaitActiveCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	ref := arg(t, d, "ref", "")
 	n, end := arg(t, d, "tasks", 1), w.now+duration(t, d, "within")
@@ -142,7 +142,7 @@
 	return "in time"
 }
 
-// runCommandsCommand tells how often a task of a job was ordered, wherever.
+// runCommandsCommand tells whether all agents together have received few run commands for a job.
 func runCommandsCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	ref := arg(t, d, "ref", "")
 	n, most := 0, arg(t, d, "most", 1)
--- a/internal/scenario/commands_rebalancing_test.go
+++ b/internal/scenario/commands_rebalancing_test.go
@@ -11,12 +11,12 @@
 	"swiftledge/internal/clock"
 )
 
-// loadCommand tells the greatest load and the mean.
+// loadCommand returns the mean and the highest load of the machines.
 func loadCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	return w.machineLoads().String()
 }
 
-// balancedCommand tells whether no machine has more than some times the mean load, for a while.
+// balancedCommand tells whether, for a duration, no load exceeds a multiple of the mean load.
 func balancedCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	for end := w.now + duration(t, d, "for"); ; w.run(clock.Second) {
 		if l := w.machineLoads(); l.highestOverMean() > arg(t, d, "most", 2.0) {
@@ -28,7 +28,7 @@
 	}
 }
 
-// awaitMigrationCommand lets time pass until a move is in flight that has come so far.
+// awaitMigrationCommand waits until the first migration in flight is at a stage.
 func awaitMigrationCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	stage := arg(t, d, "stage", "stopping")
 	for end := w.now + duration(t, d, "within"); w.now < end; w.run(tickInterval) {
@@ -39,8 +39,8 @@
 	return fmt.Sprint("none: ", w.leaderStatus().Refusals)
 }
 
-// migrationsCommand tells how moves have ended.
+// migrationsCommand counts the migrations by outcome.
 func migrationsCommand(t *testing.T, w *world, d *datadriven.TestData) string {
-	e := w.leaderStatus().MigrationOutcomes
-	return fmt.Sprintf("begun %d, arrived %d, elsewhere %d, cancelled %d, given up %d", e.Started, e.Arrived, e.Diverted, e.Cancelled, e.TimedOut)
+	o := w.leaderStatus().MigrationOutcomes
+	return fmt.Sprintf("begun %d, arrived %d, elsewhere %d, cancelled %d, given up %d", o.Started, o.Arrived, o.Diverted, o.Cancelled, o.TimedOut)
 }
--- a/internal/scenario/commands_store_test.go
+++ b/internal/scenario/commands_store_test.go
@@ -9,7 +9,7 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// storeCommand has the state service fail or serve.
+// storeCommand begins or ends an outage of the state service.
 func storeCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	if d.HasArg("down") {
 		w.store.Down = true
@@ -26,13 +26,13 @@
 	return ""
 }
 
-// compactCommand has the state service forget its changes.
+// compactCommand compacts the state service's change log.
 func compactCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	w.store.CompactChanges()
 	return ""
 }
 
-// malformedTxnsCommand tells whether few transactions were malformed.
+// malformedTxnsCommand tells whether at most a number of transactions were malformed.
 func malformedTxnsCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	if most := arg(t, d, "most", 0); w.rules.malformedTxns > most {
 		return fmt.Sprint(w.rules.malformedTxns)
@@ -40,13 +40,13 @@
 	return "few"
 }
 
-// keysCommand counts keys.
+// keysCommand counts the keys with a prefix.
 func keysCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	items, _ := w.store.List(arg(t, d, "prefix", ""))
 	return fmt.Sprint(len(items))
 }
 
-// largestValueCommand tells whether all values are within a size.
+// largestValueCommand tells whether all values under a prefix are within a size in bytes.
 func largestValueCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	items, _ := w.store.List(arg(t, d, "prefix", ""))
 	n := 0
--- a/internal/scenario/controller_elector_test.go
+++ b/internal/scenario/controller_elector_test.go
@@ -15,7 +15,7 @@
 	}
 }
 
-// electorEffect carries out what the elector decided.
+// electorEffect executes an effect of the elector.
 func (c *simController) electorEffect(effect election.Effect) {
 	switch x := effect.(type) {
 	case election.RequestLease:
@@ -72,7 +72,7 @@
 	})
 }
 
-// readLeaderKey reads the leader's key until there is an answer.
+// readLeaderKey reads the leader's key and retries until it gets a response.
 func (c *simController) readLeaderKey() {
 	var item wire.Item
 	var revision uint64
--- a/internal/scenario/controller_holder_test.go
+++ b/internal/scenario/controller_holder_test.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	// inspectTimeout and commandTimeout are how long a holder waits for the answer of a worker.
+	// inspectTimeout and commandTimeout are how long a holder waits for the response of an agent.
 	inspectTimeout = 2 * clock.Second
 	commandTimeout = 3 * clock.Second
-	// connectTimeout is how long it takes until a holder knows that it cannot connect to a worker.
+	// connectTimeout is how long a connection attempt to an unreachable agent takes to fail.
 	connectTimeout = clock.Second
-	// extraCommandDelayRange is how much later than minLate a delayed command arrives, at most.
+	// extraCommandDelayRange is the greatest delay of a late command beyond minExtraDelay.
 	extraCommandDelayRange = 14 * clock.Second
 )
 
@@ -27,7 +27,7 @@
 	}
 }
 
-// holderEffect carries out what the holder decided.
+// holderEffect executes an effect of the holder.
 func (c *simController) holderEffect(effect shard.Effect) {
 	switch x := effect.(type) {
 	case shard.SendToLeader:
@@ -38,7 +38,8 @@
 	case shard.PauseDetected:
 		c.pauses.Add(x.Pause)
 	case shard.Log:
-		c.world.reportViolation("%s: %v", x.Message, x.Attributes) // the fakes never contradict themselves
+		// The holder logs only contradictory state, which the fakes never produce.
+		c.world.reportViolation("%s: %v", x.Message, x.Attributes)
 	case shard.SendCommands:
 		c.sendCommands(x)
 	case shard.InspectAgent:
@@ -54,7 +55,7 @@
 	}
 }
 
-// sendToLeader sends a message over the link to the leader; without one it is lost.
+// sendToLeader sends a message over the link to the leader. The message is lost if there is no link.
 func (c *simController) sendToLeader(x shard.SendToLeader) {
 	link := c.leaderLink
 	if link == nil {
@@ -66,14 +67,14 @@
 	})
 }
 
-// writeAttempts writes attempt records and tells the holder what became of it.
+// writeAttempts commits a transaction on attempt records and passes the result to the holder.
 func (c *simController) writeAttempts(makeTxn func() (wire.Txn, error), completed func(store.TxnResult) shard.Message) {
 	txn, err := makeTxn()
 	must(err)
 	for _, write := range txn.Writes {
-		isGuard := func(condition wire.Condition) bool { return condition.Key == write.Put }
-		if write.Put != "" && !slices.ContainsFunc(txn.Conditions, isGuard) {
-			c.world.reportViolation("unguarded: a late copy could put back %s", write.Put)
+		hasKey := func(condition wire.Condition) bool { return condition.Key == write.Put }
+		if write.Put != "" && !slices.ContainsFunc(txn.Conditions, hasKey) {
+			c.world.reportViolation("unguarded: a late copy of an unconditional write could revert %s", write.Put)
 		}
 	}
 	c.commit(commitCall{
@@ -83,25 +84,25 @@
 	})
 }
 
-// firstOf returns a function that settles once, with the first value: an answer, or a timeout.
-func firstOf[T any](settle func(T)) func(T) {
-	settled := false
+// firstOf returns a function that passes its first value (a response or a timeout) to complete and drops all others.
+func firstOf[T any](complete func(T)) func(T) {
+	completed := false
 	return func(value T) {
-		if !settled {
-			settled = true
-			settle(value)
+		if !completed {
+			completed = true
+			complete(value)
 		}
 	}
 }
 
-// inspectAgent asks a worker for its state.
+// inspectAgent requests the state of an agent.
 func (c *simController) inspectAgent(x shard.InspectAgent) {
 	c.recordSent(toAgent(x.Machine), "GET /inspect")
 	s := c.world.agentByName(x.Machine)
-	settle := firstOf(func(status *wire.Heartbeat) {
+	complete := firstOf(func(status *wire.Heartbeat) {
 		c.holderStep(shard.InspectionAnswered{Request: x, Status: status})
 	})
-	c.world.after(inspectTimeout, c.ifSameProcess(func() { settle(nil) }))
+	c.world.after(inspectTimeout, c.ifSameProcess(func() { complete(nil) }))
 	if s == nil || s.terminated || c.faults.agentsUnreachable || s.network.unreachable {
 		return
 	}
@@ -110,33 +111,33 @@
 			return
 		}
 		status := s.Heartbeat()
-		s.deliver(c.world, c, c.ifSameProcess(func() { settle(status) }))
+		s.deliver(c.world, c, c.ifSameProcess(func() { complete(status) }))
 	})
 }
 
-// sendCommands sends direct commands to a worker.
+// sendCommands sends direct commands to an agent.
 func (c *simController) sendCommands(x shard.SendCommands) {
 	c.recordJSON(toAgent(x.Machine), "POST /orders", &x.Body)
 	w := c.world
 	s := w.agentByName(x.Machine)
-	answer := shard.CommandsAnswered{Request: x}
+	noResponse := shard.CommandsAnswered{Request: x}
 	if s == nil || s.terminated || c.faults.agentsUnreachable || s.network.unreachable && s.network.delayedUntil <= w.now {
-		answer.Code = shard.NotSent
-		w.after(connectTimeout, c.ifSameProcess(func() { c.holderStep(answer) }))
+		noResponse.Code = shard.NotSent
+		w.after(connectTimeout, c.ifSameProcess(func() { c.holderStep(noResponse) }))
 		return
 	}
-	settle := firstOf(func(answer shard.CommandsAnswered) { c.holderStep(answer) })
-	w.after(commandTimeout, c.ifSameProcess(func() { settle(answer) }))
-	arriveUnanswered := func() {
+	complete := firstOf(func(response shard.CommandsAnswered) { c.holderStep(response) })
+	w.after(commandTimeout, c.ifSameProcess(func() { complete(noResponse) }))
+	deliverWithoutResponse := func() {
 		if !s.terminated && !s.network.inboundDropped {
 			s.HandleCommands(w.now, x.Body)
 		}
 	}
 	if w.faults.lateCommandShare > 0 && w.rng.Float64() < w.faults.lateCommandShare {
-		w.after(w.extraDelay(extraCommandDelayRange), arriveUnanswered)
+		w.after(w.extraDelay(extraCommandDelayRange), deliverWithoutResponse)
 		return
 	}
-	s.deliverDuplicate(w, arriveUnanswered)
+	s.deliverDuplicate(w, deliverWithoutResponse)
 	s.deliver(w, c, func() {
 		if s.terminated || s.network.inboundDropped {
 			return
@@ -145,13 +146,13 @@
 		if result.Changed {
 			s.scheduleHeartbeat(w)
 		}
-		answered := answer
-		answered.Code, answered.Status = result.Status, result.Heartbeat
-		s.deliver(w, c, c.ifSameProcess(func() { settle(answered) }))
+		response := noResponse
+		response.Code, response.Status = result.Status, result.Heartbeat
+		s.deliver(w, c, c.ifSameProcess(func() { complete(response) }))
 	})
 }
 
-// receiveHeartbeat brings a worker's heartbeat to the controller.
+// receiveHeartbeat delivers an agent's heartbeat to the controller.
 func (c *simController) receiveHeartbeat(heartbeat *wire.Heartbeat, reply func(shard.HeartbeatReply)) {
 	c.holderStep(shard.HeartbeatReceived{Heartbeat: heartbeat, ReplyTo: responderFunc(func(r shard.HeartbeatReply) {
 		c.recordHeartbeatReply(heartbeat.Machine, r)
@@ -159,7 +160,7 @@
 	})})
 }
 
-// receiveCopy brings a copy of a heartbeat to the controller: nobody waits for the answer.
+// receiveCopy delivers a copy of a heartbeat to the controller and drops the reply.
 func (c *simController) receiveCopy(heartbeat *wire.Heartbeat) {
 	c.ifSameProcess(func() { c.receiveHeartbeat(heartbeat, func(shard.HeartbeatReply) {}) })()
 }
--- a/internal/scenario/controller_leader_test.go
+++ b/internal/scenario/controller_leader_test.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	// cloudLatency is how soon the cloud answers.
+	// cloudLatency is the response time of the cloud.
 	cloudLatency = 100 * clock.Millisecond
-	// cloudTimeout is how long a leader waits for an answer of the cloud.
+	// cloudTimeout is how long a leader waits for a response of the cloud.
 	cloudTimeout = 5 * clock.Second
 )
 
@@ -33,7 +33,7 @@
 	}
 }
 
-// leaderEffect carries out what the leader decided.
+// leaderEffect executes an effect of the leader.
 func (c *simController) leaderEffect(effect leader.Effect) {
 	switch x := effect.(type) {
 	case leader.SendToHolder:
@@ -70,7 +70,7 @@
 	}
 }
 
-// sendToHolder sends a message over the link to a holder, and over its own to the leader's.
+// sendToHolder sends a message over the link to a holder. The leader's own holder has a link, too.
 func (c *simController) sendToHolder(x leader.SendToHolder) {
 	for _, grant := range x.Message.Grants {
 		c.world.rules.history.checkGrant(grant)
@@ -85,10 +85,10 @@
 	})
 }
 
-// commitLeaderTxn commits a leader's transaction for as long as its term lasts.
+// commitLeaderTxn commits a leader's transaction and retries it as long as the term lasts.
 func (c *simController) commitLeaderTxn(x leader.CommitTxn) {
 	if !slices.Contains(x.Txn.Conditions, wire.Condition{Key: leader.Key, Version: uint64(x.Term)}) {
-		c.world.reportViolation("unguarded: a leader's write is not bound to its term")
+		c.world.reportViolation("unguarded: a leader's transaction has no condition on its term")
 	}
 	c.commit(commitCall{
 		txn:      x.Txn,
@@ -101,17 +101,17 @@
 
 func (c *simController) provisionMachines(x leader.ProvisionMachines) {
 	c.recordJSON(toCloud, "POST /hosts", x.Request)
-	answer := leader.MachinesProvisioned{Term: x.Term, RequestID: x.Request.RequestID}
-	failed := answer
-	failed.Err = errCloudDown
+	response := leader.MachinesProvisioned{Term: x.Term, RequestID: x.Request.RequestID}
+	failure := response
+	failure.Err = errCloudDown
 	c.callCloud(func() leader.Message {
 		names, ok := c.world.cloud.Provision(c.world.now, x.Request)
-		answer.Machines, answer.NoCapacity = names, !ok
+		response.Machines, response.NoCapacity = names, !ok
 		if !ok {
-			answer.Err = errNoCapacity
+			response.Err = errNoCapacity
 		}
-		return answer
-	}, failed)
+		return response
+	}, failure)
 }
 
 func (c *simController) deleteMachines(x leader.DeleteMachines) {
@@ -122,8 +122,9 @@
 	}, leader.MachinesDeleted{Term: x.Term, Machines: x.Machines, Err: errCloudDown})
 }
 
-// callCloud carries a request to the cloud and its answer back, also to a leader that is none any more; or the
-// request is carried out late, when nobody waits for it any more. Nothing is answered to a failure of nil.
+// callCloud sends a request to the cloud and passes the response to the leader, even if it has lost leadership
+// meanwhile. With the fault of late requests, the cloud may execute the request late, after the leader stopped
+// waiting. A request that fails passes failure to the leader, unless that is nil.
 func (c *simController) callCloud(execute func() leader.Message, failure leader.Message) {
 	w := c.world
 	fail := func() {
@@ -145,7 +146,7 @@
 	})
 }
 
-// loadState reads all that a new leader begins with.
+// loadState reads the stored state that a new leader needs.
 func (c *simController) loadState(x leader.LoadState) {
 	var items []wire.Item
 	var revision uint64
@@ -168,7 +169,7 @@
 	})
 }
 
-// leaderState is what is stored, except attempts and final states.
+// leaderState returns everything in the store except attempts and final states.
 func (w *world) leaderState() ([]wire.Item, uint64) {
 	items, revision := w.store.List("")
 	items = slices.DeleteFunc(items, func(i wire.Item) bool {
@@ -177,7 +178,7 @@
 	return items, revision
 }
 
-// loadAttempts reads the attempts of a shard.
+// loadAttempts reads the attempt pages of a shard.
 func (c *simController) loadAttempts(x leader.LoadAttempts) {
 	var items []wire.Item
 	prefix := shard.AttemptPrefix(x.Shard)
--- a/internal/scenario/controller_store_test.go
+++ b/internal/scenario/controller_store_test.go
@@ -11,64 +11,65 @@
 )
 
 const (
-	// storeTimeout is how long a controller waits for an answer of the state service.
+	// storeTimeout is how long a controller waits for a response of the state service.
 	storeTimeout = 1500 * clock.Millisecond
-	// storeRetry is how long it waits before it repeats a request.
+	// storeRetry is how long it waits before it retries a request.
 	storeRetry = 100 * clock.Millisecond
-	// leaderKeyRetry is the same for the leader's key.
+	// leaderKeyRetry is how long it waits before it retries a read of the leader's key.
 	leaderKeyRetry = 200 * clock.Millisecond
-	// minExtraDelay and extraDelayRange bound how late a delayed message arrives.
+	// minExtraDelay and extraDelayRange bound the delay of a late message: the least delay and the range above it.
 	minExtraDelay, extraDelayRange = 2 * clock.Second, 10 * clock.Second
 )
 
-// extraDelay is how late a delayed message arrives.
-func (w *world) extraDelay(spread clock.Micros) clock.Micros {
-	return minExtraDelay + clock.Micros(w.rng.Int64N(int64(spread)))
+// extraDelay draws the delay of a late message from a range above minExtraDelay.
+func (w *world) extraDelay(delayRange clock.Micros) clock.Micros {
+	return minExtraDelay + clock.Micros(w.rng.Int64N(int64(delayRange)))
 }
 
-// reachesStore says whether requests to the state service arrive and are answered.
+// reachesStore reports whether requests to the state service arrive and get a response.
 func (c *simController) reachesStore() bool {
 	return !c.faults.storeUnreachable && !c.world.store.Down && !c.world.isPartitioned(c.cfg.Zone, "")
 }
 
-// callStore carries a request to the state service and its answer back.
-func (c *simController) callStore(execute func(), answer func(err error)) {
+// callStore sends a request to the state service and calls onResponse with the outcome.
+func (c *simController) callStore(execute func(), onResponse func(err error)) {
 	w := c.world
 	w.traffic.storeRequests++
-	noAnswer := func() { answer(store.ErrOutcomeUnknown) }
+	timeOut := func() { onResponse(store.ErrOutcomeUnknown) }
 	w.after(w.latency(), func() {
-		heldUntil := c.faults.requestsDelayedUntil
+		delayedUntil := c.faults.requestsDelayedUntil
 		if w.isPartitioned(c.cfg.Zone, "") {
-			heldUntil = w.faults.partitionedUntil
+			delayedUntil = w.faults.partitionedUntil
 		}
 		switch {
-		case heldUntil > w.now:
-			// Held on the way: carried out long after the sender gave up.
-			w.after(heldUntil-w.now, func() {
+		case delayedUntil > w.now:
+			// The network delays the request: it is executed long after the sender's timeout.
+			w.after(delayedUntil-w.now, func() {
 				if !w.store.Down {
 					execute()
 				}
 			})
-			w.after(storeTimeout, c.ifSameProcess(noAnswer))
+			w.after(storeTimeout, c.ifSameProcess(timeOut))
 		case !c.reachesStore():
-			w.after(w.latency(), c.ifSameProcess(func() { answer(store.ErrNotExecuted) }))
+			w.after(w.latency(), c.ifSameProcess(func() { onResponse(store.ErrNotExecuted) }))
 		case c.faults.storeResponsesToLose > 0:
 			c.faults.storeResponsesToLose--
 			execute()
-			w.after(storeTimeout, c.ifSameProcess(noAnswer))
+			w.after(storeTimeout, c.ifSameProcess(timeOut))
 		default:
 			execute()
-			w.after(w.latency(), c.ifSameProcess(func() { answer(nil) }))
+			w.after(w.latency(), c.ifSameProcess(func() { onResponse(nil) }))
 		}
 	})
 }
 
-// losesResponse says whether a transaction is carried out now and gets no answer.
+// losesResponse draws whether a transaction is executed now and its response is lost.
 func (c *simController) losesResponse() bool {
 	return c.faults.lostResponseShare > 0 && c.world.rng.Float64() < c.faults.lostResponseShare
 }
 
-// delaysTxn says whether a transaction gets no answer, and has it carried out after newer ones.
+// delaysTxn draws whether a transaction is late and gets no response. A late transaction is scheduled here, so that
+// it is executed after newer ones.
 func (c *simController) delaysTxn(t wire.Txn) bool {
 	w := c.world
 	if c.faults.lateTxnShare == 0 || !c.reachesStore() || w.rng.Float64() >= c.faults.lateTxnShare {
@@ -83,17 +84,17 @@
 }
 
 // tryTxn sends a transaction once.
-func (c *simController) tryTxn(t wire.Txn, answer func(store.TxnResult, error)) {
+func (c *simController) tryTxn(t wire.Txn, onResult func(store.TxnResult, error)) {
 	c.recordTxn(t)
 	w := c.world
-	noAnswer := func() { answer(store.TxnResult{}, store.ErrOutcomeUnknown) }
+	timeOut := func() { onResult(store.TxnResult{}, store.ErrOutcomeUnknown) }
 	if c.reachesStore() && c.losesResponse() {
 		w.store.Txn(t)
-		w.after(storeTimeout, c.ifSameProcess(noAnswer))
+		w.after(storeTimeout, c.ifSameProcess(timeOut))
 		return
 	}
 	if c.delaysTxn(t) {
-		w.after(storeTimeout, c.ifSameProcess(noAnswer))
+		w.after(storeTimeout, c.ifSameProcess(timeOut))
 		return
 	}
 	var result store.TxnResult
@@ -108,11 +109,12 @@
 		if err != nil {
 			result = store.TxnResult{LeaseExpired: result.LeaseExpired, Rejected: result.Rejected}
 		}
-		answer(result, err)
+		onResult(result, err)
 	})
 }
 
-// noteMalformedTxn notes that a transaction broke the limits of the state service, or its form.
+// noteMalformedTxn counts a transaction that exceeded a limit of the state service or was otherwise malformed. It
+// is a violation unless the limits fell unannounced.
 func (w *world) noteMalformedTxn(problem string) {
 	w.rules.malformedTxns++
 	if !w.faults.limitsUnannounced {
@@ -120,15 +122,15 @@
 	}
 }
 
-// commitCall is a transaction that is repeated until it is answered.
+// commitCall is a transaction that is retried until its outcome is known.
 type commitCall struct {
 	txn       wire.Txn
-	ambiguous bool        // an earlier try may have been carried out
-	isNeeded  func() bool // the sender still waits
+	ambiguous bool        // an earlier try may have been executed
+	isNeeded  func() bool // reports whether the sender still waits for the result
 	onResult  func(store.TxnResult, error)
 }
 
-// commit sends a transaction until it is answered or nobody waits for it any more.
+// commit retries a transaction until its outcome is known or it is not needed any more.
 func (c *simController) commit(call commitCall) {
 	c.tryTxn(call.txn, func(result store.TxnResult, err error) {
 		if !call.isNeeded() {
@@ -145,7 +147,7 @@
 	})
 }
 
-// Get serves the users' requests, which scenarios make outside of time.
+// Get reads a key for the user service. Simulated users' requests take no simulated time.
 func (c *simController) Get(_ context.Context, _ store.Priority, key string) (wire.Item, error) {
 	c.recordRead(key)
 	if !c.reachesStore() {
@@ -157,7 +159,7 @@
 	return wire.Item{}, store.ErrNotFound
 }
 
-// TryCommit serves the users' requests, as Get does.
+// TryCommit commits a transaction for the user service, in no simulated time.
 func (c *simController) TryCommit(_ context.Context, _ store.Priority, t wire.Txn) (store.TxnResult, error) {
 	c.recordTxn(t)
 	if !c.reachesStore() {
@@ -177,15 +179,15 @@
 	return result, nil
 }
 
-// termCall is a request to the state service that a leader needs an answer to.
+// termCall is a request of a leader to the state service that is retried until it succeeds or the term ends.
 type termCall struct {
 	term      cluster.Term
 	execute   func()
 	onSuccess func()
-	retry     func() // after no answer
+	retry     func() // called after a failure
 }
 
-// callInTerm sends a request, unless nobody waits for the answer any more as another term has begun.
+// callInTerm sends a request. It drops the response if the leader's term has ended meanwhile.
 func (c *simController) callInTerm(call termCall) {
 	c.callStore(call.execute, func(err error) {
 		switch {
--- a/internal/scenario/controller_test.go
+++ b/internal/scenario/controller_test.go
@@ -13,7 +13,7 @@
 	"swiftledge/internal/shard"
 )
 
-// simController is a controller: the actors of the program, with simulated surroundings.
+// simController is a simulated controller process: the program's real actors, with simulated I/O.
 type simController struct {
 	world       *world
 	index       int
@@ -22,7 +22,8 @@
 	incarnation int
 	running     bool
 	faults      controllerFaults
-	// runsOldVersion has it go by today's limits alone and move nothing, as the version in production does.
+	// runsOldVersion makes the controller behave like the version in production: it uses only the current store
+	// limits and migrates no tasks.
 	runsOldVersion bool
 
 	elector  *election.Elector
@@ -32,34 +33,34 @@
 	service  *api.Service
 	pauses   pausedetect.Recorder
 
-	term              cluster.Term // that it follows
+	term              cluster.Term // term that it follows
 	leaderLink        *simLink
-	leaderKeyRevision uint64       // up to which it has seen the leader's key; 0: not at all
-	loadedTerm        cluster.Term // in which it has loaded the leader's state; 0: none
-	loadedRevision    uint64       // up to which it has seen the jobs
+	leaderKeyRevision uint64       // revision up to which it has seen the leader's key; 0 if it has not read the key
+	loadedTerm        cluster.Term // term in which it has loaded the leader's state; 0 if none
+	loadedRevision    uint64       // revision up to which it has seen the jobs
 }
 
-// controllerFaults is what goes wrong with a controller.
+// controllerFaults are the current faults of a controller.
 type controllerFaults struct {
-	storeUnreachable     bool    // by it alone
+	storeUnreachable     bool    // for this controller only
 	peersUnreachable     bool    // the other controllers
-	agentsUnreachable    bool    // the workers
-	watchHangs           bool    // its watch of the jobs; all else is served
-	storeResponsesToLose int     // while the requests are carried out
-	lostResponseShare    float64 // of its transactions that are carried out at once and get no answer
-	lateTxnShare         float64 // of its transactions that get no answer and are carried out seconds later
+	agentsUnreachable    bool    // all agents
+	watchHangs           bool    // its watch of the jobs gets no events; all other requests are served
+	storeResponsesToLose int     // number of next responses to lose; the requests are executed
+	lostResponseShare    float64 // share of its transactions that are executed at once and get no response
+	lateTxnShare         float64 // share of its transactions that get no response and are executed seconds later
 	requestsDelayedUntil clock.Micros
-	pausedUntil          clock.Micros // the process does nothing while its clocks run on
+	pausedUntil          clock.Micros // the process does nothing until then, while its clocks advance
 }
 
-// any says whether anything is wrong.
+// any reports whether any fault is active.
 func (f *controllerFaults) any(now clock.Micros) bool {
 	return f.storeUnreachable || f.peersUnreachable || f.agentsUnreachable || f.watchHangs ||
 		f.storeResponsesToLose > 0 || f.lostResponseShare > 0 || f.lateTxnShare > 0 ||
 		f.requestsDelayedUntil > now || f.pausedUntil > now
 }
 
-// newController describes a controller, which does not run yet.
+// newController creates a controller that does not run yet.
 func newController(w *world, index int) *simController {
 	c := &simController{world: w, index: index, name: controllerName(index), cfg: w.cfg}
 	c.cfg.Name = c.name
@@ -72,14 +73,14 @@
 	return c
 }
 
-// start starts the process. Of the one before it, nothing is left.
+// start starts the process. It keeps no state of an earlier process.
 func (c *simController) start() {
 	c.incarnation++
 	c.running, c.faults.pausedUntil = true, 0
 	c.cfg.Facts.State.Next, c.cfg.Tuning.Spread = c.world.nextLimits, c.world.cfg.Tuning.Spread
 	if c.runsOldVersion {
 		c.cfg.Facts.State.Next = nil
-		c.cfg.Tuning.Spread.Enabled = false // which the version in production does not know
+		c.cfg.Tuning.Spread.Enabled = false // the version in production has no rebalancing
 	}
 	c.term, c.leaderLink, c.leaderKeyRevision, c.loadedTerm = 0, nil, 0, 0
 	record := election.Record{Controller: c.name, Incarnation: c.uniqueIncarnation()}
@@ -90,13 +91,13 @@
 	c.readLeaderKey()
 }
 
-// uniqueIncarnation differs from those of all controllers.
+// uniqueIncarnation returns an incarnation that no other controller uses.
 func (c *simController) uniqueIncarnation() cluster.Incarnation {
 	const maxControllers = 100
 	return cluster.Incarnation(c.incarnation*maxControllers + c.index)
 }
 
-// startService starts what serves users. Its cache runs until the world is stopped.
+// startService starts the user service. Its job cache runs until the world is stopped.
 func (c *simController) startService() {
 	now := func() clock.Micros { return c.world.now }
 	mayRetry := func(_ context.Context, attempt int) bool { return attempt < 3 }
@@ -113,7 +114,7 @@
 	})
 }
 
-// crash ends the process at once.
+// crash ends the process at once. Its links break shortly afterwards.
 func (c *simController) crash() {
 	c.running = false
 	c.incarnation++
@@ -125,7 +126,7 @@
 	}
 }
 
-// ifSameProcess runs f only if the process that asked is still the same.
+// ifSameProcess returns a function that runs f only if the process has not been restarted since this call.
 func (c *simController) ifSameProcess(f func()) func() {
 	incarnation := c.incarnation
 	return func() {
@@ -137,7 +138,7 @@
 	}
 }
 
-// whenResumed runs f, or when the process goes on again if it is paused.
+// whenResumed runs f at once, or when the process resumes if it is paused.
 func (c *simController) whenResumed(f func()) {
 	if c.faults.pausedUntil > c.world.now {
 		c.world.after(c.faults.pausedUntil-c.world.now, func() { c.whenResumed(f) })
@@ -146,13 +147,13 @@
 	f()
 }
 
-// isResponsive says whether the process runs and is not paused.
+// isResponsive reports whether the process runs and is not paused.
 func (c *simController) isResponsive() bool { return c.running && c.faults.pausedUntil <= c.world.now }
 
-// leads says whether the controller is the leader, as far as it knows.
+// leads reports whether the controller considers itself leader.
 func (c *simController) leads() bool { return c.running && c.elector.Term() > 0 }
 
-// tick is one step of the process: what its watches have seen, and the ticks of its actors.
+// tick delivers the watched changes to the actors and ticks them.
 func (c *simController) tick() {
 	if !c.isResponsive() {
 		return
@@ -166,7 +167,7 @@
 	c.holderStep(shard.Tick{})
 }
 
-// watchLeaderKey brings changes of the leader's key to the elector.
+// watchLeaderKey delivers changes of the leader's key to the elector.
 func (c *simController) watchLeaderKey() {
 	if c.leaderKeyRevision == 0 {
 		return
@@ -183,7 +184,8 @@
 	}
 }
 
-// watchJobs brings changes of the jobs to the leader. It resigns if the store has dropped some of them.
+// watchJobs delivers changes of the jobs to the leader. The leader resigns if the store has compacted changes that
+// it has not seen.
 func (c *simController) watchJobs() {
 	if c.loadedTerm > 0 && !c.world.store.HasChangesSince(c.loadedRevision) {
 		term := c.loadedTerm
--- a/internal/scenario/controller_users_test.go
+++ b/internal/scenario/controller_users_test.go
@@ -6,22 +6,22 @@
 	"swiftledge/internal/api"
 )
 
-// submitJob has a user submit a job.
+// submitJob submits a job as a user.
 func (c *simController) submitJob(body []byte) api.Result {
 	return c.recordUserReply("POST /api/jobs", c.service.Submit(body))
 }
 
-// lookUpJob has a user ask for a job.
+// lookUpJob requests the status of a job as a user.
 func (c *simController) lookUpJob(ref string) api.Result {
 	return c.recordUserReply("GET /api/jobs/"+ref, c.service.Status(ref))
 }
 
-// cancelJob has a user cancel a job.
+// cancelJob cancels a job as a user.
 func (c *simController) cancelJob(ref string) api.Result {
 	return c.recordUserReply("POST /api/jobs/"+ref+"/abort", c.service.Cancel(ref))
 }
 
-// isReady says whether the load balancer may send users.
+// isReady reports whether the load balancer may route users to the controller.
 func (c *simController) isReady() bool {
 	ready := c.service.Ready()
 	c.recordSent(toUser, "GET /ready: "+strconv.FormatBool(ready))
--- a/internal/scenario/deployments_test.go
+++ b/internal/scenario/deployments_test.go
@@ -9,34 +9,34 @@
 	"swiftledge/wire"
 )
 
-// deployment is a cluster at half as many machines again as its operators name, and the jobs that it gets.
+// deployment is a cluster of 1.5 times as many machines as its operators report, with its load.
 type deployment struct {
 	name     string
 	machines int
 	teams    int
-	team     config.Team     // each of the teams, but for its name
-	settings config.Settings // the facts alone
+	team     config.Team     // template of all teams, without a name
+	settings config.Settings // only the facts are set
 	types    []wire.MachineType
 	load     deploymentLoad
 }
 
-// deploymentLoad is a number of equal jobs.
+// deploymentLoad is a number of identical jobs.
 type deploymentLoad struct {
-	jobs, tasks int
+	jobs, tasks int     // number of jobs, and of tasks in each
 	cpus        float64 // of each task
-	memoryGB    float64
-	runSeconds  float64
+	memoryGB    float64 // of each task
+	runSeconds  float64 // of each task
 }
 
-// zonesOfDeployments are the zones that deployments use the first of.
+// zonesOfDeployments returns all zones; each deployment uses the first few.
 func zonesOfDeployments() []string { return []string{"a", "b", "c", "d"} }
 
-// deployments are the clusters that operators run.
+// deployments returns the clusters that operators run.
 func deployments() []deployment {
 	return []deployment{oneType(), twoTypes(), smallControllersOneType(), smallControllersTwoTypes()}
 }
 
-// smallType is a type of four processors.
+// smallType returns a machine type of four CPUs.
 func smallType(zones []string) wire.MachineType {
 	return wire.MachineType{
 		Name:      "small",
@@ -51,7 +51,7 @@
 	}
 }
 
-// smallAndMiddleTypes are two types of four and eight processors, that boot slowly.
+// smallAndMiddleTypes returns two machine types of four and eight CPUs that boot slowly.
 func smallAndMiddleTypes(zones []string) []wire.MachineType {
 	small := wire.MachineType{
 		Name:      "small",
@@ -116,7 +116,7 @@
 	return d
 }
 
-// The controllers with least processor time and memory that operators run.
+// Quotas of the smallest controllers that operators run.
 const (
 	smallControllerCPU     = 0.029
 	smallControllerMB      = 81
@@ -149,7 +149,7 @@
 	return d
 }
 
-// largestDeployment is half as large again as the largest that is operated.
+// largestDeployment returns a cluster of 1.5 times the size of the largest that operators run.
 func largestDeployment() deployment {
 	d := oneType()
 	d.machines = 6000
@@ -165,10 +165,10 @@
 	return d
 }
 
-// teamName is the name of a team, by its number.
-func (d *deployment) teamName(i int) string { return fmt.Sprint("t", i%d.teams) }
+// teamName returns the name of a team. Any number maps to one of the teams.
+func (d *deployment) teamName(number int) string { return fmt.Sprint("t", number%d.teams) }
 
-// world makes the cluster.
+// world creates the cluster.
 func (d *deployment) world(name string) *world {
 	cfg := config.Config{Settings: d.settings, Tuning: config.DefaultTuning()}
 	cfg.Facts.InitialSize = 3
@@ -182,7 +182,7 @@
 	return w
 }
 
-// mustSubmitBatch submits a job of the deployment's load.
+// mustSubmitBatch submits a batch job of the deployment's load with a number of tasks.
 func (w *world) mustSubmitBatch(t *testing.T, d *deployment, number, tasks int) {
 	t.Helper()
 	ref := fmt.Sprintf("j-%06d", number)
@@ -203,7 +203,7 @@
 	})
 }
 
-// mustSubmitLoad submits all jobs of the deployment's load, with numbers from first on.
+// mustSubmitLoad submits all jobs of the deployment's load, numbered from first.
 func (w *world) mustSubmitLoad(t *testing.T, d *deployment, first int) {
 	t.Helper()
 	for i := range d.load.jobs {
@@ -211,12 +211,12 @@
 	}
 }
 
-// mustSubmit submits a job at one controller after the other, by its number.
+// mustSubmit submits a job at a controller that its number selects in turn, and fails the test if it is not accepted.
 func (w *world) mustSubmit(t *testing.T, number int, j wire.Job) {
 	t.Helper()
 	body, err := json.Marshal(j)
 	must(err)
 	if got := w.submit(w.controllers[number%len(w.controllers)], body); got != "201 queued" {
-		t.Fatalf("submission %d: %s", number, got)
+		t.Fatalf("submit job %d: got response %q, want \"201 queued\"", number, got)
 	}
 }
--- a/internal/scenario/events_test.go
+++ b/internal/scenario/events_test.go
@@ -6,29 +6,29 @@
 	"swiftledge/internal/clock"
 )
 
-// event is something that happens at a moment of simulated time.
+// event is a function to run at a moment of simulated time.
 type event struct {
 	dueAt clock.Micros
-	seq   int // orders events of one moment by when they were scheduled
+	seq   int // orders events of the same moment by when they were scheduled
 	run   func()
 }
 
-// eventQueue is the simulated time: it plays what is scheduled, in order.
+// eventQueue holds the simulated time and runs the scheduled events in order.
 type eventQueue struct {
 	now     clock.Micros
 	seq     int
 	pending eventHeap
 }
 
-// after schedules something.
+// after schedules an event after a delay.
 func (q *eventQueue) after(delay clock.Micros, run func()) {
 	q.seq++
 	heap.Push(&q.pending, event{q.now + delay, q.seq, run})
 }
 
-// run lets time pass.
-func (q *eventQueue) run(d clock.Micros) {
-	end := q.now + d
+// run advances the simulated time by a duration and runs all events that are due.
+func (q *eventQueue) run(duration clock.Micros) {
+	end := q.now + duration
 	for len(q.pending) > 0 && q.pending[0].dueAt <= end {
 		next := heap.Pop(&q.pending).(event)
 		q.now = next.dueAt
@@ -51,10 +51,10 @@
 
 func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
-// Push implements heap.Interface, whose elements are any.
+// Push implements heap.Interface, whose elements have type any.
 func (h *eventHeap) Push(e any) { *h = append(*h, e.(event)) }
 
-// Pop implements heap.Interface, whose elements are any.
+// Pop implements heap.Interface, whose elements have type any.
 func (h *eventHeap) Pop() any {
 	last := len(*h) - 1
 	e := (*h)[last]
--- a/internal/scenario/faults_test.go
+++ b/internal/scenario/faults_test.go
@@ -7,32 +7,32 @@
 	"swiftledge/internal/clock"
 )
 
-// fault is one fault of a random world.
+// fault is one fault that is injected into a random world.
 type fault struct {
 	startAt, duration clock.Micros
 	kind              string  // a name in faultKinds
-	target            int     // a controller, or the first of the machines
-	count             int     // of the machines or tasks
-	share             float64 // of what is lost or late
+	target            int     // selects a controller, the order of the machines, or a team and other job parameters
+	count             int     // of machines, jobs or tasks
+	share             float64 // of messages that are lost or late
 }
 
-// String describes a fault in a failed test.
+// String describes a fault in the output of a failed test.
 func (f fault) String() string {
 	return fmt.Sprintf("%.1f s: %s for %.1f s, target %d, count %d, share %.1f",
 		f.startAt.Seconds(), f.kind, f.duration.Seconds(), f.target, f.count, f.share)
 }
 
-// controller is the controller that a fault is about.
+// controller returns the controller that a fault concerns.
 func (f fault) controller(w *world) *simController { return w.controllers[f.target%len(w.controllers)] }
 
-// faultKind is a kind of fault; begin begins one and gives what ends it, nil if it ends by itself.
+// faultKind is a kind of fault. inject begins a fault and returns a function that ends it, or nil if it ends by itself.
 type faultKind struct {
 	name   string
 	inject func(w *world, f fault) (end func())
 }
 
-// faultKinds are the faults that the operators name (docs/meetings.md). A seed draws them by their place in the
-// list, so new kinds go to its end.
+// faultKinds returns the kinds of faults that operators have reported (docs/meetings.md). A seed draws a kind by its
+// index, so new kinds must be appended.
 func faultKinds() []faultKind {
 	return []faultKind{
 		{"burst of jobs", submitBurst},
@@ -75,7 +75,7 @@
 	}
 }
 
-// faultKindNames are the names of the kinds, in the same order.
+// faultKindNames returns the names of the kinds, in the same order.
 func faultKindNames() []string {
 	var names []string
 	for _, kind := range faultKinds() {
@@ -84,7 +84,7 @@
 	return names
 }
 
-// injectFault begins a fault, and schedules its end.
+// injectFault begins a fault and schedules its end.
 func (w *world) injectFault(f fault) {
 	kinds := faultKinds()
 	kind := slices.IndexFunc(kinds, func(k faultKind) bool { return k.name == f.kind })
@@ -143,7 +143,7 @@
 	return setShareOnAll(w, f.share, func(c *controllerFaults) *float64 { return &c.lostResponseShare })
 }
 
-// crashControllers ends controllers, until they are started again.
+// crashControllers crashes controllers. The function that it returns restarts them.
 func crashControllers(controllers ...*simController) func() {
 	for _, c := range controllers {
 		if c.running {
@@ -159,7 +159,7 @@
 	}
 }
 
-// pauseControllers pauses controllers.
+// pauseControllers pauses the processes of controllers for the fault's duration.
 func pauseControllers(f fault, controllers ...*simController) func() {
 	for _, c := range controllers {
 		c.faults.pausedUntil = c.world.now + f.duration
@@ -167,13 +167,13 @@
 	return nil
 }
 
-// setFlag sets a flag, until it is cleared.
+// setFlag sets a flag. The function that it returns clears it.
 func setFlag(flag *bool) func() {
 	*flag = true
 	return func() { *flag = false }
 }
 
-// setOnLeaders sets a flag of all leaders.
+// setOnLeaders sets a flag of all leaders. The function that it returns clears it.
 func setOnLeaders(w *world, flag func(*controllerFaults) *bool) func() {
 	var ends []func()
 	for _, c := range w.leaders() {
@@ -182,7 +182,7 @@
 	return callAll(ends)
 }
 
-// setShareOnAll sets a share of all controllers.
+// setShareOnAll sets a share of all controllers. The function that it returns resets it to zero.
 func setShareOnAll(w *world, value float64, share func(*controllerFaults) *float64) func() {
 	for _, c := range w.controllers {
 		*share(&c.faults) = value
@@ -194,7 +194,7 @@
 	}
 }
 
-// callAll calls functions one after the other.
+// callAll returns a function that calls all functions in order, except those that are nil.
 func callAll(functions []func()) func() {
 	return func() {
 		for _, f := range functions {
@@ -229,7 +229,7 @@
 	return nil
 }
 
-// What users do.
+// Users' actions.
 
 func submitBurst(w *world, f fault) func() {
 	const jobs = 3
--- a/internal/scenario/history_checks_test.go
+++ b/internal/scenario/history_checks_test.go
@@ -12,17 +12,18 @@
 	"swiftledge/wire"
 )
 
-// put stores a value as a controller would.
+// put commits a value encoded as JSON to the state service.
 func (w *world) put(t *testing.T, key string, v any) {
 	t.Helper()
 	raw, err := json.Marshal(v)
 	must(err)
-	if o, problem := w.store.Txn(wire.Txn{Writes: []wire.Write{{Put: key, Value: raw}}}); !o.Committed {
+	if result, problem := w.store.Txn(wire.Txn{Writes: []wire.Write{{Put: key, Value: raw}}}); !result.Committed {
 		t.Fatal(problem)
 	}
 }
 
-// Each check of the history notices what violates it, and nothing else.
+// Guards the history checks themselves: each one reports the violation of its rule, and none reports a legal sequence
+// of events.
 func TestHistoryChecks(t *testing.T) {
 	const token, machine = 7, "host-000001"
 	attempt := func(n uint64) *fake.Task {
@@ -38,7 +39,7 @@
 	done := jobs.ProgressRecord{Chunks: []jobs.ProgressChunk{{Job: "j-000001", Completed: []byte{1 << 3}}}}
 	for _, c := range []struct {
 		name, violated string
-		play           func(w *world, h *history)
+		run            func(w *world, h *history)
 	}{
 		{"a recorded start on a machine of the inventory", "", func(w *world, h *history) {
 			w.put(t, "run/000/7-1", page)
@@ -50,7 +51,7 @@
 			w.put(t, leader.InstanceGroupPrefix+"r", inventory)
 			h.checkStart(machine, attempt(2))
 		}},
-		{"a start whose record was written over", "unrecorded", func(w *world, h *history) {
+		{"a start whose record was overwritten", "unrecorded", func(w *world, h *history) {
 			w.put(t, leader.InstanceGroupPrefix+"r", inventory)
 			w.put(t, "run/000/7-1", page)
 			h.sync()
@@ -61,7 +62,7 @@
 			w.put(t, "run/000/7-1", page)
 			h.checkStart(machine, attempt(1))
 		}},
-		{"changes that are not kept any more", "", func(w *world, h *history) {
+		{"a start after the store compacted its changes", "", func(w *world, h *history) {
 			w.put(t, "run/000/7-1", page)
 			w.put(t, leader.InstanceGroupPrefix+"r", inventory)
 			w.store.CompactChanges()
@@ -71,7 +72,7 @@
 			h.checkRunCommand(machine, attempt(1))
 			h.checkRunCommand("host-000002", attempt(1))
 		}},
-		{"an order that comes twice", "", func(_ *world, h *history) {
+		{"a run command that arrives twice", "", func(_ *world, h *history) {
 			h.checkRunCommand(machine, attempt(1))
 			h.checkRunCommand(machine, attempt(1))
 		}},
@@ -94,18 +95,18 @@
 			w.put(t, jobs.ProgressPrefix+"1-1", jobs.ProgressRecord{Chunks: []jobs.ProgressChunk{{Job: "j-000001", Completed: []byte{0xf7}}}})
 			h.checkRestart(attempt(2))
 		}},
-		{"a late copy of the order of the attempt that completed", "", func(w *world, h *history) {
+		{"a late copy of the run command of the completed attempt", "", func(w *world, h *history) {
 			h.noteCompletion(attempt(1))
 			w.put(t, jobs.ProgressPrefix+"1-1", done)
 			h.checkRestart(attempt(1))
 		}},
 	} {
 		w := deployments()[0].world(t.Name())
-		c.play(w, w.rules.history)
+		c.run(w, w.rules.history)
 		w.stop()
 		got := strings.Join(w.rules.violations, "; ")
 		if c.violated == "" && got != "" || !strings.HasPrefix(got, c.violated) {
-			t.Errorf("%s: violated %q, want %q", c.name, got, c.violated)
+			t.Errorf("%s: got violations %q, want %q", c.name, got, c.violated)
 		}
 	}
 }
--- a/internal/scenario/history_test.go
+++ b/internal/scenario/history_test.go
@@ -13,7 +13,7 @@
 	"swiftledge/wire"
 )
 
-// attemptPrefix begins the keys of attempt records.
+// attemptPrefix is the prefix of the keys of attempt pages.
 const attemptPrefix = "run/"
 
 // placedAttempt is one attempt of a task on one machine.
@@ -23,18 +23,18 @@
 	machine string
 }
 
-// history is what has happened on the machines and in the state service, kept apart from the
-// service that is judged by it.
+// history is a record of the events on the machines and of the stored state. It is independent of the controllers,
+// whose decisions are checked against it.
 type history struct {
 	world        *world
-	revision     uint64                    // of the state service, up to which the rest is known
-	recorded     references[placedAttempt] // by pages of attempt records
-	inventory    references[string]        // machines, by instance group records
+	revision     uint64                    // revision of the state service up to which changes were applied
+	recorded     references[placedAttempt] // attempts, by attempt page
+	inventory    references[string]        // machines, by instance group record
 	progress     map[string]jobs.ProgressRecord
-	runCommands  map[wire.AttemptID]placedAttempt // by number
-	shardByToken map[wire.FencingToken]int        // by token: the shard
-	completed    map[wire.AttemptID]bool          // attempts that have completed
-	// restarted counts starts of completed tasks, which exit at once, as their result is kept.
+	runCommands  map[wire.AttemptID]placedAttempt // executed run commands
+	shardByToken map[wire.FencingToken]int        // shards of the granted fencing tokens
+	completed    map[wire.AttemptID]bool          // attempts that have completed their tasks
+	// restarted counts starts of completed tasks, which exit at once because their result is kept.
 	restarted int
 }
 
@@ -49,14 +49,14 @@
 	return h
 }
 
-// reset begins anew with what is known of the state service.
+// reset clears everything that was read from the state service.
 func (h *history) reset() {
 	h.recorded = newReferences[placedAttempt]()
 	h.inventory = newReferences[string]()
 	h.progress = map[string]jobs.ProgressRecord{}
 }
 
-// references counts in how many stored values something is named.
+// references counts how many stored values mention each item.
 type references[T comparable] struct {
 	byKey  map[string][]T
 	counts map[T]int
@@ -66,18 +66,18 @@
 	return references[T]{byKey: map[string][]T{}, counts: map[T]int{}}
 }
 
-// put takes in what the value of a key names now.
-func (n *references[T]) put(key string, now []T) {
-	for _, v := range n.byKey[key] {
-		n.counts[v]--
+// put replaces the items that the value of a key mentions.
+func (n *references[T]) put(key string, items []T) {
+	for _, item := range n.byKey[key] {
+		n.counts[item]--
 	}
-	for _, v := range now {
-		n.counts[v]++
+	for _, item := range items {
+		n.counts[item]++
 	}
-	n.byKey[key] = now
+	n.byKey[key] = items
 }
 
-// sync takes in what the state service has stored since.
+// sync applies the changes of the state service since the last call. If they were compacted, it reads everything.
 func (h *history) sync() {
 	if !h.world.store.HasChangesSince(h.revision) {
 		items, revision := h.world.store.List("")
@@ -95,7 +95,7 @@
 	}
 }
 
-// apply takes in the value of one key; none: it is deleted.
+// apply applies the new value of a key, which is nil if the key was deleted.
 func (h *history) apply(key string, value []byte) {
 	switch {
 	case strings.HasPrefix(key, attemptPrefix):
@@ -138,38 +138,39 @@
 	h.inventory.put(key, r.Machines)
 }
 
-// checkRunCommand judges a run command that a machine carries out for the first time: attempts never repeat.
+// checkRunCommand checks the rule that no two tasks or machines get the same attempt ID, when a machine first executes
+// a run command.
 func (h *history) checkRunCommand(machine string, t *fake.Task) {
 	a := placedAttempt{t.Task, t.Attempt, machine}
-	if before, ok := h.runCommands[t.Attempt]; ok && before != a {
-		h.world.reportViolation("attempt_repeated: %d is %s on %s and %s on %s", t.Attempt, before.task, before.machine, a.task, a.machine)
+	if earlier, ok := h.runCommands[t.Attempt]; ok && earlier != a {
+		h.world.reportViolation("attempt_repeated: %d is %s on %s and %s on %s", t.Attempt, earlier.task, earlier.machine, a.task, a.machine)
 	}
 	h.runCommands[t.Attempt] = a
 }
 
-// checkGrant judges the grant of a shard: tokens never repeat.
+// checkGrant checks the rule that no two shard grants have the same fencing token.
 func (h *history) checkGrant(g peer.ShardGrant) {
-	if b, ok := h.shardByToken[g.FencingToken]; ok {
-		h.world.reportViolation("token_repeated: %d was granted for shard %d and is for shard %d", g.FencingToken, b, g.Shard)
+	if earlierShard, ok := h.shardByToken[g.FencingToken]; ok {
+		h.world.reportViolation("token_repeated: %d was granted for shard %d and again for shard %d", g.FencingToken, earlierShard, g.Shard)
 	}
 	h.shardByToken[g.FencingToken] = g.Shard
 }
 
-// checkStart judges the start of a task that now has its image: it is recorded, its machine is in the
-// durable inventory, and its completion is not stored.
+// checkStart checks the start of a task whose image has been fetched: the attempt must be recorded, and its machine
+// must be in the durable inventory.
 func (h *history) checkStart(machine string, t *fake.Task) {
 	h.sync()
 	if h.recorded.counts[placedAttempt{t.Task, t.Attempt, machine}] == 0 {
-		h.world.reportViolation("unrecorded: %s runs as attempt %d on %s", t.Task, t.Attempt, machine)
+		h.world.reportViolation("unrecorded: %s runs as attempt %d on %s without an attempt record", t.Task, t.Attempt, machine)
 	}
 	if h.inventory.counts[machine] == 0 {
 		h.world.reportViolation("unlisted: %s runs on %s, which is not in the inventory", t.Task, machine)
 	}
 }
 
-// checkRestart judges the start of a task whose result is kept, which exits at once. A late copy of an
-// order may do that whose attempt has completed already (PROTOCOL, "forget"), and so may a new attempt
-// as long as nobody has stored the completion.
+// checkRestart checks the start of a task whose result is kept, so that it exits at once. It is legal for a late copy
+// of the run command of a completed attempt (PROTOCOL, "forget"), and for a new attempt as long as the completion is
+// not stored.
 func (h *history) checkRestart(t *fake.Task) {
 	h.sync()
 	h.restarted++
@@ -179,10 +180,10 @@
 	h.completed[t.Attempt] = true
 }
 
-// noteCompletion notes that an attempt has completed its task.
+// noteCompletion records that an attempt has completed its task.
 func (h *history) noteCompletion(t *fake.Task) { h.completed[t.Attempt] = true }
 
-// completionStored says whether the state service knows that a task has completed.
+// completionStored reports whether the completion of a task is stored in the state service.
 func (h *history) completionStored(ref string, index int) bool {
 	if _, ended := h.world.store.Get(leader.FinalStatePrefix + ref); ended {
 		return true
--- a/internal/scenario/load_test.go
+++ b/internal/scenario/load_test.go
@@ -7,7 +7,7 @@
 	"swiftledge/internal/peer"
 )
 
-// loadSummary sums up the loads of the machines that are up, by what is on them.
+// loadSummary is the mean and the highest load of the schedulable machines.
 type loadSummary struct {
 	highest, mean float64
 	machines      int
@@ -24,17 +24,17 @@
 	return fmt.Sprintf("%d machines, mean %.2f, greatest %.2f", l.machines, l.mean, l.highest)
 }
 
-// leaderStatus is what the leader tells operators; nothing while nobody leads.
-func (w *world) leaderStatus() (s peer.Status) {
+// leaderStatus returns the status that the leader reports to operators. It is empty if no controller leads.
+func (w *world) leaderStatus() (status peer.Status) {
 	for _, c := range w.leaders() {
-		answer := make(chan peer.Status, 1)
-		c.leaderStep(leader.StatusRequested{ReplyTo: answer})
-		s = <-answer
+		replies := make(chan peer.Status, 1)
+		c.leaderStep(leader.StatusRequested{ReplyTo: replies})
+		status = <-replies
 	}
-	return s
+	return status
 }
 
-// machineLoads judges by the machines themselves; the leader is only asked which of them take work.
+// machineLoads computes loads from the simulated agents; the leader's status only tells which machines are schedulable.
 func (w *world) machineLoads() (l loadSummary) {
 	for _, m := range w.leaderStatus().Machines {
 		s := w.agentByName(m.Name)
@@ -51,14 +51,14 @@
 	return l
 }
 
-// migrationMachine names the machine that the first move in flight goes from or to; "" if there is none.
-func (w *world) migrationMachine(which string) string {
-	moves := w.leaderStatus().Migrations
+// migrationMachine returns the name of the first migration's source ("from") or target, or "" if there is none.
+func (w *world) migrationMachine(end string) string {
+	migrations := w.leaderStatus().Migrations
 	switch {
-	case len(moves) == 0:
+	case len(migrations) == 0:
 		return ""
-	case which == "from":
-		return moves[0].From
+	case end == "from":
+		return migrations[0].From
 	}
-	return moves[0].To
+	return migrations[0].To
 }
--- a/internal/scenario/machine_faults_test.go
+++ b/internal/scenario/machine_faults_test.go
@@ -6,8 +6,9 @@
 	"swiftledge/internal/clock"
 )
 
-// eachMachine is a fault of as many machines as it says, those with most tasks first in every other case.
-func eachMachine(begin func(*world, fault, *simAgent) (end func())) func(*world, fault) func() {
+// eachMachine applies a fault of one machine to as many machines as the fault's count says. If the fault's target is
+// even, it selects the machines with the most tasks first.
+func eachMachine(inject func(*world, fault, *simAgent) (end func())) func(*world, fault) func() {
 	return func(w *world, f fault) func() {
 		var ends []func()
 		isGone := func(s *simAgent) bool { return s.terminated || s.instance.Deleted }
@@ -16,7 +17,7 @@
 			slices.SortStableFunc(machines, func(a, b *simAgent) int { return len(b.Tasks) - len(a.Tasks) })
 		}
 		for i := range min(f.count, len(machines)) {
-			ends = append(ends, begin(w, f, machines[i]))
+			ends = append(ends, inject(w, f, machines[i]))
 		}
 		return callAll(ends)
 	}
@@ -68,7 +69,7 @@
 	return nil
 }
 
-// silenceNewMachines lets machines come up whose workers never report.
+// silenceNewMachines makes the next machines boot without an agent that sends heartbeats.
 func silenceNewMachines(w *world, f fault) func() {
 	w.cloud.NextNeverReport = f.count / 4
 	return func() { w.cloud.NextNeverReport = 0 }
--- a/internal/scenario/machines_test.go
+++ b/internal/scenario/machines_test.go
@@ -7,25 +7,25 @@
 	"swiftledge/wire"
 )
 
-// machines are the workers of the cluster.
+// machines holds the cluster's booted machines with their agents, and the instances that are still booting.
 type machines struct {
 	agents        []*simAgent
 	byName        map[string]*simAgent
 	outputs       *fake.Outputs
-	booting       []*fake.Instance // created and not up yet
-	instancesSeen int              // how many of the cloud's instances were taken in
+	booting       []*fake.Instance // created, but not up yet
+	instancesSeen int              // number of the cloud's created instances that were added to booting so far
 }
 
-// agentByName is the worker of a machine; nil: it is not up.
+// agentByName returns the agent of a machine, or nil if the machine has never booted.
 func (w *world) agentByName(name string) *simAgent { return w.machines.byName[name] }
 
-// addMachine adds a machine that is up and listed from the beginning.
+// addMachine adds a machine that is up and listed from the start of the simulation.
 func (w *world) addMachine(machineType, zone string, spot bool) {
 	instance := w.cloud.CreateInstance(0, machineType, zone, spot)
 	instance.BootedAt, instance.ListedAt = 0, 0
 }
 
-// bootMachines starts the workers of instances that have come up.
+// bootMachines starts the agents of instances that have booted.
 func (w *world) bootMachines() {
 	m := &w.machines
 	m.booting = append(m.booting, w.cloud.Created[m.instancesSeen:]...)
@@ -39,7 +39,7 @@
 	})
 }
 
-// bootAgent starts the worker of an instance.
+// bootAgent starts the agent of an instance.
 func (w *world) bootAgent(instance *fake.Instance) {
 	var machineType wire.MachineType
 	for _, t := range w.cloud.Types {
@@ -68,7 +68,7 @@
 	w.machines.byName[s.Name] = s
 }
 
-// workload tells the fake workers what the users know of their jobs.
+// workload provides the fake agents with the users' jobs and the behaviour of their tasks.
 type workload struct{ world *world }
 
 // Job implements fake.Workload.
@@ -82,21 +82,21 @@
 
 // Fails implements fake.Workload.
 func (l workload) Fails(job *wire.Job, index int) bool {
-	each := l.world.users.failEveryNth[job.Ref]
-	return each > 0 && index%each == 0
+	nth := l.world.users.failEveryNth[job.Ref]
+	return nth > 0 && index%nth == 0
 }
 
-// observer tells the rules what becomes of tasks.
+// observer passes the events of tasks to the rule checks.
 type observer struct{ world *world }
 
 // TaskOrdered implements fake.Observer.
-func (o observer) TaskOrdered(on *fake.Worker, t *fake.Task) {
-	o.world.rules.history.checkRunCommand(on.Name, t)
+func (o observer) TaskOrdered(agent *fake.Worker, t *fake.Task) {
+	o.world.rules.history.checkRunCommand(agent.Name, t)
 }
 
 // TaskStarted implements fake.Observer.
-func (o observer) TaskStarted(on *fake.Worker, t *fake.Task) {
-	o.world.checkStart(o.world.agentByName(on.Name), t)
+func (o observer) TaskStarted(agent *fake.Worker, t *fake.Task) {
+	o.world.checkStart(o.world.agentByName(agent.Name), t)
 }
 
 // TaskRestarted implements fake.Observer.
@@ -110,17 +110,17 @@
 	}
 }
 
-// machinesOf lists the machines that a job's tasks are on.
-func (w *world) machinesOf(ref string) (workers []*simAgent) {
+// machinesOf returns the agents of the machines with active tasks of a job.
+func (w *world) machinesOf(ref string) (agents []*simAgent) {
 	for _, s := range w.machines.agents {
 		if s.activeTasks(ref) > 0 {
-			workers = append(workers, s)
+			agents = append(agents, s)
 		}
 	}
-	return workers
+	return agents
 }
 
-// countActive counts a job's tasks that are on machines.
+// countActive counts a job's active tasks on all machines.
 func (w *world) countActive(ref string) (count int) {
 	for _, s := range w.machines.agents {
 		count += s.activeTasks(ref)
--- a/internal/scenario/peer_link_test.go
+++ b/internal/scenario/peer_link_test.go
@@ -14,26 +14,26 @@
 const (
 	// linkRetry is how long a follower waits before it tries to connect again.
 	linkRetry = 300 * clock.Millisecond
-	// linkTimeout is how long it takes until a link breaks that carries nothing.
+	// linkTimeout is how long after a message that could not be delivered a link breaks.
 	linkTimeout = 4 * clock.Second
 )
 
-// simLink is a connection from a follower to the leader, or of the leader to itself.
+// simLink is a simulated connection of a follower to the leader, or of the leader to itself.
 type simLink struct {
 	term                                   cluster.Term
 	follower, leader                       *simController
 	followerIncarnation, leaderIncarnation int
 	broken                                 bool
-	lastDelivery                           map[*simController]clock.Micros // when the latest message to an end arrives
+	lastDelivery                           map[*simController]clock.Micros // by receiver: when its latest message arrives
 }
 
-// isUnreachableFrom says whether another controller's messages do not reach this one now.
+// isUnreachableFrom reports whether messages from another controller cannot reach this one now.
 func (c *simController) isUnreachableFrom(from *simController) bool {
 	return c != from && (c.faults.peersUnreachable || from.faults.peersUnreachable ||
 		c.faults.pausedUntil > c.world.now || c.world.isPartitioned(c.cfg.Zone, from.cfg.Zone))
 }
 
-// connectToLeader connects to the leader of a term as soon as it answers.
+// connectToLeader connects to the leader of a term, and retries until it succeeds or the term changes.
 func (c *simController) connectToLeader(term cluster.Term, name string) {
 	w := c.world
 	w.after(w.latency(), c.ifSameProcess(func() {
@@ -41,12 +41,12 @@
 			return
 		}
 		to := w.controllers[slices.IndexFunc(w.controllers, func(o *simController) bool { return o.name == name })]
-		isCut := to.isUnreachableFrom(c)
-		if to.running && !isCut && to != c {
+		unreachable := to.isUnreachableFrom(c)
+		if to.running && !unreachable && to != c {
 			c.jobCache.Post(api.PeerContacted{})
 			to.jobCache.Post(api.PeerContacted{})
 		}
-		if !to.running || to.elector.Term() != term || isCut {
+		if !to.running || to.elector.Term() != term || unreachable {
 			w.after(linkRetry, c.ifSameProcess(func() { c.connectToLeader(term, name) }))
 			return
 		}
@@ -68,10 +68,10 @@
 	}))
 }
 
-// Send implements leader.Link. It is not reached: the simulation carries messages over a link itself.
-func (*simLink) Send(*peer.FromLeader) { panic("a simulated link was sent over") }
+// Send implements leader.Link. It must not be called: the simulation delivers the messages of a link itself.
+func (*simLink) Send(*peer.FromLeader) { panic("Send called on a simulated link") }
 
-// followerAlive and leaderThere say whether the process at an end is still the one that was connected.
+// followerAlive and leaderAlive report whether the process at an end still runs and has not been restarted.
 func (l *simLink) followerAlive() bool {
 	return l.follower.running && l.follower.incarnation == l.followerIncarnation
 }
@@ -80,7 +80,7 @@
 	return l.leader.running && l.leader.incarnation == l.leaderIncarnation
 }
 
-// disconnect breaks a link; both sides see it if they are still there.
+// disconnect breaks a link. Each side is notified if its process is still alive.
 func (l *simLink) disconnect() {
 	if l.broken {
 		return
@@ -103,8 +103,8 @@
 	})
 }
 
-// send brings a message to one end of the link; a cut one breaks after a while, and so
-// does one whose other end is paused.
+// send delivers a message to one end of the link. If that end is unreachable or its process is paused, the message is
+// lost and the link breaks after a timeout.
 func (l *simLink) send(to *simController, receive func()) {
 	w := to.world
 	from := l.follower
@@ -118,10 +118,10 @@
 	if to != from {
 		w.traffic.peerMessages++
 	}
-	// As over TCP, nothing overtakes.
-	at := max(w.now+w.latency(), l.lastDelivery[to])
-	l.lastDelivery[to] = at
-	w.after(at-w.now, func() {
+	// Messages arrive in order, as over TCP.
+	arrivesAt := max(w.now+w.latency(), l.lastDelivery[to])
+	l.lastDelivery[to] = arrivesAt
+	w.after(arrivesAt-w.now, func() {
 		to.whenResumed(func() {
 			if !l.broken && l.followerAlive() && l.leaderAlive() {
 				receive()
--- a/internal/scenario/random_faults_test.go
+++ b/internal/scenario/random_faults_test.go
@@ -16,8 +16,8 @@
 	"swiftledge/wire"
 )
 
-// TestMain fixes how many worlds the random faults are tried on, and which: the same on every run. A
-// longer search is a flag (docs/operations.md).
+// TestMain sets the number of random worlds and their seed, so that every run tests the same worlds. A flag extends
+// the search (docs/operations.md).
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.checks": "40", "rapid.nofailfile": "true"} {
 		must(flag.Set(name, value))
@@ -27,7 +27,7 @@
 	os.Exit(code)
 }
 
-// randomWorld is a cluster with work for all its machines.
+// randomWorld creates a cluster for random jobs and faults. A third of its machines are up at the start.
 func randomWorld(name string, seed uint64, machines int, spread config.Spread) *world {
 	cfg := config.Config{Tuning: config.DefaultTuning()}
 	f := &cfg.Facts
@@ -61,24 +61,26 @@
 }
 
 const (
+	// earliestFault and latestFault bound the start times of random faults.
 	earliestFault = 12 * clock.Second
 	latestFault   = 75 * clock.Second
-	recoveryTime  = 130 * clock.Second
+	// recoveryTime is how long a world runs without faults, so that all accepted jobs can complete.
+	recoveryTime = 130 * clock.Second
 )
 
-// Whatever faults overlap, no rule of the protocol is violated, and once they are over all that was
-// accepted runs to its end. A world that violates one is made smaller until a few faults are left.
+// Overlapping faults must not violate any rule of the protocol, and all accepted jobs must run to completion after
+// the faults. Rapid shrinks a world that violates a rule to a few faults.
 func TestRandomFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) { runRandomFaults(t, 30, 150, config.DefaultTuning().Spread) })
 }
 
-// The same with hundreds of machines and thousands of tasks, in fewer worlds.
+// Runs the same check in fewer worlds with hundreds of machines and thousands of tasks.
 func TestRandomFaultsAtSize(t *testing.T) {
 	checkFraction(t, 8, func(t *rapid.T) { runRandomFaults(t, 250, 450, config.DefaultTuning().Spread) })
 }
 
-// The same with work that is moved as often as can be: tasks are stopped and started again all the time,
-// in the midst of the faults.
+// Runs the same check with settings that migrate tasks as often as possible, so that tasks are continually stopped and
+// restarted during the faults.
 func TestRandomFaultsDuringMigrations(t *testing.T) {
 	spread := config.Spread{
 		Enabled:         true,
@@ -91,29 +93,29 @@
 		TeamShare:       1,
 		TimeoutS:        30,
 	}
-	moved := 0
-	checkFraction(t, 2, func(t *rapid.T) { moved += runRandomFaults(t, 30, 150, spread) })
-	if moved == 0 {
-		t.Error("no task was moved")
+	migrations := 0
+	checkFraction(t, 2, func(t *rapid.T) { migrations += runRandomFaults(t, 30, 150, spread) })
+	if migrations == 0 {
+		t.Error("no migration was started")
 	}
-	t.Logf("%d moves by the last leaders of the worlds", moved)
+	t.Logf("the last leaders of the worlds started %d migrations", migrations)
 }
 
-// checkFraction checks a property on a part of the worlds that rapid is set to try.
-func checkFraction(t *testing.T, part int, property func(*rapid.T)) {
+// checkFraction checks a property on the number of worlds that rapid is set to check, divided by divisor.
+func checkFraction(t *testing.T, divisor int, property func(*rapid.T)) {
 	checks := flag.Lookup("rapid.checks").Value
 	all := checks.String()
 	defer func() { must(checks.Set(all)) }()
 	n, err := strconv.Atoi(all)
 	must(err)
-	must(checks.Set(strconv.Itoa(max(n/part, 1))))
+	must(checks.Set(strconv.Itoa(max(n/divisor, 1))))
 	rapid.Check(t, property)
 }
 
-// runRandomFaults draws a cluster and its faults, and plays them. It says how many tasks its last leader has
-// moved.
-func runRandomFaults(t *rapid.T, least, most int, spread config.Spread) (moved int) {
-	machines := rapid.IntRange(least, most).Draw(t, "machines")
+// runRandomFaults draws a cluster and its faults, runs it, and fails if a rule was violated. It returns how many
+// migrations the last leader has started.
+func runRandomFaults(t *rapid.T, minMachines, maxMachines int, spread config.Spread) (migrations int) {
+	machines := rapid.IntRange(minMachines, maxMachines).Draw(t, "machines")
 	faults := rapid.SliceOfN(rapid.Custom(drawFault), 1, 14).Draw(t, "faults")
 	seed := rapid.Uint64Range(1, 1000).Draw(t, "seed")
 	w := randomWorld(t.Name(), seed, machines, spread)
@@ -125,7 +127,7 @@
 	return w.leaderStatus().MigrationOutcomes.Started
 }
 
-// Worlds that the long search has found, with what it showed.
+// Runs worlds in which a longer search found a fault of the scheduler. The key of each case says what went wrong.
 func TestRandomFaultRegressions(t *testing.T) {
 	seconds := func(s float64) clock.Micros { return clock.FromSeconds(s) }
 	for name, c := range map[string]struct {
@@ -133,9 +135,9 @@
 		machines int
 		faults   []fault
 	}{
-		"workers begin anew within a session, and their tasks are never given back": {26, 30, []fault{
+		"agents restart with the same agent epoch, and their tasks are never returned to the queue": {26, 30, []fault{
 			{startAt: seconds(12), duration: seconds(0.2), kind: "machines reboot", count: 25, share: 0.2}}},
-		"a task is stopped for a service while its order has no answer, and never given back": {4, 30, []fault{
+		"a task is preempted for a service before its run command gets a response, and never returned to the queue": {4, 30, []fault{
 			{startAt: seconds(59.7), duration: seconds(35), kind: "burst of jobs", target: 7, count: 3},
 			{startAt: seconds(29.4), duration: seconds(0.9), kind: "jobs are cancelled", target: 7, count: 17},
 			{startAt: seconds(14.3), duration: seconds(33.8), kind: "leader pauses"},
@@ -153,7 +155,7 @@
 	}
 }
 
-// drawFault draws a fault, its times in tenths of a second.
+// drawFault draws a fault with times in tenths of a second.
 func drawFault(t *rapid.T) fault {
 	const tenth = clock.Second / 10
 	return fault{
@@ -166,7 +168,8 @@
 	}
 }
 
-// runFaults runs the cluster through the faults and the calm after them.
+// runFaults submits jobs, injects the faults, runs the cluster through them and the recovery time, and checks the final
+// states of the jobs.
 func (w *world) runFaults(faults []fault, machines int) {
 	for i := range 8 {
 		w.after(clock.Micros(3+i*7)*clock.Second, func() { w.submitRandom(i, machines*2/3+i*13, 5+i*3) })
@@ -180,14 +183,15 @@
 	w.checkFinalStates()
 }
 
-// checkFinalStates says whether all that was accepted is known, and every batch has ended.
+// checkFinalStates checks that every accepted job is known, that every batch job has a final state, and that no task of
+// a job with a final state is active.
 func (w *world) checkFinalStates() {
 	for _, ref := range sortedKeys(w.users.jobs) {
 		r := w.checkReply(ref, w.controllers[0].lookUpJob(ref))
 		j := w.users.jobs[ref]
 		switch {
 		case r.Code != 200:
-			w.reportViolation("forgotten: %s is answered %d", ref, r.Code)
+			w.reportViolation("forgotten: query of %s got response %d", ref, r.Code)
 		case !j.IsService() && !isFinal(r.Status.State):
 			w.reportViolation("unfinished: %s is %s", ref, r.Status.State)
 		}
--- a/internal/scenario/random_jobs_test.go
+++ b/internal/scenario/random_jobs_test.go
@@ -9,10 +9,10 @@
 	"swiftledge/wire"
 )
 
-// userRetry is how long a user waits before a request is repeated.
+// userRetry is how long a user waits before retrying a request.
 const userRetry = clock.Second
 
-// nextJob is a batch that a user of a random world submits next, of tasks that take a processor each.
+// nextJob returns a batch job with a new reference for a random world. Each task needs one CPU.
 func (w *world) nextJob(class, team string, tasks int) wire.Job {
 	w.users.randomJobs++
 	return wire.Job{
@@ -29,10 +29,10 @@
 	}
 }
 
-// teamOf is the team of a random job, by its number.
+// teamOf returns the team of a random job, by its number.
 func teamOf(i int) string { return []string{"red", "blue"}[i%2] }
 
-// submitRandom has a user submit a job to whichever controller takes it; some are services, some save.
+// submitRandom submits a job as a user. Depending on its number, it is a service or saves checkpoints.
 func (w *world) submitRandom(i, tasks, runSeconds int) {
 	j := w.nextJob("l", teamOf(i), tasks)
 	j.Priority = []wire.Priority{wire.PriorityStandard, wire.PriorityHigh}[i/2%2]
@@ -51,7 +51,7 @@
 	w.submitUntilAccepted(j, i)
 }
 
-// submitFaulty has a user submit a job that fails on every machine, and returns its reference.
+// submitFaulty submits a job that fails on every machine, and returns its reference.
 func (w *world) submitFaulty(i, tasks int) string {
 	const runSeconds = 10
 	j := w.nextJob("l", teamOf(i), tasks)
@@ -62,11 +62,11 @@
 	return j.Ref
 }
 
-// guestRunS is how long a guest's task runs: longer than the boot times that preemption goes by, and short enough for
-// all to end in the calm after the faults.
+// guestRunS is the run time of a guest's task in seconds. It is longer than the boot times that decide about preemption,
+// and short enough for all tasks to complete in the recovery time after the faults.
 const guestRunS = 16
 
-// submitGuest has a team without a guarantee and without a limit submit long tasks of low priority.
+// submitGuest submits a job of long tasks of low priority for a team without a guarantee and without a limit.
 func (w *world) submitGuest(i, tasks int) {
 	j := w.nextJob("g", "guest", tasks)
 	j.Priority = wire.PriorityBestEffort
@@ -76,7 +76,7 @@
 	w.submitUntilAccepted(j, i)
 }
 
-// submitUntilAccepted repeats a submission, at one controller after the other, until it is accepted.
+// submitUntilAccepted retries a submission at the controllers in turn until it is accepted.
 func (w *world) submitUntilAccepted(j wire.Job, i int) {
 	body, err := json.Marshal(j)
 	must(err)
@@ -88,7 +88,7 @@
 	w.after(userRetry, func() { w.submitUntilAccepted(j, i+1) })
 }
 
-// cancelUntilAnswered repeats a cancellation, at one controller after the other, until it is answered.
+// cancelUntilAnswered retries a cancellation at the controllers in turn until one responds that the job is cancelled.
 func (w *world) cancelUntilAnswered(ref string, i int) {
 	c := w.controllers[i%len(w.controllers)]
 	_, accepted := w.users.jobs[ref]
--- a/internal/scenario/rules_test.go
+++ b/internal/scenario/rules_test.go
@@ -8,17 +8,17 @@
 	"swiftledge/internal/fake"
 )
 
-// rules is what the users' rules are judged by, and which of them were violated.
+// rules holds the violations of the users' rules and the state that the checks need.
 type rules struct {
 	violations    []string
-	malformedTxns int      // transactions that the state service refused for their form
+	malformedTxns int      // number of transactions that the state service rejected as malformed
 	history       *history // of the state service and of attempts
 
-	activeTasks  map[string][]activeTask // by team: what was on machines when last looked at
+	activeTasks  map[string][]activeTask // by team: tasks that were active when a task of the team last started
 	completions  map[string]int          // by task
-	firstStartAt map[string]clock.Micros // by job: when its first task ran
-	lastStartAt  map[string]clock.Micros // by job: when a task of it last began to run
-	waitingSince map[string]clock.Micros // by job: since when it waits beside free capacity for it
+	firstStartAt map[string]clock.Micros // by job: when its first task started
+	lastStartAt  map[string]clock.Micros // by job: when one of its tasks last started
+	waitingSince map[string]clock.Micros // by job: since when it waits although there is free capacity for it
 }
 
 func newRules(w *world) rules {
@@ -32,16 +32,16 @@
 	}
 }
 
-// roundingError is how far sums of processors may be off.
+// roundingError is the tolerance for sums of CPUs.
 const roundingError = 1e-9
 
-// activeTask is a task on a machine.
+// activeTask is a task that is active on a machine.
 type activeTask struct {
 	agent *simAgent
 	task  *fake.Task
 }
 
-// reportViolation notes that a rule is violated, once for each text.
+// reportViolation records the violation of a rule, once for each text.
 func (w *world) reportViolation(format string, args ...any) {
 	violation := fmt.Sprintf(format, args...)
 	if !slices.Contains(w.rules.violations, violation) {
@@ -49,35 +49,35 @@
 	}
 }
 
-// checkStart judges the rules that can be violated when a task begins to run.
-func (w *world) checkStart(on *simAgent, t *fake.Task) {
+// checkStart checks the rules that the start of a task can violate.
+func (w *world) checkStart(agent *simAgent, t *fake.Task) {
 	ref := t.Job.Ref
-	w.rules.history.checkStart(on.Name, t)
+	w.rules.history.checkStart(agent.Name, t)
 	w.rules.lastStartAt[ref] = w.now
 	if _, ok := w.rules.firstStartAt[ref]; !ok {
 		w.rules.firstStartAt[ref] = w.now
 	}
-	if at, ok := w.users.cancelledAt[ref]; ok && w.now-at > w.cancelTime() {
-		w.reportViolation("ran_cancelled: %s starts on %s", t.Task, on.Name)
+	if cancelledAt, ok := w.users.cancelledAt[ref]; ok && w.now-cancelledAt > w.cancelTime() {
+		w.reportViolation("ran_cancelled: %s starts on %s", t.Task, agent.Name)
 	}
-	if !on.allows(&t.Job) {
-		w.reportViolation("wrong_place: %s on %s", t.Task, on.Name)
+	if !agent.allows(&t.Job) {
+		w.reportViolation("wrong_place: %s on %s", t.Task, agent.Name)
 	}
-	active := append(w.rules.activeTasks[t.Job.Team], activeTask{on, t})
+	active := append(w.rules.activeTasks[t.Job.Team], activeTask{agent, t})
 	active = slices.DeleteFunc(active, func(a activeTask) bool {
 		return a.agent.terminated || !a.task.IsActive() || a.agent.leaseExpired(w.now)
 	})
 	w.rules.activeTasks[t.Job.Team] = active
 	for _, other := range active {
 		if other.task.Task == t.Task && other.task != t {
-			w.reportViolation("ran_twice: %s on %s and %s", t.Task, other.agent.Name, on.Name)
+			w.reportViolation("ran_twice: %s on %s and %s", t.Task, other.agent.Name, agent.Name)
 		}
 	}
 	w.checkQuota(t, active)
 	w.checkZones(t, active)
 }
 
-// checkQuota judges whether a team's tasks stay within its limit.
+// checkQuota checks that a team's tasks stay within its limit.
 func (w *world) checkQuota(t *fake.Task, active []activeTask) {
 	cpus := 0.0
 	for _, a := range active {
@@ -88,7 +88,7 @@
 	}
 }
 
-// checkZones judges whether a job's tasks are in as many zones as it asks for.
+// checkZones checks that the zones of a job's tasks meet its constraints: one zone, or at most half the tasks in each.
 func (w *world) checkZones(t *fake.Task, active []activeTask) {
 	tasksByZone := map[string]int{}
 	for _, a := range active {
@@ -106,10 +106,11 @@
 	}
 }
 
-// cancelTime is how long after its cancellation a job's tasks may run.
+// cancelTime returns how long after its cancellation a job's tasks may still run.
 func (w *world) cancelTime() clock.Micros { return clock.FromSeconds(w.cfg.Facts.Workers.CancelS) }
 
-// checkCancelledJobs judges that no task of a job runs for long after its user was told that it is cancelled.
+// checkCancelledJobs checks that no task runs longer than cancelTime after the user got the response that its job is
+// cancelled.
 func (w *world) checkCancelledJobs() {
 	for _, ref := range sortedKeys(w.users.cancelledAt) {
 		if w.now-w.users.cancelledAt[ref] <= w.cancelTime() {
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -6,9 +6,9 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// TestScenarios plays every file in testdata. Each begins with a cluster
-// command; go test ./internal/scenario -args -rewrite renews expected output,
-// which is then to be read like code.
+// TestScenarios runs every file in testdata. Each file begins with a cluster
+// command. go test ./internal/scenario -args -rewrite updates the expected
+// output; review the result like code.
 func TestScenarios(t *testing.T) {
 	known := commands()
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
@@ -35,10 +35,10 @@
 	})
 }
 
-// command carries out one line of a scenario.
+// command executes one command of a scenario and returns its output.
 type command func(t *testing.T, w *world, d *datadriven.TestData) string
 
-// commands are all that scenarios may say, by name.
+// commands returns all commands that scenarios may use, by name.
 func commands() map[string]command {
 	return map[string]command{
 		"cancel":            cancelCommand,
--- a/internal/scenario/size_test.go
+++ b/internal/scenario/size_test.go
@@ -12,10 +12,10 @@
 	"swiftledge/wire"
 )
 
-// electionTime is how long a new cluster needs until a controller leads.
+// electionTime is how long a new cluster runs until a controller leads.
 const electionTime = 3 * clock.Second
 
-// heapMB is the memory that is in use.
+// heapMB returns the size of the heap in use, after a garbage collection.
 func heapMB() float64 {
 	runtime.GC()
 	var m runtime.MemStats
@@ -27,7 +27,7 @@
 func (w *world) checkNoViolations(t *testing.T) {
 	t.Helper()
 	if len(w.rules.violations) > 0 {
-		t.Errorf("rules: %v", w.rules.violations)
+		t.Errorf("violated rules: %v", w.rules.violations)
 	}
 }
 
@@ -39,8 +39,8 @@
 	return count
 }
 
-// What a started task and a machine cost in puts, what a controller holds, and how a
-// takeover goes, at the size that the operators may reach.
+// At the size that the operators may reach, limits the puts for each started task, the inventory keys for the machines,
+// and the memory of the controllers. No lease may expire while a new leader takes over.
 func TestCostAtSize(t *testing.T) {
 	for _, d := range deployments() {
 		t.Run(d.name, func(t *testing.T) { costAtSize(t, &d) })
@@ -55,34 +55,34 @@
 	w.run(75 * clock.Second)
 	machines := len(w.cloud.Instances)
 	if machines < d.machines*9/10 {
-		t.Errorf("%d of %d machines were provisioned", machines, d.machines)
+		t.Errorf("%d of %d machines were provisioned, want at least 9/10", machines, d.machines)
 	}
 	inventory, _ := w.store.List(leader.InstanceGroupPrefix)
 	if len(inventory) == 0 || len(inventory) > machines/20 {
-		t.Errorf("the inventory has %d keys for %d machines", len(inventory), machines)
+		t.Errorf("the inventory has %d keys for %d machines, want at least 1 and at most a twentieth", len(inventory), machines)
 	}
 
-	// All controllers end and come back: the workers' leases outlast the takeover.
-	took := w.restartControllers(8 * clock.Second)
-	w.checkLeasesKept(t, took)
+	// All controllers crash and restart: the agents' leases must outlast the takeover.
+	recovery := w.restartControllers(8 * clock.Second)
+	w.checkLeasesKept(t, recovery)
 
 	w.mustSubmitLoad(t, d, 1000)
 	w.run(60 * clock.Second)
-	started, perLoad := w.completedTasks(), d.load.jobs*d.load.tasks
-	if started < perLoad*9/10 {
-		t.Errorf("%d of %d tasks have run", started, 2*perLoad)
+	completed, perLoad := w.completedTasks(), d.load.jobs*d.load.tasks
+	if completed < perLoad*9/10 {
+		t.Errorf("%d of %d tasks have completed, want at least 45%%", completed, 2*perLoad)
 	}
-	if putsPerTask := float64(w.store.Puts) / float64(started); putsPerTask > 0.25 {
-		t.Errorf("%.2f puts for each task that ran (%d for %d)", putsPerTask, w.store.Puts, started)
+	if putsPerTask := float64(w.store.Puts) / float64(completed); putsPerTask > 0.25 {
+		t.Errorf("%.2f puts for each completed task (%d for %d), want at most 0.25", putsPerTask, w.store.Puts, completed)
 	}
 	w.checkMemory(t, d)
 	w.checkNoViolations(t)
-	t.Logf("%d machines, %d inventory keys, %d tasks ran, %d puts, all answered %.1f s after all controllers were back, %.0f MB",
-		machines, len(inventory), started, w.store.Puts, took.Seconds(), heapMB())
+	t.Logf("%d machines, %d inventory keys, %d completed tasks, %d puts, all agents got a reply %.1f s after all controllers restarted, %.0f MB",
+		machines, len(inventory), completed, w.store.Puts, recovery.Seconds(), heapMB())
 }
 
-// checkMemory lets tens of thousands of tasks wait, and judges what the whole world then holds by what one
-// controller may.
+// checkMemory queues tens of thousands of tasks and checks that the heap of the whole world stays within a third of
+// one controller's memory quota.
 func (w *world) checkMemory(t *testing.T, d *deployment) {
 	t.Helper()
 	for i := range 20 {
@@ -90,26 +90,26 @@
 	}
 	w.run(10 * clock.Second)
 	if mb := heapMB(); mb > d.settings.Facts.Quota.MemMB/3 {
-		t.Errorf("three controllers, state service, cloud and workers hold %.0f MB", mb)
+		t.Errorf("the heap of three controllers, state service, cloud and agents is %.0f MB, want at most a third of a controller's quota", mb)
 	}
 }
 
-// restartControllers crashes all controllers, starts them after a while, and says how long it then
-// took until all workers were answered.
-func (w *world) restartControllers(down clock.Micros) clock.Micros {
+// restartControllers crashes all controllers and starts them after a downtime. It returns the time from the start until
+// all agents got a reply to a newer heartbeat, at most about a minute.
+func (w *world) restartControllers(downtime clock.Micros) clock.Micros {
 	for _, c := range w.controllers {
 		c.crash()
 	}
-	w.run(down)
+	w.run(downtime)
 	w.startControllers()
-	back := w.now
-	for w.unansweredAgents(back) > 0 && w.now < back+clock.Minute {
+	restartedAt := w.now
+	for w.unansweredAgents(restartedAt) > 0 && w.now < restartedAt+clock.Minute {
 		w.run(clock.Second / 2)
 	}
-	return w.now - back
+	return w.now - restartedAt
 }
 
-// startControllers starts the controllers that have ended.
+// startControllers starts the controllers that have crashed.
 func (w *world) startControllers() {
 	for _, c := range w.controllers {
 		if !c.running {
@@ -118,17 +118,18 @@
 	}
 }
 
-// checkLeasesKept judges that no worker's lease has expired.
-func (w *world) checkLeasesKept(t *testing.T, took clock.Micros) {
+// checkLeasesKept checks that no agent's lease has expired.
+func (w *world) checkLeasesKept(t *testing.T, recovery clock.Micros) {
 	t.Helper()
 	for _, s := range w.machines.agents {
 		if s.AgentEpoch > 1 && !s.terminated {
-			t.Fatalf("%s lost its lease while the controllers were back after %.1f s", s.Name, took.Seconds())
+			t.Fatalf("the agent lease of %s expired, in a restart of all controllers with replies to all agents after %.1f s",
+				s.Name, recovery.Seconds())
 		}
 	}
 }
 
-// unansweredAgents counts the workers that have had no answer to a heartbeat sent since then.
+// unansweredAgents counts the agents that have got no reply to a heartbeat sent since a time.
 func (w *world) unansweredAgents(since clock.Micros) (count int) {
 	for _, s := range w.machines.agents {
 		if !s.terminated && s.LeaseRenewedAt() < since {
@@ -138,7 +139,7 @@
 	return count
 }
 
-// activeReplicas counts the replicas of services on machines.
+// activeReplicas counts the active replicas of all services.
 func (w *world) activeReplicas() (count int) {
 	for _, s := range w.machines.agents {
 		for _, t := range s.Tasks {
@@ -150,8 +151,8 @@
 	return count
 }
 
-// What a thousand replicas that run on cost, between batches that come and go, under lowered
-// limits of the state service: pages of attempt records, puts, memory, and a takeover.
+// Limits what a thousand long-running replicas cost under low limits of the state service, after batch jobs have come
+// and gone beside them: the size of the attempt pages and the puts at rest. A takeover must keep all replicas running.
 func TestServicesAtSize(t *testing.T) {
 	const services, replicas = 130, 8
 	d := twoTypes()
@@ -165,32 +166,32 @@
 	if n := w.activeReplicas(); n != services*replicas {
 		t.Fatalf("%d replicas run, want %d", n, services*replicas)
 	}
-	before := w.store.Puts
+	putsBefore := w.store.Puts
 	w.run(60 * clock.Second)
-	quiet := w.store.Puts - before
+	idlePuts := w.store.Puts - putsBefore
 	pages, _ := w.store.List(attemptPrefix)
 	bytes := 0
 	for _, page := range pages {
 		bytes += len(page.Value)
 	}
 	if bytes > 75<<10 {
-		t.Errorf("%d pages of attempt records hold %d kB", len(pages), bytes>>10)
+		t.Errorf("%d attempt pages have %d kB in total, want at most 75", len(pages), bytes>>10)
 	}
-	if quiet > 10 {
-		t.Errorf("%d puts in a minute in which nothing happens", quiet)
+	if idlePuts > 10 {
+		t.Errorf("%d puts in an idle minute, want at most 10", idlePuts)
 	}
-	took := w.restartControllers(4 * clock.Second)
+	recovery := w.restartControllers(4 * clock.Second)
 	w.run(30 * clock.Second)
 	if n := w.activeReplicas(); n != services*replicas {
-		t.Errorf("%d replicas run after a takeover", n)
+		t.Errorf("%d replicas run after a takeover, want as many as before", n)
 	}
-	w.checkLeasesKept(t, took)
+	w.checkLeasesKept(t, recovery)
 	w.checkNoViolations(t)
-	t.Logf("%d replicas: %d pages of %d kB in all, %d puts in a quiet minute", services*replicas, len(pages), bytes>>10, quiet)
-	t.Logf("all workers answered %.1f s after all controllers were back, %.0f MB for the whole world", took.Seconds(), heapMB())
+	t.Logf("%d replicas: %d attempt pages with %d kB in total, %d puts in an idle minute", services*replicas, len(pages), bytes>>10, idlePuts)
+	t.Logf("all agents got a reply %.1f s after all controllers restarted, %.0f MB for the whole world", recovery.Seconds(), heapMB())
 }
 
-// submitServices submits a service every second, and a batch beside each fifth.
+// submitServices submits a service every second, and a batch job with every fifth service.
 func (w *world) submitServices(t *testing.T, d *deployment, services, replicas int) {
 	t.Helper()
 	for i := range services {
@@ -213,9 +214,9 @@
 	}
 }
 
-// At rest, with as many machines as operators may come to have, the controllers say little: a
-// heartbeat of nothing new wakes nobody but the holder, and the state service is asked for the
-// leader's lease alone (a watch each third of a TTL comes on top on real machines).
+// Limits the messages of controllers at rest. A heartbeat without changes must cause no message to the leader, and the
+// only requests to the state service must renew the leader's lease. On real machines, a watch request each third of a
+// TTL comes on top.
 func TestMessagesAtRest(t *testing.T) {
 	d := smallControllersTwoTypes()
 	d.machines = 300
@@ -228,25 +229,25 @@
 	}
 	w.run(120 * clock.Second)
 	if n := len(w.machines.agents); n < 100 {
-		t.Fatalf("%d machines are up", n)
+		t.Fatalf("%d machines are up, want at least 100", n)
 	}
 	before := w.traffic
 	const seconds = 60
 	w.run(seconds * clock.Second)
 	messages := w.traffic.peerMessages - before.peerMessages
 	requests := w.traffic.storeRequests - before.storeRequests
-	// Each holder renews its grants every second and is answered.
+	// Each holder renews its grants every second and gets a reply.
 	if most := seconds * 2 * (len(w.controllers) - 1); messages > most*5/4 {
-		t.Errorf("%d messages between controllers in %d s, want %d and little more", messages, seconds, most)
+		t.Errorf("%d messages between controllers in %d s, want at most 5/4 of %d", messages, seconds, most)
 	}
 	if most := seconds * 2; requests > most {
-		t.Errorf("%d requests to the state service in %d s, want %d at most", requests, seconds, most)
+		t.Errorf("%d requests to the state service in %d s, want at most %d", requests, seconds, most)
 	}
 	t.Logf("%d machines: %d messages and %d requests to the state service in %d s",
 		len(w.machines.agents), messages, requests, seconds)
 }
 
-// leaderTerms are the terms in which controllers lead now.
+// leaderTerms returns the terms in which controllers lead now.
 func (w *world) leaderTerms() map[cluster.Term]bool {
 	terms := map[cluster.Term]bool{}
 	for _, c := range w.leaders() {
@@ -255,7 +256,7 @@
 	return terms
 }
 
-// rebootZone reboots all machines of a zone, and says how many these are.
+// rebootZone reboots all machines of a zone and returns their number.
 func (w *world) rebootZone(zone string) (count int) {
 	for _, s := range w.machines.agents {
 		if s.Zone == zone && !s.terminated {
@@ -266,9 +267,9 @@
 	return count
 }
 
-// Six thousand machines: they are provisioned and used, a zone of two thousand reboots twice, leaders crash in
-// the middle of it, and every controller crashes. No leader resigns, no rule is violated, all workers are
-// answered and work goes on.
+// Runs six thousand machines. A zone of two thousand reboots twice, the leader crashes while another zone reboots, and
+// then all controllers crash. The reboots alone must not make the leader resign, no rule may be violated, all agents
+// must get replies and the tasks must complete.
 func TestSixThousandMachines(t *testing.T) {
 	d := largestDeployment()
 	w := d.world(t.Name())
@@ -277,7 +278,7 @@
 	w.mustSubmitLoad(t, &d, 0)
 	w.run(120 * clock.Second)
 	if n := len(w.machines.agents); n < d.machines*9/10 {
-		t.Fatalf("%d of %d machines are up", n, d.machines)
+		t.Fatalf("%d of %d machines are up, want at least 9/10", n, d.machines)
 	}
 	before := w.leaderTerms()
 	rebooted := w.rebootZone("a")
@@ -285,26 +286,26 @@
 	rebooted += w.rebootZone("a")
 	w.run(70 * clock.Second)
 	if after := w.leaderTerms(); len(after) != 1 || !maps.Equal(before, after) {
-		t.Errorf("terms %v lead after %d machines rebooted, %v before", after, rebooted, before)
+		t.Errorf("leader terms are %v after %d machines rebooted, want one term, the same as before: %v", after, rebooted, before)
 	}
-	if late := w.unansweredAgents(w.now - clock.FromSeconds(2*d.settings.Facts.Workers.ReportS)); late > 0 {
-		t.Errorf("%d workers had no answer in two heartbeat intervals", late)
+	if n := w.unansweredAgents(w.now - clock.FromSeconds(2*d.settings.Facts.Workers.ReportS)); n > 0 {
+		t.Errorf("%d agents got no reply in two heartbeat intervals", n)
 	}
 
-	// The leader crashes, and a zone reboots while the next one takes over.
+	// The leader crashes, and a zone reboots while the next leader takes over.
 	crashControllers(w.leaders()...)
 	w.run(2 * clock.Second)
 	rebooted += w.rebootZone("b")
 	w.run(60 * clock.Second)
 	w.startControllers()
 	w.run(20 * clock.Second)
-	took := w.restartControllers(8 * clock.Second)
+	recovery := w.restartControllers(8 * clock.Second)
 	w.run(120 * clock.Second)
 	completed := w.completedTasks()
 	if all := d.load.jobs * d.load.tasks; completed < all*9/10 {
-		t.Errorf("%d of %d tasks have run", completed, all)
+		t.Errorf("%d of %d tasks have completed, want at least 9/10", completed, all)
 	}
 	w.checkNoViolations(t)
-	t.Logf("%d machines, %d reboots, %d tasks ran, all answered %.1f s after all controllers were back, %.0f MB",
-		len(w.machines.agents), rebooted, completed, took.Seconds(), heapMB())
+	t.Logf("%d machines, %d reboots, %d completed tasks, all agents got a reply %.1f s after all controllers restarted, %.0f MB",
+		len(w.machines.agents), rebooted, completed, recovery.Seconds(), heapMB())
 }
--- a/internal/scenario/transcript_test.go
+++ b/internal/scenario/transcript_test.go
@@ -28,11 +28,11 @@
 )
 
 var (
-	transcriptDir  = flag.String("transcripts", "", "record what leaves the controllers: write digests.txt to this directory")
-	transcriptFull = flag.Bool("transcripts-full", false, "with -transcripts: write the full text of each transcript, too")
+	transcriptDir  = flag.String("transcripts", "", "record the messages that controllers send and write digests.txt to this directory")
+	transcriptFull = flag.Bool("transcripts-full", false, "with -transcripts: also write the full text of each transcript")
 )
 
-// digestsFile lists the transcripts of a run.
+// digestsFile is the name of the file that lists the transcripts of a run.
 const digestsFile = "digests.txt"
 
 // Receivers of a controller's messages, besides other controllers.
@@ -42,17 +42,17 @@
 	toUser  = "user"
 )
 
-// toAgent is the receiver of what is sent to a machine.
+// toAgent returns the receiver of messages to a machine's agent.
 func toAgent(machine string) string { return "worker " + machine }
 
-// transcript is a record of all messages that leave the controllers of one world, encoded as on the wire. It
-// names nothing of the program, so that it stays comparable while the program is restructured. A nil
-// transcript records nothing.
+// transcript is a record of all messages that the controllers of one world send, encoded as on the wire. It contains
+// no Go identifiers, so that it stays comparable while the program is refactored. A nil transcript records
+// nothing.
 type transcript struct {
 	name   string
-	count  int // of the messages
+	count  int // number of messages
 	digest hash.Hash
-	out    *bufio.Writer // to the digest and, with -transcripts-full, to the file
+	out    *bufio.Writer // writes to the digest and, with -transcripts-full, to the file
 	file   *os.File      // nil without -transcripts-full
 }
 
@@ -64,8 +64,8 @@
 
 var transcripts = transcriptSet{byName: map[string]*transcript{}}
 
-// open begins a transcript, if the run records any. A name that was used before gets a number, so worlds of
-// one name have to be made in a fixed order.
+// open begins a transcript, or returns nil if the run records none. A name that was used before gets a number as
+// suffix, so worlds of the same name must be created in a fixed order.
 func (s *transcriptSet) open(name string) *transcript {
 	if *transcriptDir == "" {
 		return nil
@@ -85,7 +85,7 @@
 	return t
 }
 
-// transcriptName makes a name fit for a file and for a column of digests.txt.
+// transcriptName converts a name to one that can be a file name and a column of digests.txt.
 func transcriptName(name string) string {
 	return strings.NewReplacer("/", "_", " ", "_").Replace(name)
 }
@@ -98,7 +98,7 @@
 	return numbered
 }
 
-// writeDigests ends all transcripts and lists them: name, SHA-256 and number of messages.
+// writeDigests closes all transcripts and writes their list: name, SHA-256 and number of messages.
 func (s *transcriptSet) writeDigests() error {
 	if *transcriptDir == "" {
 		return nil
@@ -125,9 +125,9 @@
 }
 
 // record adds one message.
-func (t *transcript) record(at clock.Micros, from, to, message string, body []byte) {
+func (t *transcript) record(sentAt clock.Micros, from, to, message string, body []byte) {
 	t.count++
-	fmt.Fprintf(t.out, "%d %s > %s: %s ", int64(at), from, to, message)
+	fmt.Fprintf(t.out, "%d %s > %s: %s ", int64(sentAt), from, to, message)
 	_, err := t.out.Write(body)
 	must(err)
 	must(t.out.WriteByte('\n'))
@@ -164,7 +164,7 @@
 	t.record(c.world.now, c.name, to.name, "frame", hex.AppendEncode(nil, sorted))
 }
 
-// recordTxn records a transaction, in the form that the state service's client gives it.
+// recordTxn records a transaction in the form in which the state service's client encodes it.
 func (c *simController) recordTxn(t wire.Txn) {
 	if t.Conditions == nil {
 		t.Conditions = []wire.Condition{}
@@ -172,62 +172,62 @@
 	c.recordJSON(toStore, "POST /multi", t)
 }
 
-// recordRead records the read of one key.
+// recordRead records a read of one key.
 func (c *simController) recordRead(key string) {
 	if c.world.transcript != nil {
 		c.recordSent(toStore, "GET /store/"+key)
 	}
 }
 
-// recordList records the read of all keys with a prefix.
+// recordList records a read of all keys with a prefix.
 func (c *simController) recordList(prefix string) {
 	if c.world.transcript != nil {
 		c.recordSent(toStore, "GET /store?prefix="+url.QueryEscape(prefix))
 	}
 }
 
-// recordWatch records a question for the changes of keys with a prefix.
+// recordWatch records a watch request for keys with a prefix.
 func (c *simController) recordWatch(prefix string, since uint64) {
 	if c.world.transcript != nil {
 		c.recordSent(toStore, fmt.Sprintf("GET /watch?prefix=%s&since=%d", url.QueryEscape(prefix), since))
 	}
 }
 
-// recordLeaseGrant records the request for a lease of the state service.
+// recordLeaseGrant records a request for a store lease.
 func (c *simController) recordLeaseGrant(ttl clock.Micros) {
 	c.recordJSON(toStore, "POST /grants", wire.LeaseRequest{TTLMs: int64(ttl / clock.Millisecond)})
 }
 
-// recordLeaseRenewal records the renewal of a lease.
+// recordLeaseRenewal records the renewal of a store lease.
 func (c *simController) recordLeaseRenewal(lease uint64) {
 	c.recordSent(toStore, "POST /grants/"+strconv.FormatUint(lease, 10)+"/touch")
 }
 
-// recordLeaseRevocation records the end of a lease.
+// recordLeaseRevocation records the revocation of a store lease.
 func (c *simController) recordLeaseRevocation(lease uint64) {
 	c.recordSent(toStore, "DELETE /grants/"+strconv.FormatUint(lease, 10))
 }
 
-// responderFunc takes the reply to a heartbeat.
+// responderFunc adapts a function to shard.Responder.
 type responderFunc func(shard.HeartbeatReply)
 
 // Respond implements shard.Responder.
 func (f responderFunc) Respond(reply shard.HeartbeatReply) { f(reply) }
 
-// recordHeartbeatReply records the answer to a worker's heartbeat.
-func (c *simController) recordHeartbeatReply(machine string, a shard.HeartbeatReply) {
-	message := "answer " + strconv.Itoa(a.Status)
-	switch a.Status {
+// recordHeartbeatReply records the reply to an agent's heartbeat.
+func (c *simController) recordHeartbeatReply(machine string, reply shard.HeartbeatReply) {
+	message := "answer " + strconv.Itoa(reply.Status)
+	switch reply.Status {
 	case 200:
-		c.recordJSON(toAgent(machine), message, a.Body)
+		c.recordJSON(toAgent(machine), message, reply.Body)
 	case 421:
-		c.recordJSON(toAgent(machine), message, a.Redirect)
+		c.recordJSON(toAgent(machine), message, reply.Redirect)
 	default:
 		c.recordSent(toAgent(machine), message)
 	}
 }
 
-// recordUserReply records the answer to a user, as the service encodes it, and gives it back.
+// recordUserReply records the response to a user as the service encodes it, and returns it.
 func (c *simController) recordUserReply(request string, r api.Result) api.Result {
 	var body any = r.Status
 	if r.Code >= 400 {
@@ -237,8 +237,8 @@
 	return r
 }
 
-// sortFrame brings the entries of every map in a MessagePack value, which the encoder writes in any order,
-// into the order of their encoded keys. All else stays as it is.
+// sortFrame sorts the entries of every map in a MessagePack value by their encoded keys, because the encoder writes
+// them in any order. Everything else is copied unchanged.
 func sortFrame(raw []byte) ([]byte, error) {
 	var out bytes.Buffer
 	err := copySorted(&out, msgpack.NewDecoder(bytes.NewReader(raw)))
@@ -279,7 +279,7 @@
 	}
 	var entries [][]byte
 	for i := 0; i < n && err == nil; i++ {
-		var entry bytes.Buffer // the key and, after it, the value
+		var entry bytes.Buffer // the key followed by the value
 		if err = copySorted(&entry, in); err == nil {
 			err = copySorted(&entry, in)
 		}
--- a/internal/scenario/users_test.go
+++ b/internal/scenario/users_test.go
@@ -9,17 +9,18 @@
 	"swiftledge/wire"
 )
 
-// users is what the users of a cluster know: their jobs, what these really do, and what they were answered.
+// users is the state of a cluster's users: their jobs, how these jobs really behave, and the responses so far. All maps
+// are by job reference.
 type users struct {
-	submissions   map[string][]byte // bodies by job
-	jobs          map[string]wire.Job
-	runSeconds    map[string]float64
-	failEveryNth  map[string]int // by job: each how many-eth task fails wherever it runs; 0: none
+	submissions   map[string][]byte   // request bodies
+	jobs          map[string]wire.Job // accepted jobs
+	runSeconds    map[string]float64  // real run time of each task; 0 for a service that does not end
+	failEveryNth  map[string]int      // N if every Nth task fails on any machine; 0 if none fails
 	acceptedAt    map[string]clock.Micros
-	cancelledAt   map[string]clock.Micros  // when the user was answered
-	reportedState map[string]wire.JobState // by job: the latest state that any controller answered
-	randomJobs    int                      // jobs that random worlds have submitted
-	queryOften    bool                     // users ask everywhere, and submit again, as soon as something was answered
+	cancelledAt   map[string]clock.Micros  // when the user got the response
+	reportedState map[string]wire.JobState // latest state that any controller reported
+	randomJobs    int                      // number of jobs that random worlds have submitted
+	queryOften    bool                     // users query all controllers and resubmit on a new or a final state
 }
 
 func newUsers() users {
@@ -34,13 +35,13 @@
 	}
 }
 
-// stateUnknown is what a job is that a controller does not know.
+// stateUnknown stands for the state of a job that a controller does not know.
 const stateUnknown wire.JobState = "unknown"
 
-// isFinal says whether a job in this state does not change any more.
+// isFinal reports whether a job in this state does not change any more.
 func isFinal(s wire.JobState) bool { return s == wire.JobDone || s == wire.JobCancelled }
 
-// submit has a user submit a job, and gives the code of the answer and the job's state or what is wrong.
+// submit submits a job as a user. It returns the code of the response with the job's state or the reason of the error.
 func (w *world) submit(c *simController, body []byte) string {
 	r := c.submitJob(body)
 	var j wire.Job
@@ -58,7 +59,7 @@
 	return fmt.Sprintf("%d %s", r.Code, r.Status.State)
 }
 
-// cancel cancels a job and gives its state, or the code of the answer.
+// cancel cancels a job as a user. It returns the job's state, or the code of an error response.
 func (w *world) cancel(c *simController, ref string) string {
 	r := w.checkReply(ref, c.cancelJob(ref))
 	if r.Code != 200 {
@@ -70,10 +71,11 @@
 	return string(r.Status.State)
 }
 
-// awaitState lets time pass until a job is in a state, or "off": none of its tasks is on a machine.
+// awaitState runs the cluster until a controller reports a state of a job. The state "off" means that the job has no
+// active tasks.
 func (w *world) awaitState(c *simController, ref, state string, timeout clock.Micros) string {
 	for end := w.now + timeout; w.now < end; {
-		if state == "off" { // the last task has ended, at this very step
+		if state == "off" { // checked at every tick, to return at the one at which the last task ends
 			if w.run(tickInterval); w.countActive(ref) == 0 {
 				return state
 			}
@@ -87,7 +89,8 @@
 	return "not in time"
 }
 
-// checkReply judges an answer to a user by what any controller has answered before: none may be older.
+// checkReply checks that a response to a user is not older than any earlier response of any controller: an accepted job
+// must not become unknown, and a final state must not change.
 func (w *world) checkReply(ref string, r api.Result) api.Result {
 	state := wire.JobState("")
 	switch {
@@ -96,25 +99,25 @@
 	case r.Code == 404:
 		state = stateUnknown
 	}
-	before := w.users.reportedState[ref]
+	previous := w.users.reportedState[ref]
 	_, submitted := w.users.runSeconds[ref]
-	if state == "" || state == stateUnknown && (!submitted || before == "") {
+	if state == "" || state == stateUnknown && (!submitted || previous == "") {
 		return r
 	}
-	if state == stateUnknown || isFinal(before) && state != before {
-		w.reportViolation("went_back: %s is %s after %s", ref, state, before)
+	if state == stateUnknown || isFinal(previous) && state != previous {
+		w.reportViolation("went_back: %s is %s after %s", ref, state, previous)
 	}
-	if !isFinal(before) {
+	if !isFinal(previous) {
 		w.users.reportedState[ref] = state
 	}
-	ended := !isFinal(before) && state != before && isFinal(state)
-	if w.users.queryOften && (before == "" || ended) {
+	ended := !isFinal(previous) && state != previous && isFinal(state)
+	if w.users.queryOften && (previous == "" || ended) {
 		w.queryAllControllers(ref)
 	}
 	return r
 }
 
-// queryAllControllers asks at all controllers within milliseconds, and submits again.
+// queryAllControllers queries a job at all controllers several times within milliseconds, and resubmits it each time.
 func (w *world) queryAllControllers(ref string) {
 	for _, delay := range []clock.Micros{0, clock.Millisecond, 5 * clock.Millisecond, 40 * clock.Millisecond} {
 		for _, c := range w.controllers {
@@ -125,14 +128,14 @@
 				w.checkReply(ref, c.lookUpJob(ref))
 				r := c.submitJob(w.users.submissions[ref])
 				if w.checkReply(ref, r); r.Code == 400 || r.Code == 422 {
-					w.reportViolation("forgotten: %s is answered %d", ref, r.Code)
+					w.reportViolation("forgotten: resubmission of %s got response %d", ref, r.Code)
 				}
 			})
 		}
 	}
 }
 
-// queryUnfinishedJobs asks for each job that may still change, at one controller after the other.
+// queryUnfinishedJobs queries each job without a final state, at the controllers in turn.
 func (w *world) queryUnfinishedJobs() {
 	for i, ref := range sortedKeys(w.users.jobs) {
 		c := w.controllers[(int(w.now/tickInterval)+i)%len(w.controllers)]
--- a/internal/scenario/waiting_rule_test.go
+++ b/internal/scenario/waiting_rule_test.go
@@ -9,27 +9,27 @@
 )
 
 const (
-	// maxWait is how long a job may wait beside free capacity for it once all faults are over.
+	// maxWait is how long a job may wait although there is free capacity for it, once all faults are over.
 	maxWait = 90 * clock.Second
-	// maxRetryDelay is how long after its last try a task that fails wherever it runs may wait for the next: the
-	// longest pause, and the time to place it.
+	// maxRetryDelay is the longest time between the starts of two tasks of a job with tasks that fail on any machine: the
+	// longest backoff and the time to place a task.
 	maxRetryDelay = 40 * clock.Second
 )
 
-// freeCapacity is what is free on a machine.
+// freeCapacity is the free capacity of a machine.
 type freeCapacity struct {
 	cpus, memoryGB float64
 }
 
-// occupancy is what the tasks on all machines take.
+// occupancy sums up the tasks on all machines that have not exited.
 type occupancy struct {
 	free       map[*simAgent]freeCapacity
 	cpusByTeam map[string]float64
-	tasksByJob map[string]int // that have not exited
+	tasksByJob map[string]int // number of tasks
 }
 
-// checkWaitingJobs judges, once a second, that no job is left waiting while a machine that fits
-// has free capacity and its team is under its limit.
+// checkWaitingJobs checks, once a second, that no job waits longer than maxWait while an allowed machine has free
+// capacity for it and its team is under its limit.
 func (w *world) checkWaitingJobs() {
 	if w.now%clock.Second >= tickInterval {
 		return
@@ -54,12 +54,12 @@
 			w.rules.waitingSince[ref] = w.now
 		}
 		if w.now-w.rules.waitingSince[ref] > maxWait {
-			w.reportViolation("waits: %s beside free capacity for it", ref)
+			w.reportViolation("waits: %s although there is free capacity for it", ref)
 		}
 	}
 }
 
-// occupancy sums up the machines that may take tasks.
+// occupancy computes the occupancy of the machines that may run new tasks.
 func (w *world) occupancy() occupancy {
 	o := occupancy{
 		free:       map[*simAgent]freeCapacity{},
@@ -84,7 +84,7 @@
 	return o
 }
 
-// fits says whether any machine has free capacity for a task of a job.
+// fits reports whether any allowed machine has free capacity for a task of a job.
 func (o *occupancy) fits(job *wire.Job) bool {
 	for s, free := range o.free {
 		if s.allows(job) && free.cpus >= job.CPUs && free.memoryGB >= job.MemoryGB {
@@ -94,7 +94,7 @@
 	return false
 }
 
-// mayStart says whether a task of a batch may start now, as far as its team and its other tasks go.
+// mayStart reports whether another task of a batch job without zone constraints may start now under the team's limit.
 func (w *world) mayStart(job *wire.Job, occupied *occupancy) bool {
 	if _, ended := w.store.Get(leader.FinalStatePrefix + job.Ref); ended {
 		return false
@@ -102,7 +102,7 @@
 	if job.IsService() || job.OneZone || job.Spread {
 		return false
 	}
-	// What fails wherever it runs waits as long as it is not tried.
+	// Tasks that fail on any machine wait for the backoff after the last start.
 	if w.users.failEveryNth[job.Ref] > 0 && w.now-w.rules.lastStartAt[job.Ref] < maxRetryDelay {
 		return false
 	}
--- a/internal/scenario/worker_test.go
+++ b/internal/scenario/worker_test.go
@@ -10,61 +10,61 @@
 )
 
 const (
-	// heartbeatTimeout is how long a worker waits for the answer.
+	// heartbeatTimeout is how long an agent waits for the reply to a heartbeat.
 	heartbeatTimeout = 4 * clock.Second
-	// heartbeatRetry is how long it waits before it turns to another controller.
+	// heartbeatRetry is how long it waits before it tries another controller.
 	heartbeatRetry = clock.Second
 	// redirectDelay is how long it waits before it follows a redirect.
 	redirectDelay = 100 * clock.Millisecond
-	// minHeartbeatInterval is the least time between two heartbeats.
+	// minHeartbeatInterval is the least time between two heartbeats of an agent.
 	minHeartbeatInterval = clock.Second / 2
 )
 
-// simAgent is a machine with its worker and its part of the network.
+// simAgent is a simulated machine with its agent and its network connection.
 type simAgent struct {
 	*fake.Worker
 	instance   *fake.Instance
 	terminated bool
 	network    machineNetwork
 
-	hungUntil          clock.Micros // it does nothing until then, and goes on
-	capturesHeartbeats bool         // copies of its heartbeats are kept for the next leader
+	hungUntil          clock.Micros // the machine does nothing until then, and resumes
+	capturesHeartbeats bool         // copies of its heartbeats are replayed when the next leader takes over
 	capturedHeartbeats []*wire.Heartbeat
 
-	controllerIndex  int // that it sends heartbeats to, by its number
+	controllerIndex  int // index of the controller that it sends heartbeats to
 	nextHeartbeat    clock.Micros
 	lastHeartbeat    clock.Micros
-	heartbeatPending bool // one is under way
+	heartbeatPending bool // a heartbeat waits for its reply
 }
 
-// machineNetwork is what goes wrong with messages to and from a machine.
+// machineNetwork are the faults of a machine's network connection.
 type machineNetwork struct {
-	unreachable       bool // nothing is delivered
-	inboundDropped    bool // what it sends arrives, what it is sent does not
-	heartbeatsDropped bool // its heartbeats reach nobody, while commands reach it
-	delayedUntil      clock.Micros
-	duplicateDelay    clock.Micros // heartbeats and commands come once more, up to this much later
+	unreachable       bool         // all messages are dropped
+	inboundDropped    bool         // messages to the machine are dropped, messages from it arrive
+	heartbeatsDropped bool         // its heartbeats are dropped, commands arrive
+	delayedUntil      clock.Micros // messages are delayed until then
+	duplicateDelay    clock.Micros // greatest delay of duplicated heartbeats and commands, beyond a second; 0 if none
 }
 
-// hasFaults says whether anything is wrong with the machine.
+// hasFaults reports whether any fault of the machine is active.
 func (s *simAgent) hasFaults(now clock.Micros) bool {
 	n := &s.network
 	return s.terminated || s.FailsTasks || s.capturesHeartbeats || s.hungUntil > now ||
 		n.unreachable || n.inboundDropped || n.heartbeatsDropped || n.duplicateDelay > 0 || n.delayedUntil > now
 }
 
-// leaseExpired says whether a machine hangs for longer than its lease: it may go on within its lease
-// only, so what it held is gone.
+// leaseExpired reports whether a machine has hung for longer than its lease. An agent runs tasks only within its lease,
+// so the tasks of such a machine no longer count as running.
 func (s *simAgent) leaseExpired(now clock.Micros) bool {
 	return s.hungUntil > now && now > s.LeaseRenewedAt()+s.LeaseTime
 }
 
-// allows says whether a job's tasks may run on the machine, whatever is free on it.
+// allows reports whether the constraints of a job allow its tasks to run on the machine, regardless of free capacity.
 func (s *simAgent) allows(j *wire.Job) bool {
 	return (j.Spot || !s.Spot) && (len(j.Types) == 0 || slices.Contains(j.Types, s.Type)) && (j.Zone == "" || j.Zone == s.Zone)
 }
 
-// activeTasks counts a job's tasks on the machine.
+// activeTasks counts a job's active tasks on the machine.
 func (s *simAgent) activeTasks(ref string) (count int) {
 	if s.terminated {
 		return 0
@@ -77,7 +77,7 @@
 	return count
 }
 
-// tick is one step of the worker.
+// tick advances the agent's tasks and sends a heartbeat if one is due.
 func (s *simAgent) tick(w *world) {
 	s.terminated = s.terminated || s.instance.Deleted
 	if s.terminated || s.hungUntil > w.now {
@@ -91,7 +91,7 @@
 	}
 }
 
-// sentHeartbeat is a heartbeat that waits for its answer.
+// sentHeartbeat is a heartbeat that was sent to a controller.
 type sentHeartbeat struct {
 	world      *world
 	agent      *simAgent
@@ -99,10 +99,10 @@
 	agentEpoch wire.AgentEpoch
 	sentAt     clock.Micros
 	controller *simController
-	completed  bool // it was answered, or given up
+	completed  bool // it got a reply, or failed
 }
 
-// sendHeartbeat sends a heartbeat to the controller whose turn it is.
+// sendHeartbeat sends a heartbeat to the agent's current controller.
 func (s *simAgent) sendHeartbeat(w *world) {
 	s.heartbeatPending = true
 	s.lastHeartbeat = w.now
@@ -127,7 +127,7 @@
 	s.deliver(w, sent.controller, sent.arrive)
 }
 
-// arriveAtRandom brings a copy to any controller. Nobody waits for the answer.
+// arriveAtRandom delivers a copy of the heartbeat to a random controller and drops the reply.
 func (h *sentHeartbeat) arriveAtRandom() {
 	w := h.world
 	c := w.controllers[w.rng.IntN(len(w.controllers))]
@@ -136,7 +136,7 @@
 	}
 }
 
-// arrive brings the heartbeat to its controller.
+// arrive delivers the heartbeat to its controller.
 func (h *sentHeartbeat) arrive() {
 	c := h.controller
 	if !c.running {
@@ -153,7 +153,7 @@
 	})()
 }
 
-// handleReply takes the controller's answer.
+// handleReply processes the controller's reply: a response with commands, a redirect, or an error.
 func (h *sentHeartbeat) handleReply(reply shard.HeartbeatReply) {
 	s, w := h.agent, h.world
 	if h.completed || s.terminated || s.network.inboundDropped {
@@ -166,9 +166,9 @@
 			s.scheduleHeartbeat(w)
 		}
 	case 421:
-		named := slices.IndexFunc(w.controllers, func(c *simController) bool { return c.name == reply.Redirect.Controller })
-		if named >= 0 && named != s.controllerIndex {
-			h.switchController(named, redirectDelay)
+		target := slices.IndexFunc(w.controllers, func(c *simController) bool { return c.name == reply.Redirect.Controller })
+		if target >= 0 && target != s.controllerIndex {
+			h.switchController(target, redirectDelay)
 			return
 		}
 		h.tryNextController()
@@ -177,24 +177,25 @@
 	}
 }
 
-// tryNextController turns to the next controller.
+// tryNextController ends the wait for a reply and switches to the next controller.
 func (h *sentHeartbeat) tryNextController() {
 	h.switchController((h.agent.controllerIndex+1)%len(h.world.controllers), heartbeatRetry)
 }
 
-// switchController has the next heartbeat sent to another controller after a while, unless this one is settled.
-func (h *sentHeartbeat) switchController(controller int, wait clock.Micros) {
+// switchController sends the next heartbeat to another controller after a delay, unless this one has completed.
+func (h *sentHeartbeat) switchController(controller int, delay clock.Micros) {
 	if h.completed {
 		return
 	}
 	h.completed = true
-	h.world.after(wait, func() {
+	h.world.after(delay, func() {
 		s := h.agent
 		s.heartbeatPending, s.controllerIndex, s.nextHeartbeat = false, controller, h.world.now
 	})
 }
 
-// deliver carries a message to or from the machine: never while it is unreachable, late while it is held.
+// deliver delivers a message to or from the machine. It delays the message until the end of a partition, of a message
+// delay or of a hang. Without any of these, it drops the message while the machine is unreachable.
 func (s *simAgent) deliver(w *world, c *simController, arrive func()) {
 	delay := w.latency()
 	switch {
@@ -210,20 +211,20 @@
 	w.after(delay, arrive)
 }
 
-// deliverDuplicate lets a copy come late.
+// deliverDuplicate delivers a late copy of a message if the fault of duplicated messages is active.
 func (s *simAgent) deliverDuplicate(w *world, arrive func()) {
 	if s.network.duplicateDelay > 0 {
 		w.after(clock.Second+clock.Micros(w.rng.Int64N(int64(s.network.duplicateDelay))), arrive)
 	}
 }
 
-// scheduleHeartbeat has the next heartbeat sent as soon as the least gap allows.
+// scheduleHeartbeat schedules the next heartbeat as soon as minHeartbeatInterval allows.
 func (s *simAgent) scheduleHeartbeat(w *world) {
 	s.nextHeartbeat = min(s.nextHeartbeat, max(w.now, s.lastHeartbeat+minHeartbeatInterval))
 }
 
-// replayHeartbeats lets the heartbeats that were kept for the next leader arrive at every controller, as
-// it begins and again when it has acted.
+// replayHeartbeats delivers the captured heartbeats to every controller, when a new leader's term begins and again
+// after the leader has acted.
 func (w *world) replayHeartbeats() {
 	delays := []clock.Micros{clock.Millisecond, 300 * clock.Millisecond, 2 * clock.Second, 6 * clock.Second}
 	for _, s := range w.machines.agents {
--- a/internal/scenario/world_test.go
+++ b/internal/scenario/world_test.go
@@ -13,16 +13,16 @@
 	"swiftledge/wire"
 )
 
-// tickInterval is how often controllers and workers act.
+// tickInterval is the time between two ticks of the controllers and agents.
 const tickInterval = 50 * clock.Millisecond
 
-// world is a cluster with all that it talks to.
+// world is a simulated cluster with its surroundings: state service, cloud, network and users.
 type world struct {
 	eventQueue
-	transcript  *transcript // nil: nothing is recorded
+	transcript  *transcript // nil if nothing is recorded
 	rng         *rand.Rand
 	cfg         config.Config
-	nextLimits  *config.Next // limits that the settings name for later
+	nextLimits  *config.Next // store limits that the settings announce for later
 	store       *fake.Store
 	cloud       *fake.Cloud
 	controllers []*simController
@@ -34,27 +34,27 @@
 
 	ctx           context.Context // of the controllers' goroutines
 	cancelContext context.CancelFunc
-	goroutines    sync.WaitGroup // those goroutines
+	goroutines    sync.WaitGroup // of the controllers
 }
 
-// worldFaults is what a scenario lets go wrong outside of controllers and machines.
+// worldFaults are the current faults outside of controllers and machines.
 type worldFaults struct {
-	// A zone that is cut off from everything; what is sent meanwhile comes at the end.
+	// The zone is partitioned from everything else. Messages sent meanwhile are delivered when the partition ends.
 	partitionedZone   string
 	partitionedUntil  clock.Micros
-	cloudDown         bool    // the cloud answers 503 to everything
-	lateCloudShare    float64 // of its requests that get no answer and are carried out seconds later
-	lateCommandShare  float64 // the same of the direct commands
-	limitsUnannounced bool    // the limits of the state service fell below what the settings say
+	cloudDown         bool    // the cloud responds to every request with 503
+	lateCloudShare    float64 // share of cloud requests that get no response and are executed seconds later
+	lateCommandShare  float64 // share of direct commands that get no response and are executed seconds later
+	limitsUnannounced bool    // the limits of the state service fell below those in the settings
 }
 
 // traffic counts messages.
 type traffic struct {
-	storeRequests int // of controllers to the state service
+	storeRequests int // from controllers to the state service
 	peerMessages  int // between different controllers
 }
 
-// newWorld makes a cluster; its transcript has the name.
+// newWorld creates a cluster and starts its controllers. Its transcript gets the name.
 func newWorld(name string, cfg config.Config, types []wire.MachineType, seed uint64) *world {
 	ctx, endContext := context.WithCancel(context.Background())
 	w := &world{
@@ -79,13 +79,13 @@
 	return w
 }
 
-// stop ends the goroutines of the world and waits for them.
+// stop cancels the goroutines of the world and waits for them to end.
 func (w *world) stop() {
 	w.cancelContext()
 	w.goroutines.Wait()
 }
 
-// tick is one step of everything that acts by itself.
+// tick expires leases, ticks the controllers and agents, checks the rules, and schedules the next tick.
 func (w *world) tick() {
 	w.store.ExpireLeases(w.now)
 	for _, c := range w.controllers {
@@ -103,15 +103,15 @@
 	w.after(tickInterval, w.tick)
 }
 
-// latency is the delay of one message.
+// latency draws the network delay of one message.
 func (w *world) latency() clock.Micros { return clock.Millisecond + clock.Micros(w.rng.IntN(2000)) }
 
-// isPartitioned says whether the cut zone lies between two places; "" is the region.
-func (w *world) isPartitioned(a, b string) bool {
-	return w.now < w.faults.partitionedUntil && (a == w.faults.partitionedZone) != (b == w.faults.partitionedZone)
+// isPartitioned reports whether a partition separates two zones. The zone "" stands for the region's services.
+func (w *world) isPartitioned(zoneA, zoneB string) bool {
+	return w.now < w.faults.partitionedUntil && (zoneA == w.faults.partitionedZone) != (zoneB == w.faults.partitionedZone)
 }
 
-// hasFaults says whether anything is wrong that a scenario has brought about.
+// hasFaults reports whether any injected fault is active.
 func (w *world) hasFaults() bool {
 	return w.store.Down || w.faults.cloudDown || w.faults.lateCloudShare > 0 || w.faults.lateCommandShare > 0 ||
 		w.now < w.faults.partitionedUntil ||
@@ -119,7 +119,7 @@
 		slices.ContainsFunc(w.machines.agents, func(s *simAgent) bool { return !s.instance.Deleted && s.hasFaults(w.now) })
 }
 
-// leaders are the controllers that lead.
+// leaders returns the controllers that consider themselves leader.
 func (w *world) leaders() (leaders []*simController) {
 	for _, c := range w.controllers {
 		if c.leads() {
@@ -129,8 +129,8 @@
 	return leaders
 }
 
-// controllerName is the name of a controller, by its number.
-func controllerName(i int) string { return "n" + strconv.Itoa(i) }
+// controllerName returns the name of the controller with an index.
+func controllerName(index int) string { return "n" + strconv.Itoa(index) }
 
 func sortedKeys[V any](m map[string]V) []string {
 	keys := make([]string, 0, len(m))
@@ -141,7 +141,7 @@
 	return keys
 }
 
-// must is for errors that only a mistake in the tests themselves can cause.
+// must panics on an error that only a fault in the tests themselves can cause.
 func must(err error) {
 	if err != nil {
 		panic(err)
