--- a/internal/scenario/commands_jobs_test.go
+++ b/internal/scenario/commands_jobs_test.go
@@ -77,7 +77,8 @@
 	return w.awaitState(w.controllerArg(t, d), ref, arg(t, d, "state", string(wire.JobDone)), duration(t, d, "within"))
 }
 
-// queryOftenCommand makes users query all controllers as soon as one has reported a new state of a job.
+// queryOftenCommand makes users query unfinished jobs at every tick, and all controllers as soon as one of them first
+// reports a job or reports its final state.
 func queryOftenCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	w.users.queryOften = !d.HasArg("off")
 	return ""
--- a/internal/scenario/faults_test.go
+++ b/internal/scenario/faults_test.go
@@ -42,7 +42,7 @@
 		{"all controllers pause", pauseAll},
 		{"store answers are lost", loseStoreResponses},
 		{"cloud is late", delayCloud},
-		{"cloud is down", stopCloud},
+		{"cloud is down", beginCloudOutage},
 		{"commands are late", delayCommands},
 		{"controller crashes", crashOne},
 		{"controller loses peers", disconnectPeersOfOne},
@@ -66,7 +66,7 @@
 		{"machines' messages are held", eachMachine(delayMessages)},
 		{"heartbeats are kept for the next leader", eachMachine(captureHeartbeats)},
 		{"store requests are held", delayStoreRequests},
-		{"store is down", stopStore},
+		{"store is down", beginStoreOutage},
 		{"store refuses the leader", disconnectStoreOfLeaders},
 		{"store refuses one", disconnectStoreOfOne},
 		{"watch hangs", hangWatchOfLeaders},
@@ -207,12 +207,12 @@
 
 // Faults of the store, the cloud and the network.
 
-func stopStore(w *world, _ fault) func() {
+func beginStoreOutage(w *world, _ fault) func() {
 	w.store.Down = true
 	return func() { w.store.EndOutage(w.now) }
 }
 
-func stopCloud(w *world, _ fault) func() { return setFlag(&w.faults.cloudDown) }
+func beginCloudOutage(w *world, _ fault) func() { return setFlag(&w.faults.cloudDown) }
 
 func delayCloud(w *world, f fault) func() {
 	w.faults.lateCloudShare = f.share
--- a/internal/scenario/history_checks_test.go
+++ b/internal/scenario/history_checks_test.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// Guards the history checks themselves: each one reports the violation of its rule, and none reports a legal sequence
-// of events.
+// TestHistoryChecks verifies that each check of the history reports a violation of its rule, and that none reports a
+// legal sequence of events.
 func TestHistoryChecks(t *testing.T) {
 	const token, machine = 7, "host-000001"
 	attempt := func(n uint64) *fake.Task {
--- a/internal/scenario/random_faults_test.go
+++ b/internal/scenario/random_faults_test.go
@@ -68,19 +68,19 @@
 	recoveryTime = 130 * clock.Second
 )
 
-// Overlapping faults must not violate any rule of the protocol, and all accepted jobs must run to completion after
-// the faults. Rapid shrinks a world that violates a rule to a few faults.
+// TestRandomFaults verifies that overlapping faults violate no rule of the protocol, and that all accepted jobs run to
+// completion after the faults. Rapid shrinks a world that violates a rule to a few faults.
 func TestRandomFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) { runRandomFaults(t, 30, 150, config.DefaultTuning().Spread) })
 }
 
-// Runs the same check in fewer worlds with hundreds of machines and thousands of tasks.
+// TestRandomFaultsAtSize runs the same check in fewer worlds with hundreds of machines and thousands of tasks.
 func TestRandomFaultsAtSize(t *testing.T) {
 	checkFraction(t, 8, func(t *rapid.T) { runRandomFaults(t, 250, 450, config.DefaultTuning().Spread) })
 }
 
-// Runs the same check with settings that migrate tasks as often as possible, so that tasks are continually stopped and
-// restarted during the faults.
+// TestRandomFaultsDuringMigrations runs the same check with settings that migrate tasks as often as possible, so that
+// tasks are continually stopped and restarted during the faults.
 func TestRandomFaultsDuringMigrations(t *testing.T) {
 	spread := config.Spread{
 		Enabled:         true,
@@ -127,7 +127,8 @@
 	return w.leaderStatus().MigrationOutcomes.Started
 }
 
-// Runs worlds in which a longer search found a fault of the scheduler. The key of each case says what went wrong.
+// TestRandomFaultRegressions runs worlds in which a longer search found a fault of the scheduler. The key of each case
+// says what went wrong.
 func TestRandomFaultRegressions(t *testing.T) {
 	seconds := func(s float64) clock.Micros { return clock.FromSeconds(s) }
 	for name, c := range map[string]struct {
--- a/internal/scenario/random_jobs_test.go
+++ b/internal/scenario/random_jobs_test.go
@@ -29,12 +29,12 @@
 	}
 }
 
-// teamOf returns the team of a random job, by its number.
-func teamOf(i int) string { return []string{"red", "blue"}[i%2] }
+// randomJobTeam returns the team of a random job, by its number.
+func randomJobTeam(i int) string { return []string{"red", "blue"}[i%2] }
 
 // submitRandom submits a job as a user. Depending on its number, it is a service or saves checkpoints.
 func (w *world) submitRandom(i, tasks, runSeconds int) {
-	j := w.nextJob("l", teamOf(i), tasks)
+	j := w.nextJob("l", randomJobTeam(i), tasks)
 	j.Priority = []wire.Priority{wire.PriorityStandard, wire.PriorityHigh}[i/2%2]
 	j.Image = fmt.Sprint("img", i%4)
 	j.EstimateS = float64(runSeconds)
@@ -54,7 +54,7 @@
 // submitFaulty submits a job that fails on every machine, and returns its reference.
 func (w *world) submitFaulty(i, tasks int) string {
 	const runSeconds = 10
-	j := w.nextJob("l", teamOf(i), tasks)
+	j := w.nextJob("l", randomJobTeam(i), tasks)
 	j.Image = "img9"
 	j.EstimateS = runSeconds
 	w.users.runSeconds[j.Ref], w.users.failEveryNth[j.Ref] = runSeconds, 1
--- a/internal/scenario/size_test.go
+++ b/internal/scenario/size_test.go
@@ -39,8 +39,8 @@
 	return count
 }
 
-// At the size that the operators may reach, limits the puts for each started task, the inventory keys for the machines,
-// and the memory of the controllers. No lease may expire while a new leader takes over.
+// TestCostAtSize limits the puts for each completed task, the inventory keys for the machines, and the memory of the
+// controllers, at the size that operators' clusters may reach. No agent lease may expire while a new leader takes over.
 func TestCostAtSize(t *testing.T) {
 	for _, d := range deployments() {
 		t.Run(d.name, func(t *testing.T) { costAtSize(t, &d) })
@@ -151,8 +151,8 @@
 	return count
 }
 
-// Limits what a thousand long-running replicas cost under low limits of the state service, after batch jobs have come
-// and gone beside them: the size of the attempt pages and the puts at rest. A takeover must keep all replicas running.
+// TestServicesAtSize limits what a thousand long-running replicas cost under low limits of the state service, with batch
+// jobs between them: the size of the attempt pages and the puts at rest. A takeover must keep all replicas running.
 func TestServicesAtSize(t *testing.T) {
 	const services, replicas = 130, 8
 	d := twoTypes()
@@ -214,9 +214,9 @@
 	}
 }
 
-// Limits the messages of controllers at rest. A heartbeat without changes must cause no message to the leader, and the
-// only requests to the state service must renew the leader's lease. On real machines, a watch request each third of a
-// TTL comes on top.
+// TestMessagesAtRest limits the messages of controllers at rest, with as many machines as operators may run. A heartbeat
+// without changes must cause work only at the shard holder, and all requests to the state service must be renewals of
+// the leader's lease. On real machines, a watch request every third of a TTL comes on top.
 func TestMessagesAtRest(t *testing.T) {
 	d := smallControllersTwoTypes()
 	d.machines = 300
@@ -267,9 +267,9 @@
 	return count
 }
 
-// Runs six thousand machines. A zone of two thousand reboots twice, the leader crashes while another zone reboots, and
-// then all controllers crash. The reboots alone must not make the leader resign, no rule may be violated, all agents
-// must get replies and the tasks must complete.
+// TestSixThousandMachines reboots a zone of two thousand machines twice, crashes the leader while another zone reboots,
+// and then crashes all controllers. The reboots alone must not make the leader resign, no rule may be violated, all
+// agents must get replies, and the tasks must complete.
 func TestSixThousandMachines(t *testing.T) {
 	d := largestDeployment()
 	w := d.world(t.Name())
--- a/internal/scenario/transcript_test.go
+++ b/internal/scenario/transcript_test.go
@@ -72,7 +72,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	t := &transcript{name: s.unused(transcriptName(name)), digest: sha256.New()}
+	t := &transcript{name: s.unusedName(transcriptName(name)), digest: sha256.New()}
 	s.byName[t.name] = t
 	var out io.Writer = t.digest
 	if *transcriptFull {
@@ -90,7 +90,7 @@
 	return strings.NewReplacer("/", "_", " ", "_").Replace(name)
 }
 
-func (s *transcriptSet) unused(name string) string {
+func (s *transcriptSet) unusedName(name string) string {
 	numbered := name
 	for i := 2; s.byName[numbered] != nil; i++ {
 		numbered = fmt.Sprintf("%s-%03d", name, i)
--- a/internal/scenario/users_test.go
+++ b/internal/scenario/users_test.go
@@ -20,7 +20,7 @@
 	cancelledAt   map[string]clock.Micros  // when the user got the response
 	reportedState map[string]wire.JobState // latest state that any controller reported
 	randomJobs    int                      // number of jobs that random worlds have submitted
-	queryOften    bool                     // users query all controllers and resubmit on a new or a final state
+	queryOften    bool                     // users query at every tick, and all controllers after a first or final state
 }
 
 func newUsers() users {
--- a/internal/scenario/worker_test.go
+++ b/internal/scenario/worker_test.go
@@ -123,12 +123,12 @@
 	if s.network.heartbeatsDropped {
 		return
 	}
-	s.deliverDuplicate(w, sent.arriveAtRandom)
+	s.deliverDuplicate(w, sent.arriveAtRandomController)
 	s.deliver(w, sent.controller, sent.arrive)
 }
 
-// arriveAtRandom delivers a copy of the heartbeat to a random controller and drops the reply.
-func (h *sentHeartbeat) arriveAtRandom() {
+// arriveAtRandomController delivers a copy of the heartbeat to a random controller and drops the reply.
+func (h *sentHeartbeat) arriveAtRandomController() {
 	w := h.world
 	c := w.controllers[w.rng.IntN(len(w.controllers))]
 	if c.running && !c.faults.agentsUnreachable && !w.isPartitioned(h.agent.Zone, c.cfg.Zone) {
