--- a/internal/scenario/commands_jobs_test.go
+++ b/internal/scenario/commands_jobs_test.go
@@ -99,17 +99,17 @@
 
 // completedJobsCommand tells whether at least a share of the accepted jobs of a class or team has completed.
 func completedJobsCommand(t *testing.T, w *world, d *datadriven.TestData) string {
-	done, all := 0, 0
+	completed, total := 0, 0
 	for _, r := range sortedKeys(w.users.jobs) {
 		if j := w.users.jobs[r]; j.Class == arg(t, d, "class", j.Class) && j.Team == arg(t, d, "team", j.Team) {
-			all++
+			total++
 			if s := w.controllerArg(t, d).lookUpJob(r); s.Code == 200 && s.Status.State == wire.JobDone {
-				done++
+				completed++
 			}
 		}
 	}
-	if least := arg(t, d, "least", 0.5); all == 0 || float64(done) < least*float64(all) {
-		return fmt.Sprintf("%d of %d", done, all)
+	if minShare := arg(t, d, "least", 0.5); total == 0 || float64(completed) < minShare*float64(total) {
+		return fmt.Sprintf("%d of %d", completed, total)
 	}
 	return "enough"
 }
@@ -117,16 +117,16 @@
 // completionsCommand counts a job's tasks that have completed once and those that have completed more often.
 func completionsCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	ref := arg(t, d, "ref", "")
-	once, more := 0, 0
+	once, repeated := 0, 0
 	for i := range w.users.jobs[ref].Tasks {
 		switch completions := w.rules.completions[fmt.Sprintf("%s/%d", ref, i)]; {
 		case completions == 1:
 			once++
 		case completions > 1:
-			more++
+			repeated++
 		}
 	}
-	return fmt.Sprintf("once %d, repeated %d", once, more)
+	return fmt.Sprintf("once %d, repeated %d", once, repeated)
 }
 
 // suspectsCommand lists the suspect jobs that the leader's status shows to operators.
--- a/internal/scenario/commands_machines_test.go
+++ b/internal/scenario/commands_machines_test.go
@@ -145,12 +145,12 @@
 // runCommandsCommand tells whether all agents together have received few run commands for a job.
 func runCommandsCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	ref := arg(t, d, "ref", "")
-	n, most := 0, arg(t, d, "most", 1)
+	n, limit := 0, arg(t, d, "most", 1)
 	for _, s := range w.machines.agents {
 		n += s.RunCommands[ref]
 	}
-	if n > most {
-		return fmt.Sprintf("%d, more than %d", n, most)
+	if n > limit {
+		return fmt.Sprintf("%d, more than %d", n, limit)
 	}
 	return "few"
 }
--- a/internal/scenario/commands_store_test.go
+++ b/internal/scenario/commands_store_test.go
@@ -34,7 +34,7 @@
 
 // malformedTxnsCommand tells whether at most a number of transactions were malformed.
 func malformedTxnsCommand(t *testing.T, w *world, d *datadriven.TestData) string {
-	if most := arg(t, d, "most", 0); w.rules.malformedTxns > most {
+	if limit := arg(t, d, "most", 0); w.rules.malformedTxns > limit {
 		return fmt.Sprint(w.rules.malformedTxns)
 	}
 	return "few"
--- a/internal/scenario/random_faults_test.go
+++ b/internal/scenario/random_faults_test.go
@@ -104,9 +104,9 @@
 // checkFraction checks a property on the number of worlds that rapid is set to check, divided by divisor.
 func checkFraction(t *testing.T, divisor int, property func(*rapid.T)) {
 	checks := flag.Lookup("rapid.checks").Value
-	all := checks.String()
-	defer func() { must(checks.Set(all)) }()
-	n, err := strconv.Atoi(all)
+	original := checks.String()
+	defer func() { must(checks.Set(original)) }()
+	n, err := strconv.Atoi(original)
 	must(err)
 	must(checks.Set(strconv.Itoa(max(n/divisor, 1))))
 	rapid.Check(t, property)
--- a/internal/scenario/size_test.go
+++ b/internal/scenario/size_test.go
@@ -237,11 +237,11 @@
 	messages := w.traffic.peerMessages - before.peerMessages
 	requests := w.traffic.storeRequests - before.storeRequests
 	// Each holder renews its grants every second and gets a reply.
-	if most := seconds * 2 * (len(w.controllers) - 1); messages > most*5/4 {
-		t.Errorf("%d messages between controllers in %d s, want at most 5/4 of %d", messages, seconds, most)
+	if expected := seconds * 2 * (len(w.controllers) - 1); messages > expected*5/4 {
+		t.Errorf("%d messages between controllers in %d s, want at most 5/4 of %d", messages, seconds, expected)
 	}
-	if most := seconds * 2; requests > most {
-		t.Errorf("%d requests to the state service in %d s, want at most %d", requests, seconds, most)
+	if limit := seconds * 2; requests > limit {
+		t.Errorf("%d requests to the state service in %d s, want at most %d", requests, seconds, limit)
 	}
 	t.Logf("%d machines: %d messages and %d requests to the state service in %d s",
 		len(w.machines.agents), messages, requests, seconds)
@@ -302,8 +302,8 @@
 	recovery := w.restartControllers(8 * clock.Second)
 	w.run(120 * clock.Second)
 	completed := w.completedTasks()
-	if all := d.load.jobs * d.load.tasks; completed < all*9/10 {
-		t.Errorf("%d of %d tasks have completed, want at least 9/10", completed, all)
+	if total := d.load.jobs * d.load.tasks; completed < total*9/10 {
+		t.Errorf("%d of %d tasks have completed, want at least 9/10", completed, total)
 	}
 	w.checkNoViolations(t)
 	t.Logf("%d machines, %d reboots, %d completed tasks, all agents got a reply %.1f s after all controllers restarted, %.0f MB",
