--- /dev/null
+++ b/internal/scenario/agent_test.go
@@ -0,0 +1,244 @@
+package scenario
+
+import (
+	"slices"
+
+	"swiftledge/internal/clock"
+	"swiftledge/internal/fake"
+	"swiftledge/internal/shard"
+	"swiftledge/wire"
+)
+
+const (
+	// heartbeatTimeout is how long an agent waits for the reply to a heartbeat.
+	heartbeatTimeout = 4 * clock.Second
+	// heartbeatRetry is how long it waits before it tries another controller.
+	heartbeatRetry = clock.Second
+	// redirectDelay is how long it waits before it follows a redirect.
+	redirectDelay = 100 * clock.Millisecond
+	// minHeartbeatInterval is the least time between two heartbeats of an agent.
+	minHeartbeatInterval = clock.Second / 2
+)
+
+// simAgent is a simulated machine with its agent and its network connection.
+type simAgent struct {
+	*fake.Worker
+	instance   *fake.Instance
+	terminated bool
+	network    machineNetwork
+
+	hungUntil          clock.Micros // the machine does nothing until then, and resumes
+	capturesHeartbeats bool         // copies of its heartbeats are replayed when the next leader takes over
+	capturedHeartbeats []*wire.Heartbeat
+
+	controllerIndex  int // index of the controller that it sends heartbeats to
+	nextHeartbeat    clock.Micros
+	lastHeartbeat    clock.Micros
+	heartbeatPending bool // a heartbeat waits for its reply
+}
+
+// machineNetwork are the faults of a machine's network connection.
+type machineNetwork struct {
+	unreachable       bool         // all messages are dropped
+	inboundDropped    bool         // messages to the machine are dropped, messages from it arrive
+	heartbeatsDropped bool         // its heartbeats are dropped, commands arrive
+	delayedUntil      clock.Micros // messages are delayed until then
+	duplicateDelay    clock.Micros // greatest delay of duplicated heartbeats and commands, beyond a second; 0 if none
+}
+
+// hasFaults reports whether any fault of the machine is active.
+func (s *simAgent) hasFaults(now clock.Micros) bool {
+	n := &s.network
+	return s.terminated || s.FailsTasks || s.capturesHeartbeats || s.hungUntil > now ||
+		n.unreachable || n.inboundDropped || n.heartbeatsDropped || n.duplicateDelay > 0 || n.delayedUntil > now
+}
+
+// leaseExpired reports whether a machine has hung for longer than its lease. An agent runs tasks only within its lease,
+// so the tasks of such a machine no longer count as running.
+func (s *simAgent) leaseExpired(now clock.Micros) bool {
+	return s.hungUntil > now && now > s.LeaseRenewedAt()+s.LeaseTime
+}
+
+// allows reports whether the constraints of a job allow its tasks to run on the machine, regardless of free capacity.
+func (s *simAgent) allows(j *wire.Job) bool {
+	return (j.Spot || !s.Spot) && (len(j.Types) == 0 || slices.Contains(j.Types, s.Type)) && (j.Zone == "" || j.Zone == s.Zone)
+}
+
+// activeTasks counts a job's active tasks on the machine.
+func (s *simAgent) activeTasks(ref string) (count int) {
+	if s.terminated {
+		return 0
+	}
+	for _, t := range s.Tasks {
+		if t.Job.Ref == ref && t.IsActive() {
+			count++
+		}
+	}
+	return count
+}
+
+// tick advances the agent's tasks and sends a heartbeat if one is due.
+func (s *simAgent) tick(w *world) {
+	s.terminated = s.terminated || s.instance.Deleted
+	if s.terminated || s.hungUntil > w.now {
+		return
+	}
+	if s.Advance(w.now) {
+		s.scheduleHeartbeat(w)
+	}
+	if !s.heartbeatPending && w.now >= s.nextHeartbeat {
+		s.sendHeartbeat(w)
+	}
+}
+
+// sentHeartbeat is a heartbeat that was sent to a controller.
+type sentHeartbeat struct {
+	world      *world
+	agent      *simAgent
+	heartbeat  *wire.Heartbeat
+	agentEpoch wire.AgentEpoch
+	sentAt     clock.Micros
+	controller *simController
+	completed  bool // it got a reply, or failed
+}
+
+// sendHeartbeat sends a heartbeat to the agent's current controller.
+func (s *simAgent) sendHeartbeat(w *world) {
+	s.heartbeatPending = true
+	s.lastHeartbeat = w.now
+	interval := clock.FromSeconds(w.cfg.Facts.Workers.ReportS)
+	s.nextHeartbeat = w.now + interval*3/4 + clock.Micros(w.rng.Int64N(int64(interval/2)))
+	sent := &sentHeartbeat{
+		world:      w,
+		agent:      s,
+		heartbeat:  s.Heartbeat(),
+		agentEpoch: s.AgentEpoch,
+		sentAt:     w.now,
+		controller: w.controllers[s.controllerIndex],
+	}
+	w.after(heartbeatTimeout, sent.tryNextController)
+	if s.capturesHeartbeats {
+		s.capturedHeartbeats = append(s.capturedHeartbeats, sent.heartbeat)
+	}
+	if s.network.heartbeatsDropped {
+		return
+	}
+	s.deliverDuplicate(w, sent.arriveAtRandomController)
+	s.deliver(w, sent.controller, sent.arrive)
+}
+
+// arriveAtRandomController delivers a copy of the heartbeat to a random controller and drops the reply.
+func (h *sentHeartbeat) arriveAtRandomController() {
+	w := h.world
+	c := w.controllers[w.rng.IntN(len(w.controllers))]
+	if c.running && !c.faults.agentsUnreachable && !w.isPartitioned(h.agent.Zone, c.cfg.Zone) {
+		c.receiveCopy(h.heartbeat)
+	}
+}
+
+// arrive delivers the heartbeat to its controller.
+func (h *sentHeartbeat) arrive() {
+	c := h.controller
+	if !c.running {
+		h.tryNextController()
+		return
+	}
+	if c.faults.agentsUnreachable {
+		return
+	}
+	c.ifSameProcess(func() {
+		c.receiveHeartbeat(h.heartbeat, func(reply shard.HeartbeatReply) {
+			h.agent.deliver(h.world, c, func() { h.handleReply(reply) })
+		})
+	})()
+}
+
+// handleReply processes the controller's reply: a response with commands, a redirect, or an error.
+func (h *sentHeartbeat) handleReply(reply shard.HeartbeatReply) {
+	s, w := h.agent, h.world
+	if h.completed || s.terminated || s.network.inboundDropped {
+		return
+	}
+	switch reply.Status {
+	case 200:
+		h.completed, s.heartbeatPending = true, false
+		if s.HandleResponse(w.now, h.sentAt, h.agentEpoch, reply.Body) {
+			s.scheduleHeartbeat(w)
+		}
+	case 421:
+		target := slices.IndexFunc(w.controllers, func(c *simController) bool { return c.name == reply.Redirect.Controller })
+		if target >= 0 && target != s.controllerIndex {
+			h.switchController(target, redirectDelay)
+			return
+		}
+		h.tryNextController()
+	default:
+		h.tryNextController()
+	}
+}
+
+// tryNextController ends the wait for a reply and switches to the next controller.
+func (h *sentHeartbeat) tryNextController() {
+	h.switchController((h.agent.controllerIndex+1)%len(h.world.controllers), heartbeatRetry)
+}
+
+// switchController sends the next heartbeat to another controller after a delay, unless this one has completed.
+func (h *sentHeartbeat) switchController(controller int, delay clock.Micros) {
+	if h.completed {
+		return
+	}
+	h.completed = true
+	h.world.after(delay, func() {
+		s := h.agent
+		s.heartbeatPending, s.controllerIndex, s.nextHeartbeat = false, controller, h.world.now
+	})
+}
+
+// deliver delivers a message to or from the machine. It delays the message until the end of a partition, of a message
+// delay or of a hang. Without any of these, it drops the message while the machine is unreachable.
+func (s *simAgent) deliver(w *world, c *simController, arrive func()) {
+	delay := w.latency()
+	switch {
+	case w.isPartitioned(s.Zone, c.cfg.Zone):
+		delay += w.faults.partitionedUntil - w.now
+	case s.network.delayedUntil > w.now:
+		delay += s.network.delayedUntil - w.now
+	case s.hungUntil > w.now:
+		delay += s.hungUntil - w.now
+	case s.network.unreachable:
+		return
+	}
+	w.after(delay, arrive)
+}
+
+// deliverDuplicate delivers a late copy of a message if the fault of duplicated messages is active.
+func (s *simAgent) deliverDuplicate(w *world, arrive func()) {
+	if s.network.duplicateDelay > 0 {
+		w.after(clock.Second+clock.Micros(w.rng.Int64N(int64(s.network.duplicateDelay))), arrive)
+	}
+}
+
+// scheduleHeartbeat schedules the next heartbeat as soon as minHeartbeatInterval allows.
+func (s *simAgent) scheduleHeartbeat(w *world) {
+	s.nextHeartbeat = min(s.nextHeartbeat, max(w.now, s.lastHeartbeat+minHeartbeatInterval))
+}
+
+// replayHeartbeats delivers the captured heartbeats to every controller, when a new leader's term begins and again
+// after the leader has acted.
+func (w *world) replayHeartbeats() {
+	delays := []clock.Micros{clock.Millisecond, 300 * clock.Millisecond, 2 * clock.Second, 6 * clock.Second}
+	for _, s := range w.machines.agents {
+		for i, heartbeat := range s.capturedHeartbeats {
+			for _, c := range w.controllers {
+				for _, delay := range delays {
+					w.after(delay+clock.Micros(i), func() {
+						if c.running && !c.faults.agentsUnreachable {
+							c.receiveCopy(heartbeat)
+						}
+					})
+				}
+			}
+		}
+		s.capturedHeartbeats = nil
+	}
+}
--- a/internal/scenario/commands_controllers_test.go
+++ b/internal/scenario/commands_controllers_test.go
@@ -12,13 +12,13 @@
 	"swiftledge/internal/leader"
 )
 
-// runCommand lets time pass.
+// runCommand runs the cluster for a duration.
 func runCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	w.run(duration(t, d, "for"))
 	return ""
 }
 
-// crashCommand ends controllers.
+// crashCommand crashes controllers.
 func crashCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	for _, c := range w.controllersArg(t, d) {
 		c.crash()
@@ -26,7 +26,7 @@
 	return ""
 }
 
-// startCommand starts those that have ended.
+// startCommand starts the controllers that have crashed.
 func startCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	for _, c := range w.controllers {
 		if !c.running {
@@ -37,25 +37,25 @@
 	return ""
 }
 
-// controllerCommand sets what is wrong with controllers.
+// controllerCommand sets the faults of controllers, and clears those that it does not name.
 func controllerCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	for _, c := range w.controllersArg(t, d) {
 		c.faults = controllerFaults{
-			storeUnreachable:   d.HasArg("store_unreachable"),
-			peersUnreachable:   d.HasArg("peers_unreachable"),
-			agentsUnreachable:  d.HasArg("agents_unreachable"),
-			watchHangs:         d.HasArg("watch_hangs"),
-			storeAnswersToLose: arg(t, d, "lose_answers", 0),
-			lostAnswerShare:    arg(t, d, "lost_answers", 0.0),
-			lateTxnShare:       arg(t, d, "late_txns", 0.0),
-			requestsHeldUntil:  w.now + duration(t, d, "requests_held"),
-			pausedUntil:        w.now + duration(t, d, "paused"),
+			storeUnreachable:     d.HasArg("store_unreachable"),
+			peersUnreachable:     d.HasArg("peers_unreachable"),
+			agentsUnreachable:    d.HasArg("agents_unreachable"),
+			watchHangs:           d.HasArg("watch_hangs"),
+			storeResponsesToLose: arg(t, d, "lose_answers", 0),
+			lostResponseShare:    arg(t, d, "lost_answers", 0.0),
+			lateTxnShare:         arg(t, d, "late_txns", 0.0),
+			requestsDelayedUntil: w.now + duration(t, d, "requests_held"),
+			pausedUntil:          w.now + duration(t, d, "paused"),
 		}
 	}
 	return ""
 }
 
-// readyCommand tells what the load balancer is told.
+// readyCommand returns the status code that a controller sends to the load balancer's readiness check.
 func readyCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	if !w.controllerArg(t, d).isReady() {
 		return "503"
@@ -63,7 +63,7 @@
 	return "200"
 }
 
-// leaderCommand tells whether one leads.
+// leaderCommand tells whether a controller leads.
 func leaderCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	if len(w.leaders()) == 0 {
 		return "none"
@@ -71,7 +71,7 @@
 	return "one"
 }
 
-// knownCommand tells whether every accepted job answers at every controller that is up.
+// knownCommand tells whether every running controller knows every accepted job.
 func knownCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	for _, c := range w.controllers {
 		for _, r := range sortedKeys(w.users.jobs) {
@@ -83,7 +83,7 @@
 	return "all"
 }
 
-// detectedPauseCommand says what a controller noticed of the last time in which it stood still.
+// detectedPauseCommand tells what a controller detected of its last process pause: the length and what expired.
 func detectedPauseCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	c := w.controllerArg(t, d)
 	p := c.pauses.Close()
@@ -93,7 +93,7 @@
 	return fmt.Sprintf("%.0f s: %s", p.Length().Seconds(), strings.Join(p.Expired, ", "))
 }
 
-// catalogCommand tells whether all controllers know the machine types.
+// catalogCommand tells whether the machine types are stored, where all controllers read them.
 func catalogCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	for _, c := range w.controllers {
 		if _, ok := w.store.Get(leader.CatalogKey); !ok {
--- a/internal/scenario/controller_leader_test.go
+++ b/internal/scenario/controller_leader_test.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	// cloudLatency is how soon the cloud answers.
+	// cloudLatency is the response time of the cloud.
 	cloudLatency = 100 * clock.Millisecond
-	// cloudTimeout is how long a leader waits for an answer of the cloud.
+	// cloudTimeout is how long a leader waits for a response of the cloud.
 	cloudTimeout = 5 * clock.Second
 )
 
@@ -33,7 +33,7 @@
 	}
 }
 
-// leaderEffect carries out what the leader decided.
+// leaderEffect executes an effect of the leader.
 func (c *simController) leaderEffect(effect leader.Effect) {
 	switch x := effect.(type) {
 	case leader.SendToHolder:
@@ -70,7 +70,7 @@
 	}
 }
 
-// sendToHolder sends a message over the link to a holder, and over its own to the leader's.
+// sendToHolder sends a message over the link to a holder. The leader's own holder has a link, too.
 func (c *simController) sendToHolder(x leader.SendToHolder) {
 	for _, grant := range x.Message.Grants {
 		c.world.rules.history.checkGrant(grant)
@@ -85,15 +85,15 @@
 	})
 }
 
-// commitLeaderTxn commits a leader's transaction for as long as its term lasts.
+// commitLeaderTxn commits a leader's transaction and retries it as long as the term lasts.
 func (c *simController) commitLeaderTxn(x leader.CommitTxn) {
 	if !slices.Contains(x.Txn.Conditions, wire.Condition{Key: leader.Key, Version: uint64(x.Term)}) {
-		c.world.violates("unguarded: a leader's write is not bound to its term")
+		c.world.reportViolation("unguarded: a leader's transaction has no condition on its term")
 	}
 	c.commit(commitCall{
-		txn:    x.Txn,
-		wanted: func() bool { return c.elector.Term() == x.Term },
-		answer: func(result store.TxnResult, err error) {
+		txn:      x.Txn,
+		isNeeded: func() bool { return c.elector.Term() == x.Term },
+		onResult: func(result store.TxnResult, err error) {
 			c.leaderStep(leader.TxnCompleted{Term: x.Term, Tag: x.Tag, Result: result, Err: err})
 		},
 	})
@@ -101,17 +101,17 @@
 
 func (c *simController) provisionMachines(x leader.ProvisionMachines) {
 	c.recordJSON(toCloud, "POST /hosts", x.Request)
-	answer := leader.MachinesProvisioned{Term: x.Term, RequestID: x.Request.RequestID}
-	failed := answer
-	failed.Err = errCloudDown
+	response := leader.MachinesProvisioned{Term: x.Term, RequestID: x.Request.RequestID}
+	failure := response
+	failure.Err = errCloudDown
 	c.callCloud(func() leader.Message {
 		names, ok := c.world.cloud.Provision(c.world.now, x.Request)
-		answer.Machines, answer.NoCapacity = names, !ok
+		response.Machines, response.NoCapacity = names, !ok
 		if !ok {
-			answer.Err = errNoCapacity
+			response.Err = errNoCapacity
 		}
-		return answer
-	}, failed)
+		return response
+	}, failure)
 }
 
 func (c *simController) deleteMachines(x leader.DeleteMachines) {
@@ -122,8 +122,9 @@
 	}, leader.MachinesDeleted{Term: x.Term, Machines: x.Machines, Err: errCloudDown})
 }
 
-// callCloud carries a request to the cloud and its answer back, also to a leader that is none any more; or the
-// request is carried out late, when nobody waits for it any more. Nothing is answered to a failure of nil.
+// callCloud sends a request to the cloud and passes the response to the leader, even if it has lost leadership
+// meanwhile. With the fault of late requests, the cloud may execute the request late, after the leader stopped
+// waiting. A request that fails passes failure to the leader, unless that is nil.
 func (c *simController) callCloud(execute func() leader.Message, failure leader.Message) {
 	w := c.world
 	fail := func() {
@@ -137,7 +138,7 @@
 		case w.faults.cloudDown:
 			c.ifSameProcess(fail)()
 		case w.faults.lateCloudShare > 0 && w.rng.Float64() < w.faults.lateCloudShare:
-			w.after(w.lateness(lateRange), func() { execute() })
+			w.after(w.extraDelay(extraDelayRange), func() { execute() })
 			w.after(cloudTimeout, c.ifSameProcess(fail))
 		default:
 			c.ifSameProcess(func() { c.leaderStep(execute()) })()
@@ -145,7 +146,7 @@
 	})
 }
 
-// loadState reads all that a new leader begins with.
+// loadState reads the stored state that a new leader needs.
 func (c *simController) loadState(x leader.LoadState) {
 	var items []wire.Item
 	var revision uint64
@@ -155,7 +156,7 @@
 		term:    x.Term,
 		execute: func() { items, revision = c.world.leaderState() },
 		retry:   func() { c.loadState(x) },
-		answer: func() {
+		onSuccess: func() {
 			c.loadedTerm, c.loadedRevision = x.Term, revision
 			c.leaderStep(leader.StateLoaded{
 				Term:        x.Term,
@@ -168,7 +169,7 @@
 	})
 }
 
-// leaderState is what is stored, except attempts and final states.
+// leaderState returns everything in the store except attempts and final states.
 func (w *world) leaderState() ([]wire.Item, uint64) {
 	items, revision := w.store.List("")
 	items = slices.DeleteFunc(items, func(i wire.Item) bool {
@@ -177,7 +178,7 @@
 	return items, revision
 }
 
-// loadAttempts reads the attempts of a shard.
+// loadAttempts reads the attempt pages of a shard.
 func (c *simController) loadAttempts(x leader.LoadAttempts) {
 	var items []wire.Item
 	prefix := shard.AttemptPrefix(x.Shard)
@@ -186,7 +187,7 @@
 		term:    x.Term,
 		execute: func() { items, _ = c.world.store.List(prefix) },
 		retry:   func() { c.loadAttempts(x) },
-		answer: func() {
+		onSuccess: func() {
 			pages, err := shard.DecodeAttemptPages(items)
 			must(err)
 			c.leaderStep(leader.AttemptsLoaded{Term: x.Term, Shard: x.Shard, FencingToken: x.FencingToken, Pages: pages})
@@ -203,7 +204,7 @@
 		term:    x.Term,
 		execute: func() { item, found = c.world.store.Get(x.Key) },
 		retry:   func() { c.readKey(x) },
-		answer: func() {
+		onSuccess: func() {
 			item.Key = x.Key
 			c.leaderStep(leader.KeyRead{Term: x.Term, Tag: x.Tag, Item: item, Found: found})
 		},
--- a/internal/scenario/faults_test.go
+++ b/internal/scenario/faults_test.go
@@ -7,75 +7,75 @@
 	"swiftledge/internal/clock"
 )
 
-// fault is one fault of a random world.
+// fault is one fault that is injected into a random world.
 type fault struct {
-	at, duration clock.Micros
-	kind         string  // a name in faultKinds
-	target       int     // a controller, or the first of the machines
-	count        int     // of the machines or tasks
-	share        float64 // of what is lost or late
+	startAt, duration clock.Micros
+	kind              string  // a name in faultKinds
+	target            int     // selects a controller, the order of the machines, or a team and other job parameters
+	count             int     // of machines, jobs or tasks
+	share             float64 // of messages that are lost or late
 }
 
-// String describes a fault in a failed test.
+// String describes a fault in the output of a failed test.
 func (f fault) String() string {
 	return fmt.Sprintf("%.1f s: %s for %.1f s, target %d, count %d, share %.1f",
-		f.at.Seconds(), f.kind, f.duration.Seconds(), f.target, f.count, f.share)
+		f.startAt.Seconds(), f.kind, f.duration.Seconds(), f.target, f.count, f.share)
 }
 
-// controller is the controller that a fault is about.
+// controller returns the controller that a fault concerns.
 func (f fault) controller(w *world) *simController { return w.controllers[f.target%len(w.controllers)] }
 
-// faultKind is a kind of fault; begin begins one and gives what ends it, nil if it ends by itself.
+// faultKind is a kind of fault. inject begins a fault and returns a function that ends it, or nil if it ends by itself.
 type faultKind struct {
-	name  string
-	begin func(w *world, f fault) (end func())
+	name   string
+	inject func(w *world, f fault) (end func())
 }
 
-// faultKinds are the faults that the operators name (docs/meetings.md). A seed draws them by their place in the
-// list, so new kinds go to its end.
+// faultKinds returns the kinds of faults that operators have reported (docs/meetings.md). A seed draws a kind by its
+// index, so new kinds must be appended.
 func faultKinds() []faultKind {
 	return []faultKind{
 		{"burst of jobs", submitBurst},
 		{"guest's long job", submitGuestJob},
-		{"mistaken job", submitMistakenJob},
+		{"mistaken job", submitFaultyJob},
 		{"all controllers crash", crashAll},
 		{"all controllers pause", pauseAll},
-		{"store answers are lost", loseStoreAnswers},
+		{"store answers are lost", loseStoreResponses},
 		{"cloud is late", delayCloud},
-		{"cloud is down", stopCloud},
+		{"cloud is down", beginCloudOutage},
 		{"commands are late", delayCommands},
 		{"controller crashes", crashOne},
-		{"controller loses peers", cutPeersOfOne},
-		{"controller loses workers", cutAgentsOfOne},
+		{"controller loses peers", disconnectPeersOfOne},
+		{"controller loses workers", disconnectAgentsOfOne},
 		{"controller pauses", pauseOne},
 		{"machines' messages are duplicated", eachMachine(duplicateMessages)},
 		{"jobs are cancelled", cancelJobs},
 		{"leader crashes", crashLeaders},
 		{"leader loses store and peers", isolateLeaders},
 		{"leader pauses", pauseLeaders},
-		{"machines are unreachable", eachMachine(cutMachine)},
-		{"machines' heartbeats are lost", eachMachine(cutHeartbeats)},
+		{"machines are unreachable", eachMachine(disconnectMachine)},
+		{"machines' heartbeats are lost", eachMachine(dropHeartbeats)},
 		{"machines are preempted", eachMachine(preemptMachine)},
 		{"machines reboot", eachMachine(rebootMachine)},
 		{"machines boot late or at once", changeBootTime},
 		{"machines fail", eachMachine(failMachine)},
 		{"machines fail their tasks", eachMachine(failTasks)},
 		{"machines hang", eachMachine(hangMachine)},
-		{"machines' inbound messages are lost", eachMachine(cutInbound)},
+		{"machines' inbound messages are lost", eachMachine(dropInbound)},
 		{"new machines never report", silenceNewMachines},
-		{"machines' messages are held", eachMachine(holdMessages)},
-		{"heartbeats are kept for the next leader", eachMachine(keepHeartbeats)},
-		{"store requests are held", holdStoreRequests},
-		{"store is down", stopStore},
-		{"store refuses the leader", cutStoreOfLeaders},
-		{"store refuses one", cutStoreOfOne},
+		{"machines' messages are held", eachMachine(delayMessages)},
+		{"heartbeats are kept for the next leader", eachMachine(captureHeartbeats)},
+		{"store requests are held", delayStoreRequests},
+		{"store is down", beginStoreOutage},
+		{"store refuses the leader", disconnectStoreOfLeaders},
+		{"store refuses one", disconnectStoreOfOne},
 		{"watch hangs", hangWatchOfLeaders},
 		{"writes are late", delayTxns},
-		{"zone is cut", cutZone},
+		{"zone is cut", partitionZone},
 	}
 }
 
-// faultKindNames are the names of the kinds, in the same order.
+// faultKindNames returns the names of the kinds, in the same order.
 func faultKindNames() []string {
 	var names []string
 	for _, kind := range faultKinds() {
@@ -84,11 +84,11 @@
 	return names
 }
 
-// beginFault begins a fault, and schedules its end.
-func (w *world) beginFault(f fault) {
+// injectFault begins a fault and schedules its end.
+func (w *world) injectFault(f fault) {
 	kinds := faultKinds()
 	kind := slices.IndexFunc(kinds, func(k faultKind) bool { return k.name == f.kind })
-	end := kinds[kind].begin(w, f)
+	end := kinds[kind].inject(w, f)
 	if end == nil {
 		end = func() {}
 	}
@@ -97,22 +97,28 @@
 
 // Faults of controllers.
 
-func crashOne(w *world, f fault) func()       { return crash(f.controller(w)) }
-func crashLeaders(w *world, _ fault) func()   { return crash(w.leaders()...) }
-func crashAll(w *world, _ fault) func()       { return crash(w.controllers...) }
-func pauseOne(w *world, f fault) func()       { return pause(f, f.controller(w)) }
-func pauseLeaders(w *world, f fault) func()   { return pause(f, w.leaders()...) }
-func pauseAll(w *world, f fault) func()       { return pause(f, w.controllers...) }
-func cutStoreOfOne(w *world, f fault) func()  { return set(&f.controller(w).faults.storeUnreachable) }
-func cutPeersOfOne(w *world, f fault) func()  { return set(&f.controller(w).faults.peersUnreachable) }
-func cutAgentsOfOne(w *world, f fault) func() { return set(&f.controller(w).faults.agentsUnreachable) }
-
-func cutStoreOfLeaders(w *world, _ fault) func() {
+func crashOne(w *world, f fault) func()     { return crashControllers(f.controller(w)) }
+func crashLeaders(w *world, _ fault) func() { return crashControllers(w.leaders()...) }
+func crashAll(w *world, _ fault) func()     { return crashControllers(w.controllers...) }
+func pauseOne(w *world, f fault) func()     { return pauseControllers(f, f.controller(w)) }
+func pauseLeaders(w *world, f fault) func() { return pauseControllers(f, w.leaders()...) }
+func pauseAll(w *world, f fault) func()     { return pauseControllers(f, w.controllers...) }
+func disconnectStoreOfOne(w *world, f fault) func() {
+	return setFlag(&f.controller(w).faults.storeUnreachable)
+}
+func disconnectPeersOfOne(w *world, f fault) func() {
+	return setFlag(&f.controller(w).faults.peersUnreachable)
+}
+func disconnectAgentsOfOne(w *world, f fault) func() {
+	return setFlag(&f.controller(w).faults.agentsUnreachable)
+}
+
+func disconnectStoreOfLeaders(w *world, _ fault) func() {
 	return setOnLeaders(w, func(c *controllerFaults) *bool { return &c.storeUnreachable })
 }
 
 func isolateLeaders(w *world, f fault) func() {
-	restoreStore := cutStoreOfLeaders(w, f)
+	restoreStore := disconnectStoreOfLeaders(w, f)
 	restorePeers := setOnLeaders(w, func(c *controllerFaults) *bool { return &c.peersUnreachable })
 	return func() {
 		restoreStore()
@@ -124,8 +130,8 @@
 	return setOnLeaders(w, func(c *controllerFaults) *bool { return &c.watchHangs })
 }
 
-func holdStoreRequests(w *world, f fault) func() {
-	f.controller(w).faults.requestsHeldUntil = w.now + f.duration
+func delayStoreRequests(w *world, f fault) func() {
+	f.controller(w).faults.requestsDelayedUntil = w.now + f.duration
 	return nil
 }
 
@@ -133,12 +139,12 @@
 	return setShareOnAll(w, f.share, func(c *controllerFaults) *float64 { return &c.lateTxnShare })
 }
 
-func loseStoreAnswers(w *world, f fault) func() {
-	return setShareOnAll(w, f.share, func(c *controllerFaults) *float64 { return &c.lostAnswerShare })
+func loseStoreResponses(w *world, f fault) func() {
+	return setShareOnAll(w, f.share, func(c *controllerFaults) *float64 { return &c.lostResponseShare })
 }
 
-// crash ends controllers, until they are started again.
-func crash(controllers ...*simController) func() {
+// crashControllers crashes controllers. The function that it returns restarts them.
+func crashControllers(controllers ...*simController) func() {
 	for _, c := range controllers {
 		if c.running {
 			c.crash()
@@ -153,30 +159,30 @@
 	}
 }
 
-// pause pauses controllers.
-func pause(f fault, controllers ...*simController) func() {
+// pauseControllers pauses the processes of controllers for the fault's duration.
+func pauseControllers(f fault, controllers ...*simController) func() {
 	for _, c := range controllers {
 		c.faults.pausedUntil = c.world.now + f.duration
 	}
 	return nil
 }
 
-// set sets a flag, until it is cleared.
-func set(flag *bool) func() {
+// setFlag sets a flag. The function that it returns clears it.
+func setFlag(flag *bool) func() {
 	*flag = true
 	return func() { *flag = false }
 }
 
-// setOnLeaders sets a flag of all leaders.
+// setOnLeaders sets a flag of all leaders. The function that it returns clears it.
 func setOnLeaders(w *world, flag func(*controllerFaults) *bool) func() {
 	var ends []func()
 	for _, c := range w.leaders() {
-		ends = append(ends, set(flag(&c.faults)))
+		ends = append(ends, setFlag(flag(&c.faults)))
 	}
-	return inOrder(ends)
+	return callAll(ends)
 }
 
-// setShareOnAll sets a share of all controllers.
+// setShareOnAll sets a share of all controllers. The function that it returns resets it to zero.
 func setShareOnAll(w *world, value float64, share func(*controllerFaults) *float64) func() {
 	for _, c := range w.controllers {
 		*share(&c.faults) = value
@@ -188,8 +194,8 @@
 	}
 }
 
-// inOrder calls functions one after the other.
-func inOrder(functions []func()) func() {
+// callAll returns a function that calls all functions in order, except those that are nil.
+func callAll(functions []func()) func() {
 	return func() {
 		for _, f := range functions {
 			if f != nil {
@@ -201,12 +207,12 @@
 
 // Faults of the store, the cloud and the network.
 
-func stopStore(w *world, _ fault) func() {
+func beginStoreOutage(w *world, _ fault) func() {
 	w.store.Down = true
 	return func() { w.store.EndOutage(w.now) }
 }
 
-func stopCloud(w *world, _ fault) func() { return set(&w.faults.cloudDown) }
+func beginCloudOutage(w *world, _ fault) func() { return setFlag(&w.faults.cloudDown) }
 
 func delayCloud(w *world, f fault) func() {
 	w.faults.lateCloudShare = f.share
@@ -218,12 +224,12 @@
 	return func() { w.faults.lateCommandShare = 0 }
 }
 
-func cutZone(w *world, f fault) func() {
+func partitionZone(w *world, f fault) func() {
 	w.faults.partitionedZone, w.faults.partitionedUntil = "b", w.now+f.duration
 	return nil
 }
 
-// What users do.
+// Users' actions.
 
 func submitBurst(w *world, f fault) func() {
 	const jobs = 3
@@ -233,8 +239,8 @@
 	return nil
 }
 
-func submitMistakenJob(w *world, f fault) func() {
-	ref := w.submitMistaken(f.target, 20+f.count)
+func submitFaultyJob(w *world, f fault) func() {
+	ref := w.submitFaulty(f.target, 20+f.count)
 	return func() { w.cancelUntilAnswered(ref, f.target) }
 }
 
--- a/internal/scenario/machines_test.go
+++ b/internal/scenario/machines_test.go
@@ -7,47 +7,47 @@
 	"swiftledge/wire"
 )
 
-// machines are the workers of the cluster.
+// machines holds the cluster's booted machines with their agents, and the instances that are still booting.
 type machines struct {
-	workers []*simWorker
-	byName  map[string]*simWorker
-	outputs *fake.Outputs
-	booting []*fake.Instance // created and not up yet
-	adopted int              // how many of the cloud's instances were taken in
+	agents        []*simAgent
+	byName        map[string]*simAgent
+	outputs       *fake.Outputs
+	booting       []*fake.Instance // created, but not up yet
+	instancesSeen int              // number of the cloud's created instances that were added to booting so far
 }
 
-// workerByName is the worker of a machine; nil: it is not up.
-func (w *world) workerByName(name string) *simWorker { return w.machines.byName[name] }
+// agentByName returns the agent of a machine, or nil if the machine has never booted.
+func (w *world) agentByName(name string) *simAgent { return w.machines.byName[name] }
 
-// addMachine adds a machine that is up and listed from the beginning.
+// addMachine adds a machine that is up and listed from the start of the simulation.
 func (w *world) addMachine(machineType, zone string, spot bool) {
 	instance := w.cloud.CreateInstance(0, machineType, zone, spot)
 	instance.BootedAt, instance.ListedAt = 0, 0
 }
 
-// bootMachines starts the workers of instances that have come up.
+// bootMachines starts the agents of instances that have booted.
 func (w *world) bootMachines() {
 	m := &w.machines
-	m.booting = append(m.booting, w.cloud.Created[m.adopted:]...)
-	m.adopted = len(w.cloud.Created)
+	m.booting = append(m.booting, w.cloud.Created[m.instancesSeen:]...)
+	m.instancesSeen = len(w.cloud.Created)
 	m.booting = slices.DeleteFunc(m.booting, func(i *fake.Instance) bool {
 		up := !i.Deleted && !i.Failed && !i.NeverBoots && !i.NeverReports && w.now >= i.BootedAt
 		if up {
-			w.bootWorker(i)
+			w.bootAgent(i)
 		}
 		return up || i.Deleted
 	})
 }
 
-// bootWorker starts the worker of an instance.
-func (w *world) bootWorker(instance *fake.Instance) {
+// bootAgent starts the agent of an instance.
+func (w *world) bootAgent(instance *fake.Instance) {
 	var machineType wire.MachineType
 	for _, t := range w.cloud.Types {
 		if t.Name == instance.Type {
 			machineType = t
 		}
 	}
-	s := &simWorker{instance: instance, Worker: &fake.Worker{
+	s := &simAgent{instance: instance, Worker: &fake.Worker{
 		Identity: fake.Identity{
 			Name:    instance.Name,
 			Address: instance.Address,
@@ -63,12 +63,12 @@
 	}}
 	s.Boot(w.now)
 	s.nextHeartbeat = w.now
-	s.controller = w.rng.IntN(len(w.controllers))
-	w.machines.workers = append(w.machines.workers, s)
+	s.controllerIndex = w.rng.IntN(len(w.controllers))
+	w.machines.agents = append(w.machines.agents, s)
 	w.machines.byName[s.Name] = s
 }
 
-// workload tells the fake workers what the users know of their jobs.
+// workload provides the fake agents with the users' jobs and the behaviour of their tasks.
 type workload struct{ world *world }
 
 // Job implements fake.Workload.
@@ -82,21 +82,21 @@
 
 // Fails implements fake.Workload.
 func (l workload) Fails(job *wire.Job, index int) bool {
-	each := l.world.users.failsEach[job.Ref]
-	return each > 0 && index%each == 0
+	nth := l.world.users.failEveryNth[job.Ref]
+	return nth > 0 && index%nth == 0
 }
 
-// observer tells the rules what becomes of tasks.
+// observer passes the events of tasks to the rule checks.
 type observer struct{ world *world }
 
 // TaskOrdered implements fake.Observer.
-func (o observer) TaskOrdered(on *fake.Worker, t *fake.Task) {
-	o.world.rules.history.checkOrder(on.Name, t)
+func (o observer) TaskOrdered(agent *fake.Worker, t *fake.Task) {
+	o.world.rules.history.checkRunCommand(agent.Name, t)
 }
 
 // TaskStarted implements fake.Observer.
-func (o observer) TaskStarted(on *fake.Worker, t *fake.Task) {
-	o.world.checkStart(o.world.workerByName(on.Name), t)
+func (o observer) TaskStarted(agent *fake.Worker, t *fake.Task) {
+	o.world.checkStart(o.world.agentByName(agent.Name), t)
 }
 
 // TaskRestarted implements fake.Observer.
@@ -110,19 +110,19 @@
 	}
 }
 
-// machinesOf lists the machines that a job's tasks are on.
-func (w *world) machinesOf(ref string) (workers []*simWorker) {
-	for _, s := range w.machines.workers {
+// machinesOf returns the agents of the machines with active tasks of a job.
+func (w *world) machinesOf(ref string) (agents []*simAgent) {
+	for _, s := range w.machines.agents {
 		if s.activeTasks(ref) > 0 {
-			workers = append(workers, s)
+			agents = append(agents, s)
 		}
 	}
-	return workers
+	return agents
 }
 
-// countActive counts a job's tasks that are on machines.
+// countActive counts a job's active tasks on all machines.
 func (w *world) countActive(ref string) (count int) {
-	for _, s := range w.machines.workers {
+	for _, s := range w.machines.agents {
 		count += s.activeTasks(ref)
 	}
 	return count
--- a/internal/scenario/peer_link_test.go
+++ b/internal/scenario/peer_link_test.go
@@ -14,26 +14,26 @@
 const (
 	// linkRetry is how long a follower waits before it tries to connect again.
 	linkRetry = 300 * clock.Millisecond
-	// linkTimeout is how long it takes until a link breaks that carries nothing.
+	// linkTimeout is how long after a message that could not be delivered a link breaks.
 	linkTimeout = 4 * clock.Second
 )
 
-// simLink is a connection from a follower to the leader, or of the leader to itself.
+// simLink is a simulated connection of a follower to the leader, or of the leader to itself.
 type simLink struct {
 	term                                   cluster.Term
 	follower, leader                       *simController
 	followerIncarnation, leaderIncarnation int
 	broken                                 bool
-	lastDelivery                           map[*simController]clock.Micros // when the latest message to an end arrives
+	lastDelivery                           map[*simController]clock.Micros // by receiver: when its latest message arrives
 }
 
-// isCutFrom says whether another controller's messages do not reach this one now.
-func (c *simController) isCutFrom(from *simController) bool {
+// isUnreachableFrom reports whether messages from another controller cannot reach this one now.
+func (c *simController) isUnreachableFrom(from *simController) bool {
 	return c != from && (c.faults.peersUnreachable || from.faults.peersUnreachable ||
 		c.faults.pausedUntil > c.world.now || c.world.isPartitioned(c.cfg.Zone, from.cfg.Zone))
 }
 
-// connectToLeader connects to the leader of a term as soon as it answers.
+// connectToLeader connects to the leader of a term, and retries until it succeeds or the term changes.
 func (c *simController) connectToLeader(term cluster.Term, name string) {
 	w := c.world
 	w.after(w.latency(), c.ifSameProcess(func() {
@@ -41,12 +41,12 @@
 			return
 		}
 		to := w.controllers[slices.IndexFunc(w.controllers, func(o *simController) bool { return o.name == name })]
-		isCut := to.isCutFrom(c)
-		if to.running && !isCut && to != c {
+		unreachable := to.isUnreachableFrom(c)
+		if to.running && !unreachable && to != c {
 			c.jobCache.Post(api.PeerContacted{})
 			to.jobCache.Post(api.PeerContacted{})
 		}
-		if !to.running || to.elector.Term() != term || isCut {
+		if !to.running || to.elector.Term() != term || unreachable {
 			w.after(linkRetry, c.ifSameProcess(func() { c.connectToLeader(term, name) }))
 			return
 		}
@@ -68,31 +68,31 @@
 	}))
 }
 
-// Send implements leader.Link. It is not reached: the simulation carries messages over a link itself.
-func (*simLink) Send(*peer.FromLeader) { panic("a simulated link was sent over") }
+// Send implements leader.Link. It must not be called: the simulation delivers the messages of a link itself.
+func (*simLink) Send(*peer.FromLeader) { panic("Send called on a simulated link") }
 
-// followerThere and leaderThere say whether the process at an end is still the one that was connected.
-func (l *simLink) followerThere() bool {
+// followerAlive and leaderAlive report whether the process at an end still runs and has not been restarted.
+func (l *simLink) followerAlive() bool {
 	return l.follower.running && l.follower.incarnation == l.followerIncarnation
 }
 
-func (l *simLink) leaderThere() bool {
+func (l *simLink) leaderAlive() bool {
 	return l.leader.running && l.leader.incarnation == l.leaderIncarnation
 }
 
-// disconnect breaks a link; both sides see it if they are still there.
+// disconnect breaks a link. Each side is notified if its process is still alive.
 func (l *simLink) disconnect() {
 	if l.broken {
 		return
 	}
 	l.broken = true
 	l.leader.whenResumed(func() {
-		if l.leaderThere() {
+		if l.leaderAlive() {
 			l.leader.leaderStep(leader.PeerDisconnected{Controller: l.follower.name, Link: l})
 		}
 	})
 	l.follower.whenResumed(func() {
-		if !l.followerThere() || l.follower.leaderLink != l {
+		if !l.followerAlive() || l.follower.leaderLink != l {
 			return
 		}
 		l.follower.leaderLink = nil
@@ -103,27 +103,27 @@
 	})
 }
 
-// send brings a message to one end of the link; a cut one breaks after a while, and so
-// does one whose other end is paused.
+// send delivers a message to one end of the link. If that end is unreachable or its process is paused, the message is
+// lost and the link breaks after a timeout.
 func (l *simLink) send(to *simController, receive func()) {
 	w := to.world
 	from := l.follower
 	if to == from {
 		from = l.leader
 	}
-	if to.isCutFrom(from) {
+	if to.isUnreachableFrom(from) {
 		w.after(linkTimeout, l.disconnect)
 		return
 	}
 	if to != from {
 		w.traffic.peerMessages++
 	}
-	// As over TCP, nothing overtakes.
-	at := max(w.now+w.latency(), l.lastDelivery[to])
-	l.lastDelivery[to] = at
-	w.after(at-w.now, func() {
+	// Messages arrive in order, as over TCP.
+	arrivesAt := max(w.now+w.latency(), l.lastDelivery[to])
+	l.lastDelivery[to] = arrivesAt
+	w.after(arrivesAt-w.now, func() {
 		to.whenResumed(func() {
-			if !l.broken && l.followerThere() && l.leaderThere() {
+			if !l.broken && l.followerAlive() && l.leaderAlive() {
 				receive()
 			}
 		})
