--- a/internal/controller/agent_client.go
+++ b/internal/controller/agent_client.go
@@ -19,7 +19,7 @@
 const (
 	// commandTimeout bounds a request that carries commands to an agent.
 	commandTimeout = 3 * time.Second
-	// inspectionTimeout bounds a request for an agent's heartbeat.
+	// inspectionTimeout bounds a request for an agent's status.
 	inspectionTimeout = 2 * time.Second
 	// agentIdleTimeout is how long an idle connection to an agent is kept open.
 	agentIdleTimeout = 40 * time.Second
@@ -95,13 +95,13 @@
 	case err == nil:
 		answer.Code = res.StatusCode()
 		if answer.Code == http.StatusOK || answer.Code == http.StatusConflict {
-			answer.Status = decodeHeartbeat(res.Body(), request.Machine)
+			answer.Status = decodeStatus(res.Body(), request.Machine)
 		}
 	}
 	return answer, nil
 }
 
-// inspect requests the heartbeat of an agent. An error means that nothing was sent.
+// inspect requests the status of an agent. An error means that nothing was sent.
 func (a *agentClient) inspect(ctx context.Context, request shard.InspectAgent) (shard.InspectionAnswered, error) {
 	answer := shard.InspectionAnswered{Request: request}
 	if !a.acquire(ctx) {
@@ -110,13 +110,13 @@
 	defer a.release()
 	code, body, err := a.http.GetTimeout(nil, "http://"+request.Address+"/inspect", inspectionTimeout)
 	if err == nil && code == http.StatusOK {
-		answer.Status = decodeHeartbeat(body, request.Machine)
+		answer.Status = decodeStatus(body, request.Machine)
 	}
 	return answer, nil
 }
 
-// decodeHeartbeat decodes the heartbeat in a response body. It returns nil if it is invalid or of another machine.
-func decodeHeartbeat(body []byte, machine string) *wire.Heartbeat {
+// decodeStatus decodes an agent status in a response body. It returns nil if it is invalid or of another machine.
+func decodeStatus(body []byte, machine string) *wire.Heartbeat {
 	var heartbeat wire.Heartbeat
 	if json.Unmarshal(body, &heartbeat) != nil || heartbeat.Machine != machine {
 		return nil
--- a/internal/controller/agent_connections_test.go
+++ b/internal/controller/agent_connections_test.go
@@ -7,8 +7,8 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Closing a connection must decrement the counter once. Otherwise the counter would grow until no connection is kept
-// open.
+// Closing a connection must decrement the counter, which would otherwise grow until no connection is kept open. A
+// second Close must not decrement it again.
 func TestConnectionCounterCountsOpenConnections(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -27,12 +27,12 @@
 	return logObserver{Handler: slog.DiscardHandler, message: message, seen: make(chan struct{}, 1)}
 }
 
-func (w logObserver) Enabled(context.Context, slog.Level) bool { return true }
+func (o logObserver) Enabled(context.Context, slog.Level) bool { return true }
 
-func (w logObserver) Handle(_ context.Context, record slog.Record) error {
-	if record.Message == w.message {
+func (o logObserver) Handle(_ context.Context, record slog.Record) error {
+	if record.Message == o.message {
 		select {
-		case w.seen <- struct{}{}:
+		case o.seen <- struct{}{}:
 		default:
 		}
 	}
--- a/internal/controller/elector_effects.go
+++ b/internal/controller/elector_effects.go
@@ -10,8 +10,8 @@
 	"swiftledge/internal/store"
 )
 
-// electionTimeout bounds a request of the elector to the store. A longer wait is useless because the next tick repeats
-// the request.
+// electionTimeout bounds a request of the elector to the store. A longer wait is useless, because the elector sends
+// the request again on a later tick.
 const electionTimeout = 2 * time.Second
 
 // performElectorEffect performs one effect of the elector and sends the result to the elector as a message.
--- a/internal/controller/holder.go
+++ b/internal/controller/holder.go
@@ -59,17 +59,17 @@
 	})
 }
 
-// heartbeatReplies receives the reply to one heartbeat.
-type heartbeatReplies chan shard.HeartbeatReply
+// heartbeatReplyChan receives the reply to one heartbeat.
+type heartbeatReplyChan chan shard.HeartbeatReply
 
 // Respond delivers the reply to the waiting receiver.
-func (r heartbeatReplies) Respond(reply shard.HeartbeatReply) { r <- reply }
+func (r heartbeatReplyChan) Respond(reply shard.HeartbeatReply) { r <- reply }
 
 // answerHeartbeat sends an agent's heartbeat to the holder and waits for the reply.
 func (c *Controller) answerHeartbeat(heartbeat *wire.Heartbeat) shard.HeartbeatReply {
-	replies := make(heartbeatReplies, 1)
-	c.holder.send(shard.HeartbeatReceived{ReplyTo: replies, Heartbeat: heartbeat})
-	reply, ok := receiveReply(c.holder, replies)
+	replyChan := make(heartbeatReplyChan, 1)
+	c.holder.send(shard.HeartbeatReceived{ReplyTo: replyChan, Heartbeat: heartbeat})
+	reply, ok := receiveReply(c.holder, replyChan)
 	if !ok {
 		return shard.HeartbeatReply{Status: http.StatusServiceUnavailable}
 	}
--- a/internal/election/elector.go
+++ b/internal/election/elector.go
@@ -23,7 +23,7 @@
 	renewalsPerTTL        = 4  // a lease is renewed this many times per TTL
 	retriesPerTTL         = 10 // a failed lease request or campaign is retried this many times per TTL
 	renewalRetriesPerTTL  = 20 // a failed renewal is retried this many times per TTL
-	campaignWindowsPerTTL = 4  // a lease is too old for a campaign after this part of its TTL
+	campaignWindowsPerTTL = 4  // a lease is too old for a campaign after TTL / campaignWindowsPerTTL
 )
 
 // Elector is the election state of one controller. Step updates it.
--- a/internal/election/elector_test.go
+++ b/internal/election/elector_test.go
@@ -19,9 +19,9 @@
 	return 0
 }
 
-// A process that restarts within a fraction of a second may find the key that its former incarnation created with a
-// campaign whose answer was lost. That term does not belong to the new incarnation, whose leader knows nothing about
-// it. A term from the new incarnation's own unanswered campaign does.
+// A process that restarts within a fraction of a second, and whose own campaign got no answer, may observe the leader
+// key that its former incarnation created. That term does not belong to the new incarnation, whose leader knows nothing
+// about it. A term from the new incarnation's own campaign, if it was executed after all, does.
 func TestTermOfFormerIncarnationIsNotAcquired(t *testing.T) {
 	self := Record{Controller: "n0", Incarnation: 2}
 	e := New(self, 3*clock.Second)
--- a/internal/peer/from_leader.go
+++ b/internal/peer/from_leader.go
@@ -45,10 +45,10 @@
 	Offers       []TaskOffer
 	OfferSeq     uint64 // sequence number of the offers, if any; the holder returns it in SettledOfferSeq
 	Stop         []StopTask
-	Persisted    []Task   // completed tasks that are persisted: the holder may remove them
+	Persisted    []Task   // tasks whose completion is persisted: the holder may forget them
 	Added        []string // machines that were added to the inventory
 	Drain        []string // machines to drain
-	Terminated   []string // machines with proof of termination
+	Terminated   []string // machines that are proven to be terminated
 	Exclude      []string // machines to exclude from scheduling
 	Include      []string // machines to include in scheduling again
 }
--- a/internal/peer/status.go
+++ b/internal/peer/status.go
@@ -32,7 +32,7 @@
 	EndedAt clock.Micros `msgpack:"at" json:"ended_at_us"` // wall-clock time of its end
 	AgoS    float64      `msgpack:"ago_s" json:"ago_s"`
 	LengthS float64      `msgpack:"length_s" json:"length_s"`
-	Expired []string     `msgpack:"expired" json:"expired"` // what expired during the pause, such as shard grants
+	Expired []string     `msgpack:"expired" json:"expired"` // what expired during the pause, such as shard leases
 }
 
 // SuspectStatus describes a suspect job: its tasks fail on every machine.
@@ -50,7 +50,7 @@
 	Holder              string  `msgpack:"holder" json:"holder"`
 	Granted             bool    `msgpack:"granted" json:"granted"`
 	Machines            int     `msgpack:"machines" json:"machines"`
-	SchedulableMachines int     `msgpack:"take_work" json:"take_work"` // schedulable machines
+	SchedulableMachines int     `msgpack:"take_work" json:"take_work"` // number of machines that accept new tasks
 	MeanLoad            float64 `msgpack:"mean" json:"mean_load"`
 	MaxLoad             float64 `msgpack:"most" json:"most_load"`
 	Tasks               int     `msgpack:"tasks" json:"tasks"`
--- a/internal/peer/store_transport.go
+++ b/internal/peer/store_transport.go
@@ -154,7 +154,8 @@
 	}
 }
 
-// watchFrames receives frames until ctx ends. Senders that still wait for an acknowledgement write older frames again.
+// watchFrames receives frames until ctx ends. It ignores frames that were written before it began to watch. Senders
+// that still wait for an acknowledgement write those again.
 func (t *StoreTransport) watchFrames(ctx context.Context) {
 	for failures := 0; ctx.Err() == nil; failures++ {
 		if t.receiveFrames(ctx) {
--- a/internal/peer/to_leader.go
+++ b/internal/peer/to_leader.go
@@ -32,7 +32,7 @@
 	SettledOfferSeq uint64 // OfferSeq of the latest settled offers
 	Events          []TaskEvent
 	Machines        []MachineState
-	NeedsRegrant    bool // the grant is invalid because a machine has reported a newer fencing token
+	NeedsRegrant    bool // a new grant is needed, for example because a machine has reported a newer fencing token
 }
 
 // EventKind is the kind of a task event.
@@ -42,7 +42,7 @@
 const (
 	EventCompleted EventKind = "done"     // the task completed
 	EventReleased  EventKind = "back"     // the task is on no machine of the shard
-	EventAssigned  EventKind = "started"  // the task was launched on a machine and fetches its image
+	EventAssigned  EventKind = "started"  // the task was assigned to a machine and is to be launched there
 	EventRunning   EventKind = "running"  // the task has its image and runs
 	EventFailed    EventKind = "errored"  // the task failed and is no longer on the machine
 	EventUnplaced  EventKind = "unplaced" // no machine has enough free capacity for the task
@@ -67,8 +67,8 @@
 	Name, Type, Zone, Address string
 	Spot                      bool
 	Schedulable               bool // the machine accepts new tasks
-	// Silent: the agent has not sent a heartbeat for a long time, or commands cannot reach it, but the lease of the
-	// machine may still be valid.
+	// Silent: no status of the agent has arrived for a long time, or commands cannot reach it, but its lease may still
+	// be valid.
 	Silent           bool
 	PreemptionNotice bool
 	// Terminated: the cloud has confirmed to a leader, possibly a former one, that the machine is deleted.
--- a/internal/shard/attempt_log.go
+++ b/internal/shard/attempt_log.go
@@ -22,9 +22,9 @@
 // limits returns the store's limits as currently known.
 func (p *Params) limits() storeLimits { return storeLimits{p.MaxValueBytes, p.MaxTxnOps} }
 
-// attemptPage is a page of attempt records, stored under one key. Pages of this lease are overwritten, live records
-// first, so that a placement cycle costs one put and no deletes. Pages of earlier leases, and pages whose last write
-// has an unknown outcome, are only ever deleted.
+// attemptPage is a page of attempt records, stored under one key. Pages of this lease are overwritten with their live
+// records followed by new ones, so that a placement cycle costs one put and no deletes. Pages of earlier leases, and
+// pages whose last write has an unknown outcome, are only ever deleted.
 type attemptPage struct {
 	key           string
 	version       uint64
--- a/internal/shard/attempt_log_test.go
+++ b/internal/shard/attempt_log_test.go
@@ -52,7 +52,7 @@
 	place := func(seq uint64, job string, tasks int) WriteAttempts {
 		t.Helper()
 		offered := offer(seq, wire.Job{Ref: job, Team: "red", CPUs: 0.01, Image: "img"}, tasks)
-		return onlyEffect[WriteAttempts](t, h.Step(now, offered))
+		return firstEffect[WriteAttempts](t, h.Step(now, offered))
 	}
 	first := place(1, "j-000007", 60)
 	if len(first.Pages) != 1 || first.Pages[0].Version != 0 {
@@ -68,7 +68,7 @@
 	}
 	txn, err := second.Txn()
 	if err != nil || len(txn.Writes) != 1 || len(txn.Writes[0].Value) > h.params.MaxValueBytes {
-		t.Errorf("transaction of %d puts, %v", len(txn.Writes), err)
+		t.Errorf("transaction of %d puts, error %v; want one put within the size limit", len(txn.Writes), err)
 	}
 	// No answer: a copy of the write may still be executed, so the page must not be overwritten.
 	h.Step(now, second.Result(store.TxnResult{Ambiguous: true}))
@@ -90,7 +90,7 @@
 		for _, write := range effectsOf[WriteAttempts](h.Step(now, offer(seq, job, 250))) {
 			txn, err := write.Txn()
 			if err != nil || len(txn.Writes) > h.params.MaxTxnOps {
-				t.Fatalf("cycle %d: %d puts in a transaction, %v", seq, len(txn.Writes), err)
+				t.Fatalf("cycle %d: %d puts in a transaction, error %v", seq, len(txn.Writes), err)
 			}
 			launched = len(h.shards[0].log.pendingWrite.attempts)
 			h.Step(now, write.Result(store.TxnResult{Committed: true, Revision: 30 + seq}))
@@ -139,11 +139,11 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h, tasks := newHolderWithStalePages(t)
-			compaction := onlyEffect[CompactPages](t, h.Step(afterUpdateIntervals(11), Tick{}))
+			compaction := firstEffect[CompactPages](t, h.Step(afterUpdateIntervals(11), Tick{}))
 			txn, err := compaction.Txn()
 			if err != nil || len(txn.Writes) != 3 || txn.Conditions[0] != (wire.Condition{Key: Key(0), Version: 8}) ||
 				txn.Conditions[1] != (wire.Condition{Key: compaction.Put.Key}) {
-				t.Fatalf("transaction %+v, %v", txn, err)
+				t.Fatalf("compaction transaction %+v, error %v", txn, err)
 			}
 			page := &compaction.Put.Page
 			records, err := page.Records(&page.Groups[0])
@@ -201,7 +201,7 @@
 		h.Step(now, write.Result(store.TxnResult{Rejected: true}))
 	}
 	if h.params.MaxValueBytes != before.MaxValueBytes/2 || h.params.MaxTxnOps != before.MaxTxnOps/2 {
-		t.Errorf("limits of %d bytes and %d operations after a rejection, %d and %d before",
+		t.Errorf("limits of %d bytes and %d operations after a rejection, want half of the former %d and %d",
 			h.params.MaxValueBytes, h.params.MaxTxnOps, before.MaxValueBytes, before.MaxTxnOps)
 	}
 }
@@ -225,7 +225,7 @@
 	} {
 		got := write.Result(c.result)
 		if got.Committed != c.committed || got.Fenced != c.fenced || got.NeverExecuted || got.Revision != 0 {
-			t.Errorf("%s: %+v", c.name, got)
+			t.Errorf("%s: wrong result %+v", c.name, got)
 		}
 	}
 }
@@ -258,7 +258,7 @@
 			t.Errorf("%d attempt IDs issued: %d tasks placed, new grant requested: %v", c.count, placed, regrant)
 		}
 		if attempts.issuedIDs >= 1<<peer.AttemptCountBits {
-			t.Errorf("attempt number %d does not fit into its bits", attempts.issuedIDs)
+			t.Errorf("attempt count %d does not fit into its bits of an attempt ID", attempts.issuedIDs)
 		}
 	}
 }
--- a/internal/shard/attempts_test.go
+++ b/internal/shard/attempts_test.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// Forgetting an attempt whose end was reported must not end the attempt as which its task runs now.
+// Forgetting an attempt whose end was reported must not end the newer attempt of its task.
 func TestForgettingAttemptDoesNotEndAnother(t *testing.T) {
 	h := newTestHolder(t)
 	s := h.shards[0]
@@ -96,7 +96,7 @@
 		{"stopped, launched by a reply, which cannot arrive late", taskAttempt{endPersisted: true}, true},
 	} {
 		if got := c.attempt.canForget(); got != c.want {
-			t.Errorf("%s: %v", c.name, got)
+			t.Errorf("%s: canForget returned %v", c.name, got)
 		}
 	}
 }
--- a/internal/shard/builders_test.go
+++ b/internal/shard/builders_test.go
@@ -152,8 +152,8 @@
 	return found
 }
 
-// onlyEffect returns the first effect of a type and fails the test if there is none.
-func onlyEffect[T Effect](t *testing.T, effects []Effect) T {
+// firstEffect returns the first effect of a type and fails the test if there is none.
+func firstEffect[T Effect](t *testing.T, effects []Effect) T {
 	t.Helper()
 	found := effectsOf[T](effects)
 	if len(found) == 0 {
@@ -164,7 +164,7 @@
 
 func replyOf(t *testing.T, effects []Effect) HeartbeatReply {
 	t.Helper()
-	return onlyEffect[HeartbeatReply](t, effects)
+	return firstEffect[HeartbeatReply](t, effects)
 }
 
 // updatesOf returns the shard updates that are sent to the leader.
@@ -185,7 +185,7 @@
 	return kinds
 }
 
-// countReleased counts how often offeredTask's job was returned to the leader.
+// countReleased counts how often a task of offeredTask's job was returned to the leader.
 func countReleased(effects []Effect) (count int) {
 	for _, update := range updatesOf(effects) {
 		for _, event := range update.Events {
--- a/internal/shard/fencing.go
+++ b/internal/shard/fencing.go
@@ -10,7 +10,7 @@
 	// fenceInterval is how long a machine may take to confirm the fencing token, or to answer a command, before the
 	// token is sent to it, and the time between repeats.
 	fenceInterval = 4 * clock.Second
-	// maxFencesPerGrant is the number of a shard's machines that are sent the token right after a grant.
+	// maxFencesPerGrant is the maximum number of a shard's machines that are sent the token right after a grant.
 	maxFencesPerGrant = 24
 )
 
@@ -18,7 +18,7 @@
 // than the newest that it has seen.
 type tokenFence struct {
 	confirmed   bool         // the agent's status has shown the token
-	lastRequest clock.Micros // when sending the token was last attempted
+	lastRequest clock.Micros // when the token was last sent, or sending it was last postponed
 	pending     bool         // the last request has no answer yet
 }
 
@@ -32,8 +32,8 @@
 }
 
 // fence sends a machine the fencing token without waiting for its heartbeat. A former holder that is partitioned from
-// the other controllers may keep answering its heartbeats until its lease expires, but redirects the agent as soon as
-// the agent reports the newer token.
+// the other controllers may keep answering the machine's heartbeats until its shard lease expires, but redirects the
+// agent as soon as the agent reports the newer token.
 //
 // Each machine has at most one such request in flight. Commands to unreachable machines take seconds to fail, and
 // thousands of them in the queue would delay the commands to all other machines.
--- a/internal/shard/launch_test.go
+++ b/internal/shard/launch_test.go
@@ -13,7 +13,7 @@
 // launchTask offers offeredTask to a holder, commits its attempt record, and returns the resulting effects.
 func launchTask(t *testing.T, h *Holder, stepTime clock.Micros) []Effect {
 	t.Helper()
-	write := onlyEffect[WriteAttempts](t, offerTask(h, stepTime))
+	write := firstEffect[WriteAttempts](t, offerTask(h, stepTime))
 	return h.Step(stepTime, write.Result(store.TxnResult{Committed: true, Revision: 8}))
 }
 
@@ -70,7 +70,7 @@
 			h.Step(now, heartbeat("m1", 1, testToken))
 			h.Step(now, heartbeat("m2", 1, testToken, running(2)))
 			stepTime := afterUpdateIntervals(1)
-			write := onlyEffect[WriteAttempts](t, offerTask(h, stepTime))
+			write := firstEffect[WriteAttempts](t, offerTask(h, stepTime))
 			var before []Effect
 			for _, message := range c.meanwhile {
 				before = append(before, h.Step(stepTime, message)...)
@@ -124,7 +124,7 @@
 func TestNoLaunchAfterAgentLeaseExpiry(t *testing.T) {
 	h := newTestHolder(t)
 	h.Step(now, heartbeat("m1", 1, testToken))
-	write := onlyEffect[WriteAttempts](t, offerTask(h, afterUpdateIntervals(1)))
+	write := firstEffect[WriteAttempts](t, offerTask(h, afterUpdateIntervals(1)))
 	h.shards[0].machines["m1"].leaseExpired = true
 	effects := h.Step(afterUpdateIntervals(2), write.Result(store.TxnResult{Committed: true, Revision: 8}))
 	effects = append(effects, h.Step(afterUpdateIntervals(3), Tick{})...)
--- a/internal/shard/leader_updates.go
+++ b/internal/shard/leader_updates.go
@@ -11,8 +11,8 @@
 type pendingUpdate struct {
 	events           []peer.TaskEvent
 	machines         []*machine // machines whose state changed
-	receivedOfferSeq uint64     // number of the leader's last offers that were handled
-	settledOfferSeq  uint64     // number of the last offers that are settled: their attempt records are written, too
+	receivedOfferSeq uint64     // sequence number of the last offers received from the leader
+	settledOfferSeq  uint64     // sequence number of the last offers whose attempt records are no longer being written
 	urgent           bool       // the leader waits for this update
 }
 
--- a/internal/shard/machine.go
+++ b/internal/shard/machine.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// inherit copies the machine's state from an earlier lease of its shard, except for its attempts, which are read again
-// from the attempt records, and the confirmation of the token, which is needed again for the new one.
+// inherit copies what is known about the machine and its agent from an earlier lease of its shard. The attempts on it
+// are read again from the attempt records, and it must confirm the new token.
 func (m *machine) inherit(earlier *machine) {
 	m.info, m.agent, m.commands = earlier.info, earlier.agent, earlier.commands
 	m.terminated = earlier.terminated
@@ -106,8 +106,8 @@
 	return count
 }
 
-// isSchedulable reports whether tasks can be placed on a machine now. Answers to commands alone are not enough: while
-// no heartbeat of the agent arrives, its lease expires regardless.
+// isSchedulable reports whether a machine can be given tasks now, unless the leader has excluded it. Answers to
+// commands alone are not enough: while no heartbeat of the agent arrives, its lease expires regardless.
 func (h *Holder) isSchedulable(now clock.Micros, s *heldShard, m *machine) bool {
 	const missedHeartbeats = 3
 	timeout := missedHeartbeats * h.params.HeartbeatInterval
--- a/internal/shard/overload.go
+++ b/internal/shard/overload.go
@@ -4,7 +4,7 @@
 
 const (
 	// lateTickThreshold is the time between two Ticks above which this controller counts as overloaded. Ticks are sent
-	// several times as often, so a late Tick means that messages wait too long to be handled.
+	// twice as often, so a late Tick means that messages wait too long to be handled.
 	lateTickThreshold = 500 * clock.Millisecond
 	// overloadCooldown is how long the controller still counts as overloaded after the last late Tick.
 	overloadCooldown = 2 * clock.Second
--- a/internal/shard/pause_test.go
+++ b/internal/shard/pause_test.go
@@ -27,7 +27,7 @@
 			t.Errorf("%s counts as silent right after the pause", m.name)
 		}
 	}
-	p := onlyEffect[PauseDetected](t, effects).Pause
+	p := firstEffect[PauseDetected](t, effects).Pause
 	if p.Length() != 12*clock.Second || !slices.Equal(p.Expired, []string{"grant of block 0"}) {
 		t.Errorf("pause %+v, want 12 s with one expired grant", p)
 	}
--- a/internal/shard/reconciliation.go
+++ b/internal/shard/reconciliation.go
@@ -194,7 +194,7 @@
 	}
 }
 
-// recordStart records that an attempt has started to run, for which its image has been fetched.
+// recordStart records that an attempt runs, which means that its image has been fetched.
 func (r *reconciliation) recordStart(a *taskAttempt) {
 	h, m, image := r.holder, r.machine, a.group.Image
 	a.running, a.startedAt = true, r.now
@@ -227,8 +227,8 @@
 
 // needsHigherToken reports whether only a higher token can settle an unlisted attempt. There are two cases. The
 // attempt was confirmed, so its agent was restarted, and a late copy of the run command may start it again. Or the
-// attempt is to be stopped and its run command has been unanswered for an agent lease: the command is not sent again,
-// but may still be executed at any time.
+// attempt was to be stopped more than an agent lease ago and its run command is still unanswered: the command is not
+// sent again, but may still be executed at any time.
 func (r *reconciliation) needsHigherToken(a *taskAttempt) bool {
 	if a.launch.agentEpoch != r.machine.agent.epoch {
 		return false
--- a/internal/shard/tick.go
+++ b/internal/shard/tick.go
@@ -10,8 +10,8 @@
 	// minRetainedLimit is the minimum number of retained attempts in a shard before a higher token is requested. Agents
 	// must keep listing retained attempts although they have ended.
 	minRetainedLimit = 100
-	// machinesPerRetainedAttempt raises that limit to one retained attempt for this many machines of the shard, because
-	// a new grant costs a message about each machine.
+	// machinesPerRetainedAttempt raises that limit in a large shard to one retained attempt per this many machines,
+	// because a new grant costs a message about each machine.
 	machinesPerRetainedAttempt = 4
 )
 
