--- a/internal/controller/mailbox.go
+++ b/internal/controller/mailbox.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// offer queues a message without blocking. It returns false if the mailbox is full.
-func (m mailbox[M]) offer(message M) bool {
+// trySend queues a message without blocking. It returns false if the mailbox is full.
+func (m mailbox[M]) trySend(message M) bool {
 	select {
 	case m.messages <- message:
 		return true
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -23,7 +23,7 @@
 func (c *Controller) leaderStatus() peer.Status {
 	fallback := peer.Status{Controller: c.cfg.Name}
 	reply := make(chan peer.Status, 1)
-	if !c.leader.offer(leader.StatusRequested{ReplyTo: reply}) {
+	if !c.leader.trySend(leader.StatusRequested{ReplyTo: reply}) {
 		return fallback
 	}
 	select {
--- a/internal/controller/ticker.go
+++ b/internal/controller/ticker.go
@@ -24,8 +24,8 @@
 			return
 		case <-ticker.C:
 		}
-		c.elector.offer(electionStep{election.Tick{}})
-		c.leader.offer(leader.Tick{})
-		c.holder.offer(shard.Tick{})
+		c.elector.trySend(electionStep{election.Tick{}})
+		c.leader.trySend(leader.Tick{})
+		c.holder.trySend(shard.Tick{})
 	}
 }
--- a/internal/peer/store_connection.go
+++ b/internal/peer/store_connection.go
@@ -69,7 +69,7 @@
 	}
 }
 
-// run carries the bytes of the connection until either side closes it or ctx ends.
+// run carries the bytes of the connection until either side closes it, too much data is queued, or ctx ends.
 func (c *storeConnection) run(ctx context.Context) {
 	var goroutines sync.WaitGroup
 	defer goroutines.Wait()
--- a/internal/shard/attempt_writer.go
+++ b/internal/shard/attempt_writer.go
@@ -43,7 +43,7 @@
 				w.write.attempts = append(w.write.attempts, a)
 				return true
 			}
-			w.finishPage()
+			w.handleFullPage()
 		}
 		if len(w.puts) >= min(w.limits.txnOps, max(1, maxTxnBytes/w.limits.valueBytes)) {
 			return false
@@ -55,8 +55,8 @@
 // openPage returns the page that records are being added to.
 func (w *attemptWriter) openPage() *attemptPage { return w.write.pages[len(w.write.pages)-1] }
 
-// finishPage closes the open page, which has no space for another record.
-func (w *attemptWriter) finishPage() {
+// handleFullPage closes the open page, or takes it out of the write if no new record fitted on it.
+func (w *attemptWriter) handleFullPage() {
 	if w.added > 0 {
 		w.closePage()
 		return
