--- a/internal/api/admission_test.go
+++ b/internal/api/admission_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// Every heartbeat is admitted eventually, also with many of them waiting at the same time.
+// Every heartbeat is admitted eventually, even when many arrive at the same time.
 func TestEveryHeartbeatIsAdmitted(t *testing.T) {
 	admission := newHeartbeatAdmission()
 	go admission.run(t.Context())
--- a/internal/api/handlers.go
+++ b/internal/api/handlers.go
@@ -15,7 +15,7 @@
 // retryAfterSeconds is the Retry-After time for users that could not be served.
 const retryAfterSeconds = 1
 
-// writeError writes the response for a handler that failed and for requests that no handler matches.
+// writeError writes the response for a handler that failed and for requests that match no route.
 func writeError(c fiber.Ctx, err error) error {
 	code := fiber.StatusInternalServerError
 	var httpError *fiber.Error
@@ -93,8 +93,9 @@
 	return c.SendStatus(reply.Status)
 }
 
-// isNearConnectionLimit reports whether agents have to close their connections after each answer. They send heartbeats
-// every few seconds, and their open connections must not prevent users and health probes from connecting.
+// isNearConnectionLimit reports whether so many connections are open that those of agents are closed after each answer.
+// Agents send heartbeats every few seconds, and their open connections must not prevent users and health probes from
+// connecting.
 func (s *Service) isNearConnectionLimit(app *fiber.App) bool {
 	return int(app.Server().GetOpenConnectionsCount()) > s.options.Config.MaxHTTPConnections()*9/10
 }
--- a/internal/api/heartbeat_test.go
+++ b/internal/api/heartbeat_test.go
@@ -27,7 +27,7 @@
 	reads, writes *atomic.Int64
 }
 
-// Accept returns the next connection, wrapped in a countedConn.
+// Accept returns the next connection, wrapped in a countingConn.
 func (l countingListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
@@ -60,7 +60,7 @@
 	seq       uint64
 	heartbeat wire.Heartbeat
 	response  fasthttp.Response
-	// reads and writes count the controller's calls on all its connections.
+	// reads and writes count the controller's reads and writes on all its connections.
 	reads, writes *atomic.Int64
 	address       string
 }
--- a/internal/api/job_cache.go
+++ b/internal/api/job_cache.go
@@ -14,7 +14,7 @@
 const (
 	// leaderContactTimeout is how long the leader counts as reachable after the last contact.
 	leaderContactTimeout = 3 * clock.Second
-	// isolationTimeout is how long after its last contact with any other controller a controller counts as isolated.
+	// isolationTimeout is the time without contact to any other controller after which a controller counts as isolated.
 	isolationTimeout = 5 * clock.Second
 )
 
--- a/internal/api/status.go
+++ b/internal/api/status.go
@@ -64,7 +64,7 @@
 }
 
 // readPriority returns the priority of a status poll. With more polls than the store's limit allows, some jobs would
-// by chance get no answer for minutes. Polls for jobs that have waited long get a higher priority.
+// by chance get no answer for minutes. A job's poll gets a higher priority when its polls have failed for long.
 func readPriority(view View) store.Priority {
 	if view.UnansweredFor > starvationThreshold {
 		return store.PriorityStarvedReads
--- a/internal/api/submit.go
+++ b/internal/api/submit.go
@@ -32,7 +32,7 @@
 }
 
 // existingStatusOr returns the job's status if an earlier submission of the job was accepted, regardless of the content
-// of the rejected one. Otherwise it returns the rejection.
+// of the rejected one. It returns 503 if that cannot be determined, and otherwise the rejection.
 func (s *Service) existingStatusOr(rejected *rejection) Result {
 	if !s.validator.isJobRef(rejected.ref) {
 		return rejected.result()
@@ -81,7 +81,7 @@
 	return result
 }
 
-// statusAfterConflict returns the status of a job that could not be stored because it already exists.
+// statusAfterConflict returns the status of a job that could not be stored because it exists or has existed.
 func (s *Service) statusAfterConflict(ref string) Result {
 	result := s.Status(ref)
 	if result.Code == http.StatusNotFound {
--- a/internal/autoscaler/option.go
+++ b/internal/autoscaler/option.go
@@ -16,7 +16,8 @@
 	Zone string
 	Spot bool // false: on demand
 	// DelayS is the expected boot delay of the machines beyond the usual boot time, because some recently failed to
-	// boot. Other options that serve the demand are preferred. The number of machines does not depend on the delay.
+	// boot. It raises the option's price per slot, so that other options that serve the demand tend to come first. The
+	// number of machines does not depend on the delay.
 	DelayS float64
 }
 
@@ -39,8 +40,8 @@
 
 func (o *Option) pricePerCPU() float64 { return o.Price() / max(o.Type.CPUs, 1e-6) }
 
-// priceBand returns the same number for prices that differ by less than about half. Among machines in one band, the
-// load is a better criterion for which of them to keep.
+// priceBand returns the number of the band that the price per CPU is in. Prices in one band differ by less than a
+// factor of 1.5. Among machines in one band, the load is a better criterion for which of them to keep.
 func (o *Option) priceBand() float64 {
 	return math.Floor(math.Log(max(o.pricePerCPU(), 1e-9)) / math.Log(1.5))
 }
--- a/internal/autoscaler/plan.go
+++ b/internal/autoscaler/plan.go
@@ -25,9 +25,10 @@
 
 // Params limit how long tasks may wait before machines are provisioned, and set the reserve for future tasks.
 type Params struct {
-	// SpotBacklogS is the time in seconds in which the machines should clear the demand, if spot machines serve it.
+	// SpotBacklogS is the time in seconds in which the machines should clear the demand, if spot machines serve it or
+	// it does not allow them.
 	SpotBacklogS float64
-	// OnDemandBacklogS is the same time if on-demand machines serve the demand.
+	// OnDemandBacklogS is the same time if on-demand machines serve a demand that allows spot machines.
 	OnDemandBacklogS float64
 	// ReserveRatio is the capacity that is kept in addition to the demand, relative to the demand.
 	ReserveRatio float64
@@ -135,8 +136,8 @@
 	return options, optionOf
 }
 
-// preferenceOrder returns the indexes of the machines in the order in which they serve the demand: the cheapest first,
-// and among these the ones with the highest load. The machines with the lowest load become idle soonest.
+// preferenceOrder returns the indexes of the machines in the order in which they serve the demand: the cheapest price
+// band first, and within a band the highest load first. The machines with the lowest load become idle soonest.
 func preferenceOrder(machines []Machine) []int {
 	order := make([]int, len(machines))
 	for i := range order {
--- a/internal/autoscaler/pool.go
+++ b/internal/autoscaler/pool.go
@@ -1,6 +1,6 @@
 package autoscaler
 
-// freeTolerance is the share of a machine below which it counts as fully assigned. It absorbs rounding errors.
+// freeTolerance is the free share below which a machine counts as fully assigned. It absorbs rounding errors.
 const freeTolerance = 1e-9
 
 // pool assigns the capacity of machines to demands in a fixed order of preference.
@@ -12,7 +12,8 @@
 	next     int       // position in the order before which all machines are fully assigned
 }
 
-// slotLimits are the total numbers of slots up to which a demand gets slots on spot machines and on on-demand machines.
+// slotLimits limits the slots of a demand. The demand gets slots on spot machines while its total is below spot, and on
+// on-demand machines while its total is below onDemand.
 type slotLimits struct{ spot, onDemand float64 }
 
 func (l slotLimits) forMachine(machine *Machine) float64 {
@@ -36,7 +37,7 @@
 // unused reports whether no capacity of a machine is assigned.
 func (p *pool) unused(machine int) bool { return p.free[machine] == 1 }
 
-// allocate assigns slots to a demand up to its limits, and returns the number of assigned slots. By option, slots is
+// allocate assigns slots to a demand up to its limits, and returns the number of assigned slots. slots has, by option,
 // the number of tasks of the demand that fit on one machine.
 func (p *pool) allocate(slots []int, limits slotLimits) (allocated slotCount) {
 	for position := p.next; position < len(p.order); position++ {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,5 @@
 // Package config loads and validates a controller's settings: the platform's file (JSON, type Settings) and the
-// operators' files (YAML, type Tuning), each of which overrides the ones before it. It derives from them the
+// operators' files (YAML, type Tuning), of which a later one overrides the earlier ones. It derives from them the
 // limits that the rest of the program observes (methods of Config) and generates the JSON Schema of the
 // operators' settings.
 //
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -5,8 +5,8 @@
 	bytesPerMB = 1 << 20
 )
 
-// Shares of the controller's socket quota. The last controller left has connections with every machine of the site
-// in both directions. The quota is therefore divided: most of it is for incoming connections, a fifth for direct
+// Shares of the controller's socket quota. A controller that runs alone has connections with every machine of the
+// site in both directions. The quota is therefore divided: most of it is for incoming connections, a fifth for direct
 // commands, and the rest for the store, the cloud, the other controllers and connections that are being closed.
 const (
 	minHTTPSockets        = 64
--- a/internal/failures/failures_test.go
+++ b/internal/failures/failures_test.go
@@ -11,8 +11,8 @@
 	return job.TaskFailed(now, machine, Failure{TaskIndex: index, Machine: name, Runtime: clock.Second})
 }
 
-// Failures of one job on one machine are no evidence against either. A job that fails on two machines is suspect. Its
-// failures make neither machine faulty, however many there are.
+// Failures of one job on one machine make neither the job suspect nor the machine faulty, however many there are. A job
+// that fails on two machines is suspect, and its failures make neither machine faulty.
 func TestSuspectJobIsNoEvidenceAgainstMachines(t *testing.T) {
 	var job Job
 	var a, b Machine
--- a/internal/failures/job.go
+++ b/internal/failures/job.go
@@ -75,10 +75,10 @@
 // NextProbeAt returns the earliest time for the next probe of a suspect job.
 func (j *Job) NextProbeAt() clock.Micros { return j.nextProbeAt }
 
-// Probes returns the number of probes started since the job became suspect.
+// Probes returns the number of probes dispatched since the job became suspect.
 func (j *Job) Probes() int { return max(0, j.backoffCount-1) }
 
-// ProbeStarted records that a task of a suspect job was started as a probe, and extends the backoff before the next
+// ProbeStarted records that a task of a suspect job is dispatched as a probe, and extends the backoff before the next
 // probe.
 func (j *Job) ProbeStarted(now clock.Micros) { j.extendBackoff(now) }
 
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -42,7 +42,7 @@
 		{"in an empty cluster", Candidate{Load: 0.2, TaskLoad: 0.1}, 0, false},
 	} {
 		if got := bound.Allows(c.candidate, c.mean); got != c.want {
-			t.Errorf("%s: the bound allows it: %v", c.name, got)
+			t.Errorf("%s: the bound allows the candidate: %v", c.name, got)
 		}
 	}
 	exceeding := Candidate{Load: 0.9, TaskLoad: 0.1}
--- a/internal/placement/auction.go
+++ b/internal/placement/auction.go
@@ -80,7 +80,8 @@
 	return list
 }
 
-// runBidding lets tasks bid until no task is outbid and the total weight changes by less than η.
+// runBidding lets tasks bid until no task is outbid. The comparison of the change of the total weight with η does not
+// end the bidding earlier.
 func (p *placer) runBidding(tasks []bidder, edges map[*Group]*edgeList, bidders []int) {
 	previousWeight := 0.0
 	for queue := bidders; len(queue) > 0; {
--- a/internal/placement/fallback.go
+++ b/internal/placement/fallback.go
@@ -5,7 +5,7 @@
 	"container/heap"
 )
 
-// fallback is a candidate machine for tasks without a machine with affinity above η.
+// fallback is a candidate machine for tasks that get no machine in the bidding.
 type fallback struct {
 	machine        int
 	unstartedTasks int
@@ -15,7 +15,7 @@
 }
 
 // compare orders fallbacks, the best first: by avoid rank, then by the number of unstarted tasks, then machines that
-// have the image or fetch it, which saves a fetch, then by free CPUs, the fewest first.
+// have the image or fetch it, which saves a fetch, then by free CPUs, the fewest first, then by index.
 func (f *fallback) compare(other *fallback) int {
 	if f.avoidRank != other.avoidRank {
 		return cmp.Compare(f.avoidRank, other.avoidRank)
@@ -77,7 +77,7 @@
 	}
 }
 
-// fallbacksOf returns the admitted machines for a group to which no task is assigned in this auction.
+// fallbacksOf returns the machines that admit a task of the group and have no task assigned in this auction.
 func (p *placer) fallbacksOf(group *Group) *fallbackHeap {
 	hasImage := p.machinesWithImage(group.Image)
 	candidates := make(fallbackHeap, 0, len(p.Machines))
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -19,7 +19,8 @@
 	// DecayRate is the parameter k: the decay rate of affinity per second, for each task that waits on the machine
 	// or has run there since the visit.
 	DecayRate float64
-	// Eta is η: affinity at or below it counts as zero, and bidding ends when the total weight changes by less.
+	// Eta is η: affinity at or below it counts as zero. The bidding also compares the change of the total weight
+	// with it.
 	Eta float64
 	// Epsilon is ε: the amount that each bid adds to a price beyond the difference of the two best profits.
 	Epsilon float64
--- a/internal/placement/placer.go
+++ b/internal/placement/placer.go
@@ -71,14 +71,14 @@
 // tasks that fit only on machines beyond the bound.
 func (p *placer) place(tasks []bidder) (matches []Match, beyondBound []bidder) {
 	for len(tasks) > 0 {
-		round := tasks[:min(len(tasks), len(p.Machines))]
-		p.auction(round)
+		auctioned := tasks[:min(len(tasks), len(p.Machines))]
+		p.auction(auctioned)
 		var unmatched []bidder
-		matches, unmatched = p.commitAuction(round, matches)
+		matches, unmatched = p.commitAuction(auctioned, matches)
 		// Free capacity only shrinks: a group that fits nowhere now fits nowhere later in this cycle, either.
 		fits := map[*Group]fit{}
 		p.findFits(unmatched, fits)
-		remaining := append(unmatched, tasks[len(round):]...)
+		remaining := append(unmatched, tasks[len(auctioned):]...)
 		tasks = slices.DeleteFunc(remaining, func(task bidder) bool {
 			groupFit, checked := fits[task.group]
 			if !checked {
@@ -95,9 +95,9 @@
 
 // commitAuction allocates resources to the tasks that an auction has assigned to machines. It returns the matches with
 // these tasks appended, and the tasks that were not assigned.
-func (p *placer) commitAuction(round []bidder, matches []Match) (_ []Match, unmatched []bidder) {
-	for i := range round {
-		task := &round[i]
+func (p *placer) commitAuction(auctioned []bidder, matches []Match) (_ []Match, unmatched []bidder) {
+	for i := range auctioned {
+		task := &auctioned[i]
 		if task.machine == none {
 			unmatched = append(unmatched, *task)
 			continue
@@ -121,7 +121,7 @@
 	}
 }
 
-// fit tells on which machines a group fits.
+// fit says whether a task of a group fits on any machine, and whether it does so within the load bound.
 type fit int
 
 const (
--- a/internal/rebalancer/reason.go
+++ b/internal/rebalancer/reason.go
@@ -38,7 +38,7 @@
 	NotWorthwhile    Reason = "costs more than it gains"
 )
 
-// Refusal counts the tasks that are not migrated off one machine for one reason.
+// Refusal counts the migrations off one machine, or off all machines, that are refused for one reason.
 type Refusal struct {
 	Machine string // "": all machines
 	Reason  Reason
--- a/internal/status/table.go
+++ b/internal/status/table.go
@@ -156,7 +156,7 @@
 	}
 }
 
-// writeSuspects shows the suspect jobs, whose tasks fail on every machine, if there are any.
+// writeSuspects shows the suspect jobs, whose tasks have failed on several machines, if there are any.
 func (t *table) writeSuspects(suspects []peer.SuspectStatus) {
 	if len(suspects) == 0 {
 		return
--- a/wire/cloud.go
+++ b/wire/cloud.go
@@ -9,7 +9,7 @@
 //	lowPrice    spot price
 //	readyS      nominal boot time
 //	paddocks    zones that offer the machine type
-//	hire        id of a provision request
+//	hire        ID of a provision request
 //	rigs        machines
 //	heldS       time since the provision request
 
--- a/wire/users.go
+++ b/wire/users.go
@@ -20,7 +20,7 @@
 //	stashS        time to save a checkpoint
 //	dueS          deadline
 
-// Priority is the priority of a job.
+// Priority says how important a job is.
 type Priority string
 
 // Priorities, highest first.
@@ -55,7 +55,7 @@
 	ShapeService Shape = "service"
 )
 
-// JobState is the state of a job that its user sees.
+// JobState is the state of a job as its user sees it.
 type JobState string
 
 // Job states. The last two are final.
@@ -89,8 +89,9 @@
 	CheckpointS float64  `json:"waypointS"`
 	SaveS       float64  `json:"stashS"`
 	DeadlineS   *float64 `json:"dueS"`
-	// FleetLoad is only sent between controllers. In an offer it is the mean load of the schedulable machines
-	// (internal/rebalancer). It is omitted when rebalancing is off, and versions that do not know it ignore it.
+	// FleetLoad is only sent between controllers. In an offer it is the mean load of the schedulable machines once
+	// the offered tasks are placed (internal/rebalancer). It is omitted when rebalancing is off, and versions that do
+	// not know it ignore it.
 	FleetLoad float64 `json:"-" msgpack:",omitempty"`
 }
 
