--- a/internal/leader/rebalancing.go
+++ b/internal/leader/rebalancing.go
@@ -35,7 +35,7 @@
 		Bound: bound, MigrateAbove: s.MigrateAbove, MinLoad: s.MinLoad, MigrationBudget: s.MigrationShare,
 		TeamShare:  s.TeamShare,
 		MinRuntime: clock.FromSeconds(s.MinRunS), Cooldown: clock.FromSeconds(s.TaskCooldownS),
-		LeaderWarmUp: clock.FromSeconds(s.LeaderCooldownS), Timeout: clock.FromSeconds(s.TimeoutS),
+		LeaderCooldown: clock.FromSeconds(s.LeaderCooldownS), Timeout: clock.FromSeconds(s.TimeoutS),
 	}
 	return &rebalancing{Rebalancer: rebalancer.New(params, now), bound: bound, fetches: load.NewFetchRates(),
 		interval: clock.FromSeconds(s.IntervalS), loggedInvalid: map[string]bool{}}
--- a/internal/rebalancer/plan_test.go
+++ b/internal/rebalancer/plan_test.go
@@ -28,7 +28,7 @@
 		reason Reason
 		change func(*Params, *testCluster)
 	}{
-		{LeaderChanged, func(p *Params, _ *testCluster) { p.LeaderWarmUp = afterWarmUp + 1 }},
+		{LeaderChanged, func(p *Params, _ *testCluster) { p.LeaderCooldown = afterWarmUp + 1 }},
 		{StaleView, func(_ *Params, c *testCluster) { c.view.Stale = true }},
 		{WorkWaiting, func(_ *Params, c *testCluster) { c.view.WorkWaiting = true }},
 		{MigrationBudgetSpent, func(p *Params, _ *testCluster) { p.MigrationBudget = 0 }},
--- a/internal/rebalancer/rebalancer.go
+++ b/internal/rebalancer/rebalancer.go
@@ -22,7 +22,7 @@
 	MinLoad         float64      // no task is migrated off a machine at or below this load
 	MinRuntime      clock.Micros // a task is not migrated before it has run this long, or if less run time remains
 	Cooldown        clock.Micros // minimum time between two migrations of a task
-	LeaderWarmUp    clock.Micros // no task is migrated for this long after a change of leader
+	LeaderCooldown  clock.Micros // no task is migrated for this long after a change of leader
 	MigrationBudget float64      // maximum migrations in flight, relative to the schedulable machines
 	TeamShare       float64      // maximum share of these for one team
 	Timeout         clock.Micros // a migration that has not ended after this time has failed
