--- a/internal/leader/rebalancing.go
+++ b/internal/leader/rebalancing.go
@@ -34,7 +34,7 @@
 	params := rebalancer.Params{
 		Bound: bound, MigrateAbove: s.MigrateAbove, MinLoad: s.MinLoad, MigrationBudget: s.MigrationShare,
 		TeamShare:  s.TeamShare,
-		MinRuntime: clock.FromSeconds(s.MinRunS), Cooldown: clock.FromSeconds(s.TaskCooldownS),
+		MinRuntime: clock.FromSeconds(s.MinRunS), TaskCooldown: clock.FromSeconds(s.TaskCooldownS),
 		LeaderCooldown: clock.FromSeconds(s.LeaderCooldownS), Timeout: clock.FromSeconds(s.TimeoutS),
 	}
 	return &rebalancing{Rebalancer: rebalancer.New(params, now), bound: bound, fetches: load.NewFetchRates(),
--- a/internal/rebalancer/cluster_test.go
+++ b/internal/rebalancer/cluster_test.go
@@ -30,7 +30,7 @@
 func testParams() Params {
 	return Params{
 		Bound:        load.Bound{MaxRelativeLoad: 1.5, ImbalanceCostS: 20},
-		MigrateAbove: 1.75, MinLoad: 0.1, MinRuntime: 30 * second, Cooldown: 120 * second,
+		MigrateAbove: 1.75, MinLoad: 0.1, MinRuntime: 30 * second, TaskCooldown: 120 * second,
 		LeaderCooldown: 20 * second, MigrationBudget: 0.02, TeamShare: 0.5, Timeout: 90 * second,
 	}
 }
--- a/internal/rebalancer/plan.go
+++ b/internal/rebalancer/plan.go
@@ -181,7 +181,7 @@
 		return RecentlyStarted
 	case task.RemainingS < p.params.MinRuntime.Seconds():
 		return AlmostDone
-	case migrated && p.now-migratedAt < p.params.Cooldown:
+	case migrated && p.now-migratedAt < p.params.TaskCooldown:
 		return RecentlyMigrated
 	case task.TeamAtLimit:
 		return TeamAtLimit
--- a/internal/rebalancer/property_test.go
+++ b/internal/rebalancer/property_test.go
@@ -25,7 +25,7 @@
 func drawSimulation(t *rapid.T) *simulation {
 	params := testParams()
 	params.MigrationBudget = rapid.SampledFrom([]float64{0.02, 0.1, 0.25}).Draw(t, "migration budget")
-	params.Cooldown = rapid.SampledFrom([]clock.Micros{0, 120 * second}).Draw(t, "pause")
+	params.TaskCooldown = rapid.SampledFrom([]clock.Micros{0, 120 * second}).Draw(t, "pause")
 	run := &simulation{testCluster: newTestCluster(), rebalancer: New(params, 0), now: afterWarmUp,
 		notMigratable: map[TaskID]bool{}, stopped: map[TaskID]Task{}, lastSources: map[TaskID]string{}}
 	run.sameSize = rapid.Bool().Draw(t, "same size")
@@ -62,7 +62,7 @@
 		if r.notMigratable[migration.Task] || !to.Schedulable || !from.Schedulable {
 			t.Fatalf("migration %+v is not allowed", migration)
 		}
-		if r.lastSources[migration.Task] == migration.To && r.rebalancer.params.Cooldown > 0 {
+		if r.lastSources[migration.Task] == migration.To && r.rebalancer.params.TaskCooldown > 0 {
 			t.Fatalf("task %s is migrated back to %s", migration.Task, migration.To)
 		}
 		r.lastSources[migration.Task] = migration.From
