--- a/internal/failures/failures_test.go
+++ b/internal/failures/failures_test.go
@@ -58,12 +58,12 @@
 	jobs := make([]Job, 3)
 	for i := range jobs {
 		if busy.Faulty() {
-			t.Errorf("the machine is faulty after failures of %d unknown jobs", i)
+			t.Errorf("the machine is faulty after failures of %d jobs with an unknown verdict", i)
 		}
 		failTask(&jobs[i], clock.Second, &busy, "u", 0)
 	}
 	if !busy.Faulty() {
-		t.Error("the machine is not faulty after failures of three unknown jobs")
+		t.Error("the machine is not faulty after failures of three jobs with an unknown verdict")
 	}
 	if soundJob.TaskCompleted(7, "u", &busy); busy.Faulty() {
 		t.Error("the machine is faulty after a completion")
--- a/internal/jsonhttp/jsonhttp_test.go
+++ b/internal/jsonhttp/jsonhttp_test.go
@@ -11,7 +11,7 @@
 )
 
 // The client sends a request without an answer only once.
-func TestHostClientNeverRepeats(t *testing.T) {
+func TestHostClientNeverRetries(t *testing.T) {
 	var requests atomic.Int32
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 		requests.Add(1)
--- a/internal/placement/auction.go
+++ b/internal/placement/auction.go
@@ -19,7 +19,7 @@
 
 // auction runs the paper's Algorithm 1 for at most as many tasks as machines. Tasks that the bidding leaves without a
 // machine are assigned by the fallback.
-func (p *placer) auction(tasks []bidder) {
+func (p *placer) auction(tasks []auctionTask) {
 	for i := range p.owner {
 		p.owner[i], p.price[i] = none, 0
 	}
@@ -51,7 +51,7 @@
 
 // selectBidders returns the edges of each group, and the tasks that bid. Of the tasks with the same edges, only as many
 // bid as there are edges. Further tasks could not win, and would only raise the prices in steps of ε.
-func (p *placer) selectBidders(tasks []bidder) (edgesByGroup map[*Group]*edgeList, bidders []int) {
+func (p *placer) selectBidders(tasks []auctionTask) (edgesByGroup map[*Group]*edgeList, bidders []int) {
 	edgesByGroup = map[*Group]*edgeList{}
 	listsByImage := map[string][]*edgeList{}
 	for i, task := range tasks {
@@ -82,7 +82,7 @@
 
 // runBidding lets tasks bid until no task is outbid. The comparison of the change of the total weight with η does not
 // end the bidding earlier.
-func (p *placer) runBidding(tasks []bidder, edges map[*Group]*edgeList, bidders []int) {
+func (p *placer) runBidding(tasks []auctionTask, edges map[*Group]*edgeList, bidders []int) {
 	previousWeight := 0.0
 	for queue := bidders; len(queue) > 0; {
 		var outbid []int
@@ -107,7 +107,7 @@
 
 // bid lets a task bid on the machine with the highest profit, which is the weight minus the price, and returns the task
 // that is outbid, or none. A machine without profit is no better than the fallback, and gets no bid.
-func (p *placer) bid(tasks []bidder, bidder int, edges []edge) (outbid int) {
+func (p *placer) bid(tasks []auctionTask, bidder int, edges []edge) (outbid int) {
 	bestProfit, secondProfit, machine := math.Inf(-1), math.Inf(-1), none
 	for _, e := range edges {
 		if profit := e.weight - p.price[e.machine]; profit > bestProfit {
--- a/internal/placement/auction_test.go
+++ b/internal/placement/auction_test.go
@@ -11,7 +11,7 @@
 )
 
 // randomAuction returns a random cycle with a few machines and image visits, and tasks for one auction.
-func randomAuction(seed uint64) (Cycle, []bidder) {
+func randomAuction(seed uint64) (Cycle, []auctionTask) {
 	random := rand.New(rand.NewPCG(seed, 7))
 	cycle := Cycle{History: NewVisitHistory(), Now: 100 * clock.Second,
 		Params: Params{DecayRate: 0.001, Eta: 0.05, Epsilon: 0.001, LoadOffset: 0.5}}
@@ -24,18 +24,18 @@
 		machine := cycle.Machines[random.IntN(len(cycle.Machines))].Name
 		cycle.History.RecordVisit(image, machine, clock.Micros(random.Int64N(int64(cycle.Now))))
 	}
-	var tasks []bidder
+	var tasks []auctionTask
 	for i := range 1 + random.IntN(len(cycle.Machines)) {
 		group := &Group{Job: fmt.Sprint(i), Image: fmt.Sprint("i", random.IntN(3)),
 			Request: load.Resources{CPUs: float64(random.IntN(3))}}
-		tasks = append(tasks, bidder{group, 0, none})
+		tasks = append(tasks, auctionTask{group, 0, none})
 	}
 	return cycle, tasks
 }
 
 // weightMatrix returns the weights of an auction by task and machine, computed by equation 4 of the paper. The weight
 // is 0 where there is no edge.
-func weightMatrix(cycle Cycle, tasks []bidder) [][]float64 {
+func weightMatrix(cycle Cycle, tasks []auctionTask) [][]float64 {
 	weights := make([][]float64, len(tasks))
 	for i, task := range tasks {
 		weights[i] = make([]float64, len(cycle.Machines))
--- a/internal/placement/fallback.go
+++ b/internal/placement/fallback.go
@@ -56,7 +56,7 @@
 }
 
 // assignFallbacks assigns each task that has no machine after the bidding to its best fallback.
-func (p *placer) assignFallbacks(tasks []bidder) {
+func (p *placer) assignFallbacks(tasks []auctionTask) {
 	byGroup := map[*Group]*fallbackHeap{}
 	for i := range tasks {
 		if tasks[i].machine != none {
--- a/internal/placement/loadbound.go
+++ b/internal/placement/loadbound.go
@@ -49,7 +49,7 @@
 
 // widenBound widens the bound so that the least loaded machine admits one of the tasks, which fit only on machines
 // beyond the bound.
-func (p *placer) widenBound(tasks []bidder) {
+func (p *placer) widenBound(tasks []auctionTask) {
 	leastLoaded := load.Candidate{Load: math.Inf(1)}
 	seen := map[*Group]bool{}
 	for _, task := range tasks {
--- a/internal/placement/loadbound_test.go
+++ b/internal/placement/loadbound_test.go
@@ -175,7 +175,7 @@
 
 // The bound is relative to the mean load of the fleet if that is known. Relative to the mean load of a shard's own few
 // machines, the bound would let the shard holder fill them.
-func TestFleetMeanBoundsAFullShard(t *testing.T) {
+func TestBoundIsRelativeToFleetMean(t *testing.T) {
 	place := func(fleetMean float64) string {
 		history := NewVisitHistory()
 		history.RecordVisit("a", "m0", 0)
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -70,7 +70,7 @@
 	group := &Group{Job: "a", TaskIndexes: []int{0, 1}, Image: "x", Request: load.Resources{CPUs: 1}}
 	matches := placeAll([]*Group{group}, machines, NewVisitHistory(), 0)
 	if len(matches) != 2 || matches[0].Machine != machines[3] || matches[1].Machine == machines[1] {
-		t.Errorf("placed %v, want m3 and then an idle machine", matches)
+		t.Errorf("placed %v, want m3 and then a machine without unstarted tasks", matches)
 	}
 }
 
--- a/internal/placement/placer.go
+++ b/internal/placement/placer.go
@@ -7,11 +7,11 @@
 	"swiftledge/internal/load"
 )
 
-// none is the index that stands for no machine and for no bidder.
+// none is the index that stands for no machine and for no task.
 const none = -1
 
-// bidder is one task in an auction.
-type bidder struct {
+// auctionTask is one task in an auction.
+type auctionTask struct {
 	group     *Group
 	taskIndex int
 	machine   int // index of the assigned machine, or none
@@ -21,7 +21,7 @@
 type placer struct {
 	Cycle
 	indexOf  map[string]int    // machine index by name
-	owner    []int             // by machine: index of its bidder in this auction, or none
+	owner    []int             // by machine: index of its task in this auction, or none
 	price    []float64         // by machine, in this auction
 	hasImage map[string][]bool // by image and machine: whether the image is known to be cached or being fetched
 	bound    load.Bound        // used only if Params.LoadBound is set
@@ -47,39 +47,39 @@
 // interleaveTasks returns the tasks of the groups in an order that gives each auction a share of every group. If the
 // groups came one after the other, each machine would get a task of each group, and would fetch several images at once
 // instead of one.
-func interleaveTasks(groups []*Group) []bidder {
+func interleaveTasks(groups []*Group) []auctionTask {
 	type ranked struct {
-		bidder
+		auctionTask
 		position float64 // within its group, from 0 to 1
 	}
 	var rankedTasks []ranked
 	for _, group := range groups {
 		for i, taskIndex := range group.TaskIndexes {
 			position := (float64(i) + 0.5) / float64(len(group.TaskIndexes))
-			rankedTasks = append(rankedTasks, ranked{bidder{group, taskIndex, none}, position})
+			rankedTasks = append(rankedTasks, ranked{auctionTask{group, taskIndex, none}, position})
 		}
 	}
 	slices.SortStableFunc(rankedTasks, func(a, b ranked) int { return cmp.Compare(a.position, b.position) })
-	tasks := make([]bidder, len(rankedTasks))
+	tasks := make([]auctionTask, len(rankedTasks))
 	for i, task := range rankedTasks {
-		tasks[i] = task.bidder
+		tasks[i] = task.auctionTask
 	}
 	return tasks
 }
 
 // place runs auctions until each task is placed or fits on no machine within the bound. It returns the matches, and the
 // tasks that fit only on machines beyond the bound.
-func (p *placer) place(tasks []bidder) (matches []Match, beyondBound []bidder) {
+func (p *placer) place(tasks []auctionTask) (matches []Match, beyondBound []auctionTask) {
 	for len(tasks) > 0 {
 		auctioned := tasks[:min(len(tasks), len(p.Machines))]
 		p.auction(auctioned)
-		var unmatched []bidder
+		var unmatched []auctionTask
 		matches, unmatched = p.commitAuction(auctioned, matches)
 		// Free capacity only shrinks: a group that fits nowhere now fits nowhere later in this cycle, either.
 		fits := map[*Group]fit{}
 		p.findFits(unmatched, fits)
 		remaining := append(unmatched, tasks[len(auctioned):]...)
-		tasks = slices.DeleteFunc(remaining, func(task bidder) bool {
+		tasks = slices.DeleteFunc(remaining, func(task auctionTask) bool {
 			groupFit, checked := fits[task.group]
 			if !checked {
 				return false
@@ -95,7 +95,7 @@
 
 // commitAuction allocates resources to the tasks that an auction has assigned to machines. It returns the matches with
 // these tasks appended, and the tasks that were not assigned.
-func (p *placer) commitAuction(auctioned []bidder, matches []Match) (_ []Match, unmatched []bidder) {
+func (p *placer) commitAuction(auctioned []auctionTask, matches []Match) (_ []Match, unmatched []auctionTask) {
 	for i := range auctioned {
 		task := &auctioned[i]
 		if task.machine == none {
@@ -131,7 +131,7 @@
 )
 
 // findFits adds the fits of the tasks' groups to the map. The caller provides the map, so that it stays off the heap.
-func (p *placer) findFits(tasks []bidder, fits map[*Group]fit) {
+func (p *placer) findFits(tasks []auctionTask, fits map[*Group]fit) {
 	for _, task := range tasks {
 		if _, known := fits[task.group]; !known {
 			fits[task.group] = p.fitOf(task.group)
--- a/internal/rebalancer/cluster_test.go
+++ b/internal/rebalancer/cluster_test.go
@@ -13,8 +13,8 @@
 
 const (
 	second = clock.Second
-	// afterWarmUp is a time at which neither the start of the term nor the start of a task prevents migrations.
-	afterWarmUp = 100 * second
+	// afterLeaderCooldown is a time at which neither the start of the term nor the start of a task prevents migrations.
+	afterLeaderCooldown = 100 * second
 )
 
 // TestMain fixes the seed of the property tests, so that every run draws the same cases.
--- a/internal/rebalancer/plan_test.go
+++ b/internal/rebalancer/plan_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestPlanMigratesOffTheFullestMachine(t *testing.T) {
-	migrations := New(testParams(), 0).Plan(afterWarmUp, imbalancedCluster().view)
+	migrations := New(testParams(), 0).Plan(afterLeaderCooldown, imbalancedCluster().view)
 	if len(migrations) != 1 || migrations[0].From != "m0" || migrations[0].To != "m1" || migrations[0].Task.Index != 0 {
 		t.Errorf("migrations %+v, want the first task from m0 to m1", migrations)
 	}
@@ -28,7 +28,7 @@
 		reason Reason
 		change func(*Params, *testCluster)
 	}{
-		{LeaderChanged, func(p *Params, _ *testCluster) { p.LeaderCooldown = afterWarmUp + 1 }},
+		{LeaderChanged, func(p *Params, _ *testCluster) { p.LeaderCooldown = afterLeaderCooldown + 1 }},
 		{StaleView, func(_ *Params, c *testCluster) { c.view.Stale = true }},
 		{WorkWaiting, func(_ *Params, c *testCluster) { c.view.WorkWaiting = true }},
 		{MigrationBudgetSpent, func(p *Params, _ *testCluster) { p.MigrationBudget = 0 }},
@@ -39,7 +39,7 @@
 		{InvalidResources, func(_ *Params, c *testCluster) { c.machines[0].Used.Memory = -1 }},
 		{OnlyTask, func(_ *Params, c *testCluster) { c.tasks["m0"] = c.tasks["m0"][:1] }},
 		{NoCheckpoints, changeTasks(func(t *Task) { t.Checkpoints = false })},
-		{RecentlyStarted, changeTasks(func(t *Task) { t.RunningSince = afterWarmUp - 30*second + 1 })},
+		{RecentlyStarted, changeTasks(func(t *Task) { t.RunningSince = afterLeaderCooldown - 30*second + 1 })},
 		{RecentlyStarted, changeTasks(func(t *Task) { t.RunningSince = 0 })},
 		{AlmostDone, changeTasks(func(t *Task) { t.RemainingS = 29 })},
 		{PlacementBound, changeTasks(func(t *Task) { t.PlacementBound = true })},
@@ -55,7 +55,7 @@
 			params, cluster := testParams(), imbalancedCluster()
 			c.change(&params, cluster)
 			r := New(params, 0)
-			if migrations := r.Plan(afterWarmUp, cluster.view); len(migrations) != 0 {
+			if migrations := r.Plan(afterLeaderCooldown, cluster.view); len(migrations) != 0 {
 				t.Errorf("migrations %+v, want none", migrations)
 			}
 			if !slices.ContainsFunc(r.Refusals(), func(refusal Refusal) bool { return refusal.Reason == c.reason }) {
@@ -69,12 +69,12 @@
 func TestPlanRespectsCooldown(t *testing.T) {
 	r, c := New(testParams(), 0), imbalancedCluster()
 	for _, task := range c.tasks["m0"] {
-		r.migratedAt[task.ID] = afterWarmUp - 120*second + 1
+		r.migratedAt[task.ID] = afterLeaderCooldown - 120*second + 1
 	}
-	if migrations := r.Plan(afterWarmUp, c.view); len(migrations) != 0 || r.Refusals()[0].Reason != RecentlyMigrated {
+	if migrations := r.Plan(afterLeaderCooldown, c.view); len(migrations) != 0 || r.Refusals()[0].Reason != RecentlyMigrated {
 		t.Errorf("migrations %+v and refusals %+v during the cooldown", migrations, r.Refusals())
 	}
-	if migrations := r.Plan(afterWarmUp+second, c.view); len(migrations) != 1 {
+	if migrations := r.Plan(afterLeaderCooldown+second, c.view); len(migrations) != 1 {
 		t.Errorf("migrations %+v after the cooldown, want one", migrations)
 	}
 }
@@ -84,14 +84,14 @@
 func TestPlanIgnoresUnschedulableMachines(t *testing.T) {
 	c := imbalancedCluster()
 	c.machines[0].Schedulable = false
-	if migrations := New(testParams(), 0).Plan(afterWarmUp, c.view); len(migrations) != 0 {
+	if migrations := New(testParams(), 0).Plan(afterLeaderCooldown, c.view); len(migrations) != 0 {
 		t.Errorf("migrations %+v off an unschedulable machine", migrations)
 	}
 	c = imbalancedCluster()
 	for _, machine := range c.machines[1:] {
 		machine.Schedulable = false
 	}
-	if migrations := New(testParams(), 0).Plan(afterWarmUp, c.view); len(migrations) != 0 {
+	if migrations := New(testParams(), 0).Plan(afterLeaderCooldown, c.view); len(migrations) != 0 {
 		t.Errorf("migrations %+v to unschedulable machines", migrations)
 	}
 }
--- a/internal/rebalancer/property_test.go
+++ b/internal/rebalancer/property_test.go
@@ -26,7 +26,7 @@
 	params := testParams()
 	params.MigrationBudget = rapid.SampledFrom([]float64{0.02, 0.1, 0.25}).Draw(t, "migration budget")
 	params.TaskCooldown = rapid.SampledFrom([]clock.Micros{0, 120 * second}).Draw(t, "pause")
-	run := &simulation{testCluster: newTestCluster(), rebalancer: New(params, 0), now: afterWarmUp,
+	run := &simulation{testCluster: newTestCluster(), rebalancer: New(params, 0), now: afterLeaderCooldown,
 		notMigratable: map[TaskID]bool{}, stopped: map[TaskID]Task{}, lastSources: map[TaskID]string{}}
 	run.sameSize = rapid.Bool().Draw(t, "same size")
 	for i := range rapid.IntRange(2, 40).Draw(t, "machines") {
@@ -97,7 +97,7 @@
 	case Stopping:
 		if rapid.Bool().Draw(t, "stopped") {
 			r.stopped[migration.Task] = r.stopTask(r.machine(migration.From), migration.Task)
-			r.rebalancer.AttemptTerminated(afterWarmUp, migration.Task)
+			r.rebalancer.AttemptTerminated(afterLeaderCooldown, migration.Task)
 		}
 	case Terminated:
 		if task, ok := r.stopped[migration.Task]; ok && rapid.Bool().Draw(t, "starts") {
--- a/internal/rebalancer/rebalancer.go
+++ b/internal/rebalancer/rebalancer.go
@@ -21,7 +21,7 @@
 	MigrateAbove    float64      // tasks are migrated off machines above this multiple of the mean load
 	MinLoad         float64      // no task is migrated off a machine at or below this load
 	MinRuntime      clock.Micros // a task is not migrated before it has run this long, or if less run time remains
-	TaskCooldown    clock.Micros // minimum time between two migrations of a task
+	TaskCooldown    clock.Micros // minimum time between the starts of two migrations of a task
 	LeaderCooldown  clock.Micros // no task is migrated for this long after a change of leader
 	MigrationBudget float64      // maximum migrations in flight, relative to the schedulable machines
 	TeamShare       float64      // maximum share of these for one team
--- a/internal/rebalancer/rebalancer_test.go
+++ b/internal/rebalancer/rebalancer_test.go
@@ -8,18 +8,18 @@
 // preferred machine only once its old attempt is gone.
 func TestMigrationStages(t *testing.T) {
 	r, c := New(testParams(), 0), imbalancedCluster()
-	migration := r.Plan(afterWarmUp, c.view)[0]
+	migration := r.Plan(afterLeaderCooldown, c.view)[0]
 	task := migration.Task
 	if r.PreferredMachine(task) != "" {
 		t.Error("the task has a preferred machine before its old attempt is gone")
 	}
-	if more := r.Plan(afterWarmUp+second, c.view); len(more) != 0 || r.Refusals()[0].Reason != MachineMigrating {
+	if more := r.Plan(afterLeaderCooldown+second, c.view); len(more) != 0 || r.Refusals()[0].Reason != MachineMigrating {
 		t.Errorf("migrations %+v and refusals %+v while a migration is in flight", more, r.Refusals())
 	}
 	if _, ended := r.TaskRunning(task, "m3"); ended {
-		t.Error("the migration ended before its old attempt was gone")
+		t.Error("the migration ended before the task's old attempt was gone")
 	}
-	r.AttemptTerminated(afterWarmUp, task)
+	r.AttemptTerminated(afterLeaderCooldown, task)
 	if r.PreferredMachine(task) != migration.To {
 		t.Errorf("the preferred machine is %q, want %q", r.PreferredMachine(task), migration.To)
 	}
@@ -29,7 +29,7 @@
 		t.Errorf("outcomes are %+v, want 1 started and 1 diverted, and no migration of the task", r.Outcomes())
 	}
 	c.startTask(c.machine("m2"), c.stopTask(c.machine("m0"), task))
-	for _, next := range r.Plan(afterWarmUp+2*second, c.view) {
+	for _, next := range r.Plan(afterLeaderCooldown+2*second, c.view) {
 		if next.Task == task {
 			t.Error("the task is migrated again within the cooldown")
 		}
@@ -39,7 +39,7 @@
 // A migration ends when its job ends, and when it times out.
 func TestCancelledAndTimedOutMigrations(t *testing.T) {
 	r, c := New(testParams(), 0), imbalancedCluster()
-	task := r.Plan(afterWarmUp, c.view)[0].Task
+	task := r.Plan(afterLeaderCooldown, c.view)[0].Task
 	r.JobEnded("j-000002")
 	if !isMigrating(r, task) {
 		t.Error("the end of another job ended the migration")
@@ -49,11 +49,11 @@
 		t.Errorf("outcomes are %+v, and %d migration times are kept after the job ended", r.Outcomes(), len(r.migratedAt))
 	}
 	r, c = New(testParams(), 0), imbalancedCluster()
-	task = r.Plan(afterWarmUp, c.view)[0].Task
-	if timedOut := r.Expire(afterWarmUp + 90*second); len(timedOut) != 0 {
+	task = r.Plan(afterLeaderCooldown, c.view)[0].Task
+	if timedOut := r.Expire(afterLeaderCooldown + 90*second); len(timedOut) != 0 {
 		t.Error("the migration timed out too early")
 	}
-	timedOut := r.Expire(afterWarmUp + 90*second + 1)
+	timedOut := r.Expire(afterLeaderCooldown + 90*second + 1)
 	if len(timedOut) != 1 || isMigrating(r, task) || r.Outcomes().TimedOut != 1 {
 		t.Errorf("migrations %+v timed out, outcomes are %+v", timedOut, r.Outcomes())
 	}
