--- a/internal/load/bound.go
+++ b/internal/load/bound.go
@@ -3,9 +3,9 @@
 // minWidening is the minimum factor by which a bound grows when it is widened.
 const minWidening = 1.05
 
-// Bound limits the load that a machine may reach by taking a task to a multiple of the mean load, as in consistent
-// hashing with bounded loads. A saved fetch raises the limit: a machine that has cached the task's image may have a
-// higher load, by the imbalance that the fetch is worth.
+// Bound limits the load of a machine, including a task that it would take, to a multiple of the mean load, as in
+// consistent hashing with bounded loads. A saved fetch raises the limit: a machine that has cached the task's image may
+// have a higher load, by the imbalance that the fetch is worth.
 type Bound struct {
 	// MaxRelativeLoad is the maximum load, as a multiple of the mean load.
 	MaxRelativeLoad float64
@@ -28,8 +28,8 @@
 	return candidate.Load <= max(limit, candidate.TaskLoad)+tolerance
 }
 
-// Widened returns a bound that allows the candidate, which exceeds this one. The candidate should be the least loaded
-// one, so that the bound grows no more than necessary.
+// Widened returns a bound that allows the candidate, which is beyond b. The candidate should be the least loaded one,
+// so that the bound grows no more than necessary.
 func (b Bound) Widened(candidate Candidate, mean float64) Bound {
 	b.MaxRelativeLoad = max(b.MaxRelativeLoad*minWidening, candidate.Load/mean)
 	return b
