--- a/internal/failures/failures_test.go
+++ b/internal/failures/failures_test.go
@@ -11,8 +11,8 @@
 	return job.TaskFailed(now, machine, Failure{TaskIndex: index, Machine: name, Runtime: clock.Second})
 }
 
-// Failures of one job on one machine are no evidence against either. A job that fails on two machines is suspect. Its
-// failures make neither machine faulty, however many there are.
+// Failures of one job on one machine make neither the job suspect nor the machine faulty, however many there are. A job
+// that fails on two machines is suspect, and its failures make neither machine faulty.
 func TestSuspectJobIsNoEvidenceAgainstMachines(t *testing.T) {
 	var job Job
 	var a, b Machine
@@ -58,12 +58,12 @@
 	jobs := make([]Job, 3)
 	for i := range jobs {
 		if busy.Faulty() {
-			t.Errorf("the machine is faulty after failures of %d unknown jobs", i)
+			t.Errorf("the machine is faulty after failures of %d jobs with an unknown verdict", i)
 		}
 		failTask(&jobs[i], clock.Second, &busy, "u", 0)
 	}
 	if !busy.Faulty() {
-		t.Error("the machine is not faulty after failures of three unknown jobs")
+		t.Error("the machine is not faulty after failures of three jobs with an unknown verdict")
 	}
 	if soundJob.TaskCompleted(7, "u", &busy); busy.Faulty() {
 		t.Error("the machine is faulty after a completion")
--- a/internal/rebalancer/cluster_test.go
+++ b/internal/rebalancer/cluster_test.go
@@ -13,8 +13,8 @@
 
 const (
 	second = clock.Second
-	// afterWarmUp is a time at which neither the start of the term nor the start of a task prevents migrations.
-	afterWarmUp = 100 * second
+	// afterLeaderCooldown is a time at which neither the start of the term nor the start of a task prevents migrations.
+	afterLeaderCooldown = 100 * second
 )
 
 // TestMain fixes the seed of the property tests, so that every run draws the same cases.
@@ -30,8 +30,8 @@
 func testParams() Params {
 	return Params{
 		Bound:        load.Bound{MaxRelativeLoad: 1.5, ImbalanceCostS: 20},
-		MigrateAbove: 1.75, MinLoad: 0.1, MinRuntime: 30 * second, Cooldown: 120 * second,
-		LeaderWarmUp: 20 * second, MigrationBudget: 0.02, TeamShare: 0.5, Timeout: 90 * second,
+		MigrateAbove: 1.75, MinLoad: 0.1, MinRuntime: 30 * second, TaskCooldown: 120 * second,
+		LeaderCooldown: 20 * second, MigrationBudget: 0.02, TeamShare: 0.5, Timeout: 90 * second,
 	}
 }
 
