--- a/internal/leader/fairshare/policy.go
+++ b/internal/leader/fairshare/policy.go
@@ -18,8 +18,8 @@
 	CompletionSLO map[string]float64
 	// StartWithinS is the number of seconds within which every job should start.
 	StartWithinS float64
-	// LeastShare is the minimum share of a team's usage for each class, and for the jobs that have waited long.
-	LeastShare float64
+	// MinShare is the minimum share of a team's usage for each class, and for the jobs that have waited long.
+	MinShare float64
 }
 
 // PassTime is the time of a scheduling pass.
@@ -37,7 +37,7 @@
 		if q == nil {
 			team := p.Teams[j.Spec.Team]
 			team.Name = j.Spec.Team
-			q = &TeamQueue{team: team, usage: usage, leastShare: p.LeastShare, cpusByClass: map[string]float64{}}
+			q = &TeamQueue{team: team, usage: usage, leastShare: p.MinShare, cpusByClass: map[string]float64{}}
 			byTeam[j.Spec.Team] = q
 		}
 		age := (pass.TimeOfDay - j.AcceptedAt).Seconds()
--- a/internal/leader/fairshare/queue_test.go
+++ b/internal/leader/fairshare/queue_test.go
@@ -114,7 +114,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			usage := NewUsage()
-			queues := Policy{Teams: teams, StartWithinS: 600, LeastShare: 0}.Queues(PassTime{}, newTable(c.jobs...), usage)
+			queues := Policy{Teams: teams, StartWithinS: 600, MinShare: 0}.Queues(PassTime{}, newTable(c.jobs...), usage)
 			got := dispatchOrder(queues, usage)
 			if len(got) != len(c.want) {
 				t.Fatalf("turns %v, want %v", got, c.want)
@@ -132,7 +132,7 @@
 func TestServicesLeaveMinimumShare(t *testing.T) {
 	service := newJob("j-1", func(s *wire.Job) { s.Shape, s.Tasks = wire.ShapeService, 20 })
 	batch := newJob("j-2", nil)
-	policy := Policy{Teams: map[string]config.Team{"red": {Name: "red", CPUsMax: 10}}, StartWithinS: 600, LeastShare: 0.2}
+	policy := Policy{Teams: map[string]config.Team{"red": {Name: "red", CPUsMax: 10}}, StartWithinS: 600, MinShare: 0.2}
 	usage := NewUsage()
 	q := policy.Queues(PassTime{}, newTable(service, batch), usage)[0]
 	if !q.ServiceFits(&service.Spec, 7) || q.ServiceFits(&service.Spec, 8) || !q.ServiceFits(&batch.Spec, 8) {
--- a/internal/leader/schedule.go
+++ b/internal/leader/schedule.go
@@ -153,7 +153,7 @@
 // queues returns the teams' waiting jobs in the order of their turns.
 func (l *Leader) queues(now clock.Micros) []*fairshare.TeamQueue {
 	policy := fairshare.Policy{Teams: l.teams, CompletionSLO: l.completionSLO,
-		StartWithinS: l.cfg.Tuning.Queues.StartTargetS, LeastShare: l.cfg.Tuning.Queues.MinShare}
+		StartWithinS: l.cfg.Tuning.Queues.StartTargetS, MinShare: l.cfg.Tuning.Queues.MinShare}
 	return policy.Queues(fairshare.PassTime{Now: now, TimeOfDay: now + l.wallOffset}, l.jobs, l.usage)
 }
 
