--- a/internal/leader/assignment/assignment.go
+++ b/internal/leader/assignment/assignment.go
@@ -1,6 +1,6 @@
 // Package assignment decides which controller holds the lease of which shard. It owns the leader's knowledge of the
-// shard holders and of which controllers are fit to hold shards. Its input is the state of both and the time, its
-// output the shards whose holder has changed. It does no I/O, writes no keys and grants no shards: the leader does
+// shard holders and of which controllers are fit to hold shards. Its input is the shards, the controllers and the time,
+// its output the shards whose holder has changed. It does no I/O, writes no keys and grants no shards: the leader does
 // that.
 package assignment
 
@@ -15,9 +15,10 @@
 const MinConnectedTime = clock.Second
 
 const (
-	// storeRefusalTolerance is how long the store may refuse a controller before the controller gets no shards.
+	// storeRefusalTolerance is how long the store may refuse a controller before the controller loses its shards and
+	// gets no others.
 	storeRefusalTolerance = 3 * clock.Second
-	// noAgentContactBackoff is how long a controller gets no shards after it reported that no agent contacted it.
+	// noAgentContactBackoff is how long a controller holds no shards after it reported that no agent contacted it.
 	noAgentContactBackoff = 30 * clock.Second
 )
 
@@ -50,7 +51,7 @@
 	ConnectedAt       clock.Micros
 	NoAgentContactAt  clock.Micros // last report that no agent contacts it; 0 if never
 	StoreRefusedSince clock.Micros // start of the store's refusals; 0 if it is not refused
-	trialAssignedAt   clock.Micros // time of the last assignment on trial
+	trialAssignedAt   clock.Micros // when rebalancing last moved a shard to it
 	takeoverUntil     clock.Micros // end of its work for the last shard taken over
 }
 
@@ -72,8 +73,8 @@
 	Capacity    Capacity
 }
 
-// Assign finds holders for shards without one, and rebalances shards if there are none. It returns the shards whose
-// holder has changed, and the shards whose attempts must be read although no controller can take them.
+// Assign finds holders for shards that need one. If no holder changes, it rebalances the shards. It returns the shards
+// whose holder has changed, and the shards whose attempts must be read although no controller can take them.
 func Assign(r Round) []*Shard {
 	a := &assigner{Round: r, eligible: eligible(r), shardCounts: map[string]int{}}
 	a.distribute(a.returnToFormerHolders(a.unassigned()))
@@ -184,7 +185,8 @@
 		return
 	}
 	for _, s := range a.Shards {
-		// A grant through the store may take longer than the leases of the shard's agents last.
+		// A grant through the store may take longer than the leases of the shard's agents last. So a controller hands
+		// shards over to one that is linked through the store only if it has more than it can serve.
 		if c.ViaStore && a.shardCounts[s.Holder] <= a.Capacity.serviceableShards(len(a.Shards)) {
 			continue
 		}
@@ -194,7 +196,8 @@
 		a.shardCounts[s.Holder]--
 		a.assign(s, holder)
 		c.trialAssignedAt = a.Now
-		// A controller that had no contact to agents first gets a single shard on trial.
+		// A controller that had no contact to agents gets a single shard at a time on trial, and so does one that is
+		// linked through the store.
 		if onTrial || c.ViaStore {
 			return
 		}
--- a/internal/leader/assignment/capacity.go
+++ b/internal/leader/assignment/capacity.go
@@ -10,7 +10,8 @@
 	// takeoverCoreSeconds is the processor time to take over one machine: its agent connects, sends a heartbeat,
 	// receives the new fencing token, sends another heartbeat, and receives its commands.
 	takeoverCoreSeconds = 0.0003
-	// takeoversPerLease is the minimum number of shards that a controller takes over within one agent lease.
+	// takeoversPerLease is the number of shards that every controller may take over within one agent lease, however
+	// small its processor share.
 	takeoversPerLease = 16
 )
 
--- a/internal/leader/catalog.go
+++ b/internal/leader/catalog.go
@@ -14,8 +14,8 @@
 	if len(types) == 0 {
 		return
 	}
-	sameMachines := func(a, b wire.MachineType) bool { return a.Name == b.Name && a.CPUs == b.CPUs }
-	unchanged := slices.EqualFunc(types, l.autoscaler.catalog, sameMachines)
+	sameType := func(a, b wire.MachineType) bool { return a.Name == b.Name && a.CPUs == b.CPUs }
+	unchanged := slices.EqualFunc(types, l.autoscaler.catalog, sameType)
 	l.setTypes(types)
 	if unchanged {
 		return
--- a/internal/leader/demand.go
+++ b/internal/leader/demand.go
@@ -189,7 +189,8 @@
 	}
 }
 
-// recentArrivals sums up the recently accepted services by shape and returns the number of seconds that they span.
+// recentArrivals sums up the recently accepted services by shape and returns the number of seconds that they span, but
+// at least minArrivalWindowS.
 func (l *Leader) recentArrivals(now clock.Micros) (arrivals []*arrivalStats, windowS float64) {
 	byShape := map[jobs.TaskShape]*arrivalStats{}
 	oldestS := 0.0
--- a/internal/leader/failure_attribution.go
+++ b/internal/leader/failure_attribution.go
@@ -108,8 +108,8 @@
 	return suspects
 }
 
-// hasStableReplica reports whether a replica of a service has run stably. A replica that then fails on another machine
-// is attributed to that machine.
+// hasStableReplica reports whether a replica of a service has run stably. If so, failures of the service's replicas are
+// attributed to their machines.
 func (l *Leader) hasStableReplica(now clock.Micros, job *jobs.Job) (stable bool) {
 	l.eachDispatched(job, func(_ peer.Task, task *grantedTask) {
 		stable = stable || task.running && now-task.runningSince > jobs.StableAfter
--- a/internal/leader/failure_attribution_test.go
+++ b/internal/leader/failure_attribution_test.go
@@ -82,9 +82,10 @@
 	}
 }
 
-// A machine that the cloud lists as running but whose agent never reports is given up. Machines that do not come up
-// increase the expected boot delay of their option until one comes up.
-func TestBootingMachinesAreGivenUp(t *testing.T) {
+// A machine that the cloud lists as running but whose agent never sends a heartbeat is removed, and so is one that
+// stays listed as starting. Machines that do not come up increase the expected boot delay of their option until one
+// comes up.
+func TestMachinesThatDoNotBootAreRemoved(t *testing.T) {
 	l := newGrantedLeader(t, nil)
 	silent, booting, healthy := l.inventory.machines[machineNames[0]], l.inventory.machines[machineNames[1]], l.inventory.machines[machineNames[2]]
 	for _, m := range []*machine{silent, booting, healthy} {
@@ -108,7 +109,7 @@
 		{startTime + 10*bootTimeout, healthy, removalNone},
 	} {
 		if reason := l.removalReason(c.at, c.m, shardSilence{up: 3, silent: 1}); reason != c.want {
-			t.Errorf("%s after %.0f s: reason to give up is %q, want %q", c.m.name, (c.at - startTime).Seconds(), reason, c.want)
+			t.Errorf("%s after %.0f s: removal reason is %q, want %q", c.m.name, (c.at - startTime).Seconds(), reason, c.want)
 		}
 	}
 	l.machinesToRemove(startTime + bootTimeout + clock.Second)
--- a/internal/leader/fairshare/order.go
+++ b/internal/leader/fairshare/order.go
@@ -6,15 +6,15 @@
 
 // jobOrder is the sort key of a job within its team.
 type jobOrder struct {
-	late         bool // it can no longer meet its deadline
+	late         bool // it can no longer complete by its deadline or, without one, within the SLO of its class
 	priorityRank int  // rank of its priority, 0 for the most important
 	// With a deadline: seconds until the latest start that meets it. Without one: seconds of remaining work.
 	slack float64
 	age   float64
 }
 
-// compare orders jobs that can still meet their deadline before those that cannot, then by priority, then by slack,
-// then by submission time.
+// compare orders jobs that can still complete in time before those that cannot, then by priority, then by slack, then
+// by submission time.
 func (o jobOrder) compare(other jobOrder) int {
 	return cmp.Or(
 		falseFirst(o.late, other.late),
@@ -28,7 +28,7 @@
 type teamOrder struct {
 	startOverdue   bool    // one of its jobs has not started in time; such a team goes first
 	overGuarantee  bool    // its next task would exceed its guarantee
-	priorityRank   int     // priority rank of its most important job
+	priorityRank   int     // priority rank of the first job in its queue
 	guaranteeInUse float64 // used processors as a share of the guaranteed ones
 }
 
--- a/internal/leader/fairshare/policy.go
+++ b/internal/leader/fairshare/policy.go
@@ -37,7 +37,7 @@
 		if q == nil {
 			team := p.Teams[j.Spec.Team]
 			team.Name = j.Spec.Team
-			q = &TeamQueue{team: team, usage: usage, leastShare: p.MinShare, cpusByClass: map[string]float64{}}
+			q = &TeamQueue{team: team, usage: usage, minShare: p.MinShare, cpusByClass: map[string]float64{}}
 			byTeam[j.Spec.Team] = q
 		}
 		age := (pass.TimeOfDay - j.AcceptedAt).Seconds()
@@ -102,7 +102,7 @@
 }
 
 // order returns the sort key of a job in its team's queue. For a job without a deadline, lateness is judged by the
-// completion SLO of its class.
+// completion SLO of its class. Jobs of production and high priority never count as late.
 func (p Policy) order(age float64, j *jobs.Job, table *jobs.Table) jobOrder {
 	s := &j.Spec
 	dueS := math.Inf(1)
--- a/internal/leader/fairshare/queue.go
+++ b/internal/leader/fairshare/queue.go
@@ -21,10 +21,10 @@
 
 // TeamQueue holds the waiting jobs of one team in order, for one scheduling pass.
 type TeamQueue struct {
-	team       config.Team
-	usage      *Usage
-	leastShare float64
-	entries    []*entry
+	team     config.Team
+	usage    *Usage
+	minShare float64
+	entries  []*entry
 	// preemptors are the waiting jobs that may preempt other tasks.
 	preemptors []*jobs.Job
 	// cpusByClass is the processors used by each class, and by the jobs that have waited long under longWaiting.
@@ -63,7 +63,7 @@
 // services use serviceCPUs processors. It is always true for a job that is no service.
 func (q *TeamQueue) ServiceFits(job *wire.Job, serviceCPUs float64) bool {
 	return !job.IsService() || !q.hasOtherJobs ||
-		serviceCPUs+job.CPUs <= q.team.CPULimit()*(1-q.leastShare)+tolerance
+		serviceCPUs+job.CPUs <= q.team.CPULimit()*(1-q.minShare)+tolerance
 }
 
 // next returns the job whose turn it is, and whether the turn covers a single task. The sort order alone would starve
@@ -77,13 +77,13 @@
 			return e, true
 		}
 	}
-	var checked []string // a small set of classes
+	var checked []string // a short list, as there are few classes
 	isBelowShare := func(class string) bool {
 		if slices.Contains(checked, class) {
 			return false
 		}
 		checked = append(checked, class)
-		return q.cpusByClass[class] < q.leastShare*q.Usage().CPUs
+		return q.cpusByClass[class] < q.minShare*q.Usage().CPUs
 	}
 	for _, e := range q.entries {
 		if isBelowShare(e.job.Spec.Class) || e.waitedLong && isBelowShare(longWaiting) {
--- a/internal/leader/fairshare/queue_test.go
+++ b/internal/leader/fairshare/queue_test.go
@@ -48,7 +48,7 @@
 	}
 	first, second := newEntry("a", false, true), newEntry("b", false, true)
 	waitedLong, unstarted := newEntry("a", true, true), newEntry("a", true, false)
-	q := &TeamQueue{team: config.Team{Name: "red"}, usage: usageOf("red", 100), leastShare: 0.1,
+	q := &TeamQueue{team: config.Team{Name: "red"}, usage: usageOf("red", 100), minShare: 0.1,
 		entries: []*entry{first, second, waitedLong, unstarted}, cpusByClass: map[string]float64{"a": 60, "b": 30, longWaiting: 30}}
 	for _, c := range []struct {
 		name   string
@@ -136,7 +136,7 @@
 	usage := NewUsage()
 	q := policy.Queues(PassTime{}, newTable(service, batch), usage)[0]
 	if !q.ServiceFits(&service.Spec, 7) || q.ServiceFits(&service.Spec, 8) || !q.ServiceFits(&batch.Spec, 8) {
-		t.Error("services may not use exactly 8 of 10 processors")
+		t.Error("limit of services is not exactly 8 of the 10 processors")
 	}
 	servicesOnly := policy.Queues(PassTime{}, newTable(service), usage)[0]
 	if !servicesOnly.ServiceFits(&service.Spec, 9) {
--- a/internal/leader/free_capacity.go
+++ b/internal/leader/free_capacity.go
@@ -14,7 +14,7 @@
 // that was too full for a shape of task is not checked for that shape again.
 type freeCapacity struct {
 	now      clock.Micros
-	machines []*machine // sorted ascending by reserveRank, price per CPU and free CPUs
+	machines []*machine // sorted ascending by placementRank, price per CPU and free CPUs
 	byImage  map[string][]*machine
 	skipped  map[candidateKey]int // number of machines at the head of each list that are too full
 	bound    *loadBound           // nil: no load bound applies
@@ -82,7 +82,7 @@
 		}
 	}
 	slices.SortFunc(capacity.machines, func(a, b *machine) int {
-		if order := cmp.Compare(a.reserveRank(), b.reserveRank()); order != 0 {
+		if order := cmp.Compare(a.placementRank(), b.placementRank()); order != 0 {
 			return order
 		}
 		if order := cmp.Compare(pricePerCPU(a), pricePerCPU(b)); order != 0 {
@@ -94,7 +94,7 @@
 		return cmp.Compare(a.name, b.name)
 	})
 	for _, m := range capacity.machines {
-		if m.reserveRank() > 0 {
+		if m.placementRank() > 0 {
 			continue
 		}
 		for _, image := range m.state.Images {
@@ -119,9 +119,9 @@
 	return m.freeCPUs+1e-9 >= spec.CPUs && m.freeGPUs+1e-9 >= spec.GPUs && m.freeMemory+1e-9 >= spec.MemoryGB
 }
 
-// reserveRank ranks machines by how late tasks are placed on them: 0 for machines in normal use, 1 for deprioritized
+// placementRank ranks machines by how late tasks are placed on them: 0 for machines in normal use, 1 for deprioritized
 // and 2 for cordoned ones.
-func (m *machine) reserveRank() int {
+func (m *machine) placementRank() int {
 	switch {
 	case m.cordoned:
 		return 2
@@ -140,7 +140,8 @@
 		(len(spec.Types) == 0 || slices.Contains(spec.Types, m.option.Type.Name))
 }
 
-// firstFit returns the first machine of a list that can take a task of the job, or nil.
+// firstFit returns the first machine of a list that can take a task of the job and on which none of its tasks has
+// failed, or nil.
 func (c *freeCapacity) firstFit(list []*machine, key candidateKey, job *jobs.Job) *machine {
 	spec := &job.Spec
 	for i := c.skipped[key]; i < len(list); i++ {
@@ -179,7 +180,7 @@
 	spec := &job.Spec
 	leastLoad := 0.0
 	for _, m := range c.machines {
-		if _, failed := job.Failures.FailedOn(m.name); failed || m.reserveRank() > 0 || !m.fits(spec) ||
+		if _, failed := job.Failures.FailedOn(m.name); failed || m.placementRank() > 0 || !m.fits(spec) ||
 			!m.allowed(c.now, job) {
 			continue
 		}
--- a/internal/leader/inventory.go
+++ b/internal/leader/inventory.go
@@ -16,7 +16,7 @@
 	unconfirmed map[string]bool
 
 	groups     map[string]*instanceGroup // by key
-	requestSeq int                       // sequence number of the latest provision request
+	requestSeq int                       // sequence number of the latest group created in this term
 	// unansweredRequests are the keys of the records of former leaders' provision requests without a stored answer.
 	unansweredRequests map[string]bool
 
@@ -42,7 +42,8 @@
 	return n
 }
 
-// instanceGroup is a provision request and the machines that it brought, with their durable record.
+// instanceGroup is a provision request and the machines that it brought, or a set of discovered machines, with their
+// durable record.
 type instanceGroup struct {
 	key          string
 	keyVersion   uint64
--- a/internal/leader/job_lifecycle.go
+++ b/internal/leader/job_lifecycle.go
@@ -144,7 +144,7 @@
 	}
 }
 
-// replicaStopped records that a replica has ended and must run again elsewhere.
+// replicaStopped records that a replica has ended and must run again.
 func (l *Leader) replicaStopped(now clock.Micros, job *jobs.Job, event peer.TaskEvent, task *grantedTask) {
 	attempt := jobs.ReplicaAttempt{Task: event.Index, Running: task.running, RunningSince: task.runningSince,
 		Inherited: task.inherited,
--- a/internal/leader/jobs/job.go
+++ b/internal/leader/jobs/job.go
@@ -43,7 +43,8 @@
 	spot               bool
 }
 
-// New returns a job without waiting tasks. The caller first loads which tasks have completed and which may run.
+// New returns a job without waiting tasks. EnqueueAll queues its tasks, and so does FinishLoading once the stored
+// completions are loaded.
 func New(spec wire.Job, acceptedAt clock.Micros, keyVersion uint64) *Job {
 	return &Job{
 		Spec: spec, AcceptedAt: acceptedAt, KeyVersion: keyVersion,
@@ -156,7 +157,7 @@
 // DispatchedTasks returns the tasks in shard grants, in no particular order.
 func (j *Job) DispatchedTasks() iter.Seq[int] { return maps.Keys(j.dispatched) }
 
-// WasDispatched reports whether a task of the job was ever dispatched.
+// WasDispatched reports whether a task of the job is dispatched or has completed.
 func (j *Job) WasDispatched() bool { return j.completed > 0 || len(j.dispatched) > 0 }
 
 // Running returns how many tasks are running.
@@ -202,7 +203,8 @@
 	return j.unservedSince > 0 && now-j.unservedSince > unservedLimit
 }
 
-// Cancel marks the job as cancelled. Its failures no longer count against machines.
+// Cancel marks the job as cancelled. Unless the job is known to be sound, its failures no longer count against
+// machines.
 func (j *Job) Cancel() {
 	j.cancelled = true
 	j.Failures.Cancel()
--- a/internal/leader/jobs/pages.go
+++ b/internal/leader/jobs/pages.go
@@ -44,9 +44,10 @@
 	p.pages = append(p.pages, page)
 	for _, storedChunk := range stored.Record.Chunks {
 		j := table.Get(storedChunk.Job)
-		// A service has no progress, even if an older version treated it as a batch job and stored some.
+		// The chunk of a finished job is obsolete. A service has no progress, even if an older version treated it as a
+		// batch job and stored some.
 		if j == nil || j.Spec.IsService() || storedChunk.Chunk < 0 || storedChunk.Chunk >= len(j.progress) {
-			page.dirty = true // the job is finished
+			page.dirty = true // the next write of the page drops the chunk
 			continue
 		}
 		id := chunkID{j, storedChunk.Chunk}
@@ -99,8 +100,8 @@
 	return writes
 }
 
-// placeDirtyChunks marks the pages that hold changed chunks of the job as dirty. A finishing job needs no more
-// progress writes.
+// placeDirtyChunks places changed chunks of the job that are on no page yet, and marks the pages of all changed chunks
+// as dirty. A finishing job needs no more progress writes.
 func (p *ProgressPages) placeDirtyChunks(j *Job, maxValueBytes int) {
 	for i := range j.progress {
 		c := &j.progress[i]
--- a/internal/leader/jobs/replica.go
+++ b/internal/leader/jobs/replica.go
@@ -31,8 +31,8 @@
 	Cause        string
 }
 
-// ReplicaEnded records that a replica has ended and must run again elsewhere. A replica that keeps exiting by itself
-// waits longer each time. ReplicaEnded reports whether the replica was up until now.
+// ReplicaEnded records that a replica has ended and must run again. A replica that keeps exiting by itself waits longer
+// each time. ReplicaEnded reports whether the replica was up until now.
 func (j *Job) ReplicaEnded(now clock.Micros, attempt ReplicaAttempt) (wasUp bool) {
 	r := j.replicas[attempt.Task]
 	if r == nil {
--- a/internal/leader/jobs/table.go
+++ b/internal/leader/jobs/table.go
@@ -23,7 +23,7 @@
 }
 
 const (
-	// minRunTimeSamples is the number of run times from which on the ratio of a class is used.
+	// minRunTimeSamples is the number of run times that must be known before the ratio of a class is used.
 	minRunTimeSamples = 5
 	// maxRunTimeSamples is the approximate number of run times over which the ratio of a class averages.
 	maxRunTimeSamples = 50
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -68,7 +68,7 @@
 	return now < l.jobsViewedAt+l.cfg.MaxViewAge().MinusDrift()
 }
 
-// handleEvent handles a message that is no answer to a request of this term.
+// handleEvent handles a message that does not depend on the requests of this term.
 func (l *Leader) handleEvent(now clock.Micros, message event) {
 	switch m := message.(type) {
 	case PeerConnected:
--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -147,7 +147,8 @@
 	}
 }
 
-// newGrantedLeader returns a leader whose shards are granted and whose machines are all up and empty.
+// newGrantedLeader returns a leader whose shards are granted and whose machines are all up and report no tasks. pages
+// are the attempt pages of the first machine's shard.
 func newGrantedLeader(t *testing.T, pages map[string]peer.AttemptPage) *Leader {
 	t.Helper()
 	l := newLeader(t)
--- a/internal/leader/limits_test.go
+++ b/internal/leader/limits_test.go
@@ -28,8 +28,8 @@
 	return 0, false
 }
 
-// Each agent that restarts takes a fencing token. With thousands of machines a term needs more tokens than its
-// counter bits can hold, and a leader that resigned because of that would do so again and again.
+// Each agent that restarts may cause a new grant, which takes a fencing token. With thousands of machines a term needs
+// more tokens than its counter bits can hold, and a leader that resigned because of that would do so again and again.
 func TestTokensSurviveCounterOverflow(t *testing.T) {
 	l := newLeader(t)
 	now, revision, lastToken := startTime, uint64(20), wire.FencingToken(0)
--- a/internal/leader/load_bound.go
+++ b/internal/leader/load_bound.go
@@ -31,7 +31,7 @@
 // takesWork reports whether new tasks should be placed on the machine: it is schedulable, and the autoscaler is not
 // emptying it. Rebalancing neither counts nor fills a machine that the autoscaler wants to be empty, so that the two
 // do not work against each other.
-func (m *machine) takesWork() bool { return m.schedulable() && m.reserveRank() == 0 }
+func (m *machine) takesWork() bool { return m.schedulable() && m.placementRank() == 0 }
 
 // loadBound bounds the free capacity that one scheduling pass offers by the load of the machines.
 type loadBound struct {
@@ -71,7 +71,7 @@
 	if b == nil {
 		return true
 	}
-	if m.reserveRank() > 0 {
+	if m.placementRank() > 0 {
 		return false
 	}
 	candidate := load.Candidate{Load: m.loadWith(spec), TaskLoad: resourcesOf(spec).DominantShare(m.capacity())}
@@ -87,7 +87,7 @@
 	m.freeCPUs -= spec.CPUs
 	m.freeGPUs -= spec.GPUs
 	m.freeMemory -= spec.MemoryGB
-	if b != nil && m.reserveRank() == 0 {
+	if b != nil && m.placementRank() == 0 {
 		b.mean.Update(before.DominantShare(m.capacity()), m.usedWithOffers().DominantShare(m.capacity()))
 	}
 }
--- a/internal/leader/machine_choice.go
+++ b/internal/leader/machine_choice.go
@@ -32,7 +32,7 @@
 	if m := capacity.firstFit(capacity.machines, all, job); m != nil {
 		return m, ""
 	}
-	// A machine on which the job failed is better than none.
+	// A machine on which a task of the job failed is better than none.
 	for _, m := range capacity.machines {
 		if _, failed := job.Failures.FailedOn(m.name); failed && m.fits(spec) && m.allowed(capacity.now, job) {
 			return m, ""
--- a/internal/leader/machine_removal.go
+++ b/internal/leader/machine_removal.go
@@ -25,7 +25,7 @@
 const (
 	// minMissingLists is the number of consecutive machine lists that must lack a machine for it to count as gone.
 	minMissingLists = 3
-	// unlistedGrace is how long, beyond the lag of machine lists, an idle machine may be missing from them.
+	// unlistedGrace is how long, beyond three times the lag of machine lists, an idle machine may be missing from them.
 	unlistedGrace = 10 * clock.Second
 )
 
--- a/internal/leader/machines.go
+++ b/internal/leader/machines.go
@@ -71,8 +71,8 @@
 			lease := l.shardOfMachine(state.Name)
 			lease.orders.Terminated = append(lease.orders.Terminated, state.Name)
 		} else if state.Type != "" && state.TokenConfirmed {
-			// A machine that is only reported may come from a delayed copy of a heartbeat of a machine deleted long
-			// ago. One that confirmed our fencing token exists, and so does one that a machine list has.
+			// A report alone may stem from a delayed heartbeat of a machine that was deleted long ago. A machine that
+			// has confirmed a fencing token of this term exists, and so does one in a machine list.
 			l.inventory.discovered[state.Name] = wire.Machine{
 				Name: state.Name, Type: state.Type, Zone: state.Zone, Spot: state.Spot,
 			}
@@ -104,7 +104,8 @@
 	}
 }
 
-// checkpointTasks stops the tasks that can save their progress before their machine ends.
+// checkpointTasks stops the tasks of a machine that ends soon if they can save their progress. At a preemption notice
+// it also stops the replicas of services that find free capacity elsewhere.
 func (l *Leader) checkpointTasks(now clock.Micros, m *machine) {
 	lease := m.shard
 	var capacity *freeCapacity
@@ -192,7 +193,7 @@
 	}
 }
 
-// markTerminated removes a machine whose end is proven from the inventory and tells its holder.
+// markTerminated removes a machine from the inventory, as its end is proven, and tells its holder.
 func (l *Leader) markTerminated(name string) {
 	delete(l.inventory.machines, name)
 	l.inventory.terminated[name] = true
--- a/internal/leader/messages.go
+++ b/internal/leader/messages.go
@@ -142,7 +142,8 @@
 	return false
 }
 
-// event is a message that is handled only while the controller leads.
+// event is a message that does not depend on the requests of a certain term. It is handled only while the controller
+// leads.
 //
 //sumtype:decl
 type event interface {
--- a/internal/leader/preemption.go
+++ b/internal/leader/preemption.go
@@ -98,8 +98,8 @@
 	}
 }
 
-// findLongRunning finds the jobs whose tasks run long after their start. Only these are preempted for anything but
-// production work.
+// findLongRunning finds the jobs with long-running tasks: services, and jobs whose tasks run longer than
+// minBootTimesLeft usual boot times. Only their tasks are preempted for anything but production work.
 func (p *preemptionPass) findLongRunning() {
 	p.longRunning = map[string]float64{}
 	for job := range p.leader.jobs.All() {
@@ -220,8 +220,8 @@
 
 // mayPreempt reports whether a claim allows a task to be preempted. Production work preempts any task of lower
 // priority. Other work only preempts long-running tasks on borrowed capacity: those of lower priority, and, for a
-// guarantee, those of equal priority that save checkpoints. It does not make other tasks of equal priority repeat
-// their work, although the protocol would allow that.
+// guarantee, those of equal priority of other teams that save checkpoints. It does not make other tasks of equal
+// priority repeat their work, although the protocol would allow that.
 func (p *preemptionPass) mayPreempt(c claim, v *victim) bool {
 	switch {
 	case c.ownTasksOnly && v.granted.team != c.team:
--- a/internal/leader/process_pause_test.go
+++ b/internal/leader/process_pause_test.go
@@ -31,7 +31,7 @@
 }
 
 // A detected process pause reports what expired during it.
-func TestProcessPauseReportsExpiredLeases(t *testing.T) {
+func TestProcessPauseReportsWhatExpired(t *testing.T) {
 	l := newLeader(t)
 	l.Step(startTime+clock.Second, Tick{})
 	l.authorityEnds = startTime + 3*clock.Second
--- a/internal/leader/proofs_test.go
+++ b/internal/leader/proofs_test.go
@@ -103,7 +103,8 @@
 	}
 }
 
-// After a failed condition on a shard's key, only reading the key shows which leader wrote it.
+// After a failed condition on a shard's key, only reading the key shows whether the write was applied by an earlier
+// attempt.
 func TestShardKeyIsReadAfterFailedCondition(t *testing.T) {
 	for _, isOwnWrite := range []bool{true, false} {
 		l := newLeader(t)
--- a/internal/leader/rebalancing_test.go
+++ b/internal/leader/rebalancing_test.go
@@ -115,7 +115,7 @@
 // migrated.
 func TestNoTaskIsMigratedWhileTasksWait(t *testing.T) {
 	waiting := wire.Job{Ref: "j-000003", Team: "red", Priority: wire.PriorityBestEffort, Tasks: 1, CPUs: 1, MemoryGB: 1,
-		Types: []string{"not to be had"}, Spot: true, EstimateS: 10}
+		Types: []string{"no-such-type"}, Spot: true, EstimateS: 10}
 	l := newUnbalancedLeader(t, true)
 	l.addJob(JobRecord{Spec: waiting}, 31).EnqueueAll()
 	if got, _ := collectStops(l); len(got) != 0 || l.rebalancing.Refusals()[0].Reason != rebalancer.WorkWaiting {
--- a/internal/leader/rebalancing_view.go
+++ b/internal/leader/rebalancing_view.go
@@ -32,7 +32,7 @@
 		if byMachine == nil {
 			byMachine = l.tasksByMachine()
 		}
-		return l.plannerTasks(now, byMachine[m.Name], atLimit)
+		return l.rebalancerTasks(now, byMachine[m.Name], atLimit)
 	}
 	return view
 }
@@ -67,8 +67,8 @@
 	granted *grantedTask
 }
 
-// tasksByMachine returns the granted tasks by the machine that they are on. It ignores a machine that a holder names
-// although it belongs to another shard.
+// tasksByMachine returns the granted tasks by the machine that they are on. It ignores tasks that a holder reports on a
+// machine of another shard.
 func (l *Leader) tasksByMachine() map[string][]placedTask {
 	byMachine := map[string][]placedTask{}
 	for _, lease := range l.shards.all {
@@ -81,20 +81,20 @@
 	return byMachine
 }
 
-// plannerTasks describes a machine's tasks to the rebalancer, in a fixed order.
-func (l *Leader) plannerTasks(now clock.Micros, tasks []placedTask, atLimit map[string]bool) []rebalancer.Task {
+// rebalancerTasks describes a machine's tasks to the rebalancer, in a fixed order.
+func (l *Leader) rebalancerTasks(now clock.Micros, tasks []placedTask, atLimit map[string]bool) []rebalancer.Task {
 	var described []rebalancer.Task
 	for _, t := range tasks {
 		if job := l.jobs.Get(t.id.Job); job != nil {
-			described = append(described, l.plannerTask(now, t.id, t.granted, job, atLimit[t.granted.team]))
+			described = append(described, l.rebalancerTask(now, t.id, t.granted, job, atLimit[t.granted.team]))
 		}
 	}
 	slices.SortFunc(described, rebalancer.Task.Compare)
 	return described
 }
 
-// plannerTask describes a task to the rebalancer.
-func (l *Leader) plannerTask(
+// rebalancerTask describes a task to the rebalancer.
+func (l *Leader) rebalancerTask(
 	now clock.Micros, t peer.Task, task *grantedTask, job *jobs.Job, atLimit bool,
 ) rebalancer.Task {
 	spec := &job.Spec
--- a/internal/leader/reconcile.go
+++ b/internal/leader/reconcile.go
@@ -37,7 +37,7 @@
 		l.adoptDiscovered()
 	}
 	l.reconcileInstanceGroups(now)
-	// Capacity is planned with the remaining machines also while many machines are lost or the cloud does not answer.
+	// Capacity is planned with the remaining machines even while many machines are lost or the cloud does not answer.
 	unwanted := l.machinesToRemove(now)
 	for _, name := range unwanted {
 		l.inventory.machines[name].deleting = true
@@ -135,8 +135,8 @@
 	maxMachinesPerDeletion = 100
 )
 
-// deleteMachines deletes as many of the named machines as one deletion may name. The others are left for a later
-// reconciliation.
+// deleteMachines deletes as many of the named machines as one deletion may name, or none while maxDeletions are in
+// flight. The others are left for a later reconciliation.
 func (l *Leader) deleteMachines(names []string) {
 	sent := 0
 	if len(names) > 0 && l.inventory.deletionsInFlight < maxDeletions {
@@ -171,7 +171,7 @@
 	}
 }
 
-// adopt records an instance group for discovered machines of one type, zone and price class.
+// adopt records an instance group for discovered machines of one type and zone, all spot or all on-demand.
 func (l *Leader) adopt(kind wire.ProvisionRequest, names []string) {
 	l.inventory.requestSeq++
 	group := &instanceGroup{
--- a/internal/leader/reconcile_test.go
+++ b/internal/leader/reconcile_test.go
@@ -13,8 +13,8 @@
 	"swiftledge/wire"
 )
 
-// A machine that is only reported may be an artifact of a delayed message. It is not added to the inventory before
-// the cloud lists it or it has confirmed a holder's fencing token.
+// A report of an unknown machine may stem from a delayed message. The machine is not added to the inventory before the
+// cloud lists it or it has confirmed a holder's fencing token.
 func TestUnconfirmedMachineIsNotDiscovered(t *testing.T) {
 	l := newLeader(t)
 	state := peer.MachineState{Name: "host-000900", Type: "small", Zone: "a"}
@@ -32,7 +32,7 @@
 	l := newLeader(t)
 	l.machineReported(startTime, peer.MachineState{Name: machineNames[0], Terminated: true})
 	if l.inventory.machines[machineNames[0]] != nil || !l.inventory.terminated[machineNames[0]] || l.inventory.machines[machineNames[1]] == nil {
-		t.Error("inventory does not lack exactly the deleted machine")
+		t.Error("not exactly the deleted machine was removed from the inventory")
 	}
 }
 
@@ -172,9 +172,9 @@
 	}
 }
 
-// Machine lists that contradict each other, or that lack a machine for long, do not cost a machine that runs tasks
-// and reports. An idle machine is given up once no list contains it any more, and a silent machine soon.
-func TestBusyMachineIsNotGivenUpBecauseOfLists(t *testing.T) {
+// Machine lists that contradict each other, or that lack a machine for long, do not cost a machine that runs tasks and
+// reports. An idle machine is removed once it has been missing from the lists for long, and a silent machine sooner.
+func TestBusyMachineIsNotRemovedBecauseOfLists(t *testing.T) {
 	l := newGrantedLeader(t, nil)
 	busy, idle, silent := l.inventory.machines[machineNames[0]], l.inventory.machines[machineNames[1]], l.inventory.machines[machineNames[2]]
 	all := []wire.Machine{{Name: busy.name, State: wire.MachineRunning}, {Name: idle.name, State: wire.MachineRunning},
@@ -198,7 +198,7 @@
 		want removalReason
 	}{{busy, removalNone}, {idle, removalUnlisted}, {silent, removalUnlisted}} {
 		if reason := l.removalReason(at, c.m, shardSilence{up: 2, silent: 2}); reason != c.want {
-			t.Errorf("%s: reason to give up is %q, want %q", c.m.name, reason, c.want)
+			t.Errorf("%s: removal reason is %q, want %q", c.m.name, reason, c.want)
 		}
 	}
 }
--- a/internal/leader/scaling.go
+++ b/internal/leader/scaling.go
@@ -124,8 +124,8 @@
 const unansweredTimeout = 10 * clock.Second
 
 // applyExclusions tells the shard holders which machines to exclude from their auctions. Cordoned machines are not
-// worth their price and get no work at all. Deprioritized machines only exceed the demand and get work once the others
-// have no free capacity.
+// worth their price and get only services and jobs that have waited too long. Deprioritized machines only exceed the
+// demand and get work once the others have no free capacity.
 //
 // While the cloud does not answer, nothing cheaper can be provisioned, so cordoned machines are only deprioritized.
 func (l *Leader) applyExclusions(decision autoscaler.Decision, cloudUnavailable bool) {
--- a/internal/leader/schedule.go
+++ b/internal/leader/schedule.go
@@ -56,7 +56,7 @@
 	positions map[offerKey]int // position of each offer among the offers to its shard
 }
 
-// offerInTurns offers tasks, one turn after the other, until no queue with a turn left finds free capacity.
+// offerInTurns offers tasks, one turn after the other, until no team has a waiting job whose tasks find free capacity.
 func (l *Leader) offerInTurns(now clock.Micros, queues []*fairshare.TeamQueue, capacity *freeCapacity) {
 	round := &offerRound{Leader: l, now: now, capacity: capacity, positions: map[offerKey]int{}}
 	for {
@@ -112,8 +112,7 @@
 	return offered
 }
 
-// includeInScheduling has the shard holder offer the machine to tasks again if the machine is excluded from
-// scheduling.
+// includeInScheduling orders the shard holder to include the machine in its auctions again if it is excluded from them.
 func (m *machine) includeInScheduling() {
 	if m.excluded {
 		m.deprioritized, m.excluded = false, false
@@ -129,7 +128,7 @@
 
 // mayOfferMore reports whether a machine may get more than the first task of a turn.
 func (o *offerRound) mayOfferMore(m *machine, spec *wire.Job) bool {
-	return m.reserveRank() > 0 || o.capacity.bound.allows(m, spec)
+	return m.placementRank() > 0 || o.capacity.bound.allows(m, spec)
 }
 
 // offer adds a task to the offers to the shard of a machine, bound to a zone if one is given.
--- a/internal/leader/service_test.go
+++ b/internal/leader/service_test.go
@@ -66,7 +66,7 @@
 	}
 }
 
-// A machine on which replicas of a service fail that run well elsewhere is faulty.
+// A machine is faulty if replicas of a service fail on it while another replica runs well elsewhere.
 func TestMachineThatFailsReplicasIsDrained(t *testing.T) {
 	page := peer.AttemptPage{Machines: machineNames[:1], Groups: []peer.AttemptGroup{{Job: testJob.Ref, Team: "red", CPUs: 1, Attempts: []int{0, 1, 0}}}}
 	l := newGrantedLeader(t, map[string]peer.AttemptPage{"p": page})
--- a/internal/leader/settings.go
+++ b/internal/leader/settings.go
@@ -8,10 +8,10 @@
 	self    string      // the name of this controller
 	storeOK func() bool // reports whether this controller reaches the store
 	teams   map[string]config.Team
-	// completionSLO has by class the number of seconds within which its jobs are expected to complete.
+	// completionSLO maps a class to the number of seconds within which its jobs are expected to complete.
 	completionSLO map[string]float64
-	// startSLO has by class the number of seconds within which its tasks are expected to start. Its jobs are services,
-	// which never complete.
+	// startSLO maps a class of services, which never complete, to the number of seconds within which its tasks are
+	// expected to start.
 	startSLO map[string]float64
 }
 
--- a/internal/leader/shard_assignment_test.go
+++ b/internal/leader/shard_assignment_test.go
@@ -141,7 +141,7 @@
 	}
 }
 
-// When a controller reconnects, the lone controller hands over all shards beyond its part together: one after the
+// When a controller reconnects, the lone controller hands over all shards beyond its even share together: one after the
 // other, each would take an overloaded leader a second or more.
 func TestShardsMoveTogetherToReconnectedController(t *testing.T) {
 	l := newLeaderWithShards(t, 0.029, 500, []string{"n0", "n0", "n0", "n0", "n0", "n0"})
--- a/internal/leader/shard_grants.go
+++ b/internal/leader/shard_grants.go
@@ -30,8 +30,8 @@
 
 // hasTokens reports whether this term may issue that many more fencing tokens. Every write of this term is conditional
 // on its leader key, so a later term is a later store revision than any at which such a write succeeded. The count may
-// therefore overflow its bits up to the tokens of that revision. Each shard grant written raises the bound by
-// thousands of tokens, so a term does not run out of them.
+// therefore overflow its bits until it reaches the tokens of the revision after the last of these. Each transaction
+// that writes shard keys raises the bound by thousands of tokens, so a term does not run out of them.
 func (l *Leader) hasTokens(more int) bool {
 	first := uint64(l.term) << tokenBits
 	return first+l.shards.tokensIssued+uint64(more) < (max(uint64(l.term), l.highestRevision)+1)<<tokenBits
@@ -81,7 +81,8 @@
 			l.emit(LoadAttempts{l.term, id, token})
 			continue
 		}
-		// Only an earlier write of this term whose answer was lost can have changed the key.
+		// Only a write of this term whose answer was lost can have changed the key. It may be an earlier attempt of
+		// this one.
 		l.emit(ReadKey{l.term, shard.Key(id), tag})
 	}
 }
@@ -201,8 +202,8 @@
 	return task
 }
 
-// shardKeyRead handles the read of a shard's key after a conflict: it finds out whether an earlier write of the key by
-// this leader was applied.
+// shardKeyRead handles the read of a shard's key after a write of it that was not reported as committed. The key has
+// the fencing token of that write if an attempt without an answer was applied.
 func (l *Leader) shardKeyRead(tag shardsTag, m KeyRead) {
 	for _, id := range slices.Sorted(maps.Keys(tag.tokens)) {
 		lease, token := l.shards.all[id], tag.tokens[id]
--- a/internal/leader/shard_table.go
+++ b/internal/leader/shard_table.go
@@ -108,7 +108,7 @@
 type leaseState int
 
 const (
-	unassigned leaseState = iota // no holder in this term
+	unassigned leaseState = iota // no holder in this term, or its holder needs a new grant
 	writing                      // its key is being written
 	reading                      // its attempt records are being read
 	granted
