--- a/internal/leader/assignment/assignment.go
+++ b/internal/leader/assignment/assignment.go
@@ -51,7 +51,7 @@
 	ConnectedAt       clock.Micros
 	NoAgentContactAt  clock.Micros // last report that no agent contacts it; 0 if never
 	StoreRefusedSince clock.Micros // start of the store's refusals; 0 if it is not refused
-	trialAssignedAt   clock.Micros // when rebalancing last moved a shard to it
+	lastShardMovedAt  clock.Micros // when rebalancing last moved a shard to it
 	takeoverUntil     clock.Micros // end of its work for the last shard taken over
 }
 
@@ -181,7 +181,7 @@
 	holder := a.leastLoaded()
 	c := a.Controllers[holder]
 	onTrial := c.NoAgentContactAt > 0
-	if a.Now-c.ConnectedAt <= MinConnectedTime || onTrial && a.Now-c.trialAssignedAt < noAgentContactBackoff/2 {
+	if a.Now-c.ConnectedAt <= MinConnectedTime || onTrial && a.Now-c.lastShardMovedAt < noAgentContactBackoff/2 {
 		return
 	}
 	for _, s := range a.Shards {
@@ -195,7 +195,7 @@
 		}
 		a.shardCounts[s.Holder]--
 		a.assign(s, holder)
-		c.trialAssignedAt = a.Now
+		c.lastShardMovedAt = a.Now
 		// A controller that had no contact to agents gets a single shard at a time on trial, and so does one that is
 		// linked through the store.
 		if onTrial || c.ViaStore {
--- a/internal/leader/free_capacity.go
+++ b/internal/leader/free_capacity.go
@@ -77,7 +77,7 @@
 		m.freeCPUs, m.freeGPUs, m.freeMemory = m.state.CPUs, m.state.GPUs, m.state.MemoryGB
 		if capacity.isOfferable(m) {
 			capacity.machines = append(capacity.machines, m)
-		} else if capacity.bound != nil && m.takesWork() && m.state.CPUs > 0 {
+		} else if capacity.bound != nil && m.acceptsNewTasks() && m.state.CPUs > 0 {
 			capacity.pending = append(capacity.pending, m)
 		}
 	}
--- a/internal/leader/jobs/progress.go
+++ b/internal/leader/jobs/progress.go
@@ -92,7 +92,7 @@
 	size     int // approximate, in bytes
 	dirty    bool
 	inFlight bool // a write or read is in flight
-	// pendingMoves counts the chunks that this page gives up and that are not stored elsewhere yet. The page is not
+	// pendingMoves counts the chunks that this page must drop and that are not stored elsewhere yet. The page is not
 	// written while there are any.
 	pendingMoves int
 }
--- a/internal/leader/load_bound.go
+++ b/internal/leader/load_bound.go
@@ -28,10 +28,10 @@
 	return m.capacity().Minus(load.Resources{CPUs: m.state.CPUs, GPUs: m.state.GPUs, Memory: m.state.MemoryGB})
 }
 
-// takesWork reports whether new tasks should be placed on the machine: it is schedulable, and the autoscaler is not
-// emptying it. Rebalancing neither counts nor fills a machine that the autoscaler wants to be empty, so that the two
-// do not work against each other.
-func (m *machine) takesWork() bool { return m.schedulable() && m.placementRank() == 0 }
+// acceptsNewTasks reports whether new tasks should be placed on the machine, that is, whether it is schedulable and the
+// autoscaler is not emptying it. Rebalancing neither counts nor fills a machine that the autoscaler wants to be empty,
+// so that the two do not work against each other.
+func (m *machine) acceptsNewTasks() bool { return m.schedulable() && m.placementRank() == 0 }
 
 // loadBound bounds the free capacity that one scheduling pass offers by the load of the machines.
 type loadBound struct {
@@ -40,7 +40,7 @@
 	mean    load.Mean
 }
 
-// newLoadBound returns the load bound of a new scheduling pass, over the machines that take work, or nil while
+// newLoadBound returns the load bound of a new scheduling pass, over the machines that accept new tasks, or nil while
 // rebalancing is off.
 func (l *Leader) newLoadBound() *loadBound {
 	if l.rebalancing == nil {
@@ -48,7 +48,7 @@
 	}
 	bound := &loadBound{bound: l.rebalancing.bound, fetches: l.rebalancing.fetches}
 	for _, m := range l.inventory.machines {
-		if m.takesWork() {
+		if m.acceptsNewTasks() {
 			bound.mean.Add(m.load())
 		}
 	}
--- a/internal/leader/rebalancing_view.go
+++ b/internal/leader/rebalancing_view.go
@@ -21,7 +21,7 @@
 			continue
 		}
 		entry := &rebalancer.Machine{Name: name, Type: m.option.Type.Name, Capacity: m.capacity(), Used: m.used(),
-			Schedulable: m.takesWork(), OfferPending: m.shard.offerPending, Images: m.state.Images}
+			Schedulable: m.acceptsNewTasks(), OfferPending: m.shard.offerPending, Images: m.state.Images}
 		if m.state.Type != m.option.Type.Name {
 			entry.Capacity = load.Resources{} // the machine is not of the type that was provisioned
 		}
--- a/internal/leader/reconcile_test.go
+++ b/internal/leader/reconcile_test.go
@@ -172,8 +172,9 @@
 	}
 }
 
-// Machine lists that contradict each other, or that lack a machine for long, do not cost a machine that runs tasks and
-// reports. An idle machine is removed once it has been missing from the lists for long, and a silent machine sooner.
+// Machine lists that contradict each other, or that lack a machine for long, do not cause the removal of a machine that
+// runs tasks and sends heartbeats. An idle machine is removed once it has been missing from the lists for long, and a
+// silent machine sooner.
 func TestBusyMachineIsNotRemovedBecauseOfLists(t *testing.T) {
 	l := newGrantedLeader(t, nil)
 	busy, idle, silent := l.inventory.machines[machineNames[0]], l.inventory.machines[machineNames[1]], l.inventory.machines[machineNames[2]]
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -52,7 +52,7 @@
 		}
 		status := &statuses[m.shard.ID]
 		status.Machines++
-		if !m.takesWork() {
+		if !m.acceptsNewTasks() {
 			continue
 		}
 		status.SchedulableMachines++
@@ -83,7 +83,7 @@
 func (l *Leader) machineStatus(m *machine, mean float64) peer.MachineStatus {
 	status := peer.MachineStatus{
 		Name: m.name, Shard: m.shard.ID, Type: m.option.Type.Name, Zone: m.option.Zone, Load: m.load(),
-		Tasks: m.state.Tasks, Schedulable: m.takesWork(), UnschedulableReason: m.exclusionReason(),
+		Tasks: m.state.Tasks, Schedulable: m.acceptsNewTasks(), UnschedulableReason: m.exclusionReason(),
 	}
 	if mean > 0 {
 		status.RelativeLoad = status.Load / mean
