--- a/internal/leader/autoscaler_state.go
+++ b/internal/leader/autoscaler_state.go
@@ -24,5 +24,6 @@
 	}
 }
 
-// capacityRefusal is how long an option is not requested after the cloud lacked capacity for it.
+// capacityRefusal records until when an option is not requested because the cloud lacked capacity for it, and the
+// backoff that led to this time.
 type capacityRefusal struct{ retryAt, backoff clock.Micros }
--- a/internal/leader/holder_messages.go
+++ b/internal/leader/holder_messages.go
@@ -11,7 +11,7 @@
 	"swiftledge/wire"
 )
 
-// holderMessage handles a message of a controller as a shard holder.
+// holderMessage handles a message of a controller in its role as a shard holder.
 func (l *Leader) holderMessage(now clock.Micros, m HolderMessage) {
 	c := l.shards.controllers[m.Controller]
 	if c == nil || c.link != m.Link || m.Message.Term != l.term {
--- a/internal/leader/inventory.go
+++ b/internal/leader/inventory.go
@@ -17,7 +17,8 @@
 
 	groups     map[string]*instanceGroup // by key
 	requestSeq int                       // sequence number of the latest group created in this term
-	// unansweredRequests are the keys of the records of former leaders' provision requests without a stored answer.
+	// unansweredRequests are the keys of former leaders' records of provision requests that lack an answer or cannot be
+	// read.
 	unansweredRequests map[string]bool
 
 	listing           bool // a machine list is in flight
--- a/internal/leader/preemption.go
+++ b/internal/leader/preemption.go
@@ -66,7 +66,7 @@
 }
 
 // preempt frees capacity for waiting tasks that find none. It stops tasks of lower priority, and for a team that is
-// within its guarantee also tasks that other teams run beyond theirs.
+// within its guarantee also tasks of equal priority that other teams run beyond theirs.
 func (l *Leader) preempt(now clock.Micros, queues []*fairshare.TeamQueue) {
 	if now-l.preemption.ranAt < preemptionInterval {
 		return
--- a/internal/leader/reconcile_test.go
+++ b/internal/leader/reconcile_test.go
@@ -36,9 +36,9 @@
 	}
 }
 
-// On-demand machines that are not worth their price for the queue get no tasks, so that they can be deleted. While
-// the cloud does not answer they are used like deprioritized machines, because otherwise all tasks would wait
-// although machines are idle.
+// On-demand machines that are not worth their price for the queue are cordoned, so that they become idle and can be
+// deleted. While the cloud does not answer they are used like deprioritized machines, because otherwise all tasks would
+// wait although machines are idle.
 func TestOnDemandMachinesAreUsedDuringCloudOutage(t *testing.T) {
 	lease := &shardLease{state: granted}
 	m := &machine{name: "m", shard: lease}
