--- a/internal/leader/rebalancing.go
+++ b/internal/leader/rebalancing.go
@@ -78,7 +78,7 @@
 	}
 	state.plannedAt = now
 	for _, m := range state.Expire(now) {
-		l.debug("migration timed out", "task", m.Task.String(), "stage", m.Stage.String())
+		l.debug("migration given up", "task", m.Task.String(), "stage", m.Stage.String())
 		l.traceMigration(now, m, "given up")
 	}
 	for _, t := range l.autoscaler.catalog {
