--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -20,13 +20,13 @@
 // Observer is told what becomes of the tasks of a worker.
 type Observer interface {
 	// TaskOrdered is called when a run command is carried out for an attempt that was not listed.
-	TaskOrdered(w *Worker, t *Task)
+	TaskOrdered(w *Agent, t *Task)
 	// TaskStarted is called when a task has its image and begins to run.
-	TaskStarted(w *Worker, t *Task)
+	TaskStarted(w *Agent, t *Task)
 	// TaskRestarted is called when a task has its image and exits at once, as its result is stored already.
-	TaskRestarted(w *Worker, t *Task)
+	TaskRestarted(w *Agent, t *Task)
 	// TaskEnded is called when a task that was on the machine has exited.
-	TaskEnded(w *Worker, t *Task)
+	TaskEnded(w *Agent, t *Task)
 }
 
 // Outputs is what tasks store outside the machines; all workers of a simulation share it.
@@ -75,8 +75,8 @@
 	RunCommands   map[string]int // by job: run commands that were carried out since the last boot
 }
 
-// Worker runs tasks as the workers' protocol says.
-type Worker struct {
+// Agent runs tasks as the workers' protocol says.
+type Agent struct {
 	Identity
 	Resources
 	Session
@@ -92,23 +92,23 @@
 }
 
 // Boot begins the first session.
-func (w *Worker) Boot(now clock.Micros) {
+func (w *Agent) Boot(now clock.Micros) {
 	w.Session = Session{AgentEpoch: 1, leaseRenewedAt: now}
 	w.images = map[string]bool{}
 	w.RunCommands = map[string]int{}
 }
 
 // Reboot begins anew under the same name: nothing from before is known.
-func (w *Worker) Reboot(now clock.Micros) {
+func (w *Agent) Reboot(now clock.Micros) {
 	w.loseTasks(now)
 	w.Boot(now)
 }
 
 // LeaseRenewedAt is when the last heartbeat that was answered was sent, or the session began.
-func (w *Worker) LeaseRenewedAt() clock.Micros { return w.leaseRenewedAt }
+func (w *Agent) LeaseRenewedAt() clock.Micros { return w.leaseRenewedAt }
 
 // Load is the dominant share of the machine that its tasks take.
-func (w *Worker) Load() float64 {
+func (w *Agent) Load() float64 {
 	var used load.Resources
 	for _, t := range w.Tasks {
 		if t.State != wire.TaskExited {
@@ -119,7 +119,7 @@
 }
 
 // Advance lets time pass: images arrive, tasks end, the lease expires. It says whether something changed.
-func (w *Worker) Advance(now clock.Micros) bool {
+func (w *Agent) Advance(now clock.Micros) bool {
 	changed := false
 	if now > w.leaseRenewedAt+w.LeaseTime {
 		w.loseTasks(now)
@@ -137,7 +137,7 @@
 }
 
 // Heartbeat returns the next heartbeat, with the state as of now.
-func (w *Worker) Heartbeat() *wire.Heartbeat {
+func (w *Agent) Heartbeat() *wire.Heartbeat {
 	w.Seq++
 	heartbeat := &wire.Heartbeat{
 		Machine:           w.Name,
--- a/internal/fake/worker_commands.go
+++ b/internal/fake/worker_commands.go
@@ -25,7 +25,7 @@
 
 // HandleResponse takes a 200 to the heartbeat that was sent at the given time in the given session. It says
 // whether something changed.
-func (w *Worker) HandleResponse(now, sent clock.Micros, agentEpoch wire.AgentEpoch, r wire.HeartbeatResponse) bool {
+func (w *Agent) HandleResponse(now, sent clock.Micros, agentEpoch wire.AgentEpoch, r wire.HeartbeatResponse) bool {
 	if agentEpoch != w.AgentEpoch || r.FencingToken < w.FencingToken || now-sent > responseTimeout {
 		return false
 	}
@@ -36,7 +36,7 @@
 }
 
 // HandleCommands takes direct commands.
-func (w *Worker) HandleCommands(now clock.Micros, batch wire.CommandBatch) CommandsResult {
+func (w *Agent) HandleCommands(now clock.Micros, batch wire.CommandBatch) CommandsResult {
 	if batch.FencingToken < w.FencingToken || batch.AgentEpoch != w.AgentEpoch {
 		return CommandsResult{Status: http.StatusConflict, Heartbeat: w.Heartbeat()}
 	}
@@ -47,7 +47,7 @@
 }
 
 // execute carries out commands and says whether a task changed.
-func (w *Worker) execute(now clock.Micros, commands []wire.Command) bool {
+func (w *Agent) execute(now clock.Micros, commands []wire.Command) bool {
 	changed := false
 	for _, command := range commands {
 		changed = w.executeOne(now, command) || changed
@@ -55,7 +55,7 @@
 	return changed
 }
 
-func (w *Worker) executeOne(now clock.Micros, command wire.Command) (changed bool) {
+func (w *Agent) executeOne(now clock.Micros, command wire.Command) (changed bool) {
 	listed := slices.IndexFunc(w.Tasks, func(t *Task) bool {
 		return t.Task == command.Task && t.Attempt == command.Attempt
 	})
@@ -80,7 +80,7 @@
 }
 
 // kill stops a task; it saves its work first if the grace is long enough.
-func (w *Worker) kill(now clock.Micros, t *Task, graceS *float64) {
+func (w *Agent) kill(now clock.Micros, t *Task, graceS *float64) {
 	grace := 0.0
 	if graceS != nil {
 		grace = *graceS
@@ -95,7 +95,7 @@
 }
 
 // run lists a new attempt, and begins to fetch its image unless the machine refuses it.
-func (w *Worker) run(now clock.Micros, command wire.Command) {
+func (w *Agent) run(now clock.Micros, command wire.Command) {
 	task := &Task{TaskStatus: wire.TaskStatus{Task: command.Task, Attempt: command.Attempt, State: wire.TaskFetching}}
 	w.Tasks = append(w.Tasks, task)
 	ref, indexText, _ := strings.Cut(command.Task, "/")
@@ -119,7 +119,7 @@
 }
 
 // refusal says why the machine does not take a task; "" if it does.
-func (w *Worker) refusal(task *Task) wire.ExitCause {
+func (w *Agent) refusal(task *Task) wire.ExitCause {
 	freeCPUs, freeMemory := w.CPUs, w.Memory
 	for _, other := range w.Tasks {
 		if other == task || other.State == wire.TaskExited {
--- a/internal/fake/worker_tasks.go
+++ b/internal/fake/worker_tasks.go
@@ -27,7 +27,7 @@
 func (t *Task) IsActive() bool { return t.State == wire.TaskRunning || t.State == wire.TaskSaving }
 
 // advanceTask goes on with a task whose present state is over.
-func (w *Worker) advanceTask(now clock.Micros, t *Task) {
+func (w *Agent) advanceTask(now clock.Micros, t *Task) {
 	switch t.State {
 	case wire.TaskFetching:
 		w.finishFetch(now, t)
@@ -42,7 +42,7 @@
 }
 
 // finishFetch starts a task that has its image now, unless its result is stored already.
-func (w *Worker) finishFetch(now clock.Micros, t *Task) {
+func (w *Agent) finishFetch(now clock.Micros, t *Task) {
 	if !w.images[t.Job.Image] {
 		w.images[t.Job.Image] = true
 		w.ImagesFetched++
@@ -65,7 +65,7 @@
 }
 
 // finishRun ends a task that has run its time.
-func (w *Worker) finishRun(now clock.Micros, t *Task) {
+func (w *Agent) finishRun(now clock.Micros, t *Task) {
 	if w.fails(t) {
 		w.end(now, t, wire.ExitError)
 		return
@@ -75,10 +75,10 @@
 }
 
 // fails says whether a task fails: its machine is faulty, or it is.
-func (w *Worker) fails(t *Task) bool { return w.FailsTasks || w.Workload.Fails(&t.Job, t.Index) }
+func (w *Agent) fails(t *Task) bool { return w.FailsTasks || w.Workload.Fails(&t.Job, t.Index) }
 
 // resultKey is where a task's result is stored. A replica of a service may run again elsewhere.
-func (w *Worker) resultKey(t *Task) string {
+func (w *Agent) resultKey(t *Task) string {
 	if t.Job.IsService() {
 		return t.Task + " on " + w.Name
 	}
@@ -87,7 +87,7 @@
 
 // end ends a task. Of one that neither completed nor saved, what it saved by itself every interval is kept,
 // and the rest has to be repeated.
-func (w *Worker) end(now clock.Micros, t *Task, cause wire.ExitCause) {
+func (w *Agent) end(now clock.Micros, t *Task, cause wire.ExitCause) {
 	if t.State == wire.TaskExited {
 		return
 	}
@@ -107,7 +107,7 @@
 }
 
 // loseTasks ends and forgets all tasks.
-func (w *Worker) loseTasks(now clock.Micros) {
+func (w *Agent) loseTasks(now clock.Micros) {
 	for _, t := range w.Tasks {
 		w.end(now, t, exitLost)
 	}
--- a/internal/loopback/worker.go
+++ b/internal/loopback/worker.go
@@ -14,7 +14,7 @@
 
 // worker is a machine with its worker; the site owns its state.
 type worker struct {
-	*fake.Worker
+	*fake.Agent
 	site     *site
 	instance *fake.Instance
 	up       bool
@@ -41,7 +41,7 @@
 func newWorker(s *site, instance *fake.Instance) *worker {
 	w := &worker{site: s, instance: instance, client: &fasthttp.Client{MaxIdemponentCallAttempts: 1}}
 	identity := fake.Identity{Name: instance.Name, Type: instance.Type, Zone: instance.Zone, Spot: instance.Spot}
-	w.Worker = &fake.Worker{
+	w.Agent = &fake.Agent{
 		Identity:  identity,
 		Resources: fake.Resources{CPUs: s.shape.Type.CPUs, Memory: s.shape.Type.MemoryGB, FetchSeconds: 1},
 		LeaseTime: clock.FromSeconds(s.shape.LeaseS),
@@ -209,20 +209,20 @@
 type observer struct{ site *site }
 
 // TaskOrdered implements fake.Observer.
-func (observer) TaskOrdered(*fake.Worker, *fake.Task) {}
+func (observer) TaskOrdered(*fake.Agent, *fake.Task) {}
 
 // TaskStarted implements fake.Observer.
-func (o observer) TaskStarted(_ *fake.Worker, t *fake.Task) {
+func (o observer) TaskStarted(_ *fake.Agent, t *fake.Task) {
 	if job := o.site.jobs[t.Job.Ref]; job.startedAt == 0 {
 		job.startedAt = o.site.clock.Now()
 	}
 }
 
 // TaskRestarted implements fake.Observer.
-func (observer) TaskRestarted(*fake.Worker, *fake.Task) {}
+func (observer) TaskRestarted(*fake.Agent, *fake.Task) {}
 
 // TaskEnded implements fake.Observer.
-func (o observer) TaskEnded(_ *fake.Worker, t *fake.Task) {
+func (o observer) TaskEnded(_ *fake.Agent, t *fake.Task) {
 	if t.Cause == wire.ExitDone {
 		o.site.jobs[t.Job.Ref].completions[t.Index]++
 	}
--- a/internal/scenario/machines_test.go
+++ b/internal/scenario/machines_test.go
@@ -47,7 +47,7 @@
 			machineType = t
 		}
 	}
-	s := &simWorker{instance: instance, Worker: &fake.Worker{
+	s := &simWorker{instance: instance, Agent: &fake.Agent{
 		Identity: fake.Identity{
 			Name:    instance.Name,
 			Address: instance.Address,
@@ -90,20 +90,20 @@
 type observer struct{ world *world }
 
 // TaskOrdered implements fake.Observer.
-func (o observer) TaskOrdered(on *fake.Worker, t *fake.Task) {
+func (o observer) TaskOrdered(on *fake.Agent, t *fake.Task) {
 	o.world.rules.history.checkOrder(on.Name, t)
 }
 
 // TaskStarted implements fake.Observer.
-func (o observer) TaskStarted(on *fake.Worker, t *fake.Task) {
+func (o observer) TaskStarted(on *fake.Agent, t *fake.Task) {
 	o.world.checkStart(o.world.workerByName(on.Name), t)
 }
 
 // TaskRestarted implements fake.Observer.
-func (o observer) TaskRestarted(_ *fake.Worker, t *fake.Task) { o.world.rules.history.checkRestart(t) }
+func (o observer) TaskRestarted(_ *fake.Agent, t *fake.Task) { o.world.rules.history.checkRestart(t) }
 
 // TaskEnded implements fake.Observer.
-func (o observer) TaskEnded(_ *fake.Worker, t *fake.Task) {
+func (o observer) TaskEnded(_ *fake.Agent, t *fake.Task) {
 	if t.Cause == wire.ExitDone {
 		o.world.rules.completions[t.Task]++
 		o.world.rules.history.noteCompletion(t)
--- a/internal/scenario/worker_test.go
+++ b/internal/scenario/worker_test.go
@@ -22,7 +22,7 @@
 
 // simWorker is a machine with its worker and its part of the network.
 type simWorker struct {
-	*fake.Worker
+	*fake.Agent
 	instance *fake.Instance
 	ended    bool
 	network  machineNetwork
