--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -23,8 +23,8 @@
 	TaskOrdered(w *Agent, t *Task)
 	// TaskStarted is called when a task has its image and begins to run.
 	TaskStarted(w *Agent, t *Task)
-	// TaskRestarted is called when a task has its image and exits at once, as its result is stored already.
-	TaskRestarted(w *Agent, t *Task)
+	// TaskAlreadyDone is called when a task has its image and exits at once, as its result is stored already.
+	TaskAlreadyDone(w *Agent, t *Task)
 	// TaskEnded is called when a task that was on the machine has exited.
 	TaskEnded(w *Agent, t *Task)
 }
--- a/internal/fake/worker_tasks.go
+++ b/internal/fake/worker_tasks.go
@@ -48,7 +48,7 @@
 		w.ImagesFetched++
 	}
 	if w.Outputs.results[w.resultKey(t)] {
-		w.Observer.TaskRestarted(w, t)
+		w.Observer.TaskAlreadyDone(w, t)
 		w.end(now, t, wire.ExitDone)
 		return
 	}
--- a/internal/loopback/worker.go
+++ b/internal/loopback/worker.go
@@ -218,8 +218,8 @@
 	}
 }
 
-// TaskRestarted implements fake.Observer.
-func (observer) TaskRestarted(*fake.Agent, *fake.Task) {}
+// TaskAlreadyDone implements fake.Observer.
+func (observer) TaskAlreadyDone(*fake.Agent, *fake.Task) {}
 
 // TaskEnded implements fake.Observer.
 func (o observer) TaskEnded(_ *fake.Agent, t *fake.Task) {
--- a/internal/scenario/machines_test.go
+++ b/internal/scenario/machines_test.go
@@ -99,8 +99,8 @@
 	o.world.checkStart(o.world.workerByName(on.Name), t)
 }
 
-// TaskRestarted implements fake.Observer.
-func (o observer) TaskRestarted(_ *fake.Agent, t *fake.Task) { o.world.rules.history.checkRestart(t) }
+// TaskAlreadyDone implements fake.Observer.
+func (o observer) TaskAlreadyDone(_ *fake.Agent, t *fake.Task) { o.world.rules.history.checkRestart(t) }
 
 // TaskEnded implements fake.Observer.
 func (o observer) TaskEnded(_ *fake.Agent, t *fake.Task) {
