--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -19,8 +19,8 @@
 
 // Observer is told what becomes of the tasks of a worker.
 type Observer interface {
-	// TaskOrdered is called when a run command is carried out for an attempt that was not listed.
-	TaskOrdered(w *Agent, t *Task)
+	// RunCommandExecuted is called when a run command is carried out for an attempt that was not listed.
+	RunCommandExecuted(w *Agent, t *Task)
 	// TaskStarted is called when a task has its image and begins to run.
 	TaskStarted(w *Agent, t *Task)
 	// TaskAlreadyDone is called when a task has its image and exits at once, as its result is stored already.
--- a/internal/fake/worker_commands.go
+++ b/internal/fake/worker_commands.go
@@ -100,7 +100,7 @@
 	w.Tasks = append(w.Tasks, task)
 	ref, indexText, _ := strings.Cut(command.Task, "/")
 	w.RunCommands[ref]++
-	w.Observer.TaskOrdered(w, task)
+	w.Observer.RunCommandExecuted(w, task)
 	index, err := strconv.Atoi(indexText)
 	job, known := w.Workload.Job(ref)
 	if err != nil || !known || index >= job.Tasks {
--- a/internal/loopback/worker.go
+++ b/internal/loopback/worker.go
@@ -208,8 +208,8 @@
 // observer counts what becomes of tasks.
 type observer struct{ site *site }
 
-// TaskOrdered implements fake.Observer.
-func (observer) TaskOrdered(*fake.Agent, *fake.Task) {}
+// RunCommandExecuted implements fake.Observer.
+func (observer) RunCommandExecuted(*fake.Agent, *fake.Task) {}
 
 // TaskStarted implements fake.Observer.
 func (o observer) TaskStarted(_ *fake.Agent, t *fake.Task) {
--- a/internal/scenario/machines_test.go
+++ b/internal/scenario/machines_test.go
@@ -89,8 +89,8 @@
 // observer tells the rules what becomes of tasks.
 type observer struct{ world *world }
 
-// TaskOrdered implements fake.Observer.
-func (o observer) TaskOrdered(on *fake.Agent, t *fake.Task) {
+// RunCommandExecuted implements fake.Observer.
+func (o observer) RunCommandExecuted(on *fake.Agent, t *fake.Task) {
 	o.world.rules.history.checkOrder(on.Name, t)
 }
 
