--- a/internal/fake/store.go
+++ b/internal/fake/store.go
@@ -22,7 +22,7 @@
 	Down          bool // it answers 503 to all
 	MaxValueBytes int
 	MaxTxnWrites  int
-	Puts          int // writes of all transactions so far
+	Writes        int // writes of all transactions so far
 
 	revision  uint64
 	items     map[string]wire.Item
@@ -78,7 +78,7 @@
 
 // Txn carries out a transaction; problem tells of one that is malformed.
 func (s *Store) Txn(t wire.Txn) (result store.TxnResult, problem string) {
-	s.Puts += len(t.Writes)
+	s.Writes += len(t.Writes)
 	if result, problem = s.check(t); problem != "" {
 		return result, problem
 	}
--- a/internal/scenario/size_test.go
+++ b/internal/scenario/size_test.go
@@ -72,13 +72,13 @@
 	if started < perLoad*9/10 {
 		t.Errorf("%d of %d tasks have run", started, 2*perLoad)
 	}
-	if putsPerTask := float64(w.store.Puts) / float64(started); putsPerTask > 0.25 {
-		t.Errorf("%.2f puts for each task that ran (%d for %d)", putsPerTask, w.store.Puts, started)
+	if putsPerTask := float64(w.store.Writes) / float64(started); putsPerTask > 0.25 {
+		t.Errorf("%.2f puts for each task that ran (%d for %d)", putsPerTask, w.store.Writes, started)
 	}
 	w.checkMemory(t, d)
 	w.checkNoViolations(t)
 	t.Logf("%d machines, %d inventory keys, %d tasks ran, %d puts, all answered %.1f s after all controllers were back, %.0f MB",
-		machines, len(inventory), started, w.store.Puts, took.Seconds(), heapMB())
+		machines, len(inventory), started, w.store.Writes, took.Seconds(), heapMB())
 }
 
 // checkMemory lets tens of thousands of tasks wait, and judges what the whole world then holds by what one
@@ -165,9 +165,9 @@
 	if n := w.activeReplicas(); n != services*replicas {
 		t.Fatalf("%d replicas run, want %d", n, services*replicas)
 	}
-	before := w.store.Puts
+	before := w.store.Writes
 	w.run(60 * clock.Second)
-	quiet := w.store.Puts - before
+	quiet := w.store.Writes - before
 	pages, _ := w.store.List(attemptPrefix)
 	bytes := 0
 	for _, page := range pages {
