--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -13,7 +13,7 @@
 	// CreatedAt, BootedAt and ListedAt are when it was created, comes up and appears in the machine list.
 	CreatedAt, BootedAt, ListedAt clock.Micros
 	NeverBoots                    bool // it will not come up
-	NeverReports                  bool // it comes up, and its worker never sends a heartbeat
+	NeverHeartbeats               bool // it comes up, and its worker never sends a heartbeat
 	Failed                        bool // it stopped by itself
 	Deleted                       bool
 }
@@ -82,7 +82,7 @@
 		instance.NeverBoots = true
 	} else if c.NextNeverReport > 0 {
 		c.NextNeverReport--
-		instance.NeverReports = true
+		instance.NeverHeartbeats = true
 	}
 	if c.BootFactor > 0 {
 		instance.BootedAt = now + clock.FromSeconds(bootSeconds*c.BootFactor)
--- a/internal/scenario/machines_test.go
+++ b/internal/scenario/machines_test.go
@@ -31,7 +31,7 @@
 	m.booting = append(m.booting, w.cloud.Created[m.adopted:]...)
 	m.adopted = len(w.cloud.Created)
 	m.booting = slices.DeleteFunc(m.booting, func(i *fake.Instance) bool {
-		up := !i.Deleted && !i.Failed && !i.NeverBoots && !i.NeverReports && w.now >= i.BootedAt
+		up := !i.Deleted && !i.Failed && !i.NeverBoots && !i.NeverHeartbeats && w.now >= i.BootedAt
 		if up {
 			w.bootWorker(i)
 		}
