--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -23,9 +23,9 @@
 	Types    []wire.MachineType
 	Capacity int // machines that may exist at once; 0: no bound
 	// ListLag is how long after its creation a machine appears in the machine list.
-	ListLag         clock.Micros
-	NextNeverBoot   int // how many of the next machines never come up
-	NextNeverReport int // how many of the next machines come up and never send a heartbeat
+	ListLag            clock.Micros
+	NextNeverBoot      int // how many of the next machines never come up
+	NextNeverHeartbeat int // how many of the next machines come up and never send a heartbeat
 	// BootFactor makes the next machines boot in so many times the usual time; 0: in the usual time.
 	BootFactor float64
 	Instances  map[string]*Instance // by name
@@ -80,8 +80,8 @@
 	if c.NextNeverBoot > 0 {
 		c.NextNeverBoot--
 		instance.NeverBoots = true
-	} else if c.NextNeverReport > 0 {
-		c.NextNeverReport--
+	} else if c.NextNeverHeartbeat > 0 {
+		c.NextNeverHeartbeat--
 		instance.NeverHeartbeats = true
 	}
 	if c.BootFactor > 0 {
--- a/internal/scenario/commands_machines_test.go
+++ b/internal/scenario/commands_machines_test.go
@@ -33,7 +33,7 @@
 // failBootsCommand keeps the next machines from booting, or has them boot and never report.
 func failBootsCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	if d.HasArg("no_heartbeat") {
-		w.cloud.NextNeverReport = arg(t, d, "count", 1)
+		w.cloud.NextNeverHeartbeat = arg(t, d, "count", 1)
 	} else {
 		w.cloud.NextNeverBoot = arg(t, d, "count", 1)
 	}
--- a/internal/scenario/machine_faults_test.go
+++ b/internal/scenario/machine_faults_test.go
@@ -66,8 +66,8 @@
 
 // silenceNewMachines lets machines come up whose workers never report.
 func silenceNewMachines(w *world, f fault) func() {
-	w.cloud.NextNeverReport = f.count / 4
-	return func() { w.cloud.NextNeverReport = 0 }
+	w.cloud.NextNeverHeartbeat = f.count / 4
+	return func() { w.cloud.NextNeverHeartbeat = 0 }
 }
 
 func changeBootTime(w *world, f fault) func() {
