--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -48,7 +48,7 @@
 
 // Resources are what a machine offers to tasks.
 type Resources struct {
-	CPUs, Memory float64
+	CPUs, MemoryGB float64
 	// FetchSeconds is how long it takes to fetch an image.
 	FetchSeconds float64
 }
@@ -115,7 +115,7 @@
 			used = used.Plus(load.Resources{CPUs: t.Job.CPUs, Memory: t.Job.MemoryGB})
 		}
 	}
-	return used.DominantShare(load.Resources{CPUs: w.CPUs, Memory: w.Memory})
+	return used.DominantShare(load.Resources{CPUs: w.CPUs, Memory: w.MemoryGB})
 }
 
 // Advance lets time pass: images arrive, tasks end, the lease expires. It says whether something changed.
--- a/internal/fake/worker_commands.go
+++ b/internal/fake/worker_commands.go
@@ -120,7 +120,7 @@
 
 // refusal says why the machine does not take a task; "" if it does.
 func (w *Agent) refusal(task *Task) wire.ExitCause {
-	freeCPUs, freeMemory := w.CPUs, w.Memory
+	freeCPUs, freeMemory := w.CPUs, w.MemoryGB
 	for _, other := range w.Tasks {
 		if other == task || other.State == wire.TaskExited {
 			continue
--- a/internal/loopback/worker.go
+++ b/internal/loopback/worker.go
@@ -43,7 +43,7 @@
 	identity := fake.Identity{Name: instance.Name, Type: instance.Type, Zone: instance.Zone, Spot: instance.Spot}
 	w.Agent = &fake.Agent{
 		Identity:  identity,
-		Resources: fake.Resources{CPUs: s.shape.Type.CPUs, Memory: s.shape.Type.MemoryGB, FetchSeconds: 1},
+		Resources: fake.Resources{CPUs: s.shape.Type.CPUs, MemoryGB: s.shape.Type.MemoryGB, FetchSeconds: 1},
 		LeaseTime: clock.FromSeconds(s.shape.LeaseS),
 		Workload:  workload{s},
 		Observer:  observer{s},
--- a/internal/scenario/machines_test.go
+++ b/internal/scenario/machines_test.go
@@ -55,7 +55,7 @@
 			Zone:    instance.Zone,
 			Spot:    instance.Spot,
 		},
-		Resources: fake.Resources{CPUs: machineType.CPUs, Memory: machineType.MemoryGB, FetchSeconds: 1},
+		Resources: fake.Resources{CPUs: machineType.CPUs, MemoryGB: machineType.MemoryGB, FetchSeconds: 1},
 		LeaseTime: w.cfg.AgentLeaseTime(),
 		Workload:  workload{w},
 		Observer:  observer{w},
--- a/internal/scenario/waiting_rule_test.go
+++ b/internal/scenario/waiting_rule_test.go
@@ -70,7 +70,7 @@
 		if s.ended || s.PreemptionNoticeS != nil {
 			continue
 		}
-		free := freeCapacity{s.CPUs, s.Memory}
+		free := freeCapacity{s.CPUs, s.MemoryGB}
 		for _, t := range s.Tasks {
 			if t.State != wire.TaskExited {
 				free.cpus -= t.Job.CPUs
