--- a/cmd/loopback/cluster.go
+++ b/cmd/loopback/cluster.go
@@ -13,14 +13,14 @@
 	"swiftledge/internal/loopback"
 )
 
-func clusterCommand(options *siteOptions) *cobra.Command {
+func clusterCommand(options *clusterOptions) *cobra.Command {
 	return &cobra.Command{
 		Use: "cluster",
 		Short: "Run three controllers and twenty workers; `surge`, `load`, `status`, `kill`, `start`, `pause`, " +
 			"`resume`, `mistaken`, `cancel` and `quit` are read from standard input",
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			s, err := options.start(cmd.Context())
+			s, err := options.startCluster(cmd.Context())
 			if err != nil {
 				return err
 			}
@@ -28,20 +28,20 @@
 			out := cmd.OutOrStdout()
 			fmt.Fprintf(out, "settings and logs are in %s; watch with\n  %s status --config %s\n",
 				s.directory, options.binary, s.Controllers[0].SettingsFile)
-			return serve(cmd.Context(), s.Cluster, cmd.InOrStdin(), out)
+			return runConsole(cmd.Context(), s.Cluster, cmd.InOrStdin(), out)
 		},
 	}
 }
 
-// serve keeps a steady load up and carries out the operator's commands, a line each, until one ends it, in
+// runConsole keeps a steady load up and carries out the operator's commands, a line each, until one ends it, in
 // ends, or a command fails.
-func serve(ctx context.Context, cluster *loopback.Cluster, in io.Reader, out io.Writer) error {
+func runConsole(ctx context.Context, cluster *loopback.Cluster, in io.Reader, out io.Writer) error {
 	surge := loopback.DefaultSurge()
 	surges := make(chan struct{}, 1)
-	c := &console{cluster: cluster, out: out, surge: surge, surges: surges}
+	c := &console{cluster: cluster, out: out, surge: surge, surgeRequests: surges}
 	ctx, stop := context.WithCancel(ctx)
 	var load sync.WaitGroup
-	load.Go(func() { surge.PlayUntilDone(ctx, cluster, surges) })
+	load.Go(func() { surge.RunUntilCancelled(ctx, cluster, surges) })
 	defer load.Wait()
 	defer stop()
 	commands := c.commands()
--- a/cmd/loopback/console.go
+++ b/cmd/loopback/console.go
@@ -9,19 +9,19 @@
 	"swiftledge/wire"
 )
 
-// firstMistakenJob is the number of the first mistaken job: above those of the steady load.
-const firstMistakenJob = 900001
+// firstFaultyJobNumber is the number of the first mistaken job: above those of the steady load.
+const firstFaultyJobNumber = 900001
 
 // console carries out an operator's commands on a cluster.
 type console struct {
-	cluster *loopback.Cluster
-	out     io.Writer
-	surge   loopback.Surge
-	surges  chan<- struct{} // asks for a surge
+	cluster       *loopback.Cluster
+	out           io.Writer
+	surge         loopback.Surge
+	surgeRequests chan<- struct{} // asks for a surge
 
 	// What was done to the cluster and can be undone.
-	paused       *loopback.Controller
-	mistakenJobs []string
+	pausedController *loopback.Controller
+	faultyJobs       []string
 }
 
 // commands returns the commands by their names.
@@ -34,21 +34,21 @@
 		"start":    c.startControllers,
 		"pause":    c.pauseLeader,
 		"resume":   c.resumeController,
-		"mistaken": c.submitMistakenJob,
-		"cancel":   c.cancelMistakenJobs,
+		"mistaken": c.submitFaultyJob,
+		"cancel":   c.cancelFaultyJobs,
 	}
 }
 
 func (c *console) startSurge() error {
-	c.surges <- struct{}{}
+	c.surgeRequests <- struct{}{}
 	fmt.Fprintln(c.out, "one team submits ten times its usual volume for", c.surge.Duration)
 	return nil
 }
 
 func (c *console) printLoad() error {
-	sample := c.cluster.Sample()
+	sample := c.cluster.SampleLoad()
 	fmt.Fprintf(c.out, "%d machines, mean load %.2f, greatest %.2f (%.2f times the mean)\n",
-		sample.Machines, sample.Mean, sample.Greatest, sample.OverMean())
+		sample.Machines, sample.Mean, sample.Max, sample.MaxToMean())
 	return nil
 }
 
@@ -81,33 +81,33 @@
 
 func (c *console) pauseLeader() error {
 	leader, _ := c.cluster.Leader()
-	if leader == nil || c.paused != nil {
+	if leader == nil || c.pausedController != nil {
 		fmt.Fprintln(c.out, "nobody leads, or one stands still already")
 		return nil
 	}
-	c.paused = leader
+	c.pausedController = leader
 	fmt.Fprintln(c.out, leader.Name, "has led and stands still; `resume` lets it go on")
 	return leader.Pause()
 }
 
 func (c *console) resumeController() error {
-	if c.paused == nil {
+	if c.pausedController == nil {
 		fmt.Fprintln(c.out, "none stands still")
 		return nil
 	}
-	controller := c.paused
-	c.paused = nil
+	controller := c.pausedController
+	c.pausedController = nil
 	return controller.Resume()
 }
 
-// submitMistakenJob submits a job whose tasks fail on every machine.
-func (c *console) submitMistakenJob() error {
-	ref := fmt.Sprintf("j-%06d", firstMistakenJob+len(c.mistakenJobs))
-	c.mistakenJobs = append(c.mistakenJobs, ref)
+// submitFaultyJob submits a job whose tasks fail on every machine.
+func (c *console) submitFaultyJob() error {
+	ref := fmt.Sprintf("j-%06d", firstFaultyJobNumber+len(c.faultyJobs))
+	c.faultyJobs = append(c.faultyJobs, ref)
 	job := wire.Job{
 		Ref:       ref,
 		Class:     "results",
-		Team:      loopback.DefaultShape().Teams[0],
+		Team:      loopback.DefaultClusterConfig().Teams[0],
 		Shape:     wire.ShapeBatch,
 		Priority:  wire.PriorityStandard,
 		Tasks:     12,
@@ -118,7 +118,7 @@
 		Spot:      true,
 		EstimateS: 20,
 	}
-	if err := c.cluster.SubmitMistaken(c.cluster.Controllers[0], job); err != nil {
+	if err := c.cluster.SubmitFaulty(c.cluster.Controllers[0], job); err != nil {
 		fmt.Fprintln(c.out, err)
 		return nil
 	}
@@ -126,10 +126,10 @@
 	return nil
 }
 
-func (c *console) cancelMistakenJobs() error {
-	for _, ref := range c.mistakenJobs {
+func (c *console) cancelFaultyJobs() error {
+	for _, ref := range c.faultyJobs {
 		fmt.Fprintln(c.out, ref, "cancelled:", c.cluster.Cancel(c.cluster.Controllers[0], ref))
 	}
-	c.mistakenJobs = nil
+	c.faultyJobs = nil
 	return nil
 }
--- a/cmd/loopback/main.go
+++ b/cmd/loopback/main.go
@@ -21,7 +21,7 @@
 }
 
 func rootCommand() *cobra.Command {
-	var options siteOptions
+	var options clusterOptions
 	root := &cobra.Command{
 		Use:           "loopback",
 		Short:         "A small site on 127.0.0.1",
--- a/cmd/loopback/site.go
+++ b/cmd/loopback/site.go
@@ -13,21 +13,21 @@
 // keepMachinesSettings has controllers keep every machine that is up, and provision none beyond.
 const keepMachinesSettings = "fleet: {reserve: 10, idle_s: 3600}\n"
 
-// siteOptions are the flags that all commands share.
-type siteOptions struct {
+// clusterOptions are the flags that all commands share.
+type clusterOptions struct {
 	binary       string
 	settings     []string
 	keepMachines bool
 }
 
-// site is a cluster that runs, with the directory of its settings files and logs.
-type site struct {
+// tempCluster is a cluster that runs, with the directory of its settings files and logs.
+type tempCluster struct {
 	*loopback.Cluster
 	directory string
 }
 
-// start starts a cluster in a new directory, which stays when the cluster is stopped.
-func (o *siteOptions) start(ctx context.Context) (*site, error) {
+// startCluster starts a cluster in a new directory, which stays when the cluster is stopped.
+func (o *clusterOptions) startCluster(ctx context.Context) (*tempCluster, error) {
 	directory, err := os.MkdirTemp("", "loopback-")
 	if err != nil {
 		return nil, fmt.Errorf("start: %w", err)
@@ -36,15 +36,15 @@
 	if err != nil {
 		return nil, fmt.Errorf("start: %w", err)
 	}
-	cluster, err := loopback.Start(ctx, directory, o.binary, loopback.DefaultShape(), files...)
+	cluster, err := loopback.Start(ctx, directory, o.binary, loopback.DefaultClusterConfig(), files...)
 	if err != nil {
 		return nil, err
 	}
-	return &site{cluster, directory}, nil
+	return &tempCluster{cluster, directory}, nil
 }
 
 // settingsFiles names the controllers' settings files; the last one may be written here.
-func (o *siteOptions) settingsFiles(directory string) ([]string, error) {
+func (o *clusterOptions) settingsFiles(directory string) ([]string, error) {
 	if !o.keepMachines {
 		return o.settings, nil
 	}
@@ -55,8 +55,8 @@
 	return append(o.settings[:len(o.settings):len(o.settings)], file), nil
 }
 
-// remove stops the cluster and removes its directory.
-func (s *site) remove(err error) error {
+// stopAndRemove stops the cluster and removes its directory.
+func (s *tempCluster) stopAndRemove(err error) error {
 	s.Stop()
 	return errors.Join(err, os.RemoveAll(s.directory))
 }
--- a/cmd/loopback/surge.go
+++ b/cmd/loopback/surge.go
@@ -16,13 +16,13 @@
 const (
 	// defaultRepeats is how often a surge is measured.
 	defaultRepeats = 3
-	// connectTime is how long controllers and workers have to find each other before a surge begins.
-	connectTime = 10 * time.Second
-	// printInterval is so many samples long; there is one a second.
-	printInterval = 15
+	// connectDelay is how long controllers and workers have to find each other before a surge begins.
+	connectDelay = 10 * time.Second
+	// samplesPerLine is so many samples long; there is one a second.
+	samplesPerLine = 15
 )
 
-func surgeCommand(options *siteOptions) *cobra.Command {
+func surgeCommand(options *clusterOptions) *cobra.Command {
 	var repeats int
 	var reportFile string
 	cmd := &cobra.Command{
@@ -43,7 +43,7 @@
 }
 
 // measureSurges measures surges, each on a site of its own, and prints each result.
-func (o *siteOptions) measureSurges(ctx context.Context, repeats int, out io.Writer) ([]loopback.Result, error) {
+func (o *clusterOptions) measureSurges(ctx context.Context, repeats int, out io.Writer) ([]loopback.Result, error) {
 	var results []loopback.Result
 	for range repeats {
 		result, err := o.measureSurge(ctx)
@@ -56,20 +56,20 @@
 	return results, nil
 }
 
-func (o *siteOptions) measureSurge(ctx context.Context) (result loopback.Result, err error) {
+func (o *clusterOptions) measureSurge(ctx context.Context) (result loopback.Result, err error) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	s, err := o.start(ctx)
+	s, err := o.startCluster(ctx)
 	if err != nil {
 		return loopback.Result{}, err
 	}
-	defer func() { err = s.remove(err) }()
+	defer func() { err = s.stopAndRemove(err) }()
 	select {
 	case <-ctx.Done():
 		return loopback.Result{}, ctx.Err()
-	case <-time.After(connectTime):
+	case <-time.After(connectDelay):
 	}
-	return loopback.DefaultSurge().Play(ctx, s.Cluster)
+	return loopback.DefaultSurge().Run(ctx, s.Cluster)
 }
 
 // writeReport writes all results, with their samples, to a file.
@@ -84,15 +84,15 @@
 // printResult prints the load each fifteen seconds, then what was counted.
 func printResult(w io.Writer, result *loopback.Result) {
 	for i, sample := range result.Samples {
-		if i%printInterval == 0 {
+		if i%samplesPerLine == 0 {
 			fmt.Fprintf(w, "%6.0f s  %2d machines  mean %.2f  greatest %.2f  %.2f times the mean\n",
-				sample.AtS, sample.Machines, sample.Mean, sample.Greatest, sample.OverMean())
+				sample.AtS, sample.Machines, sample.Mean, sample.Max, sample.MaxToMean())
 		}
 	}
 	fmt.Fprintf(w, "from two minutes on: at most %.2f times the mean, %d s above twice\n",
-		result.WorstSettled, result.AboveTwice)
+		result.SettledMaxToMean, result.SecondsAboveTwice)
 	fmt.Fprintf(w, "moves %+v, %d image fetches, %.0f s of work redone, %.1f s of processor time, ",
-		result.Migrations, result.ImageFetches, result.LostS, result.CPUSeconds)
+		result.Migrations, result.ImageFetches, result.LostSeconds, result.CPUSeconds)
 	fmt.Fprintf(w, "%d submissions refused, %d tasks completed twice\n",
 		result.RefusedSubmissions, result.RepeatedTasks)
 	for _, wait := range result.Waits {
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -31,23 +31,23 @@
 	Instances  map[string]*Instance // by name
 	Created    []*Instance          // all of them, in the order of creation, which is that of their names
 
-	requests map[string][]string // names of the machines by request
+	namesByRequest map[string][]string // names of the machines by request
 }
 
 // NewCloud makes a cloud without machines.
 func NewCloud(types []wire.MachineType, listLag clock.Micros) *Cloud {
-	return &Cloud{Types: types, ListLag: listLag, Instances: map[string]*Instance{}, requests: map[string][]string{}}
+	return &Cloud{Types: types, ListLag: listLag, Instances: map[string]*Instance{}, namesByRequest: map[string][]string{}}
 }
 
 // Provision carries out a request, once for each request ID, and returns the names of its machines; false: no
 // capacity.
 func (c *Cloud) Provision(now clock.Micros, r wire.ProvisionRequest) ([]string, bool) {
-	if names, ok := c.requests[r.RequestID]; ok {
+	if names, ok := c.namesByRequest[r.RequestID]; ok {
 		return names, true
 	}
 	count := r.Count
 	if c.Capacity > 0 {
-		count = min(count, c.Capacity-c.existing())
+		count = min(count, c.Capacity-c.countExisting())
 	}
 	if count <= 0 || c.machineType(r.Type) == nil {
 		return nil, false
@@ -56,7 +56,7 @@
 	for range count {
 		names = append(names, c.CreateInstance(now, r.Type, r.Zone, r.Spot).Name)
 	}
-	c.requests[r.RequestID] = names
+	c.namesByRequest[r.RequestID] = names
 	return names, true
 }
 
@@ -131,8 +131,8 @@
 	return nil
 }
 
-// existing counts the machines that are not deleted.
-func (c *Cloud) existing() int {
+// countExisting counts the machines that are not deleted.
+func (c *Cloud) countExisting() int {
 	count := 0
 	for _, instance := range c.Created {
 		if !instance.Deleted {
--- a/internal/fake/store.go
+++ b/internal/fake/store.go
@@ -24,10 +24,10 @@
 	MaxTxnWrites  int
 	Writes        int // writes of all transactions so far
 
-	revision  uint64
-	items     map[string]wire.Item
-	leases    map[uint64]*lease
-	lastLease uint64
+	revision    uint64
+	items       map[string]wire.Item
+	leases      map[uint64]*lease
+	lastLeaseID uint64
 
 	changes          []change // in the order of their revisions
 	compactedThrough uint64   // the changes up to this revision are dropped
@@ -79,7 +79,7 @@
 // Txn carries out a transaction; problem tells of one that is malformed.
 func (s *Store) Txn(t wire.Txn) (result store.TxnResult, problem string) {
 	s.Writes += len(t.Writes)
-	if result, problem = s.check(t); problem != "" {
+	if result, problem = s.findProblem(t); problem != "" {
 		return result, problem
 	}
 	for _, condition := range t.Conditions {
@@ -98,8 +98,8 @@
 	return result, ""
 }
 
-// check returns the problem of a transaction that breaks the limits or names no lease of the store.
-func (s *Store) check(t wire.Txn) (result store.TxnResult, problem string) {
+// findProblem returns the problem of a transaction that breaks the limits or names no lease of the store.
+func (s *Store) findProblem(t wire.Txn) (result store.TxnResult, problem string) {
 	if len(t.Writes) > s.MaxTxnWrites || len(t.Conditions) > conditionsPerWrite*s.MaxTxnWrites {
 		return result, "too many operations"
 	}
@@ -120,7 +120,7 @@
 // apply carries out one write at the present revision.
 func (s *Store) apply(write wire.Write) {
 	if write.Put == "" {
-		s.remove(write.Delete)
+		s.deleteKey(write.Delete)
 		return
 	}
 	s.items[write.Put] = wire.Item{
@@ -129,19 +129,19 @@
 		Version: s.revision,
 		Lease:   write.Lease,
 	}
-	s.log(wire.Event{Put: write.Put, Value: slices.Clone(write.Value), Version: s.revision})
+	s.appendChange(wire.Event{Put: write.Put, Value: slices.Clone(write.Value), Version: s.revision})
 }
 
-// remove removes a key, if it is there.
-func (s *Store) remove(key string) {
+// deleteKey removes a key, if it is there.
+func (s *Store) deleteKey(key string) {
 	if _, ok := s.items[key]; ok {
 		delete(s.items, key)
-		s.log(wire.Event{Delete: key, Version: s.revision})
+		s.appendChange(wire.Event{Delete: key, Version: s.revision})
 	}
 }
 
-// log notes a change at the present revision.
-func (s *Store) log(event wire.Event) {
+// appendChange notes a change at the present revision.
+func (s *Store) appendChange(event wire.Event) {
 	s.changes = append(s.changes, change{s.revision, event})
 }
 
--- a/internal/fake/store_leases.go
+++ b/internal/fake/store_leases.go
@@ -14,9 +14,9 @@
 
 // GrantLease makes a lease and returns its number.
 func (s *Store) GrantLease(now, ttl clock.Micros) uint64 {
-	s.lastLease++
-	s.leases[s.lastLease] = &lease{ttl: ttl, expiresAt: now + ttl}
-	return s.lastLease
+	s.lastLeaseID++
+	s.leases[s.lastLeaseID] = &lease{ttl: ttl, expiresAt: now + ttl}
+	return s.lastLeaseID
 }
 
 // RenewLease renews a lease; false when there is none.
@@ -47,7 +47,7 @@
 	s.revision++
 	slices.Sort(keys)
 	for _, key := range keys {
-		s.remove(key)
+		s.deleteKey(key)
 	}
 }
 
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -100,7 +100,7 @@
 
 // Reboot begins anew under the same name: nothing from before is known.
 func (w *Agent) Reboot(now clock.Micros) {
-	w.loseTasks(now)
+	w.dropTasks(now)
 	w.Boot(now)
 }
 
@@ -122,13 +122,13 @@
 func (w *Agent) Advance(now clock.Micros) bool {
 	changed := false
 	if now > w.leaseRenewedAt+w.LeaseTime {
-		w.loseTasks(now)
+		w.dropTasks(now)
 		w.AgentEpoch++
 		w.leaseRenewedAt = now
 		changed = true
 	}
 	for _, t := range w.Tasks {
-		if t.State != wire.TaskExited && t.until != 0 && now >= t.until {
+		if t.State != wire.TaskExited && t.stateEndsAt != 0 && now >= t.stateEndsAt {
 			w.advanceTask(now, t)
 			changed = true
 		}
--- a/internal/fake/worker_commands.go
+++ b/internal/fake/worker_commands.go
@@ -10,11 +10,11 @@
 	"swiftledge/wire"
 )
 
-// responseTimeout is how old a heartbeat may be whose answer still counts.
-const responseTimeout = 4 * clock.Second
+// maxResponseDelay is how old a heartbeat may be whose answer still counts.
+const maxResponseDelay = 4 * clock.Second
 
-// roundingError is how much more than what is free a task may ask for.
-const roundingError = 1e-9
+// resourceTolerance is how much more than what is free a task may ask for.
+const resourceTolerance = 1e-9
 
 // CommandsResult is the answer to a batch of direct commands.
 type CommandsResult struct {
@@ -26,7 +26,7 @@
 // HandleResponse takes a 200 to the heartbeat that was sent at the given time in the given session. It says
 // whether something changed.
 func (w *Agent) HandleResponse(now, sent clock.Micros, agentEpoch wire.AgentEpoch, r wire.HeartbeatResponse) bool {
-	if agentEpoch != w.AgentEpoch || r.FencingToken < w.FencingToken || now-sent > responseTimeout {
+	if agentEpoch != w.AgentEpoch || r.FencingToken < w.FencingToken || now-sent > maxResponseDelay {
 		return false
 	}
 	tokenRaised := r.FencingToken > w.FencingToken
@@ -50,12 +50,12 @@
 func (w *Agent) execute(now clock.Micros, commands []wire.Command) bool {
 	changed := false
 	for _, command := range commands {
-		changed = w.executeOne(now, command) || changed
+		changed = w.executeCommand(now, command) || changed
 	}
 	return changed
 }
 
-func (w *Agent) executeOne(now clock.Micros, command wire.Command) (changed bool) {
+func (w *Agent) executeCommand(now clock.Micros, command wire.Command) (changed bool) {
 	listed := slices.IndexFunc(w.Tasks, func(t *Task) bool {
 		return t.Task == command.Task && t.Attempt == command.Attempt
 	})
@@ -63,7 +63,7 @@
 		if command.Verb != wire.VerbRun {
 			return false
 		}
-		w.run(now, command)
+		w.startAttempt(now, command)
 		return true
 	}
 	task := w.Tasks[listed]
@@ -73,29 +73,29 @@
 		w.Tasks = append(w.Tasks[:listed:listed], w.Tasks[listed+1:]...)
 		return false
 	case command.Verb == wire.VerbKill && !exited:
-		w.kill(now, task, command.GraceS)
+		w.killTask(now, task, command.GraceS)
 		return true
 	}
 	return false
 }
 
-// kill stops a task; it saves its work first if the grace is long enough.
-func (w *Agent) kill(now clock.Micros, t *Task, graceS *float64) {
+// killTask stops a task; it saves its work first if the grace is long enough.
+func (w *Agent) killTask(now clock.Micros, t *Task, graceS *float64) {
 	grace := 0.0
 	if graceS != nil {
 		grace = *graceS
 	}
 	switch {
 	case t.State == wire.TaskRunning && t.Job.CheckpointS > 0 && grace >= t.Job.SaveS:
-		t.State, t.until = wire.TaskSaving, now+clock.FromSeconds(t.Job.SaveS)
+		t.State, t.stateEndsAt = wire.TaskSaving, now+clock.FromSeconds(t.Job.SaveS)
 	case t.State == wire.TaskSaving && grace > 0:
 	default:
-		w.end(now, t, wire.ExitStopped)
+		w.endTask(now, t, wire.ExitStopped)
 	}
 }
 
-// run lists a new attempt, and begins to fetch its image unless the machine refuses it.
-func (w *Agent) run(now clock.Micros, command wire.Command) {
+// startAttempt lists a new attempt, and begins to fetch its image unless the machine refuses it.
+func (w *Agent) startAttempt(now clock.Micros, command wire.Command) {
 	task := &Task{TaskStatus: wire.TaskStatus{Task: command.Task, Attempt: command.Attempt, State: wire.TaskFetching}}
 	w.Tasks = append(w.Tasks, task)
 	ref, indexText, _ := strings.Cut(command.Task, "/")
@@ -108,18 +108,18 @@
 		return
 	}
 	task.Job, task.Index = job, index
-	if cause := w.refusal(task); cause != "" {
+	if cause := w.rejectionCause(task); cause != "" {
 		task.State, task.Cause = wire.TaskExited, cause
 		return
 	}
-	task.until = now + 1
+	task.stateEndsAt = now + 1
 	if !w.images[job.Image] {
-		task.until = now + clock.FromSeconds(w.FetchSeconds)
+		task.stateEndsAt = now + clock.FromSeconds(w.FetchSeconds)
 	}
 }
 
-// refusal says why the machine does not take a task; "" if it does.
-func (w *Agent) refusal(task *Task) wire.ExitCause {
+// rejectionCause says why the machine does not take a task; "" if it does.
+func (w *Agent) rejectionCause(task *Task) wire.ExitCause {
 	freeCPUs, freeMemory := w.CPUs, w.MemoryGB
 	for _, other := range w.Tasks {
 		if other == task || other.State == wire.TaskExited {
@@ -131,7 +131,7 @@
 		freeCPUs -= other.Job.CPUs
 		freeMemory -= other.Job.MemoryGB
 	}
-	if task.Job.CPUs > freeCPUs+roundingError || task.Job.MemoryGB > freeMemory+roundingError {
+	if task.Job.CPUs > freeCPUs+resourceTolerance || task.Job.MemoryGB > freeMemory+resourceTolerance {
 		return wire.ExitFull
 	}
 	return ""
--- a/internal/fake/worker_tasks.go
+++ b/internal/fake/worker_tasks.go
@@ -7,8 +7,8 @@
 	"swiftledge/wire"
 )
 
-// failAfter is how long a task that fails runs.
-const failAfter = clock.Second
+// failingTaskRunTime is how long a task that fails runs.
+const failingTaskRunTime = clock.Second
 
 // exitLost is the cause of a task that ended with its session. No heartbeat tells of it.
 const exitLost wire.ExitCause = "lost"
@@ -19,8 +19,8 @@
 	Job   wire.Job
 	Index int
 
-	until     clock.Micros // when fetching, running or saving ends; 0: not by itself
-	startedAt clock.Micros // when it began to run
+	stateEndsAt clock.Micros // when fetching, running or saving ends; 0: not by itself
+	startedAt   clock.Micros // when it began to run
 }
 
 // IsActive says whether the task counts as on the machine: it has its image and has not exited.
@@ -35,8 +35,8 @@
 		w.finishRun(now, t)
 	case wire.TaskSaving:
 		t.Checkpointed = true
-		w.Outputs.checkpointSeconds[t.Task] += (t.until - t.startedAt).Seconds() - t.Job.SaveS
-		w.end(now, t, wire.ExitStopped)
+		w.Outputs.checkpointSeconds[t.Task] += (t.stateEndsAt - t.startedAt).Seconds() - t.Job.SaveS
+		w.endTask(now, t, wire.ExitStopped)
 	case wire.TaskExited:
 	}
 }
@@ -49,33 +49,33 @@
 	}
 	if w.Outputs.results[w.resultKey(t)] {
 		w.Observer.TaskAlreadyDone(w, t)
-		w.end(now, t, wire.ExitDone)
+		w.endTask(now, t, wire.ExitDone)
 		return
 	}
 	left := w.Workload.RunSeconds(&t.Job, t.Index) - w.Outputs.checkpointSeconds[t.Task]
 	t.State, t.startedAt = wire.TaskRunning, now
-	t.until = now + clock.FromSeconds(max(0, left))
-	if t.Job.IsService() && t.until == now {
-		t.until = 0 // until it is stopped
+	t.stateEndsAt = now + clock.FromSeconds(max(0, left))
+	if t.Job.IsService() && t.stateEndsAt == now {
+		t.stateEndsAt = 0 // until it is stopped
 	}
-	if w.fails(t) {
-		t.until = now + failAfter
+	if w.taskFails(t) {
+		t.stateEndsAt = now + failingTaskRunTime
 	}
 	w.Observer.TaskStarted(w, t)
 }
 
 // finishRun ends a task that has run its time.
 func (w *Agent) finishRun(now clock.Micros, t *Task) {
-	if w.fails(t) {
-		w.end(now, t, wire.ExitError)
+	if w.taskFails(t) {
+		w.endTask(now, t, wire.ExitError)
 		return
 	}
 	w.Outputs.results[w.resultKey(t)] = true
-	w.end(now, t, wire.ExitDone)
+	w.endTask(now, t, wire.ExitDone)
 }
 
-// fails says whether a task fails: its machine is faulty, or it is.
-func (w *Agent) fails(t *Task) bool { return w.FailsTasks || w.Workload.Fails(&t.Job, t.Index) }
+// taskFails says whether a task taskFails: its machine is faulty, or it is.
+func (w *Agent) taskFails(t *Task) bool { return w.FailsTasks || w.Workload.Fails(&t.Job, t.Index) }
 
 // resultKey is where a task's result is stored. A replica of a service may run again elsewhere.
 func (w *Agent) resultKey(t *Task) string {
@@ -85,9 +85,9 @@
 	return t.Task
 }
 
-// end ends a task. Of one that neither completed nor saved, what it saved by itself every interval is kept,
+// endTask ends a task. Of one that neither completed nor saved, what it saved by itself every interval is kept,
 // and the rest has to be repeated.
-func (w *Agent) end(now clock.Micros, t *Task, cause wire.ExitCause) {
+func (w *Agent) endTask(now clock.Micros, t *Task, cause wire.ExitCause) {
 	if t.State == wire.TaskExited {
 		return
 	}
@@ -100,16 +100,16 @@
 		}
 		w.LostSeconds += ran - saved
 	}
-	t.State, t.Cause, t.until = wire.TaskExited, cause, 0
+	t.State, t.Cause, t.stateEndsAt = wire.TaskExited, cause, 0
 	if wasActive {
 		w.Observer.TaskEnded(w, t)
 	}
 }
 
-// loseTasks ends and forgets all tasks.
-func (w *Agent) loseTasks(now clock.Micros) {
+// dropTasks ends and forgets all tasks.
+func (w *Agent) dropTasks(now clock.Micros) {
 	for _, t := range w.Tasks {
-		w.end(now, t, exitLost)
+		w.endTask(now, t, exitLost)
 	}
 	w.Tasks = nil
 }
--- a/internal/loopback/client.go
+++ b/internal/loopback/client.go
@@ -14,8 +14,8 @@
 	"swiftledge/wire"
 )
 
-// ErrRefused says that a submission was not accepted.
-var ErrRefused = errors.New("not accepted")
+// ErrSubmissionRefused says that a submission was not accepted.
+var ErrSubmissionRefused = errors.New("not accepted")
 
 const (
 	submitTimeout = 5 * time.Second
@@ -45,19 +45,19 @@
 // Submit submits a job at a controller, as its user; runS is how long its tasks really run. The first
 // submission's time counts.
 func (c *Cluster) Submit(k *Controller, j wire.Job, runS float64) error {
-	return c.submit(k, j, jobRun{runS: runS})
+	return c.submit(k, j, submittedJob{runS: runS})
 }
 
-// SubmitMistaken submits a job whose tasks fail on every machine.
-func (c *Cluster) SubmitMistaken(k *Controller, j wire.Job) error {
-	return c.submit(k, j, jobRun{mistaken: true})
+// SubmitFaulty submits a job whose tasks fail on every machine.
+func (c *Cluster) SubmitFaulty(k *Controller, j wire.Job) error {
+	return c.submit(k, j, submittedJob{faulty: true})
 }
 
-func (c *Cluster) submit(k *Controller, j wire.Job, run jobRun) error {
-	c.site.call(func() {
-		if c.site.jobs[j.Ref] == nil {
-			run.spec, run.submittedAt, run.completions = j, c.site.clock.Now(), map[int]int{}
-			c.site.jobs[j.Ref] = &run
+func (c *Cluster) submit(k *Controller, j wire.Job, run submittedJob) error {
+	c.environment.call(func() {
+		if c.environment.jobs[j.Ref] == nil {
+			run.spec, run.submittedAt, run.completions = j, c.environment.clock.Now(), map[int]int{}
+			c.environment.jobs[j.Ref] = &run
 		}
 	})
 	body, err := json.Marshal(j)
@@ -74,7 +74,7 @@
 		return fmt.Errorf("loopback: %w", err)
 	}
 	if code := res.StatusCode(); code != fiber.StatusOK && code != fiber.StatusCreated {
-		return fmt.Errorf("loopback: %w: %d %s", ErrRefused, code, res.Body())
+		return fmt.Errorf("loopback: %w: %d %s", ErrSubmissionRefused, code, res.Body())
 	}
 	return nil
 }
@@ -100,6 +100,6 @@
 
 // CompletedTasks says how many tasks of a job have completed, and how many of them more than once.
 func (c *Cluster) CompletedTasks(ref string) (tasks, repeated int) {
-	c.site.call(func() { tasks, repeated = c.site.jobs[ref].completedTasks() })
+	c.environment.call(func() { tasks, repeated = c.environment.jobs[ref].completedTasks() })
 	return tasks, repeated
 }
--- a/internal/loopback/cloud_service.go
+++ b/internal/loopback/cloud_service.go
@@ -7,18 +7,18 @@
 )
 
 // cloudRoutes answers as the cloud.
-func (s *site) cloudRoutes(app *fiber.App) {
+func (s *environment) cloudRoutes(app *fiber.App) {
 	app.Get("/catalog", s.catalog)
 	app.Get("/hosts", s.listMachines)
 	app.Post("/hosts", s.provision)
 	app.Post("/hosts/delete", s.deleteMachines)
 }
 
-func (s *site) catalog(c fiber.Ctx) error {
-	return c.JSON(wire.Catalog{Types: []wire.MachineType{s.shape.Type}})
+func (s *environment) catalog(c fiber.Ctx) error {
+	return c.JSON(wire.Catalog{Types: []wire.MachineType{s.config.MachineType}})
 }
 
-func (s *site) listMachines(c fiber.Ctx) error {
+func (s *environment) listMachines(c fiber.Ctx) error {
 	var page wire.MachineList
 	s.call(func() {
 		for _, machine := range s.cloud.List(s.clock.Now()) {
@@ -30,7 +30,7 @@
 	return c.JSON(page)
 }
 
-func (s *site) provision(c fiber.Ctx) error {
+func (s *environment) provision(c fiber.Ctx) error {
 	request, err := decodeBody[wire.ProvisionRequest](c)
 	if err != nil {
 		return err
@@ -44,7 +44,7 @@
 	return c.JSON(wire.MachineNames{Names: names})
 }
 
-func (s *site) deleteMachines(c fiber.Ctx) error {
+func (s *environment) deleteMachines(c fiber.Ctx) error {
 	machines, err := decodeBody[wire.MachineNames](c)
 	if err != nil {
 		return err
--- a/internal/loopback/cluster.go
+++ b/internal/loopback/cluster.go
@@ -14,22 +14,22 @@
 type Cluster struct {
 	Controllers []*Controller
 
-	site   *site
-	client *fasthttp.Client
-	stop   func() // ends everything and waits for it
+	environment *environment
+	client      *fasthttp.Client
+	stopOnce    func() // ends everything and waits for it
 }
 
 // Start starts a site in a directory of its own: the binary is the controller, tuning its settings files. It
 // runs until ctx or Stop ends it.
-func Start(ctx context.Context, dir, binary string, shape Shape, tuning ...string) (*Cluster, error) {
-	c := &Cluster{site: newSite(shape), client: &fasthttp.Client{MaxIdemponentCallAttempts: 1}}
-	c.stop = sync.OnceFunc(c.end)
+func Start(ctx context.Context, dir, binary string, shape ClusterConfig, tuning ...string) (*Cluster, error) {
+	c := &Cluster{environment: newEnvironment(shape), client: &fasthttp.Client{MaxIdemponentCallAttempts: 1}}
+	c.stopOnce = sync.OnceFunc(c.stopAll)
 	err := c.createControllers(dir, binary, tuning)
 	if err == nil {
 		err = c.connectControllers()
 	}
 	if err == nil {
-		c.site.start(c.connectWorker)
+		c.environment.start(c.connectMachine)
 		err = c.startControllers(ctx)
 	}
 	if err != nil {
@@ -41,13 +41,13 @@
 }
 
 // Stop ends all processes and fakes, and returns once they have ended.
-func (c *Cluster) Stop() { c.stop() }
+func (c *Cluster) Stop() { c.stopOnce() }
 
-func (c *Cluster) end() {
+func (c *Cluster) stopAll() {
 	for _, k := range c.Controllers {
 		k.Kill()
 	}
-	c.site.stop()
+	c.environment.stop()
 }
 
 // createControllers describes the controllers, each with a directory of its own, where it may write what its
@@ -64,18 +64,18 @@
 		}
 		settingsArgs = append(settingsArgs, "--settings", file)
 	}
-	for i := range c.site.shape.Controllers {
+	for i := range c.environment.config.Controllers {
 		name := controllerName(i)
 		k := &Controller{
 			Name:         name,
 			SettingsFile: filepath.Join(dir, name+".json"),
-			Dir:          filepath.Join(dir, name),
+			WorkDir:      filepath.Join(dir, name),
 			PeerLinks:    map[string]*Link{},
 			logFile:      filepath.Join(dir, name+".log"),
 			binary:       binary,
 		}
 		k.args = append([]string{"--config", k.SettingsFile}, settingsArgs...)
-		if err := os.MkdirAll(k.Dir, 0o700); err != nil {
+		if err := os.MkdirAll(k.WorkDir, 0o700); err != nil {
 			return err
 		}
 		c.Controllers = append(c.Controllers, k)
@@ -85,11 +85,11 @@
 
 // connectControllers starts the services that controllers use, and opens the links to them and between them.
 func (c *Cluster) connectControllers() error {
-	store, err := c.site.serve(c.site.storeRoutes)
+	store, err := c.environment.serve(c.environment.storeRoutes)
 	if err != nil {
 		return err
 	}
-	cloud, err := c.site.serve(c.site.cloudRoutes)
+	cloud, err := c.environment.serve(c.environment.cloudRoutes)
 	if err != nil {
 		return err
 	}
@@ -100,10 +100,10 @@
 		if k.PeerAddress, err = freeAddress(); err != nil {
 			return err
 		}
-		if k.StoreLink, err = c.site.link(store); err != nil {
+		if k.StoreLink, err = c.environment.openLink(store); err != nil {
 			return err
 		}
-		if k.CloudLink, err = c.site.link(cloud); err != nil {
+		if k.CloudLink, err = c.environment.openLink(cloud); err != nil {
 			return err
 		}
 	}
@@ -124,7 +124,7 @@
 		if to == from {
 			continue
 		}
-		link, err := c.site.link(to.PeerAddress)
+		link, err := c.environment.openLink(to.PeerAddress)
 		if err != nil {
 			return err
 		}
@@ -146,37 +146,37 @@
 	return nil
 }
 
-// connectWorker gives a new worker its address and its links to the controllers; it is up only then.
-func (c *Cluster) connectWorker(w *worker) error {
-	address, err := c.site.serve(w.routes)
+// connectMachine gives a new worker its address and its links to the controllers; it is up only then.
+func (c *Cluster) connectMachine(w *machine) error {
+	address, err := c.environment.serve(w.routes)
 	if err != nil {
 		return err
 	}
-	commands, err := c.site.link(address)
+	commands, err := c.environment.openLink(address)
 	if err != nil {
 		return err
 	}
 	var links []*Link
 	for _, k := range c.Controllers {
-		link, err := c.site.link(k.ServeAddress)
+		link, err := c.environment.openLink(k.ServeAddress)
 		if err != nil {
 			return err
 		}
 		links = append(links, link)
 	}
-	c.site.call(func() {
-		w.links, w.controller = links, len(c.site.byName)%len(links)
-		w.commands = commands
-		w.Address, w.instance.Address = commands.listen, commands.listen
+	c.environment.call(func() {
+		w.heartbeatLinks, w.controllerIndex = links, len(c.environment.machinesByName)%len(links)
+		w.commandLink = commands
+		w.Address, w.instance.Address = commands.listenAddress, commands.listenAddress
 	})
 	return nil
 }
 
 // HeartbeatLink is the link from a worker to a controller, both by number; nil until the worker is up.
 func (c *Cluster) HeartbeatLink(worker, controller int) (l *Link) {
-	c.site.call(func() {
-		if worker < len(c.site.workers) && controller < len(c.site.workers[worker].links) {
-			l = c.site.workers[worker].links[controller]
+	c.environment.call(func() {
+		if worker < len(c.environment.machines) && controller < len(c.environment.machines[worker].heartbeatLinks) {
+			l = c.environment.machines[worker].heartbeatLinks[controller]
 		}
 	})
 	return l
@@ -184,9 +184,9 @@
 
 // CommandLink is the link over which all controllers send direct commands to a worker; nil until it is up.
 func (c *Cluster) CommandLink(worker int) (l *Link) {
-	c.site.call(func() {
-		if worker < len(c.site.workers) {
-			l = c.site.workers[worker].commands
+	c.environment.call(func() {
+		if worker < len(c.environment.machines) {
+			l = c.environment.machines[worker].commandLink
 		}
 	})
 	return l
@@ -194,5 +194,5 @@
 
 // FailMachine has a machine stop by itself.
 func (c *Cluster) FailMachine(i int) {
-	c.site.call(func() { c.site.workers[i].ended, c.site.workers[i].instance.Failed = true, true })
+	c.environment.call(func() { c.environment.machines[i].terminated, c.environment.machines[i].instance.Failed = true, true })
 }
--- a/internal/loopback/controller.go
+++ b/internal/loopback/controller.go
@@ -20,7 +20,7 @@
 	ServeAddress string // for users and workers
 	PeerAddress  string // for other controllers and operators
 	SettingsFile string
-	Dir          string // in which it runs
+	WorkDir      string // in which it runs
 	StoreLink    *Link
 	CloudLink    *Link
 	PeerLinks    map[string]*Link // to the other controllers
@@ -35,12 +35,12 @@
 
 // process is a running or ended process of a controller.
 type process struct {
-	command *exec.Cmd
-	ended   chan struct{}
+	cmd    *exec.Cmd
+	exited chan struct{}
 }
 
-// ErrEnded says that a controller's process has ended by itself.
-var ErrEnded = errors.New("controller ended")
+// ErrProcessExited says that a controller's process has ended by itself.
+var ErrProcessExited = errors.New("controller ended")
 
 // errNotStarted says that a controller was never started.
 var errNotStarted = errors.New("controller was not started")
@@ -61,28 +61,28 @@
 		return fmt.Errorf("start %s: %w", k.Name, err)
 	}
 	command := exec.Command(k.binary, k.args...)
-	command.Dir = k.Dir
+	command.Dir = k.WorkDir
 	command.Stderr = log
 	if err := command.Start(); err != nil {
 		return errors.Join(fmt.Errorf("start %s: %w", k.Name, err), log.Close())
 	}
-	p := &process{command: command, ended: make(chan struct{})}
-	go p.wait(log)
+	p := &process{cmd: command, exited: make(chan struct{})}
+	go p.waitForExit(log)
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.process = p
 	return nil
 }
 
-// wait notes the end of the process; Kill awaits it.
-func (p *process) wait(log *os.File) {
-	defer close(p.ended)
-	_ = p.command.Wait() // a killed process ends with an error
-	_ = log.Close()      // the process wrote to it, this program did not
+// waitForExit notes the end of the process; Kill awaits it.
+func (p *process) waitForExit(log *os.File) {
+	defer close(p.exited)
+	_ = p.cmd.Wait() // a killed process ends with an error
+	_ = log.Close()  // the process wrote to it, this program did not
 }
 
-// current is the process that was started last; nil: none was.
-func (k *Controller) current() *process {
+// currentProcess is the process that was started last; nil: none was.
+func (k *Controller) currentProcess() *process {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.process
@@ -104,17 +104,17 @@
 		case <-retry.C:
 		}
 	}
-	return fmt.Errorf("%w: %s, see its log", ErrEnded, k.Name)
+	return fmt.Errorf("%w: %s, see its log", ErrProcessExited, k.Name)
 }
 
 // IsRunning says whether the controller's process runs.
 func (k *Controller) IsRunning() bool {
-	p := k.current()
+	p := k.currentProcess()
 	if p == nil {
 		return false
 	}
 	select {
-	case <-p.ended:
+	case <-p.exited:
 		return false
 	default:
 		return true
@@ -123,9 +123,9 @@
 
 // Kill ends the controller's process at once, and returns when it has ended.
 func (k *Controller) Kill() {
-	if p := k.current(); p != nil {
-		_ = p.command.Process.Kill() // fails only if the process has ended
-		<-p.ended
+	if p := k.currentProcess(); p != nil {
+		_ = p.cmd.Process.Kill() // fails only if the process has ended
+		<-p.exited
 	}
 }
 
@@ -136,11 +136,11 @@
 func (k *Controller) Resume() error { return k.signal(syscall.SIGCONT) }
 
 func (k *Controller) signal(s syscall.Signal) error {
-	p := k.current()
+	p := k.currentProcess()
 	if p == nil {
 		return fmt.Errorf("loopback: %s: %w", k.Name, errNotStarted)
 	}
-	if err := p.command.Process.Signal(s); err != nil {
+	if err := p.cmd.Process.Signal(s); err != nil {
 		return fmt.Errorf("loopback: %s: %w", k.Name, err)
 	}
 	return nil
@@ -148,30 +148,30 @@
 
 // Fields of /proc/PID/stat after the command's name, and their unit.
 const (
-	statUserTime   = 11
-	statSystemTime = 12
-	ticksPerSecond = 100
+	statUserTimeField   = 11
+	statSystemTimeField = 12
+	clockTicksPerSecond = 100
 )
 
 // CPUSeconds is the processor time that the process has used; 0 once it has ended.
 func (k *Controller) CPUSeconds() float64 {
-	p := k.current()
+	p := k.currentProcess()
 	if p == nil {
 		return 0
 	}
-	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.command.Process.Pid))
+	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
 	if err != nil {
 		return 0
 	}
 	_, afterName, _ := strings.Cut(string(stat), ") ")
 	fields := strings.Fields(afterName)
-	if len(fields) <= statSystemTime {
+	if len(fields) <= statSystemTimeField {
 		return 0
 	}
-	user, userErr := strconv.ParseFloat(fields[statUserTime], 64)
-	system, systemErr := strconv.ParseFloat(fields[statSystemTime], 64)
+	user, userErr := strconv.ParseFloat(fields[statUserTimeField], 64)
+	system, systemErr := strconv.ParseFloat(fields[statSystemTimeField], 64)
 	if userErr != nil || systemErr != nil {
 		return 0
 	}
-	return (user + system) / ticksPerSecond
+	return (user + system) / clockTicksPerSecond
 }
--- a/internal/loopback/link.go
+++ b/internal/loopback/link.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Condition is how a link is.
-type Condition struct {
+// LinkFaults is how a link is.
+type LinkFaults struct {
 	Refused bool          // connections are refused, and those that are open end
 	CutTo   bool          // what is sent to the far end is held
 	CutFrom bool          // what comes from the far end is held
@@ -18,21 +18,21 @@
 // Link carries the connections that one party opens to another. What it holds while it is cut is
 // delivered once it is whole again, as a network may. It runs until it is closed.
 type Link struct {
-	listen, target string
-	state          atomic.Pointer[linkState]
-	close          func()
-	closed         chan struct{}
-	running        sync.WaitGroup // its goroutines
+	listenAddress, targetAddress string
+	state                        atomic.Pointer[linkState]
+	close                        func()
+	closed                       chan struct{}
+	goroutines                   sync.WaitGroup // its goroutines
 }
 
 // linkState is a condition; changed is closed when the next one takes its place.
 type linkState struct {
-	Condition
+	LinkFaults
 	changed chan struct{}
 }
 
-// pieceSize is the most that is carried at once.
-const pieceSize = 16 << 10
+// chunkSize is the most that is carried at once.
+const chunkSize = 16 << 10
 
 // newLink listens on loopback and connects to the target.
 func newLink(target string) (*Link, error) {
@@ -40,10 +40,10 @@
 	if err != nil {
 		return nil, err
 	}
-	l := &Link{listen: listener.Addr().String(), target: target, closed: make(chan struct{})}
+	l := &Link{listenAddress: listener.Addr().String(), targetAddress: target, closed: make(chan struct{})}
 	l.close = sync.OnceFunc(func() { close(l.closed) })
 	l.state.Store(&linkState{changed: make(chan struct{})})
-	l.running.Go(func() { l.serve(listener) })
+	l.goroutines.Go(func() { l.serve(listener) })
 	return l, nil
 }
 
@@ -55,18 +55,18 @@
 	return net.ListenTCP("tcp4", resolved)
 }
 
-// Set changes the link's condition.
-func (l *Link) Set(c Condition) {
-	close(l.state.Swap(&linkState{Condition: c, changed: make(chan struct{})}).changed)
+// SetFaults changes the link's condition.
+func (l *Link) SetFaults(c LinkFaults) {
+	close(l.state.Swap(&linkState{LinkFaults: c, changed: make(chan struct{})}).changed)
 }
 
 // Heal makes the link whole again.
-func (l *Link) Heal() { l.Set(Condition{}) }
+func (l *Link) Heal() { l.SetFaults(LinkFaults{}) }
 
 // Close ends the link with all its connections, and returns once they have ended.
 func (l *Link) Close() {
 	l.close()
-	l.running.Wait()
+	l.goroutines.Wait()
 }
 
 // serve accepts connections while the link is not refused, and none while it is, until the link is closed.
@@ -79,8 +79,8 @@
 			continue
 		}
 		_ = listener.Close() // if it failed, the port could not be opened again below
-		l.waitFor(state.changed)
-		reopened, err := listenTCP(l.listen)
+		l.waitForChange(state.changed)
+		reopened, err := listenTCP(l.listenAddress)
 		if err != nil {
 			time.Sleep(tickInterval) // another program has the port for the moment
 			continue
@@ -92,7 +92,7 @@
 // accept accepts one connection, or none if the condition changes before one comes.
 func (l *Link) accept(listener *net.TCPListener, state *linkState) {
 	accepted := make(chan struct{})
-	l.running.Go(func() {
+	l.goroutines.Go(func() {
 		select {
 		case <-state.changed:
 		case <-l.closed:
@@ -107,7 +107,7 @@
 		listener.SetDeadline(time.Time{})
 		return
 	}
-	l.running.Go(func() { l.carry(near) })
+	l.goroutines.Go(func() { l.forward(near) })
 }
 
 func (l *Link) isClosed() bool {
@@ -119,39 +119,39 @@
 	}
 }
 
-// waitFor waits until the condition changes or the link is closed.
-func (l *Link) waitFor(changed <-chan struct{}) {
+// waitForChange waits until the condition changes or the link is closed.
+func (l *Link) waitForChange(changed <-chan struct{}) {
 	select {
 	case <-changed:
 	case <-l.closed:
 	}
 }
 
-// carry copies both ways until one side ends or the link is closed.
-func (l *Link) carry(near net.Conn) {
+// forward copies both ways until one side ends or the link is closed.
+func (l *Link) forward(near net.Conn) {
 	defer near.Close()
-	far, err := net.DialTimeout("tcp4", l.target, dialTimeout)
+	far, err := net.DialTimeout("tcp4", l.targetAddress, dialTimeout)
 	if err != nil {
 		return
 	}
 	defer far.Close()
 	const ways = 2
 	ended := make(chan struct{}, ways)
-	l.running.Go(func() { l.copy(near, far, ended, func(c Condition) bool { return c.CutTo }) })
-	l.running.Go(func() { l.copy(far, near, ended, func(c Condition) bool { return c.CutFrom }) })
+	l.goroutines.Go(func() { l.forwardOneWay(near, far, ended, func(c LinkFaults) bool { return c.CutTo }) })
+	l.goroutines.Go(func() { l.forwardOneWay(far, near, ended, func(c LinkFaults) bool { return c.CutFrom }) })
 	select {
 	case <-ended:
 	case <-l.closed:
 	}
 }
 
-// copy carries one way until either end is closed or the link ends.
-func (l *Link) copy(from, to net.Conn, ended chan<- struct{}, isCut func(Condition) bool) {
+// forwardOneWay carries one way until either end is closed or the link ends.
+func (l *Link) forwardOneWay(from, to net.Conn, ended chan<- struct{}, isCut func(LinkFaults) bool) {
 	defer func() { ended <- struct{}{} }()
-	piece := make([]byte, pieceSize)
+	piece := make([]byte, chunkSize)
 	for {
 		n, err := from.Read(piece)
-		if err != nil || !l.awaitDelivery(isCut) {
+		if err != nil || !l.waitUntilDeliverable(isCut) {
 			return
 		}
 		if _, err := to.Write(piece[:n]); err != nil {
@@ -160,18 +160,18 @@
 	}
 }
 
-// awaitDelivery waits until a piece may go on; false when the connection is to end.
-func (l *Link) awaitDelivery(isCut func(Condition) bool) bool {
+// waitUntilDeliverable waits until a piece may go on; false when the connection is to end.
+func (l *Link) waitUntilDeliverable(isCut func(LinkFaults) bool) bool {
 	for !l.isClosed() {
 		state := l.state.Load()
 		if state.Refused {
 			return false
 		}
-		if !isCut(state.Condition) {
+		if !isCut(state.LinkFaults) {
 			time.Sleep(state.Delay)
 			return true
 		}
-		l.waitFor(state.changed)
+		l.waitForChange(state.changed)
 	}
 	return false
 }
--- a/internal/loopback/loopback_test.go
+++ b/internal/loopback/loopback_test.go
@@ -15,13 +15,13 @@
 	"swiftledge/wire"
 )
 
-// patience bounds how long anything is waited for. Nothing is judged by how long it takes.
-const patience = 2 * time.Minute
+// waitTimeout bounds how long anything is waited for. Nothing is judged by how long it takes.
+const waitTimeout = 2 * time.Minute
 
 // eventually waits until something is so.
 func eventually(t *testing.T, what string, so func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !so(); time.Sleep(100 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); !so(); time.Sleep(100 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("never: %s", what)
 		}
@@ -38,33 +38,33 @@
 	return binary
 }
 
-// quickMoves has tasks moved soon after their start.
-const quickMoves = `spread: {enabled: true, least_run_s: 1, calm_s: 1, pause_s: 0, every_s: 0.25, move_above: 1.2,
+// fastMigrationSettings has tasks moved soon after their start.
+const fastMigrationSettings = `spread: {enabled: true, least_run_s: 1, calm_s: 1, pause_s: 0, every_s: 0.25, move_above: 1.2,
   bound: 1.1, moves_part: 0.25, imbalance_s: 600}
 fleet: {reserve: 10, idle_s: 3600}
 `
 
-// batch is a series of equal jobs.
-type batch struct {
-	first, jobs int // numbers of the jobs
-	tasks       int
-	runS        float64
-	// via are the controllers that take the jobs in turn; none: all of them.
-	via []*Controller
+// jobSeries is a series of equal jobs.
+type jobSeries struct {
+	firstNumber, count int // numbers of the jobs
+	tasks              int
+	runS               float64
+	// controllers are the controllers that take the jobs in turn; none: all of them.
+	controllers []*Controller
 }
 
 // submitAll submits a batch and returns the references of its jobs.
-func submitAll(t *testing.T, c *Cluster, b batch) (refs []string) {
+func submitAll(t *testing.T, c *Cluster, b jobSeries) (refs []string) {
 	t.Helper()
-	via := b.via
+	via := b.controllers
 	if len(via) == 0 {
 		via = c.Controllers
 	}
-	for i := b.first; i < b.first+b.jobs; i++ {
+	for i := b.firstNumber; i < b.firstNumber+b.count; i++ {
 		job := wire.Job{
 			Ref:         fmt.Sprintf("j-%06d", i),
 			Class:       "l",
-			Team:        c.site.shape.Teams[i%2],
+			Team:        c.environment.config.Teams[i%2],
 			Shape:       wire.ShapeBatch,
 			Priority:    wire.PriorityStandard,
 			Tasks:       b.tasks,
@@ -84,7 +84,7 @@
 	return refs
 }
 
-func allDone(t *testing.T, c *Cluster, refs []string, tasks int) {
+func checkAllDone(t *testing.T, c *Cluster, refs []string, tasks int) {
 	t.Helper()
 	for _, ref := range refs {
 		eventually(t, ref+" is done", func() bool { return c.JobState(c.Controllers[0], ref) == wire.JobDone })
@@ -96,11 +96,11 @@
 
 // The path of the surge's measurement, in short and by states alone: a load that is moved about, the leader's
 // process that ends, a machine that ends, a link that is cut and healed. Every job is done, no task twice.
-func TestSurgeOverLoopback(t *testing.T) {
-	shape := DefaultShape()
-	shape.Workers = 8
+func TestFailoverUnderLoad(t *testing.T) {
+	shape := DefaultClusterConfig()
+	shape.Machines = 8
 	file := filepath.Join(t.TempDir(), "quick.yaml")
-	if err := os.WriteFile(file, []byte(quickMoves), 0o600); err != nil {
+	if err := os.WriteFile(file, []byte(fastMigrationSettings), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	c, err := Start(t.Context(), t.TempDir(), controllerBinary(t), shape, "../../deploy/swiftledge.yaml", "../../deploy/trace.yaml", file)
@@ -109,10 +109,10 @@
 	}
 	t.Cleanup(c.Stop)
 	eventually(t, "a controller leads", func() bool { k, _ := c.Leader(); return k != nil })
-	long := submitAll(t, c, batch{first: 1, jobs: 4, tasks: 4, runS: 12})
-	short := submitAll(t, c, batch{first: 11, jobs: 4, tasks: 4, runS: 2})
-	eventually(t, "work runs", func() bool { return c.Sample().Mean > 0 })
-	allDone(t, c, short, 4)
+	long := submitAll(t, c, jobSeries{firstNumber: 1, count: 4, tasks: 4, runS: 12})
+	short := submitAll(t, c, jobSeries{firstNumber: 11, count: 4, tasks: 4, runS: 2})
+	eventually(t, "work runs", func() bool { return c.SampleLoad().Mean > 0 })
+	checkAllDone(t, c, short, 4)
 
 	first, s := c.Leader()
 	if first == nil || len(s.Machines) == 0 || len(s.Shards) == 0 {
@@ -121,16 +121,16 @@
 	// With the leader ended and another controller cut off from the state service, the third one leads.
 	cut := c.Controllers[(indexOf(c, first)+1)%len(c.Controllers)]
 	third := c.Controllers[(indexOf(c, first)+2)%len(c.Controllers)]
-	cut.StoreLink.Set(Condition{CutFrom: true})
+	cut.StoreLink.SetFaults(LinkFaults{CutFrom: true})
 	first.Kill()
 	eventually(t, "the third controller leads", func() bool { k, _ := c.Leader(); return k == third })
 	cut.StoreLink.Heal()
 	// Commands to one worker are held, reports of another: both work on when the links are whole again.
 	held := []*Link{c.CommandLink(1), c.HeartbeatLink(2, indexOf(c, third))}
 	for _, l := range held {
-		l.Set(Condition{CutTo: true})
+		l.SetFaults(LinkFaults{CutTo: true})
 	}
-	more := submitAll(t, c, batch{first: 31, jobs: 2, tasks: 4, runS: 1, via: []*Controller{cut, third}})
+	more := submitAll(t, c, jobSeries{firstNumber: 31, count: 2, tasks: 4, runS: 1, controllers: []*Controller{cut, third}})
 	for _, l := range held {
 		l.Heal()
 	}
@@ -142,21 +142,21 @@
 		row := c.Status()[indexOf(c, first)]
 		return row.Status != nil && row.Status.Leader != ""
 	})
-	allDone(t, c, long, 4)
-	allDone(t, c, more, 4)
+	checkAllDone(t, c, long, 4)
+	checkAllDone(t, c, more, 4)
 	eventually(t, "the cut controller knows the ends, too", func() bool { return c.JobState(cut, long[0]) == wire.JobDone })
-	allDone(t, c, submitAll(t, c, batch{first: 21, jobs: 3, tasks: 4, runS: 1}), 4)
+	checkAllDone(t, c, submitAll(t, c, jobSeries{firstNumber: 21, count: 3, tasks: 4, runS: 1}), 4)
 	c.Stop()
-	tracedAcross(t, c, long[0])
+	checkTrace(t, c, long[0])
 }
 
-// tracedAcross says whether the spans of a job tell of it from its submission to its end, in one trace over
+// checkTrace says whether the spans of a job tell of it from its submission to its end, in one trace over
 // several controllers.
-func tracedAcross(t *testing.T, c *Cluster, ref string) {
+func checkTrace(t *testing.T, c *Cluster, ref string) {
 	t.Helper()
 	names, nodes, traces := map[string]bool{}, map[string]bool{}, map[string]bool{}
 	for _, k := range c.Controllers {
-		raw, err := os.ReadFile(filepath.Join(k.Dir, "swiftledge-trace.jsonl"))
+		raw, err := os.ReadFile(filepath.Join(k.WorkDir, "swiftledge-trace.jsonl"))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -192,8 +192,8 @@
 	return -1
 }
 
-// echo answers what it is sent.
-func echo(t *testing.T) string {
+// startEchoServer answers what it is sent.
+func startEchoServer(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -215,8 +215,8 @@
 	return l.Addr().String()
 }
 
-// write sends a text.
-func write(t *testing.T, c net.Conn, text string) {
+// sendText sends a text.
+func sendText(t *testing.T, c net.Conn, text string) {
 	t.Helper()
 	if _, err := io.WriteString(c, text); err != nil {
 		t.Fatal(err)
@@ -225,8 +225,8 @@
 
 // A link can be refused, and cut in one direction: what was sent meanwhile arrives once it is healed, and
 // nothing does before.
-func TestLinkConditions(t *testing.T) {
-	l, err := newLink(echo(t))
+func TestLinkFaults(t *testing.T) {
+	l, err := newLink(startEchoServer(t))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -235,7 +235,7 @@
 		t.Helper()
 		var c net.Conn
 		eventually(t, "connected", func() bool {
-			c, err = net.Dial("tcp4", l.listen)
+			c, err = net.Dial("tcp4", l.listenAddress)
 			return err == nil
 		})
 		t.Cleanup(func() { c.Close() })
@@ -243,19 +243,19 @@
 	}
 	comes := func(c net.Conn, want string) bool {
 		t.Helper()
-		c.SetReadDeadline(time.Now().Add(patience))
+		c.SetReadDeadline(time.Now().Add(waitTimeout))
 		got := make([]byte, len(want))
 		_, err := io.ReadFull(c, got)
 		return err == nil && string(got) == want
 	}
 	c := dial()
-	write(t, c, "one")
+	sendText(t, c, "one")
 	if !comes(c, "one") {
 		t.Fatal("nothing comes over a whole link")
 	}
-	for _, cut := range []Condition{{CutTo: true}, {CutFrom: true}} {
-		l.Set(cut)
-		write(t, c, "two")
+	for _, cut := range []LinkFaults{{CutTo: true}, {CutFrom: true}} {
+		l.SetFaults(cut)
+		sendText(t, c, "two")
 		c.SetReadDeadline(time.Now().Add(300 * time.Millisecond))
 		if n, _ := c.Read(make([]byte, 3)); n > 0 {
 			t.Errorf("%d bytes come over a link that is cut: %+v", n, cut)
@@ -265,14 +265,14 @@
 			t.Errorf("what was held does not come: %+v", cut)
 		}
 	}
-	l.Set(Condition{Refused: true})
-	write(t, c, "three")
-	c.SetReadDeadline(time.Now().Add(patience))
+	l.SetFaults(LinkFaults{Refused: true})
+	sendText(t, c, "three")
+	c.SetReadDeadline(time.Now().Add(waitTimeout))
 	if n, err := c.Read(make([]byte, 3)); err == nil {
 		t.Errorf("%d bytes come though the link is refused", n)
 	}
 	eventually(t, "a new connection is refused", func() bool {
-		c, err := net.Dial("tcp4", l.listen)
+		c, err := net.Dial("tcp4", l.listenAddress)
 		if err == nil {
 			c.Close()
 		}
@@ -280,7 +280,7 @@
 	})
 	l.Heal()
 	c = dial()
-	write(t, c, "four")
+	sendText(t, c, "four")
 	if !comes(c, "four") {
 		t.Error("nothing comes over a healed link")
 	}
@@ -288,27 +288,27 @@
 
 // A controller that is stopped and resumed tells of its pause, a mistaken job is shown as suspect and then cancelled,
 // and sound work is done beside both.
-func TestPausedControllerAndMistakenJob(t *testing.T) {
+func TestPausedControllerAndFaultyJob(t *testing.T) {
 	dir := t.TempDir()
 	file := filepath.Join(dir, "kept.yaml")
 	if err := os.WriteFile(file, []byte("fleet: {reserve: 10, idle_s: 3600}\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	c, err := Start(t.Context(), dir, controllerBinary(t), DefaultShape(), file)
+	c, err := Start(t.Context(), dir, controllerBinary(t), DefaultClusterConfig(), file)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(c.Stop)
 	eventually(t, "somebody leads", func() bool { k, _ := c.Leader(); return k != nil })
-	mistaken := wire.Job{Ref: "j-900001", Class: "l", Team: c.site.shape.Teams[0], Shape: wire.ShapeBatch, Priority: wire.PriorityStandard, Tasks: 12,
+	mistaken := wire.Job{Ref: "j-900001", Class: "l", Team: c.environment.config.Teams[0], Shape: wire.ShapeBatch, Priority: wire.PriorityStandard, Tasks: 12,
 		CPUs: 0.5, MemoryGB: 0.5, Image: "img-9", ImageGB: 1, Spot: true, EstimateS: 10}
-	eventually(t, "the mistaken job is accepted", func() bool { return c.SubmitMistaken(c.Controllers[0], mistaken) == nil })
+	eventually(t, "the mistaken job is accepted", func() bool { return c.SubmitFaulty(c.Controllers[0], mistaken) == nil })
 	eventually(t, "the mistaken job is suspect", func() bool {
 		_, s := c.Leader()
 		return len(s.Suspects) == 1 && s.Suspects[0].Job == mistaken.Ref
 	})
-	refs := submitAll(t, c, batch{first: 1, jobs: 4, tasks: 2, runS: 1})
-	allDone(t, c, refs, 2)
+	refs := submitAll(t, c, jobSeries{firstNumber: 1, count: 4, tasks: 2, runS: 1})
+	checkAllDone(t, c, refs, 2)
 	leader, _ := c.Leader()
 	if leader == nil {
 		t.Fatal("nobody leads")
@@ -329,6 +329,6 @@
 		return false
 	})
 	eventually(t, "the mistaken job is cancelled", func() bool { return c.Cancel(c.Controllers[0], mistaken.Ref) })
-	refs = submitAll(t, c, batch{first: 20, jobs: 4, tasks: 2, runS: 1})
-	allDone(t, c, refs, 2)
+	refs = submitAll(t, c, jobSeries{firstNumber: 20, count: 4, tasks: 2, runS: 1})
+	checkAllDone(t, c, refs, 2)
 }
--- a/internal/loopback/services.go
+++ b/internal/loopback/services.go
@@ -12,18 +12,18 @@
 const shutdownTimeout = time.Second
 
 // serve answers on loopback until the site ends, and returns the address.
-func (s *site) serve(routes func(*fiber.App)) (string, error) {
+func (s *environment) serve(routes func(*fiber.App)) (string, error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return "", err
 	}
 	app := fiber.New()
 	routes(app)
-	s.running.Go(func() {
+	s.goroutines.Go(func() {
 		// It fails when the listener is closed, which is its end.
 		_ = app.Listener(listener, fiber.ListenConfig{DisableStartupMessage: true})
 	})
-	s.running.Go(func() {
+	s.goroutines.Go(func() {
 		<-s.done
 		listener.Close()
 		// Requests that are still open then are dropped, as by a site that ends.
--- a/internal/loopback/site.go
+++ b/internal/loopback/site.go
@@ -11,26 +11,26 @@
 	"swiftledge/wire"
 )
 
-// Shape is what a site is made of.
-type Shape struct {
-	Controllers int
-	Workers     int
-	Teams       []string
-	CPUsMax     float64 // of each team
-	Type        wire.MachineType
-	HeartbeatS  float64
-	LeaseS      float64
-	CancelS     float64
+// ClusterConfig is what a site is made of.
+type ClusterConfig struct {
+	Controllers        int
+	Machines           int
+	Teams              []string
+	TeamCPUsMax        float64 // of each team
+	MachineType        wire.MachineType
+	HeartbeatIntervalS float64
+	LeaseS             float64
+	CancelS            float64
 }
 
-// DefaultShape is three controllers and twenty workers of four processors.
-func DefaultShape() Shape {
-	return Shape{
+// DefaultClusterConfig is three controllers and twenty workers of four processors.
+func DefaultClusterConfig() ClusterConfig {
+	return ClusterConfig{
 		Controllers: 3,
-		Workers:     20,
+		Machines:    20,
 		Teams:       []string{"arequipa", "cusco"},
-		CPUsMax:     80,
-		Type: wire.MachineType{
+		TeamCPUsMax: 80,
+		MachineType: wire.MachineType{
 			Name:      "small",
 			CPUs:      4,
 			MemoryGB:  8,
@@ -41,9 +41,9 @@
 			BootS:     2,
 			ZoneNames: []string{zone},
 		},
-		HeartbeatS: 1,
-		LeaseS:     8,
-		CancelS:    24,
+		HeartbeatIntervalS: 1,
+		LeaseS:             8,
+		CancelS:            24,
 	}
 }
 
@@ -53,36 +53,36 @@
 	tickInterval = 50 * time.Millisecond
 )
 
-// site is the actor that owns the state of all fakes; call is how it is spoken to.
-type site struct {
-	shape   Shape
-	clock   clock.Steady
-	calls   chan func()
-	done    chan struct{}
-	end     func()         // closes done
-	running sync.WaitGroup // its goroutines, those of its services and links
-
-	store        *fake.Store
-	storeChanged chan struct{} // closed at the next change of the store
-	cloud        *fake.Cloud
-	workers      []*worker
-	byName       map[string]*worker
-	jobs         map[string]*jobRun
-	outputs      *fake.Outputs
+// environment is the actor that owns the state of all fakes; call is how it is spoken to.
+type environment struct {
+	config     ClusterConfig
+	clock      clock.Steady
+	calls      chan func()
+	done       chan struct{}
+	closeDone  func()         // closes done
+	goroutines sync.WaitGroup // its goroutines, those of its services and links
+
+	store          *fake.Store
+	storeChanged   chan struct{} // closed at the next change of the store
+	cloud          *fake.Cloud
+	machines       []*machine
+	machinesByName map[string]*machine
+	jobs           map[string]*submittedJob
+	outputs        *fake.Outputs
 }
 
-// jobRun is a job as its user knows it.
-type jobRun struct {
+// submittedJob is a job as its user knows it.
+type submittedJob struct {
 	spec        wire.Job
 	runS        float64 // how long its tasks really run
-	mistaken    bool    // its tasks fail on every machine
+	faulty      bool    // its tasks fail on every machine
 	submittedAt clock.Micros
 	startedAt   clock.Micros // when its first task had its image; 0: not yet
 	completions map[int]int  // by task: how often it completed
 }
 
 // completedTasks counts the tasks that have completed, and those of them that did so more than once.
-func (j *jobRun) completedTasks() (tasks, repeated int) {
+func (j *submittedJob) completedTasks() (tasks, repeated int) {
 	for _, times := range j.completions {
 		tasks++
 		if times > 1 {
@@ -92,41 +92,41 @@
 	return tasks, repeated
 }
 
-func newSite(shape Shape) *site {
-	s := &site{
-		shape:        shape,
-		clock:        clock.NewSteady(),
-		calls:        make(chan func()),
-		done:         make(chan struct{}),
-		store:        fake.NewStore(storeValueKB, storeTxnOps),
-		storeChanged: make(chan struct{}),
-		cloud:        fake.NewCloud([]wire.MachineType{shape.Type}, clock.Second),
-		byName:       map[string]*worker{},
-		jobs:         map[string]*jobRun{},
-		outputs:      fake.NewOutputs(),
+func newEnvironment(shape ClusterConfig) *environment {
+	s := &environment{
+		config:         shape,
+		clock:          clock.NewSteady(),
+		calls:          make(chan func()),
+		done:           make(chan struct{}),
+		store:          fake.NewStore(storeValueKB, storeTxnOps),
+		storeChanged:   make(chan struct{}),
+		cloud:          fake.NewCloud([]wire.MachineType{shape.MachineType}, clock.Second),
+		machinesByName: map[string]*machine{},
+		jobs:           map[string]*submittedJob{},
+		outputs:        fake.NewOutputs(),
 	}
-	s.end = sync.OnceFunc(func() { close(s.done) })
-	s.cloud.Capacity = shape.Workers
-	for range shape.Workers {
-		instance := s.cloud.CreateInstance(0, shape.Type.Name, zone, true)
+	s.closeDone = sync.OnceFunc(func() { close(s.done) })
+	s.cloud.Capacity = shape.Machines
+	for range shape.Machines {
+		instance := s.cloud.CreateInstance(0, shape.MachineType.Name, zone, true)
 		instance.BootedAt, instance.ListedAt = 0, 0
 	}
 	return s
 }
 
 // start starts the actor; connect gives a new worker its links.
-func (s *site) start(connect func(*worker) error) {
-	s.running.Go(func() { s.run(connect) })
+func (s *environment) start(connect func(*machine) error) {
+	s.goroutines.Go(func() { s.run(connect) })
 }
 
 // stop ends the actor, its services and links, and returns once they have ended.
-func (s *site) stop() {
-	s.end()
-	s.running.Wait()
+func (s *environment) stop() {
+	s.closeDone()
+	s.goroutines.Wait()
 }
 
 // run is the actor's loop.
-func (s *site) run(connect func(*worker) error) {
+func (s *environment) run(connect func(*machine) error) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
@@ -142,7 +142,7 @@
 }
 
 // call has the actor carry out f; false when the site has ended.
-func (s *site) call(f func()) bool {
+func (s *environment) call(f func()) bool {
 	returned := make(chan struct{})
 	select {
 	case s.calls <- func() { f(); close(returned) }:
@@ -153,13 +153,13 @@
 	}
 }
 
-// link opens a link that ends with the site.
-func (s *site) link(target string) (*Link, error) {
+// openLink opens a openLink that ends with the site.
+func (s *environment) openLink(target string) (*Link, error) {
 	l, err := newLink(target)
 	if err != nil {
 		return nil, fmt.Errorf("link to %s: %w", target, err)
 	}
-	s.running.Go(func() {
+	s.goroutines.Go(func() {
 		<-s.done
 		l.Close()
 	})
@@ -167,32 +167,32 @@
 }
 
 // tick lets time pass: leases of the state service, machines that boot or are deleted, and tasks.
-func (s *site) tick(connect func(*worker) error) {
+func (s *environment) tick(connect func(*machine) error) {
 	now := s.clock.Now()
 	revision := s.storeRevision()
 	s.store.ExpireLeases(now)
 	s.wakeWatches(revision)
-	for _, instance := range s.cloud.Created[len(s.workers):] {
-		w := newWorker(s, instance)
-		s.workers = append(s.workers, w)
-		s.running.Go(func() {
+	for _, instance := range s.cloud.Created[len(s.machines):] {
+		w := newMachine(s, instance)
+		s.machines = append(s.machines, w)
+		s.goroutines.Go(func() {
 			// Without sockets left the machine never comes up, like one that fails to boot.
 			_ = connect(w)
 		})
 	}
-	for _, w := range s.workers {
+	for _, w := range s.machines {
 		w.tick(now)
 	}
 }
 
 // storeRevision is the revision of the state service.
-func (s *site) storeRevision() uint64 {
+func (s *environment) storeRevision() uint64 {
 	_, revision := s.store.List(" ") // no key begins with a blank
 	return revision
 }
 
 // wakeWatches wakes the watches if the state service has a later revision than that.
-func (s *site) wakeWatches(before uint64) {
+func (s *environment) wakeWatches(before uint64) {
 	if s.storeRevision() > before {
 		close(s.storeChanged)
 		s.storeChanged = make(chan struct{})
--- a/internal/loopback/store_service.go
+++ b/internal/loopback/store_service.go
@@ -13,10 +13,10 @@
 )
 
 // storeRoutes answers as the state service.
-func (s *site) storeRoutes(app *fiber.App) {
+func (s *environment) storeRoutes(app *fiber.App) {
 	app.Get("/store", s.list)
 	app.Get("/store/*", s.get)
-	app.Post("/multi", s.transact)
+	app.Post("/multi", s.commitTransaction)
 	app.Post("/grants", s.grantLease)
 	app.Post("/grants/:id/touch", s.renewLease)
 	app.Delete("/grants/:id", s.revokeLease)
@@ -28,7 +28,7 @@
 	Revision uint64 `json:"ledger"`
 }
 
-func (s *site) get(c fiber.Ctx) error {
+func (s *environment) get(c fiber.Ctx) error {
 	var item wire.Item
 	var found bool
 	var revision uint64
@@ -42,7 +42,7 @@
 	return c.JSON(item)
 }
 
-func (s *site) list(c fiber.Ctx) error {
+func (s *environment) list(c fiber.Ctx) error {
 	limit, err := strconv.Atoi(c.Query("most", "1000"))
 	if err != nil {
 		return fiber.NewError(fiber.StatusBadRequest, "most")
@@ -64,7 +64,7 @@
 	return c.JSON(page)
 }
 
-func (s *site) transact(c fiber.Ctx) error {
+func (s *environment) commitTransaction(c fiber.Ctx) error {
 	txn, err := decodeBody[wire.Txn](c)
 	if err != nil {
 		return err
@@ -85,7 +85,7 @@
 	return c.JSON(wire.TxnResponse{Revision: result.Revision})
 }
 
-func (s *site) grantLease(c fiber.Ctx) error {
+func (s *environment) grantLease(c fiber.Ctx) error {
 	request, err := decodeBody[wire.LeaseRequest](c)
 	if err != nil {
 		return err
@@ -96,7 +96,7 @@
 	return c.JSON(wire.LeaseResponse{Lease: id})
 }
 
-func (s *site) renewLease(c fiber.Ctx) error {
+func (s *environment) renewLease(c fiber.Ctx) error {
 	id, err := strconv.ParseUint(c.Params("id"), 10, 64)
 	found := false
 	s.call(func() { found = err == nil && s.store.RenewLease(s.clock.Now(), id) })
@@ -106,7 +106,7 @@
 	return c.JSON(wire.LeaseResponse{Lease: id})
 }
 
-func (s *site) revokeLease(c fiber.Ctx) error {
+func (s *environment) revokeLease(c fiber.Ctx) error {
 	id, err := strconv.ParseUint(c.Params("id"), 10, 64)
 	if err != nil {
 		return c.SendStatus(fiber.StatusBadRequest)
@@ -119,7 +119,7 @@
 	return c.SendStatus(fiber.StatusOK)
 }
 
-func (s *site) watch(c fiber.Ctx) error {
+func (s *environment) watch(c fiber.Ctx) error {
 	since, err := strconv.ParseUint(c.Query("since", "0"), 10, 64)
 	blockMs, blockErr := strconv.Atoi(c.Query("blockMs", "0"))
 	if err != nil || blockErr != nil {
--- a/internal/loopback/surge.go
+++ b/internal/loopback/surge.go
@@ -13,41 +13,41 @@
 // Surge is a steady load by all teams, then ten times its usual volume by the first of them, submitted at
 // every controller.
 type Surge struct {
-	Interval time.Duration // between two jobs of each team, before the surge
-	Factor   int           // by which the first team's volume grows
-	WarmUp   time.Duration // of steady load alone
-	Duration time.Duration
-	CoolDown time.Duration // that is watched once the surge is over
+	JobInterval time.Duration // between two jobs of each team, before the surge
+	Factor      int           // by which the first team's volume grows
+	WarmUp      time.Duration // of steady load alone
+	Duration    time.Duration
+	CoolDown    time.Duration // that is watched once the surge is over
 }
 
 // DefaultSurge takes five minutes.
 func DefaultSurge() Surge {
 	return Surge{
-		Interval: 6 * time.Second,
-		Factor:   10,
-		WarmUp:   45 * time.Second,
-		Duration: time.Minute,
-		CoolDown: 3 * time.Minute,
+		JobInterval: 6 * time.Second,
+		Factor:      10,
+		WarmUp:      45 * time.Second,
+		Duration:    time.Minute,
+		CoolDown:    3 * time.Minute,
 	}
 }
 
 // settleTime is how long after its beginning a surge may leave machines uneven.
 const settleTime = 2 * time.Minute
 
-// Sample is the load over the machines that are up at one moment.
-type Sample struct {
+// LoadSample is the load over the machines that are up at one moment.
+type LoadSample struct {
 	AtS      float64 `json:"at_s"` // since the surge began
 	Machines int     `json:"machines"`
 	Mean     float64 `json:"mean"`
-	Greatest float64 `json:"greatest"`
+	Max      float64 `json:"greatest"`
 }
 
-// OverMean is the greatest load in multiples of the mean.
-func (s Sample) OverMean() float64 {
+// MaxToMean is the greatest load in multiples of the mean.
+func (s LoadSample) MaxToMean() float64 {
 	if s.Mean == 0 {
 		return 0
 	}
-	return s.Greatest / s.Mean
+	return s.Max / s.Mean
 }
 
 // TeamWait is how long a team's jobs waited for their first task to have its image.
@@ -61,29 +61,29 @@
 
 // Result is what was measured of one surge.
 type Result struct {
-	Samples []Sample `json:"samples"`
-	// WorstSettled is the greatest load over the mean from two minutes after the surge began, and AboveTwice
+	Samples []LoadSample `json:"samples"`
+	// SettledMaxToMean is the greatest load over the mean from two minutes after the surge began, and AboveTwice
 	// for how many seconds of that time it was above two.
-	WorstSettled       float64                `json:"worst_settled"`
-	AboveTwice         int                    `json:"seconds_above_twice"`
+	SettledMaxToMean   float64                `json:"worst_settled"`
+	SecondsAboveTwice  int                    `json:"seconds_above_twice"`
 	Migrations         peer.MigrationOutcomes `json:"moves"`
 	ImageFetches       int                    `json:"image_fetches"`
-	LostS              float64                `json:"redone_s"`
+	LostSeconds        float64                `json:"redone_s"`
 	CPUSeconds         float64                `json:"controllers_cpu_s"`
 	RefusedSubmissions int                    `json:"submissions_refused"`
 	Waits              []TeamWait             `json:"waits"`
 	RepeatedTasks      int                    `json:"tasks_completed_twice"`
 }
 
-// Play plays the surge on the cluster and measures it.
-func (s Surge) Play(ctx context.Context, c *Cluster) (Result, error) {
+// Run plays the surge on the cluster and measures it.
+func (s Surge) Run(ctx context.Context, c *Cluster) (Result, error) {
 	begin := time.Now()
 	surge := begin.Add(s.WarmUp)
 	end := surge.Add(s.Duration + s.CoolDown)
 	refused := make(chan int, 1) // so that the submissions end also when nobody waits for them
 	go func() { refused <- s.submitAll(ctx, c, begin, surge, end) }()
 	var r Result
-	if err := r.sample(ctx, c, surge, end); err != nil {
+	if err := r.collectSamples(ctx, c, surge, end); err != nil {
 		<-refused
 		return r, err
 	}
@@ -92,8 +92,8 @@
 	return r, nil
 }
 
-// sample measures the load once a second until the end.
-func (r *Result) sample(ctx context.Context, c *Cluster, surge, end time.Time) error {
+// collectSamples measures the load once a second until the end.
+func (r *Result) collectSamples(ctx context.Context, c *Cluster, surge, end time.Time) error {
 	second := time.NewTicker(time.Second)
 	defer second.Stop()
 	for time.Now().Before(end) {
@@ -102,13 +102,13 @@
 			return fmt.Errorf("surge: %w", ctx.Err())
 		case <-second.C:
 		}
-		sample := c.Sample()
+		sample := c.SampleLoad()
 		sample.AtS = time.Since(surge).Seconds()
 		r.Samples = append(r.Samples, sample)
 		if time.Since(surge) >= settleTime {
-			r.WorstSettled = max(r.WorstSettled, sample.OverMean())
-			if sample.OverMean() > 2 {
-				r.AboveTwice++
+			r.SettledMaxToMean = max(r.SettledMaxToMean, sample.MaxToMean())
+			if sample.MaxToMean() > 2 {
+				r.SecondsAboveTwice++
 			}
 		}
 	}
@@ -117,10 +117,10 @@
 
 // submitAll submits the jobs of all teams until the end, and says how many submissions were refused.
 func (s Surge) submitAll(ctx context.Context, c *Cluster, begin, surge, end time.Time) (refused int) {
-	teams := c.site.shape.Teams
+	teams := c.environment.config.Teams
 	due := make([]time.Time, len(teams))
 	for i := range due {
-		due[i] = begin.Add(s.Interval * time.Duration(i) / time.Duration(len(teams)))
+		due[i] = begin.Add(s.JobInterval * time.Duration(i) / time.Duration(len(teams)))
 	}
 	for n := 0; ; n++ {
 		first := slices.MinFunc(due, time.Time.Compare)
@@ -128,7 +128,7 @@
 		if first.After(end) || !sleepUntil(ctx, first) {
 			return refused
 		}
-		every := s.Interval
+		every := s.JobInterval
 		if team == 0 && first.After(surge) && first.Before(surge.Add(s.Duration)) {
 			every /= time.Duration(s.Factor)
 		}
@@ -174,16 +174,16 @@
 	}, runS
 }
 
-// Sample looks at the load of the machines that are up.
-func (c *Cluster) Sample() (s Sample) {
-	c.site.call(func() {
-		for _, w := range c.site.workers {
-			if !w.up || w.ended {
+// SampleLoad looks at the load of the machines that are up.
+func (c *Cluster) SampleLoad() (s LoadSample) {
+	c.environment.call(func() {
+		for _, w := range c.environment.machines {
+			if !w.booted || w.terminated {
 				continue
 			}
 			s.Machines++
 			s.Mean += w.Load()
-			s.Greatest = max(s.Greatest, w.Load())
+			s.Max = max(s.Max, w.Load())
 		}
 	})
 	if s.Machines > 0 {
@@ -201,18 +201,18 @@
 		r.CPUSeconds += k.CPUSeconds()
 	}
 	waits := map[string][]float64{}
-	c.site.call(func() {
-		for _, w := range c.site.workers {
+	c.environment.call(func() {
+		for _, w := range c.environment.machines {
 			r.ImageFetches += w.ImagesFetched
-			r.LostS += w.LostSeconds
+			r.LostSeconds += w.LostSeconds
 		}
-		for _, j := range c.site.jobs {
+		for _, j := range c.environment.jobs {
 			_, repeated := j.completedTasks()
 			r.RepeatedTasks += repeated
 			waits[j.spec.Team] = append(waits[j.spec.Team], j.waitS())
 		}
 	})
-	for _, team := range c.site.shape.Teams {
+	for _, team := range c.environment.config.Teams {
 		r.Waits = append(r.Waits, teamWait(team, waits[team]))
 	}
 }
@@ -221,7 +221,7 @@
 const notStarted = -1
 
 // waitS is how long a job waited until its first task had its image.
-func (j *jobRun) waitS() float64 {
+func (j *submittedJob) waitS() float64 {
 	if j.startedAt == 0 {
 		return notStarted
 	}
@@ -238,15 +238,15 @@
 	return w
 }
 
-// PlayUntilDone keeps the steady load up until ctx ends, with a surge whenever one is asked for.
-func (s Surge) PlayUntilDone(ctx context.Context, c *Cluster, surges <-chan struct{}) {
-	teams := c.site.shape.Teams
+// RunUntilCancelled keeps the steady load up until ctx ends, with a surge whenever one is asked for.
+func (s Surge) RunUntilCancelled(ctx context.Context, c *Cluster, surges <-chan struct{}) {
+	teams := c.environment.config.Teams
 	var until time.Time
 	for n := 0; ; n++ {
-		every := s.Interval / time.Duration(len(teams))
+		every := s.JobInterval / time.Duration(len(teams))
 		team := n % len(teams)
 		if time.Now().Before(until) {
-			every, team = s.Interval/time.Duration(s.Factor), 0
+			every, team = s.JobInterval/time.Duration(s.Factor), 0
 		}
 		select {
 		case <-ctx.Done():
