--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -7,60 +7,62 @@
 	"swiftledge/wire"
 )
 
-// Instance is a machine of the cloud.
+// Instance is a machine that the cloud has created, with the times of its life cycle and its faults.
 type Instance struct {
 	wire.Machine
-	// CreatedAt, BootedAt and ListedAt are when it was created, comes up and appears in the machine list.
+	// CreatedAt, BootedAt and ListedAt are the times at which the instance is created, has booted and appears in
+	// the machine list.
 	CreatedAt, BootedAt, ListedAt clock.Micros
-	NeverBoots                    bool // it will not come up
-	NeverHeartbeats               bool // it comes up, and its worker never sends a heartbeat
-	Failed                        bool // it stopped by itself
+	NeverBoots                    bool // it stays in the starting state
+	NeverHeartbeats               bool // it boots, but its agent never sends a heartbeat
+	Failed                        bool // it stopped without a delete request
 	Deleted                       bool
 }
 
-// Cloud provisions, lists and deletes machines.
+// Cloud is the fake cloud: it provisions, lists and deletes machines.
 type Cloud struct {
 	Types    []wire.MachineType
-	Capacity int // machines that may exist at once; 0: no bound
-	// ListLag is how long after its creation a machine appears in the machine list.
+	Capacity int // maximum number of machines that are not deleted; 0: unlimited
+	// ListLag is the delay between a machine's creation and its appearance in the machine list.
 	ListLag            clock.Micros
-	NextNeverBoot      int // how many of the next machines never come up
-	NextNeverHeartbeat int // how many of the next machines come up and never send a heartbeat
-	// BootFactor makes the next machines boot in so many times the usual time; 0: in the usual time.
+	NextNeverBoot      int // number of next machines that never boot
+	NextNeverHeartbeat int // number of next machines that boot but never send a heartbeat
+	// BootFactor multiplies the boot time of the machines created from now on; 0: the usual boot time.
 	BootFactor float64
 	Instances  map[string]*Instance // by name
-	Created    []*Instance          // all of them, in the order of creation, which is that of their names
+	Created    []*Instance          // all instances in the order of creation, which is also the order of their names
 
-	namesByRequest map[string][]string // names of the machines by request
+	namesByRequest map[string][]string // names of the created machines by request ID
 }
 
-// NewCloud makes a cloud without machines.
+// NewCloud returns a cloud without machines.
 func NewCloud(types []wire.MachineType, listLag clock.Micros) *Cloud {
 	return &Cloud{Types: types, ListLag: listLag, Instances: map[string]*Instance{}, namesByRequest: map[string][]string{}}
 }
 
-// Provision carries out a request, once for each request ID, and returns the names of its machines; false: no
-// capacity.
-func (c *Cloud) Provision(now clock.Micros, r wire.ProvisionRequest) ([]string, bool) {
-	if names, ok := c.namesByRequest[r.RequestID]; ok {
+// Provision creates the machines of a request and returns their names. A repeated request ID returns the names of
+// the first request. The result is false if there is no capacity or the machine type is unknown.
+func (c *Cloud) Provision(now clock.Micros, request wire.ProvisionRequest) ([]string, bool) {
+	if names, ok := c.namesByRequest[request.RequestID]; ok {
 		return names, true
 	}
-	count := r.Count
+	count := request.Count
 	if c.Capacity > 0 {
 		count = min(count, c.Capacity-c.countExisting())
 	}
-	if count <= 0 || c.machineType(r.Type) == nil {
+	if count <= 0 || c.machineType(request.Type) == nil {
 		return nil, false
 	}
 	var names []string
 	for range count {
-		names = append(names, c.CreateInstance(now, r.Type, r.Zone, r.Spot).Name)
+		names = append(names, c.CreateInstance(now, request.Type, request.Zone, request.Spot).Name)
 	}
-	c.namesByRequest[r.RequestID] = names
+	c.namesByRequest[request.RequestID] = names
 	return names, true
 }
 
-// CreateInstance creates a machine of a known type outside of any request.
+// CreateInstance creates a machine without a provision request and without a check of the capacity. The type must
+// be known.
 func (c *Cloud) CreateInstance(now clock.Micros, typeName, zone string, spot bool) *Instance {
 	bootSeconds := c.machineType(typeName).BootS
 	number := len(c.Created)
@@ -92,7 +94,7 @@
 	return instance
 }
 
-// Delete deletes machines; names that it does not know are skipped.
+// Delete deletes machines and ignores unknown names.
 func (c *Cloud) Delete(names []string) {
 	for _, name := range names {
 		if instance := c.Instances[name]; instance != nil {
@@ -101,7 +103,7 @@
 	}
 }
 
-// List returns the machine list as of now.
+// List returns the listed machines that are not deleted, with their state and age at now.
 func (c *Cloud) List(now clock.Micros) []wire.Machine {
 	var machines []wire.Machine
 	for _, instance := range c.Created {
@@ -121,7 +123,7 @@
 	return machines
 }
 
-// machineType returns the type of that name, or nil.
+// machineType returns the machine type with the given name, or nil if there is none.
 func (c *Cloud) machineType(name string) *wire.MachineType {
 	for i := range c.Types {
 		if c.Types[i].Name == name {
--- a/internal/fake/store.go
+++ b/internal/fake/store.go
@@ -11,47 +11,47 @@
 	"swiftledge/wire"
 )
 
-// bytesPerKB converts the limit of a value, which the settings give in kilobytes.
+// bytesPerKB converts the limit on the size of a value, which the settings give in kilobytes, to bytes.
 const bytesPerKB = 1024
 
-// conditionsPerWrite is how many conditions a transaction may have for each write that it may have.
+// conditionsPerWrite is the ratio of a transaction's maximum number of conditions to its maximum number of writes.
 const conditionsPerWrite = 4
 
-// Store is the state service.
+// Store is the fake state service: a key-value store with leases, transactions and watches.
 type Store struct {
-	Down          bool // it answers 503 to all
+	Down          bool // during an outage the service answers 503 to all requests
 	MaxValueBytes int
 	MaxTxnWrites  int
-	Writes        int // writes of all transactions so far
+	Writes        int // number of writes in all transactions so far, failed ones included
 
 	revision    uint64
 	items       map[string]wire.Item
 	leases      map[uint64]*lease
 	lastLeaseID uint64
 
-	changes          []change // in the order of their revisions
-	compactedThrough uint64   // the changes up to this revision are dropped
+	changes          []change // in ascending order of revision
+	compactedThrough uint64   // changes up to this revision have been dropped
 }
 
-// change is an entry of the change log.
+// change is an entry of the change log that serves the watches.
 type change struct {
 	revision uint64
 	event    wire.Event
 }
 
-// NewStore makes an empty store with the limits of the settings.
+// NewStore returns an empty store with the given limits on the size of a value and the writes of a transaction.
 func NewStore(valueKB float64, txnOps int) *Store {
 	s := &Store{items: map[string]wire.Item{}, leases: map[uint64]*lease{}}
 	s.SetLimits(valueKB, txnOps)
 	return s
 }
 
-// SetLimits sets other limits; what is stored stays readable.
+// SetLimits changes the limits. Values that are already stored stay readable.
 func (s *Store) SetLimits(valueKB float64, txnOps int) {
 	s.MaxValueBytes, s.MaxTxnWrites = int(valueKB*bytesPerKB), txnOps
 }
 
-// EndOutage ends an outage: every lease has its full time again.
+// EndOutage ends an outage and renews every lease for its full TTL.
 func (s *Store) EndOutage(now clock.Micros) {
 	s.Down = false
 	for _, l := range s.leases {
@@ -59,13 +59,13 @@
 	}
 }
 
-// Get reads a key.
+// Get returns the item of a key, and false if the key does not exist.
 func (s *Store) Get(key string) (wire.Item, bool) {
 	item, ok := s.items[key]
 	return item, ok
 }
 
-// List reads all keys with a prefix, and returns the store's revision.
+// List returns the items whose keys have a prefix, sorted by key, and the store's revision.
 func (s *Store) List(prefix string) ([]wire.Item, uint64) {
 	var items []wire.Item
 	for _, key := range slices.Sorted(maps.Keys(s.items)) {
@@ -76,21 +76,22 @@
 	return items, s.revision
 }
 
-// Txn carries out a transaction; problem tells of one that is malformed.
-func (s *Store) Txn(t wire.Txn) (result store.TxnResult, problem string) {
-	s.Writes += len(t.Writes)
-	if result, problem = s.findProblem(t); problem != "" {
+// Txn executes a transaction. It commits the writes if all conditions hold, and returns the keys of the failed
+// conditions otherwise. The problem is not empty if the transaction is malformed.
+func (s *Store) Txn(txn wire.Txn) (result store.TxnResult, problem string) {
+	s.Writes += len(txn.Writes)
+	if result, problem = s.findProblem(txn); problem != "" {
 		return result, problem
 	}
-	for _, condition := range t.Conditions {
+	for _, condition := range txn.Conditions {
 		if s.items[condition.Key].Version != condition.Version {
 			result.FailedKeys = append(result.FailedKeys, condition.Key)
 		}
 	}
 	result.Committed = len(result.FailedKeys) == 0
-	if result.Committed && len(t.Writes) > 0 {
+	if result.Committed && len(txn.Writes) > 0 {
 		s.revision++
-		for _, write := range t.Writes {
+		for _, write := range txn.Writes {
 			s.apply(write)
 		}
 	}
@@ -98,17 +99,18 @@
 	return result, ""
 }
 
-// findProblem returns the problem of a transaction that breaks the limits or names no lease of the store.
-func (s *Store) findProblem(t wire.Txn) (result store.TxnResult, problem string) {
-	if len(t.Writes) > s.MaxTxnWrites || len(t.Conditions) > conditionsPerWrite*s.MaxTxnWrites {
+// findProblem returns why a transaction is malformed: it exceeds a limit, has a value that is not JSON, or names a
+// lease that does not exist. The problem is empty if the transaction is valid.
+func (s *Store) findProblem(txn wire.Txn) (result store.TxnResult, problem string) {
+	if len(txn.Writes) > s.MaxTxnWrites || len(txn.Conditions) > conditionsPerWrite*s.MaxTxnWrites {
 		return result, "too many operations"
 	}
-	for _, write := range t.Writes {
+	for _, write := range txn.Writes {
 		if len(write.Value) > s.MaxValueBytes {
 			return result, "value of " + write.Put + " is too large"
 		}
 		if write.Put != "" && !json.Valid(write.Value) {
-			return result, "value of " + write.Put + " is no JSON"
+			return result, "value of " + write.Put + " is not valid JSON"
 		}
 		if write.Lease != 0 && s.leases[write.Lease] == nil {
 			return store.TxnResult{LeaseExpired: true}, "no such lease"
@@ -117,7 +119,7 @@
 	return result, ""
 }
 
-// apply carries out one write at the present revision.
+// apply executes one write at the current revision.
 func (s *Store) apply(write wire.Write) {
 	if write.Put == "" {
 		s.deleteKey(write.Delete)
@@ -132,7 +134,7 @@
 	s.appendChange(wire.Event{Put: write.Put, Value: slices.Clone(write.Value), Version: s.revision})
 }
 
-// deleteKey removes a key, if it is there.
+// deleteKey deletes a key and logs the change if the key exists.
 func (s *Store) deleteKey(key string) {
 	if _, ok := s.items[key]; ok {
 		delete(s.items, key)
@@ -140,22 +142,22 @@
 	}
 }
 
-// appendChange notes a change at the present revision.
+// appendChange adds an event to the change log at the current revision.
 func (s *Store) appendChange(event wire.Event) {
 	s.changes = append(s.changes, change{s.revision, event})
 }
 
-// CompactChanges drops the changes so far: who has not seen them must read the keys again.
+// CompactChanges drops all changes so far. A watcher that has not received them must list the keys again.
 func (s *Store) CompactChanges() { s.changes, s.compactedThrough = nil, s.revision }
 
-// HasChangesSince says whether the changes after a revision are still kept.
+// HasChangesSince reports whether the change log still holds all changes after a revision.
 func (s *Store) HasChangesSince(revision uint64) bool { return revision >= s.compactedThrough }
 
-// ChangesSince returns the changes of keys with a prefix after a revision.
+// ChangesSince returns the changes after a revision of the keys with a prefix.
 func (s *Store) ChangesSince(prefix string, revision uint64) wire.WatchResponse {
 	response := wire.WatchResponse{Revision: s.revision}
-	first, _ := slices.BinarySearchFunc(s.changes, revision+1, func(c change, wanted uint64) int {
-		return int(c.revision) - int(wanted)
+	first, _ := slices.BinarySearchFunc(s.changes, revision+1, func(c change, target uint64) int {
+		return int(c.revision) - int(target)
 	})
 	for _, c := range s.changes[first:] {
 		if strings.HasPrefix(c.event.Put+c.event.Delete, prefix) {
--- a/internal/fake/store_leases.go
+++ b/internal/fake/store_leases.go
@@ -7,19 +7,19 @@
 	"swiftledge/internal/clock"
 )
 
-// lease is a lease of the state service: the keys written with it are removed when it ends.
+// lease is a lease of the state service. When it expires or is revoked, the keys written with it are deleted.
 type lease struct {
 	ttl, expiresAt clock.Micros
 }
 
-// GrantLease makes a lease and returns its number.
+// GrantLease creates a lease and returns its ID.
 func (s *Store) GrantLease(now, ttl clock.Micros) uint64 {
 	s.lastLeaseID++
 	s.leases[s.lastLeaseID] = &lease{ttl: ttl, expiresAt: now + ttl}
 	return s.lastLeaseID
 }
 
-// RenewLease renews a lease; false when there is none.
+// RenewLease renews a lease for its full TTL. It returns false if the lease does not exist.
 func (s *Store) RenewLease(now clock.Micros, id uint64) bool {
 	l := s.leases[id]
 	if l == nil {
@@ -29,7 +29,7 @@
 	return true
 }
 
-// RevokeLease ends a lease and removes its keys.
+// RevokeLease removes a lease and deletes its keys.
 func (s *Store) RevokeLease(id uint64) {
 	if s.leases[id] == nil {
 		return
@@ -51,7 +51,8 @@
 	}
 }
 
-// ExpireLeases ends the leases that were not renewed in time; during an outage, none.
+// ExpireLeases revokes the leases whose TTL has elapsed since their last renewal. During an outage no lease
+// expires.
 func (s *Store) ExpireLeases(now clock.Micros) {
 	if s.Down {
 		return
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -6,76 +6,77 @@
 	"swiftledge/wire"
 )
 
-// Workload is what the tasks of a simulation really are: what only the users know, and what happens when a task
-// runs.
+// Workload describes the jobs of a simulation: the users' job descriptions and the actual behavior of each task.
 type Workload interface {
-	// Job returns a job's description, as its user uploaded it.
+	// Job returns a job's description as its user uploaded it. The result is false if the job is unknown.
 	Job(ref string) (wire.Job, bool)
-	// RunSeconds is how long a task really runs.
+	// RunSeconds returns the actual run time of a task.
 	RunSeconds(job *wire.Job, index int) float64
-	// Fails says whether a task was submitted with a mistake: it fails wherever it runs.
+	// Fails reports whether a task is faulty and therefore fails on every machine.
 	Fails(job *wire.Job, index int) bool
 }
 
-// Observer is told what becomes of the tasks of a worker.
+// Observer receives the events of an agent's tasks.
 type Observer interface {
-	// RunCommandExecuted is called when a run command is carried out for an attempt that was not listed.
-	RunCommandExecuted(w *Agent, t *Task)
-	// TaskStarted is called when a task has its image and begins to run.
-	TaskStarted(w *Agent, t *Task)
-	// TaskAlreadyDone is called when a task has its image and exits at once, as its result is stored already.
-	TaskAlreadyDone(w *Agent, t *Task)
-	// TaskEnded is called when a task that was on the machine has exited.
-	TaskEnded(w *Agent, t *Task)
+	// RunCommandExecuted is called when the agent executes a run command for a new attempt, before it checks
+	// whether it can run the task.
+	RunCommandExecuted(a *Agent, task *Task)
+	// TaskStarted is called when a task starts to run after its image has been fetched.
+	TaskStarted(a *Agent, task *Task)
+	// TaskAlreadyDone is called when a task exits right after its image has been fetched because its result is
+	// already stored.
+	TaskAlreadyDone(a *Agent, task *Task)
+	// TaskEnded is called when an active task has exited.
+	TaskEnded(a *Agent, task *Task)
 }
 
-// Outputs is what tasks store outside the machines; all workers of a simulation share it.
+// Outputs holds what tasks store outside the machines. All agents of a simulation share it.
 type Outputs struct {
-	results           map[string]bool    // of completed tasks
-	checkpointSeconds map[string]float64 // run time that a task has saved
+	results           map[string]bool    // result keys of completed tasks
+	checkpointSeconds map[string]float64 // run time saved in checkpoints, by task
 }
 
-// NewOutputs makes outputs of no task.
+// NewOutputs returns empty outputs.
 func NewOutputs() *Outputs {
 	return &Outputs{results: map[string]bool{}, checkpointSeconds: map[string]float64{}}
 }
 
-// Identity is what a worker says of its machine in each heartbeat.
+// Identity describes the machine in each heartbeat of its agent.
 type Identity struct {
 	Name, Address, Type, Zone string
 	Spot                      bool
 }
 
-// Resources are what a machine offers to tasks.
+// Resources are the resources that a machine offers to tasks.
 type Resources struct {
 	CPUs, MemoryGB float64
-	// FetchSeconds is how long it takes to fetch an image.
+	// FetchSeconds is the time to fetch an image.
 	FetchSeconds float64
 }
 
-// Session is what a worker remembers until it boots again; its epoch changes when the lease expires, too.
+// Session is the state that an agent keeps until its next boot. Its epoch also changes when the lease expires.
 type Session struct {
 	AgentEpoch   wire.AgentEpoch
-	Seq          uint64 // of the last heartbeat
+	Seq          uint64 // sequence number of the last heartbeat
 	FencingToken wire.FencingToken
 
 	leaseRenewedAt clock.Micros
 }
 
-// Faults is what a simulation lets go wrong on a machine.
+// Faults are the faults and the preemption notice that a simulation injects on a machine.
 type Faults struct {
 	FailsTasks        bool     // every task fails
-	PreemptionNoticeS *float64 // seconds until the cloud takes the machine back; nil: no notice
+	PreemptionNoticeS *float64 // seconds until the cloud preempts the machine; nil: no preemption notice
 }
 
-// Counters count over all sessions, except RunCommands.
+// Counters hold totals over all sessions, except for RunCommands.
 type Counters struct {
 	ImagesFetched int
-	LostSeconds   float64        // run time of tasks that has to be repeated
-	RunCommands   map[string]int // by job: run commands that were carried out since the last boot
+	LostSeconds   float64        // run time of tasks that must be repeated
+	RunCommands   map[string]int // by job: run commands executed since the last boot
 }
 
-// Agent runs tasks as the workers' protocol says.
+// Agent is a fake agent. It runs the tasks of one machine and follows the agents' protocol.
 type Agent struct {
 	Identity
 	Resources
@@ -91,67 +92,68 @@
 	images map[string]bool
 }
 
-// Boot begins the first session.
-func (w *Agent) Boot(now clock.Micros) {
-	w.Session = Session{AgentEpoch: 1, leaseRenewedAt: now}
-	w.images = map[string]bool{}
-	w.RunCommands = map[string]int{}
+// Boot starts the first session.
+func (a *Agent) Boot(now clock.Micros) {
+	a.Session = Session{AgentEpoch: 1, leaseRenewedAt: now}
+	a.images = map[string]bool{}
+	a.RunCommands = map[string]int{}
 }
 
-// Reboot begins anew under the same name: nothing from before is known.
-func (w *Agent) Reboot(now clock.Micros) {
-	w.dropTasks(now)
-	w.Boot(now)
+// Reboot drops all tasks and starts a new first session under the same name. No earlier state is kept.
+func (a *Agent) Reboot(now clock.Micros) {
+	a.dropTasks(now)
+	a.Boot(now)
 }
 
-// LeaseRenewedAt is when the last heartbeat that was answered was sent, or the session began.
-func (w *Agent) LeaseRenewedAt() clock.Micros { return w.leaseRenewedAt }
+// LeaseRenewedAt returns the send time of the last answered heartbeat, or the start of the session if it is later.
+func (a *Agent) LeaseRenewedAt() clock.Micros { return a.leaseRenewedAt }
 
-// Load is the dominant share of the machine that its tasks take.
-func (w *Agent) Load() float64 {
+// Load returns the dominant share of the machine's resources that its tasks use.
+func (a *Agent) Load() float64 {
 	var used load.Resources
-	for _, t := range w.Tasks {
-		if t.State != wire.TaskExited {
-			used = used.Plus(load.Resources{CPUs: t.Job.CPUs, Memory: t.Job.MemoryGB})
+	for _, task := range a.Tasks {
+		if task.State != wire.TaskExited {
+			used = used.Plus(load.Resources{CPUs: task.Job.CPUs, Memory: task.Job.MemoryGB})
 		}
 	}
-	return used.DominantShare(load.Resources{CPUs: w.CPUs, Memory: w.MemoryGB})
+	return used.DominantShare(load.Resources{CPUs: a.CPUs, Memory: a.MemoryGB})
 }
 
-// Advance lets time pass: images arrive, tasks end, the lease expires. It says whether something changed.
-func (w *Agent) Advance(now clock.Micros) bool {
+// Advance updates the state to now: it completes image fetches, runs and saves that are due, and drops all tasks if
+// the lease has expired. It reports whether anything changed.
+func (a *Agent) Advance(now clock.Micros) bool {
 	changed := false
-	if now > w.leaseRenewedAt+w.LeaseTime {
-		w.dropTasks(now)
-		w.AgentEpoch++
-		w.leaseRenewedAt = now
+	if now > a.leaseRenewedAt+a.LeaseTime {
+		a.dropTasks(now)
+		a.AgentEpoch++
+		a.leaseRenewedAt = now
 		changed = true
 	}
-	for _, t := range w.Tasks {
-		if t.State != wire.TaskExited && t.stateEndsAt != 0 && now >= t.stateEndsAt {
-			w.advanceTask(now, t)
+	for _, task := range a.Tasks {
+		if task.State != wire.TaskExited && task.stateEndsAt != 0 && now >= task.stateEndsAt {
+			a.advanceTask(now, task)
 			changed = true
 		}
 	}
 	return changed
 }
 
-// Heartbeat returns the next heartbeat, with the state as of now.
-func (w *Agent) Heartbeat() *wire.Heartbeat {
-	w.Seq++
+// Heartbeat returns the next heartbeat, which contains the current state.
+func (a *Agent) Heartbeat() *wire.Heartbeat {
+	a.Seq++
 	heartbeat := &wire.Heartbeat{
-		Machine:           w.Name,
-		Address:           w.Address,
-		Type:              w.Type,
-		Zone:              w.Zone,
-		Spot:              w.Spot,
-		AgentEpoch:        w.AgentEpoch,
-		Seq:               w.Seq,
-		FencingToken:      w.FencingToken,
-		PreemptionNoticeS: w.PreemptionNoticeS,
+		Machine:           a.Name,
+		Address:           a.Address,
+		Type:              a.Type,
+		Zone:              a.Zone,
+		Spot:              a.Spot,
+		AgentEpoch:        a.AgentEpoch,
+		Seq:               a.Seq,
+		FencingToken:      a.FencingToken,
+		PreemptionNoticeS: a.PreemptionNoticeS,
 	}
-	for _, t := range w.Tasks {
-		heartbeat.Tasks = append(heartbeat.Tasks, t.TaskStatus)
+	for _, task := range a.Tasks {
+		heartbeat.Tasks = append(heartbeat.Tasks, task.TaskStatus)
 	}
 	return heartbeat
 }
--- a/internal/fake/worker_commands.go
+++ b/internal/fake/worker_commands.go
@@ -10,118 +10,123 @@
 	"swiftledge/wire"
 )
 
-// maxResponseDelay is how old a heartbeat may be whose answer still counts.
+// maxResponseDelay is the maximum age of a heartbeat at which the agent still accepts the response to it.
 const maxResponseDelay = 4 * clock.Second
 
-// resourceTolerance is how much more than what is free a task may ask for.
+// resourceTolerance is the amount by which a task's resources may exceed the free ones, to allow for rounding errors.
 const resourceTolerance = 1e-9
 
-// CommandsResult is the answer to a batch of direct commands.
+// CommandsResult is the response to a batch of direct commands.
 type CommandsResult struct {
-	Status    int // 200, or 409: of another session, or a controller that lost the machine
+	Status    int // 200; 409 if the batch has another agent epoch or an outdated fencing token
 	Heartbeat *wire.Heartbeat
-	Changed   bool // the next heartbeat has news
+	Changed   bool // the next heartbeat differs from the previous one
 }
 
-// HandleResponse takes a 200 to the heartbeat that was sent at the given time in the given session. It says
-// whether something changed.
-func (w *Agent) HandleResponse(now, sent clock.Micros, agentEpoch wire.AgentEpoch, r wire.HeartbeatResponse) bool {
-	if agentEpoch != w.AgentEpoch || r.FencingToken < w.FencingToken || now-sent > maxResponseDelay {
+// HandleResponse handles a 200 response to the heartbeat that was sent at sentAt with agentEpoch: it renews the lease
+// and executes the commands. It reports whether anything changed.
+func (a *Agent) HandleResponse(
+	now, sentAt clock.Micros, agentEpoch wire.AgentEpoch, response wire.HeartbeatResponse,
+) bool {
+	if agentEpoch != a.AgentEpoch || response.FencingToken < a.FencingToken || now-sentAt > maxResponseDelay {
 		return false
 	}
-	tokenRaised := r.FencingToken > w.FencingToken
-	w.FencingToken = r.FencingToken
-	w.leaseRenewedAt = max(w.leaseRenewedAt, sent)
-	return w.execute(now, r.Commands) || tokenRaised
+	tokenRaised := response.FencingToken > a.FencingToken
+	a.FencingToken = response.FencingToken
+	a.leaseRenewedAt = max(a.leaseRenewedAt, sentAt)
+	return a.execute(now, response.Commands) || tokenRaised
 }
 
-// HandleCommands takes direct commands.
-func (w *Agent) HandleCommands(now clock.Micros, batch wire.CommandBatch) CommandsResult {
-	if batch.FencingToken < w.FencingToken || batch.AgentEpoch != w.AgentEpoch {
-		return CommandsResult{Status: http.StatusConflict, Heartbeat: w.Heartbeat()}
+// HandleCommands handles a batch of direct commands. It refuses a batch of another agent epoch or with an outdated
+// fencing token.
+func (a *Agent) HandleCommands(now clock.Micros, batch wire.CommandBatch) CommandsResult {
+	if batch.FencingToken < a.FencingToken || batch.AgentEpoch != a.AgentEpoch {
+		return CommandsResult{Status: http.StatusConflict, Heartbeat: a.Heartbeat()}
 	}
-	tokenRaised := batch.FencingToken > w.FencingToken
-	w.FencingToken = batch.FencingToken
-	changed := w.execute(now, batch.Commands) || tokenRaised
-	return CommandsResult{Status: http.StatusOK, Heartbeat: w.Heartbeat(), Changed: changed}
+	tokenRaised := batch.FencingToken > a.FencingToken
+	a.FencingToken = batch.FencingToken
+	changed := a.execute(now, batch.Commands) || tokenRaised
+	return CommandsResult{Status: http.StatusOK, Heartbeat: a.Heartbeat(), Changed: changed}
 }
 
-// execute carries out commands and says whether a task changed.
-func (w *Agent) execute(now clock.Micros, commands []wire.Command) bool {
+// execute executes commands and reports whether a task changed.
+func (a *Agent) execute(now clock.Micros, commands []wire.Command) bool {
 	changed := false
 	for _, command := range commands {
-		changed = w.executeCommand(now, command) || changed
+		changed = a.executeCommand(now, command) || changed
 	}
 	return changed
 }
 
-func (w *Agent) executeCommand(now clock.Micros, command wire.Command) (changed bool) {
-	listed := slices.IndexFunc(w.Tasks, func(t *Task) bool {
+// executeCommand executes one command and reports whether a task changed. A run command for a listed attempt and any
+// other command for an unlisted attempt have no effect.
+func (a *Agent) executeCommand(now clock.Micros, command wire.Command) (changed bool) {
+	position := slices.IndexFunc(a.Tasks, func(t *Task) bool {
 		return t.Task == command.Task && t.Attempt == command.Attempt
 	})
-	if listed < 0 {
+	if position < 0 {
 		if command.Verb != wire.VerbRun {
 			return false
 		}
-		w.startAttempt(now, command)
+		a.startAttempt(now, command)
 		return true
 	}
-	task := w.Tasks[listed]
+	task := a.Tasks[position]
 	exited := task.State == wire.TaskExited
 	switch {
 	case command.Verb == wire.VerbForget && exited:
-		w.Tasks = append(w.Tasks[:listed:listed], w.Tasks[listed+1:]...)
+		a.Tasks = append(a.Tasks[:position:position], a.Tasks[position+1:]...)
 		return false
 	case command.Verb == wire.VerbKill && !exited:
-		w.killTask(now, task, command.GraceS)
+		a.killTask(now, task, command.GraceS)
 		return true
 	}
 	return false
 }
 
-// killTask stops a task; it saves its work first if the grace is long enough.
-func (w *Agent) killTask(now clock.Micros, t *Task, graceS *float64) {
+// killTask stops a task. A running task saves a checkpoint first if the grace period is long enough.
+func (a *Agent) killTask(now clock.Micros, task *Task, graceS *float64) {
 	grace := 0.0
 	if graceS != nil {
 		grace = *graceS
 	}
 	switch {
-	case t.State == wire.TaskRunning && t.Job.CheckpointS > 0 && grace >= t.Job.SaveS:
-		t.State, t.stateEndsAt = wire.TaskSaving, now+clock.FromSeconds(t.Job.SaveS)
-	case t.State == wire.TaskSaving && grace > 0:
+	case task.State == wire.TaskRunning && task.Job.CheckpointS > 0 && grace >= task.Job.SaveS:
+		task.State, task.stateEndsAt = wire.TaskSaving, now+clock.FromSeconds(task.Job.SaveS)
+	case task.State == wire.TaskSaving && grace > 0:
 	default:
-		w.endTask(now, t, wire.ExitStopped)
+		a.endTask(now, task, wire.ExitStopped)
 	}
 }
 
-// startAttempt lists a new attempt, and begins to fetch its image unless the machine refuses it.
-func (w *Agent) startAttempt(now clock.Micros, command wire.Command) {
+// startAttempt adds a new attempt to the agent's tasks. It starts to fetch the image unless the agent rejects the task.
+func (a *Agent) startAttempt(now clock.Micros, command wire.Command) {
 	task := &Task{TaskStatus: wire.TaskStatus{Task: command.Task, Attempt: command.Attempt, State: wire.TaskFetching}}
-	w.Tasks = append(w.Tasks, task)
+	a.Tasks = append(a.Tasks, task)
 	ref, indexText, _ := strings.Cut(command.Task, "/")
-	w.RunCommands[ref]++
-	w.Observer.RunCommandExecuted(w, task)
+	a.RunCommands[ref]++
+	a.Observer.RunCommandExecuted(a, task)
 	index, err := strconv.Atoi(indexText)
-	job, known := w.Workload.Job(ref)
+	job, known := a.Workload.Job(ref)
 	if err != nil || !known || index >= job.Tasks {
 		task.State, task.Cause = wire.TaskExited, wire.ExitUnknown
 		return
 	}
 	task.Job, task.Index = job, index
-	if cause := w.rejectionCause(task); cause != "" {
+	if cause := a.rejectionCause(task); cause != "" {
 		task.State, task.Cause = wire.TaskExited, cause
 		return
 	}
 	task.stateEndsAt = now + 1
-	if !w.images[job.Image] {
-		task.stateEndsAt = now + clock.FromSeconds(w.FetchSeconds)
+	if !a.images[job.Image] {
+		task.stateEndsAt = now + clock.FromSeconds(a.FetchSeconds)
 	}
 }
 
-// rejectionCause says why the machine does not take a task; "" if it does.
-func (w *Agent) rejectionCause(task *Task) wire.ExitCause {
-	freeCPUs, freeMemory := w.CPUs, w.MemoryGB
-	for _, other := range w.Tasks {
+// rejectionCause returns why the agent rejects a task, or "" if it accepts the task.
+func (a *Agent) rejectionCause(task *Task) wire.ExitCause {
+	freeCPUs, freeMemory := a.CPUs, a.MemoryGB
+	for _, other := range a.Tasks {
 		if other == task || other.State == wire.TaskExited {
 			continue
 		}
--- a/internal/fake/worker_tasks.go
+++ b/internal/fake/worker_tasks.go
@@ -7,109 +7,113 @@
 	"swiftledge/wire"
 )
 
-// failingTaskRunTime is how long a task that fails runs.
+// failingTaskRunTime is the run time of a task that fails.
 const failingTaskRunTime = clock.Second
 
-// exitLost is the cause of a task that ended with its session. No heartbeat tells of it.
+// exitLost is the exit cause of a task that was dropped on a reboot or at the end of the lease. It appears in no
+// heartbeat.
 const exitLost wire.ExitCause = "lost"
 
-// Task is one attempt on a worker.
+// Task is one attempt of a task on an agent.
 type Task struct {
 	wire.TaskStatus
 	Job   wire.Job
 	Index int
 
-	stateEndsAt clock.Micros // when fetching, running or saving ends; 0: not by itself
-	startedAt   clock.Micros // when it began to run
+	stateEndsAt clock.Micros // end of the current state; 0: only a command ends it
+	startedAt   clock.Micros // start of the running state
 }
 
-// IsActive says whether the task counts as on the machine: it has its image and has not exited.
+// IsActive reports whether the task is active on the machine: it has its image and has not exited.
 func (t *Task) IsActive() bool { return t.State == wire.TaskRunning || t.State == wire.TaskSaving }
 
-// advanceTask goes on with a task whose present state is over.
-func (w *Agent) advanceTask(now clock.Micros, t *Task) {
-	switch t.State {
+// advanceTask moves a task to its next state when the current state has ended.
+func (a *Agent) advanceTask(now clock.Micros, task *Task) {
+	switch task.State {
 	case wire.TaskFetching:
-		w.finishFetch(now, t)
+		a.finishFetch(now, task)
 	case wire.TaskRunning:
-		w.finishRun(now, t)
+		a.finishRun(now, task)
 	case wire.TaskSaving:
-		t.Checkpointed = true
-		w.Outputs.checkpointSeconds[t.Task] += (t.stateEndsAt - t.startedAt).Seconds() - t.Job.SaveS
-		w.endTask(now, t, wire.ExitStopped)
+		task.Checkpointed = true
+		a.Outputs.checkpointSeconds[task.Task] += (task.stateEndsAt - task.startedAt).Seconds() - task.Job.SaveS
+		a.endTask(now, task, wire.ExitStopped)
 	case wire.TaskExited:
 	}
 }
 
-// finishFetch starts a task that has its image now, unless its result is stored already.
-func (w *Agent) finishFetch(now clock.Micros, t *Task) {
-	if !w.images[t.Job.Image] {
-		w.images[t.Job.Image] = true
-		w.ImagesFetched++
+// finishFetch starts a task whose image has been fetched. If its result is already stored, the task exits as done.
+func (a *Agent) finishFetch(now clock.Micros, task *Task) {
+	if !a.images[task.Job.Image] {
+		a.images[task.Job.Image] = true
+		a.ImagesFetched++
 	}
-	if w.Outputs.results[w.resultKey(t)] {
-		w.Observer.TaskAlreadyDone(w, t)
-		w.endTask(now, t, wire.ExitDone)
+	if a.Outputs.results[a.resultKey(task)] {
+		a.Observer.TaskAlreadyDone(a, task)
+		a.endTask(now, task, wire.ExitDone)
 		return
 	}
-	left := w.Workload.RunSeconds(&t.Job, t.Index) - w.Outputs.checkpointSeconds[t.Task]
-	t.State, t.startedAt = wire.TaskRunning, now
-	t.stateEndsAt = now + clock.FromSeconds(max(0, left))
-	if t.Job.IsService() && t.stateEndsAt == now {
-		t.stateEndsAt = 0 // until it is stopped
+	remainingS := a.Workload.RunSeconds(&task.Job, task.Index) - a.Outputs.checkpointSeconds[task.Task]
+	task.State, task.startedAt = wire.TaskRunning, now
+	task.stateEndsAt = now + clock.FromSeconds(max(0, remainingS))
+	if task.Job.IsService() && task.stateEndsAt == now {
+		task.stateEndsAt = 0 // a replica without a run time runs until it is stopped
 	}
-	if w.taskFails(t) {
-		t.stateEndsAt = now + failingTaskRunTime
+	if a.taskFails(task) {
+		task.stateEndsAt = now + failingTaskRunTime
 	}
-	w.Observer.TaskStarted(w, t)
+	a.Observer.TaskStarted(a, task)
 }
 
-// finishRun ends a task that has run its time.
-func (w *Agent) finishRun(now clock.Micros, t *Task) {
-	if w.taskFails(t) {
-		w.endTask(now, t, wire.ExitError)
+// finishRun ends a task whose run time has elapsed.
+func (a *Agent) finishRun(now clock.Micros, task *Task) {
+	if a.taskFails(task) {
+		a.endTask(now, task, wire.ExitError)
 		return
 	}
-	w.Outputs.results[w.resultKey(t)] = true
-	w.endTask(now, t, wire.ExitDone)
+	a.Outputs.results[a.resultKey(task)] = true
+	a.endTask(now, task, wire.ExitDone)
 }
 
-// taskFails says whether a task taskFails: its machine is faulty, or it is.
-func (w *Agent) taskFails(t *Task) bool { return w.FailsTasks || w.Workload.Fails(&t.Job, t.Index) }
+// taskFails reports whether a task fails because its machine or the task itself is faulty.
+func (a *Agent) taskFails(task *Task) bool {
+	return a.FailsTasks || a.Workload.Fails(&task.Job, task.Index)
+}
 
-// resultKey is where a task's result is stored. A replica of a service may run again elsewhere.
-func (w *Agent) resultKey(t *Task) string {
-	if t.Job.IsService() {
-		return t.Task + " on " + w.Name
+// resultKey returns the key of a task's stored result. For a replica of a service the key includes the machine, because
+// the replica may run again on another one.
+func (a *Agent) resultKey(task *Task) string {
+	if task.Job.IsService() {
+		return task.Task + " on " + a.Name
 	}
-	return t.Task
+	return task.Task
 }
 
-// endTask ends a task. Of one that neither completed nor saved, what it saved by itself every interval is kept,
-// and the rest has to be repeated.
-func (w *Agent) endTask(now clock.Micros, t *Task, cause wire.ExitCause) {
-	if t.State == wire.TaskExited {
+// endTask ends a task. If the task neither completed nor saved on request, its periodic checkpoints are kept. The run
+// time since the last one is counted as lost, because it must be repeated.
+func (a *Agent) endTask(now clock.Micros, task *Task, cause wire.ExitCause) {
+	if task.State == wire.TaskExited {
 		return
 	}
-	wasActive := t.IsActive()
-	if wasActive && cause != wire.ExitDone && !t.Checkpointed {
-		ran, saved := (now - t.startedAt).Seconds(), 0.0
-		if t.Job.CheckpointS > 0 {
-			saved = math.Floor(ran/t.Job.CheckpointS) * t.Job.CheckpointS
-			w.Outputs.checkpointSeconds[t.Task] += saved
+	wasActive := task.IsActive()
+	if wasActive && cause != wire.ExitDone && !task.Checkpointed {
+		ranS, savedS := (now - task.startedAt).Seconds(), 0.0
+		if task.Job.CheckpointS > 0 {
+			savedS = math.Floor(ranS/task.Job.CheckpointS) * task.Job.CheckpointS
+			a.Outputs.checkpointSeconds[task.Task] += savedS
 		}
-		w.LostSeconds += ran - saved
+		a.LostSeconds += ranS - savedS
 	}
-	t.State, t.Cause, t.stateEndsAt = wire.TaskExited, cause, 0
+	task.State, task.Cause, task.stateEndsAt = wire.TaskExited, cause, 0
 	if wasActive {
-		w.Observer.TaskEnded(w, t)
+		a.Observer.TaskEnded(a, task)
 	}
 }
 
-// dropTasks ends and forgets all tasks.
-func (w *Agent) dropTasks(now clock.Micros) {
-	for _, t := range w.Tasks {
-		w.endTask(now, t, exitLost)
+// dropTasks ends all tasks and removes them from the agent's list.
+func (a *Agent) dropTasks(now clock.Micros) {
+	for _, task := range a.Tasks {
+		a.endTask(now, task, exitLost)
 	}
-	w.Tasks = nil
+	a.Tasks = nil
 }
--- a/internal/loopback/link.go
+++ b/internal/loopback/link.go
@@ -137,16 +137,16 @@
 	defer far.Close()
 	const ways = 2
 	ended := make(chan struct{}, ways)
-	l.goroutines.Go(func() { l.forwardOneWay(near, far, ended, func(c LinkFaults) bool { return c.CutTo }) })
-	l.goroutines.Go(func() { l.forwardOneWay(far, near, ended, func(c LinkFaults) bool { return c.CutFrom }) })
+	l.goroutines.Go(func() { l.copy(near, far, ended, func(c LinkFaults) bool { return c.CutTo }) })
+	l.goroutines.Go(func() { l.copy(far, near, ended, func(c LinkFaults) bool { return c.CutFrom }) })
 	select {
 	case <-ended:
 	case <-l.closed:
 	}
 }
 
-// forwardOneWay carries one way until either end is closed or the link ends.
-func (l *Link) forwardOneWay(from, to net.Conn, ended chan<- struct{}, isCut func(LinkFaults) bool) {
+// copy carries one way until either end is closed or the link ends.
+func (l *Link) copy(from, to net.Conn, ended chan<- struct{}, isCut func(LinkFaults) bool) {
 	defer func() { ended <- struct{}{} }()
 	piece := make([]byte, chunkSize)
 	for {
