--- a/internal/loopback/client.go
+++ b/internal/loopback/client.go
@@ -14,25 +14,26 @@
 	"swiftledge/wire"
 )
 
-// ErrSubmissionRefused says that a submission was not accepted.
-var ErrSubmissionRefused = errors.New("not accepted")
+// ErrSubmissionRefused reports that a controller refused a submission.
+var ErrSubmissionRefused = errors.New("submission refused")
 
 const (
 	submitTimeout = 5 * time.Second
 	statusTimeout = 2 * time.Second
 )
 
-// Status asks every controller for its status, as an operator would.
+// Status requests the status of every controller in the same way as the status command. It returns one row for each
+// controller, in the order of c.Controllers.
 func (c *Cluster) Status() []status.Controller {
-	var all []status.Controller
-	for _, k := range c.Controllers {
-		all = append(all, status.Controller{Name: k.Name, Address: k.PeerAddress})
+	var rows []status.Controller
+	for _, controller := range c.Controllers {
+		rows = append(rows, status.Controller{Name: controller.Name, Address: controller.PeerAddress})
 	}
-	status.FetchEach(all)
-	return all
+	status.FetchEach(rows)
+	return rows
 }
 
-// Leader is the controller that leads, with its status; nil while none does.
+// Leader returns the leader and its status, or nil if no controller reports that it is the leader.
 func (c *Cluster) Leader() (*Controller, peer.Status) {
 	for i, row := range c.Status() {
 		if row.Status != nil && row.Status.IsLeader {
@@ -42,36 +43,36 @@
 	return nil, peer.Status{}
 }
 
-// Submit submits a job at a controller, as its user; runS is how long its tasks really run. The first
-// submission's time counts.
-func (c *Cluster) Submit(k *Controller, j wire.Job, runS float64) error {
-	return c.submit(k, j, submittedJob{runS: runS})
+// Submit submits a job to a controller as a user does. runS is the actual run time of its tasks. If the job is
+// submitted again, the run time and the submission time of the first submission are kept.
+func (c *Cluster) Submit(controller *Controller, job wire.Job, runS float64) error {
+	return c.submit(controller, job, submittedJob{runS: runS})
 }
 
 // SubmitFaulty submits a job whose tasks fail on every machine.
-func (c *Cluster) SubmitFaulty(k *Controller, j wire.Job) error {
-	return c.submit(k, j, submittedJob{faulty: true})
+func (c *Cluster) SubmitFaulty(controller *Controller, job wire.Job) error {
+	return c.submit(controller, job, submittedJob{faulty: true})
 }
 
-func (c *Cluster) submit(k *Controller, j wire.Job, run submittedJob) error {
-	c.environment.call(func() {
-		if c.environment.jobs[j.Ref] == nil {
-			run.spec, run.submittedAt, run.completions = j, c.environment.clock.Now(), map[int]int{}
-			c.environment.jobs[j.Ref] = &run
+func (c *Cluster) submit(controller *Controller, job wire.Job, submitted submittedJob) error {
+	c.env.call(func() {
+		if c.env.jobs[job.Ref] == nil {
+			submitted.spec, submitted.submittedAt, submitted.completions = job, c.env.clock.Now(), map[int]int{}
+			c.env.jobs[job.Ref] = &submitted
 		}
 	})
-	body, err := json.Marshal(j)
+	body, err := json.Marshal(job)
 	if err != nil {
-		return fmt.Errorf("loopback: %w", err)
+		return fmt.Errorf("loopback: encode job: %w", err)
 	}
 	req, res := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(res)
 	req.Header.SetMethod(fiber.MethodPost)
-	req.SetRequestURI(k.jobsURL())
+	req.SetRequestURI(controller.jobsURL())
 	req.SetBodyRaw(body)
 	if err := c.client.DoTimeout(req, res, submitTimeout); err != nil {
-		return fmt.Errorf("loopback: %w", err)
+		return fmt.Errorf("loopback: submit job: %w", err)
 	}
 	if code := res.StatusCode(); code != fiber.StatusOK && code != fiber.StatusCreated {
 		return fmt.Errorf("loopback: %w: %d %s", ErrSubmissionRefused, code, res.Body())
@@ -79,27 +80,27 @@
 	return nil
 }
 
-// Cancel cancels a job at a controller; false without its answer.
-func (c *Cluster) Cancel(k *Controller, ref string) bool {
-	code, _, err := c.client.Post(nil, k.jobsURL()+"/"+ref+"/abort", nil)
+// Cancel sends a request to cancel a job to a controller. It reports whether the controller answered with status 200.
+func (c *Cluster) Cancel(controller *Controller, ref string) bool {
+	code, _, err := c.client.Post(nil, controller.jobsURL()+"/"+ref+"/abort", nil)
 	return err == nil && code == fiber.StatusOK
 }
 
-// JobState asks a controller for a job's state; "" without an answer.
-func (c *Cluster) JobState(k *Controller, ref string) wire.JobState {
-	code, body, err := c.client.GetTimeout(nil, k.jobsURL()+"/"+ref, statusTimeout)
-	var s wire.JobStatus
-	if err != nil || code != fiber.StatusOK || json.Unmarshal(body, &s) != nil {
+// JobState requests a job's state from a controller. It returns "" if there is no valid answer.
+func (c *Cluster) JobState(controller *Controller, ref string) wire.JobState {
+	code, body, err := c.client.GetTimeout(nil, controller.jobsURL()+"/"+ref, statusTimeout)
+	var jobStatus wire.JobStatus
+	if err != nil || code != fiber.StatusOK || json.Unmarshal(body, &jobStatus) != nil {
 		return ""
 	}
-	return s.State
+	return jobStatus.State
 }
 
-// jobsURL is where users submit jobs.
-func (k *Controller) jobsURL() string { return "http://" + k.ServeAddress + "/api/jobs" }
+// jobsURL returns the URL to which users submit jobs.
+func (c *Controller) jobsURL() string { return "http://" + c.ServeAddress + "/api/jobs" }
 
-// CompletedTasks says how many tasks of a job have completed, and how many of them more than once.
+// CompletedTasks returns how many tasks of a job have completed and how many of them completed more than once.
 func (c *Cluster) CompletedTasks(ref string) (tasks, repeated int) {
-	c.environment.call(func() { tasks, repeated = c.environment.jobs[ref].completedTasks() })
+	c.env.call(func() { tasks, repeated = c.env.jobs[ref].completedTasks() })
 	return tasks, repeated
 }
--- a/internal/loopback/cluster.go
+++ b/internal/loopback/cluster.go
@@ -10,63 +10,63 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Cluster is a site with its controllers.
+// Cluster is an environment of fakes with real controllers.
 type Cluster struct {
 	Controllers []*Controller
 
-	environment *environment
-	client      *fasthttp.Client
-	stopOnce    func() // ends everything and waits for it
+	env      *environment
+	client   *fasthttp.Client
+	stopOnce func() // stops everything once and waits for it
 }
 
-// Start starts a site in a directory of its own: the binary is the controller, tuning its settings files. It
-// runs until ctx or Stop ends it.
-func Start(ctx context.Context, dir, binary string, shape ClusterConfig, tuning ...string) (*Cluster, error) {
-	c := &Cluster{environment: newEnvironment(shape), client: &fasthttp.Client{MaxIdemponentCallAttempts: 1}}
+// Start starts a cluster whose files are in dir. The binary is the controller's executable, and settingsFiles are
+// passed to each controller. The cluster runs until ctx is cancelled or Stop is called.
+func Start(ctx context.Context, dir, binary string, config ClusterConfig, settingsFiles ...string) (*Cluster, error) {
+	c := &Cluster{env: newEnvironment(config), client: &fasthttp.Client{MaxIdemponentCallAttempts: 1}}
 	c.stopOnce = sync.OnceFunc(c.stopAll)
-	err := c.createControllers(dir, binary, tuning)
+	err := c.createControllers(dir, binary, settingsFiles)
 	if err == nil {
 		err = c.connectControllers()
 	}
 	if err == nil {
-		c.environment.start(c.connectMachine)
+		c.env.start(c.connectMachine)
 		err = c.startControllers(ctx)
 	}
 	if err != nil {
 		c.Stop()
-		return nil, fmt.Errorf("loopback: %w", err)
+		return nil, fmt.Errorf("loopback: start cluster: %w", err)
 	}
 	context.AfterFunc(ctx, c.Stop)
 	return c, nil
 }
 
-// Stop ends all processes and fakes, and returns once they have ended.
+// Stop stops all controllers and fakes, and returns when they have ended.
 func (c *Cluster) Stop() { c.stopOnce() }
 
 func (c *Cluster) stopAll() {
-	for _, k := range c.Controllers {
-		k.Kill()
+	for _, controller := range c.Controllers {
+		controller.Kill()
 	}
-	c.environment.stop()
+	c.env.stop()
 }
 
-// createControllers describes the controllers, each with a directory of its own, where it may write what its
-// settings name.
-func (c *Cluster) createControllers(dir, binary string, tuning []string) error {
+// createControllers creates the Controller values without starting their processes. Each controller gets its own
+// working directory, where it writes the files that its settings name.
+func (c *Cluster) createControllers(dir, binary string, settingsFiles []string) error {
 	binary, err := filepath.Abs(binary)
 	if err != nil {
 		return err
 	}
 	var settingsArgs []string
-	for _, file := range tuning {
+	for _, file := range settingsFiles {
 		if file, err = filepath.Abs(file); err != nil {
 			return err
 		}
 		settingsArgs = append(settingsArgs, "--settings", file)
 	}
-	for i := range c.environment.config.Controllers {
+	for i := range c.env.config.Controllers {
 		name := controllerName(i)
-		k := &Controller{
+		controller := &Controller{
 			Name:         name,
 			SettingsFile: filepath.Join(dir, name+".json"),
 			WorkDir:      filepath.Join(dir, name),
@@ -74,57 +74,58 @@
 			logFile:      filepath.Join(dir, name+".log"),
 			binary:       binary,
 		}
-		k.args = append([]string{"--config", k.SettingsFile}, settingsArgs...)
-		if err := os.MkdirAll(k.WorkDir, 0o700); err != nil {
+		controller.args = append([]string{"--config", controller.SettingsFile}, settingsArgs...)
+		if err := os.MkdirAll(controller.WorkDir, 0o700); err != nil {
 			return err
 		}
-		c.Controllers = append(c.Controllers, k)
+		c.Controllers = append(c.Controllers, controller)
 	}
 	return nil
 }
 
-// connectControllers starts the services that controllers use, and opens the links to them and between them.
+// connectControllers starts the state service and the cloud, opens the controllers' links to them and between the
+// controllers, and writes the controllers' settings files.
 func (c *Cluster) connectControllers() error {
-	store, err := c.environment.serve(c.environment.storeRoutes)
+	storeAddress, err := c.env.serve(c.env.storeRoutes)
 	if err != nil {
 		return err
 	}
-	cloud, err := c.environment.serve(c.environment.cloudRoutes)
+	cloudAddress, err := c.env.serve(c.env.cloudRoutes)
 	if err != nil {
 		return err
 	}
-	for _, k := range c.Controllers {
-		if k.ServeAddress, err = freeAddress(); err != nil {
+	for _, controller := range c.Controllers {
+		if controller.ServeAddress, err = freeAddress(); err != nil {
 			return err
 		}
-		if k.PeerAddress, err = freeAddress(); err != nil {
+		if controller.PeerAddress, err = freeAddress(); err != nil {
 			return err
 		}
-		if k.StoreLink, err = c.environment.openLink(store); err != nil {
+		if controller.StoreLink, err = c.env.openLink(storeAddress); err != nil {
 			return err
 		}
-		if k.CloudLink, err = c.environment.openLink(cloud); err != nil {
+		if controller.CloudLink, err = c.env.openLink(cloudAddress); err != nil {
 			return err
 		}
 	}
-	for _, k := range c.Controllers {
-		if err := c.connectPeers(k); err != nil {
+	for _, controller := range c.Controllers {
+		if err := c.connectPeers(controller); err != nil {
 			return err
 		}
-		if err := c.writeSettings(k); err != nil {
+		if err := c.writeSettings(controller); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// connectPeers opens the links from one controller to the others.
+// connectPeers opens the links from one controller to all others.
 func (c *Cluster) connectPeers(from *Controller) error {
 	for _, to := range c.Controllers {
 		if to == from {
 			continue
 		}
-		link, err := c.environment.openLink(to.PeerAddress)
+		link, err := c.env.openLink(to.PeerAddress)
 		if err != nil {
 			return err
 		}
@@ -133,66 +134,69 @@
 	return nil
 }
 
-// startControllers starts the controllers one after the other, each once the one before it listens.
+// startControllers starts the controllers in order. It waits until a controller listens before it starts the next one.
 func (c *Cluster) startControllers(ctx context.Context) error {
-	for _, k := range c.Controllers {
-		if err := k.Start(); err != nil {
+	for _, controller := range c.Controllers {
+		if err := controller.Start(); err != nil {
 			return err
 		}
-		if err := k.waitUntilListening(ctx); err != nil {
+		if err := controller.waitUntilListening(ctx); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// connectMachine gives a new worker its address and its links to the controllers; it is up only then.
-func (c *Cluster) connectMachine(w *machine) error {
-	address, err := c.environment.serve(w.routes)
+// connectMachine starts the agent's service and gives the machine its address and its links. A machine boots only once
+// it has an address.
+func (c *Cluster) connectMachine(m *machine) error {
+	address, err := c.env.serve(m.routes)
 	if err != nil {
 		return err
 	}
-	commands, err := c.environment.openLink(address)
+	commandLink, err := c.env.openLink(address)
 	if err != nil {
 		return err
 	}
-	var links []*Link
-	for _, k := range c.Controllers {
-		link, err := c.environment.openLink(k.ServeAddress)
+	var heartbeatLinks []*Link
+	for _, controller := range c.Controllers {
+		link, err := c.env.openLink(controller.ServeAddress)
 		if err != nil {
 			return err
 		}
-		links = append(links, link)
+		heartbeatLinks = append(heartbeatLinks, link)
 	}
-	c.environment.call(func() {
-		w.heartbeatLinks, w.controllerIndex = links, len(c.environment.machinesByName)%len(links)
-		w.commandLink = commands
-		w.Address, w.instance.Address = commands.listenAddress, commands.listenAddress
+	c.env.call(func() {
+		m.heartbeatLinks, m.controllerIndex = heartbeatLinks, len(c.env.machinesByName)%len(heartbeatLinks)
+		m.commandLink = commandLink
+		m.Address, m.instance.Address = commandLink.listenAddress, commandLink.listenAddress
 	})
 	return nil
 }
 
-// HeartbeatLink is the link from a worker to a controller, both by number; nil until the worker is up.
-func (c *Cluster) HeartbeatLink(worker, controller int) (l *Link) {
-	c.environment.call(func() {
-		if worker < len(c.environment.machines) && controller < len(c.environment.machines[worker].heartbeatLinks) {
-			l = c.environment.machines[worker].heartbeatLinks[controller]
+// HeartbeatLink returns the link over which a machine's agent sends heartbeats to a controller. Both arguments are
+// indexes. The result is nil until the machine is connected.
+func (c *Cluster) HeartbeatLink(machine, controller int) (link *Link) {
+	c.env.call(func() {
+		if machine < len(c.env.machines) && controller < len(c.env.machines[machine].heartbeatLinks) {
+			link = c.env.machines[machine].heartbeatLinks[controller]
 		}
 	})
-	return l
+	return link
 }
 
-// CommandLink is the link over which all controllers send direct commands to a worker; nil until it is up.
-func (c *Cluster) CommandLink(worker int) (l *Link) {
-	c.environment.call(func() {
-		if worker < len(c.environment.machines) {
-			l = c.environment.machines[worker].commandLink
+// CommandLink returns the link over which all controllers send direct commands to a machine's agent. The result is nil
+// until the machine is connected.
+func (c *Cluster) CommandLink(machine int) (link *Link) {
+	c.env.call(func() {
+		if machine < len(c.env.machines) {
+			link = c.env.machines[machine].commandLink
 		}
 	})
-	return l
+	return link
 }
 
-// FailMachine has a machine stop by itself.
-func (c *Cluster) FailMachine(i int) {
-	c.environment.call(func() { c.environment.machines[i].terminated, c.environment.machines[i].instance.Failed = true, true })
+// FailMachine simulates the failure of a machine, given by its index.
+func (c *Cluster) FailMachine(machine int) {
+	c.env.call(func() { c.env.machines[machine].terminated, c.env.machines[machine].instance.Failed = true, true })
 }
--- a/internal/loopback/controller.go
+++ b/internal/loopback/controller.go
@@ -14,102 +14,103 @@
 	"time"
 )
 
-// Controller is a controller process with the links that begin at it.
+// Controller is a controller process with its addresses, its files and its outgoing links.
 type Controller struct {
 	Name         string
-	ServeAddress string // for users and workers
+	ServeAddress string // for users and agents
 	PeerAddress  string // for other controllers and operators
 	SettingsFile string
-	WorkDir      string // in which it runs
+	WorkDir      string // working directory of the process
 	StoreLink    *Link
 	CloudLink    *Link
-	PeerLinks    map[string]*Link // to the other controllers
+	PeerLinks    map[string]*Link // to the other controllers, by name
 
 	binary  string
 	args    []string
 	logFile string
 
 	mu      sync.Mutex
-	process *process // the last one that was started
+	process *process // the process that was started last
 }
 
-// process is a running or ended process of a controller.
+// process is a controller's process, which may have exited.
 type process struct {
 	cmd    *exec.Cmd
-	exited chan struct{}
+	exited chan struct{} // closed when the process has exited
 }
 
-// ErrProcessExited says that a controller's process has ended by itself.
-var ErrProcessExited = errors.New("controller ended")
+// ErrProcessExited reports that a controller's process exited unexpectedly.
+var ErrProcessExited = errors.New("controller process exited")
 
-// errNotStarted says that a controller was never started.
-var errNotStarted = errors.New("controller was not started")
+// errNotStarted reports that a controller's process was never started.
+var errNotStarted = errors.New("controller process was not started")
 
 const (
-	// startTimeout is how long a controller may take until it listens.
+	// startTimeout bounds the time from the start of a controller until it listens.
 	startTimeout = 20 * time.Second
-	// dialTimeout is how long one try may take.
+	// dialTimeout bounds one connection attempt.
 	dialTimeout = time.Second
 )
 
 func controllerName(i int) string { return "controller-" + strconv.Itoa(i) }
 
-// Start starts the controller's process, which must not run yet.
-func (k *Controller) Start() error {
-	log, err := os.OpenFile(k.logFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+// Start starts the controller's process. It must not be called while the process runs.
+func (c *Controller) Start() error {
+	logFile, err := os.OpenFile(c.logFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
-		return fmt.Errorf("start %s: %w", k.Name, err)
+		return fmt.Errorf("start %s: %w", c.Name, err)
 	}
-	command := exec.Command(k.binary, k.args...)
-	command.Dir = k.WorkDir
-	command.Stderr = log
-	if err := command.Start(); err != nil {
-		return errors.Join(fmt.Errorf("start %s: %w", k.Name, err), log.Close())
+	cmd := exec.Command(c.binary, c.args...)
+	cmd.Dir = c.WorkDir
+	cmd.Stderr = logFile
+	if err := cmd.Start(); err != nil {
+		return errors.Join(fmt.Errorf("start %s: %w", c.Name, err), logFile.Close())
 	}
-	p := &process{cmd: command, exited: make(chan struct{})}
-	go p.waitForExit(log)
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.process = p
+	p := &process{cmd: cmd, exited: make(chan struct{})}
+	go p.waitForExit(logFile)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.process = p
 	return nil
 }
 
-// waitForExit notes the end of the process; Kill awaits it.
-func (p *process) waitForExit(log *os.File) {
+// waitForExit waits until the process has exited and then closes p.exited, for which Kill waits.
+func (p *process) waitForExit(logFile *os.File) {
 	defer close(p.exited)
-	_ = p.cmd.Wait() // a killed process ends with an error
-	_ = log.Close()  // the process wrote to it, this program did not
+	_ = p.cmd.Wait()    // returns an error for a killed process
+	_ = logFile.Close() // only the child process wrote to the file
 }
 
-// currentProcess is the process that was started last; nil: none was.
-func (k *Controller) currentProcess() *process {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.process
+// currentProcess returns the process that was started last, or nil if none was started.
+func (c *Controller) currentProcess() *process {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.process
 }
 
-// waitUntilListening waits until the controller listens.
-func (k *Controller) waitUntilListening(ctx context.Context) error {
+// waitUntilListening waits until the controller accepts connections at its serve address. It fails when the process
+// exits or after startTimeout.
+func (c *Controller) waitUntilListening(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	retry := time.NewTicker(tickInterval)
 	defer retry.Stop()
-	for k.IsRunning() {
-		if c, err := net.DialTimeout("tcp4", k.ServeAddress, dialTimeout); err == nil {
-			return c.Close()
+	for c.IsRunning() {
+		if connection, err := net.DialTimeout("tcp4", c.ServeAddress, dialTimeout); err == nil {
+			return connection.Close()
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("%s does not listen: %w, see its log", k.Name, ctx.Err())
+			return fmt.Errorf("wait until %s listens: %w, see its log", c.Name, ctx.Err())
 		case <-retry.C:
 		}
 	}
-	return fmt.Errorf("%w: %s, see its log", ErrProcessExited, k.Name)
+	return fmt.Errorf("%w: %s, see its log", ErrProcessExited, c.Name)
 }
 
-// IsRunning says whether the controller's process runs.
-func (k *Controller) IsRunning() bool {
-	p := k.currentProcess()
+// IsRunning reports whether the controller's process runs. A paused process counts as running.
+func (c *Controller) IsRunning() bool {
+	p := c.currentProcess()
 	if p == nil {
 		return false
 	}
@@ -121,41 +122,41 @@
 	}
 }
 
-// Kill ends the controller's process at once, and returns when it has ended.
-func (k *Controller) Kill() {
-	if p := k.currentProcess(); p != nil {
-		_ = p.cmd.Process.Kill() // fails only if the process has ended
+// Kill kills the controller's process with SIGKILL and returns when it has exited.
+func (c *Controller) Kill() {
+	if p := c.currentProcess(); p != nil {
+		_ = p.cmd.Process.Kill() // fails only if the process has exited
 		<-p.exited
 	}
 }
 
-// Pause stops the controller's process while its clocks go on, until Resume.
-func (k *Controller) Pause() error { return k.signal(syscall.SIGSTOP) }
+// Pause suspends the controller's process with SIGSTOP until Resume. The process's clocks continue to run.
+func (c *Controller) Pause() error { return c.signal(syscall.SIGSTOP) }
 
-// Resume lets a paused process go on.
-func (k *Controller) Resume() error { return k.signal(syscall.SIGCONT) }
+// Resume continues a paused process with SIGCONT.
+func (c *Controller) Resume() error { return c.signal(syscall.SIGCONT) }
 
-func (k *Controller) signal(s syscall.Signal) error {
-	p := k.currentProcess()
+func (c *Controller) signal(s syscall.Signal) error {
+	p := c.currentProcess()
 	if p == nil {
-		return fmt.Errorf("loopback: %s: %w", k.Name, errNotStarted)
+		return fmt.Errorf("loopback: send signal to %s: %w", c.Name, errNotStarted)
 	}
 	if err := p.cmd.Process.Signal(s); err != nil {
-		return fmt.Errorf("loopback: %s: %w", k.Name, err)
+		return fmt.Errorf("loopback: send signal to %s: %w", c.Name, err)
 	}
 	return nil
 }
 
-// Fields of /proc/PID/stat after the command's name, and their unit.
+// Indexes of the fields in /proc/PID/stat after the command name, and the unit of their values.
 const (
 	statUserTimeField   = 11
 	statSystemTimeField = 12
 	clockTicksPerSecond = 100
 )
 
-// CPUSeconds is the processor time that the process has used; 0 once it has ended.
-func (k *Controller) CPUSeconds() float64 {
-	p := k.currentProcess()
+// CPUSeconds returns the CPU time that the process has used, or 0 if it has exited or was not started.
+func (c *Controller) CPUSeconds() float64 {
+	p := c.currentProcess()
 	if p == nil {
 		return 0
 	}
--- a/internal/loopback/link.go
+++ b/internal/loopback/link.go
@@ -7,40 +7,40 @@
 	"time"
 )
 
-// LinkFaults is how a link is.
+// LinkFaults are the faults that a link simulates. The zero value is a link without faults.
 type LinkFaults struct {
-	Refused bool          // connections are refused, and those that are open end
-	CutTo   bool          // what is sent to the far end is held
-	CutFrom bool          // what comes from the far end is held
-	Delay   time.Duration // of each piece, either way
+	Refused bool          // new connections are refused and open ones are closed
+	CutTo   bool          // data sent to the target is held back
+	CutFrom bool          // data received from the target is held back
+	Delay   time.Duration // added to each chunk in both directions
 }
 
-// Link carries the connections that one party opens to another. What it holds while it is cut is
-// delivered once it is whole again, as a network may. It runs until it is closed.
+// Link is a TCP proxy for the connections that one party opens to another. It delivers the data that it held back
+// during a cut after the link is healed, as a real network may do. It runs until it is closed.
 type Link struct {
 	listenAddress, targetAddress string
 	state                        atomic.Pointer[linkState]
 	close                        func()
 	closed                       chan struct{}
-	goroutines                   sync.WaitGroup // its goroutines
+	goroutines                   sync.WaitGroup // the link's goroutines
 }
 
-// linkState is a condition; changed is closed when the next one takes its place.
+// linkState holds the current faults of a link. The channel changed is closed when other faults replace them.
 type linkState struct {
 	LinkFaults
 	changed chan struct{}
 }
 
-// chunkSize is the most that is carried at once.
+// chunkSize is the maximum number of bytes that are forwarded at once.
 const chunkSize = 16 << 10
 
-// newLink listens on loopback and connects to the target.
-func newLink(target string) (*Link, error) {
+// newLink starts a link that listens on a free loopback port and forwards connections to the target address.
+func newLink(targetAddress string) (*Link, error) {
 	listener, err := listenTCP("127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	l := &Link{listenAddress: listener.Addr().String(), targetAddress: target, closed: make(chan struct{})}
+	l := &Link{listenAddress: listener.Addr().String(), targetAddress: targetAddress, closed: make(chan struct{})}
 	l.close = sync.OnceFunc(func() { close(l.closed) })
 	l.state.Store(&linkState{changed: make(chan struct{})})
 	l.goroutines.Go(func() { l.serve(listener) })
@@ -55,41 +55,42 @@
 	return net.ListenTCP("tcp4", resolved)
 }
 
-// SetFaults changes the link's condition.
-func (l *Link) SetFaults(c LinkFaults) {
-	close(l.state.Swap(&linkState{LinkFaults: c, changed: make(chan struct{})}).changed)
+// SetFaults replaces the link's faults.
+func (l *Link) SetFaults(faults LinkFaults) {
+	close(l.state.Swap(&linkState{LinkFaults: faults, changed: make(chan struct{})}).changed)
 }
 
-// Heal makes the link whole again.
+// Heal removes the link's faults.
 func (l *Link) Heal() { l.SetFaults(LinkFaults{}) }
 
-// Close ends the link with all its connections, and returns once they have ended.
+// Close closes the link and all its connections, and returns when its goroutines have ended.
 func (l *Link) Close() {
 	l.close()
 	l.goroutines.Wait()
 }
 
-// serve accepts connections while the link is not refused, and none while it is, until the link is closed.
+// serve accepts connections until the link is closed. While the link refuses connections, the listener is closed.
 func (l *Link) serve(listener *net.TCPListener) {
-	defer func() { _ = listener.Close() }() // nobody is left to be told
+	defer func() { _ = listener.Close() }() // there is no caller to report the error to
 	for !l.isClosed() {
 		state := l.state.Load()
 		if !state.Refused {
 			l.accept(listener, state)
 			continue
 		}
-		_ = listener.Close() // if it failed, the port could not be opened again below
+		_ = listener.Close() // after a failure the port cannot be reopened below
 		l.waitForChange(state.changed)
 		reopened, err := listenTCP(l.listenAddress)
 		if err != nil {
-			time.Sleep(tickInterval) // another program has the port for the moment
+			time.Sleep(tickInterval) // another program uses the port temporarily
 			continue
 		}
 		listener = reopened
 	}
 }
 
-// accept accepts one connection, or none if the condition changes before one comes.
+// accept accepts one connection and starts to forward it. It accepts none if the faults change or the link is closed
+// before a connection arrives.
 func (l *Link) accept(listener *net.TCPListener, state *linkState) {
 	accepted := make(chan struct{})
 	l.goroutines.Go(func() {
@@ -99,15 +100,15 @@
 		case <-accepted:
 			return
 		}
-		listener.SetDeadline(time.Now()) // ends Accept
+		listener.SetDeadline(time.Now()) // unblocks Accept
 	})
-	near, err := listener.Accept()
+	client, err := listener.Accept()
 	close(accepted)
 	if err != nil {
 		listener.SetDeadline(time.Time{})
 		return
 	}
-	l.goroutines.Go(func() { l.forward(near) })
+	l.goroutines.Go(func() { l.forward(client) })
 }
 
 func (l *Link) isClosed() bool {
@@ -119,7 +120,7 @@
 	}
 }
 
-// waitForChange waits until the condition changes or the link is closed.
+// waitForChange waits until the faults change or the link is closed.
 func (l *Link) waitForChange(changed <-chan struct{}) {
 	select {
 	case <-changed:
@@ -127,40 +128,42 @@
 	}
 }
 
-// forward copies both ways until one side ends or the link is closed.
-func (l *Link) forward(near net.Conn) {
-	defer near.Close()
-	far, err := net.DialTimeout("tcp4", l.targetAddress, dialTimeout)
+// forward connects to the target and copies data in both directions until either side closes the connection or the
+// link ends it.
+func (l *Link) forward(client net.Conn) {
+	defer client.Close()
+	target, err := net.DialTimeout("tcp4", l.targetAddress, dialTimeout)
 	if err != nil {
 		return
 	}
-	defer far.Close()
-	const ways = 2
-	ended := make(chan struct{}, ways)
-	l.goroutines.Go(func() { l.copy(near, far, ended, func(c LinkFaults) bool { return c.CutTo }) })
-	l.goroutines.Go(func() { l.copy(far, near, ended, func(c LinkFaults) bool { return c.CutFrom }) })
+	defer target.Close()
+	const directions = 2
+	ended := make(chan struct{}, directions)
+	l.goroutines.Go(func() { l.copy(client, target, ended, func(f LinkFaults) bool { return f.CutTo }) })
+	l.goroutines.Go(func() { l.copy(target, client, ended, func(f LinkFaults) bool { return f.CutFrom }) })
 	select {
 	case <-ended:
 	case <-l.closed:
 	}
 }
 
-// copy carries one way until either end is closed or the link ends.
+// copy copies data in one direction until either side closes the connection or the link ends it.
 func (l *Link) copy(from, to net.Conn, ended chan<- struct{}, isCut func(LinkFaults) bool) {
 	defer func() { ended <- struct{}{} }()
-	piece := make([]byte, chunkSize)
+	chunk := make([]byte, chunkSize)
 	for {
-		n, err := from.Read(piece)
+		n, err := from.Read(chunk)
 		if err != nil || !l.waitUntilDeliverable(isCut) {
 			return
 		}
-		if _, err := to.Write(piece[:n]); err != nil {
+		if _, err := to.Write(chunk[:n]); err != nil {
 			return
 		}
 	}
 }
 
-// waitUntilDeliverable waits until a piece may go on; false when the connection is to end.
+// waitUntilDeliverable waits until a chunk may be delivered: until the direction is not cut and the delay has passed.
+// It returns false if the connection must be closed.
 func (l *Link) waitUntilDeliverable(isCut func(LinkFaults) bool) bool {
 	for !l.isClosed() {
 		state := l.state.Load()
--- a/internal/loopback/loopback_test.go
+++ b/internal/loopback/loopback_test.go
@@ -15,59 +15,59 @@
 	"swiftledge/wire"
 )
 
-// waitTimeout bounds how long anything is waited for. Nothing is judged by how long it takes.
+// waitTimeout bounds each wait. No test checks how long a step takes.
 const waitTimeout = 2 * time.Minute
 
-// eventually waits until something is so.
-func eventually(t *testing.T, what string, so func() bool) {
+// eventually waits until a condition holds, and fails the test after waitTimeout.
+func eventually(t *testing.T, description string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(waitTimeout); !so(); time.Sleep(100 * time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatalf("never: %s", what)
+	for deadline := time.Now().Add(waitTimeout); !holds(); time.Sleep(100 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatalf("condition not met in time: %s", description)
 		}
 	}
 }
 
-// controllerBinary builds the controller.
+// controllerBinary builds the controller and returns the path of its executable.
 func controllerBinary(t *testing.T) string {
 	t.Helper()
 	binary := filepath.Join(t.TempDir(), "swiftledge")
-	if out, err := exec.Command("go", "build", "-o", binary, "../../cmd/swiftledge").CombinedOutput(); err != nil {
-		t.Fatalf("build: %v\n%s", err, out)
+	if output, err := exec.Command("go", "build", "-o", binary, "../../cmd/swiftledge").CombinedOutput(); err != nil {
+		t.Fatalf("build controller: %v\n%s", err, output)
 	}
 	return binary
 }
 
-// fastMigrationSettings has tasks moved soon after their start.
+// fastMigrationSettings are settings with which tasks are migrated soon after their start.
 const fastMigrationSettings = `spread: {enabled: true, least_run_s: 1, calm_s: 1, pause_s: 0, every_s: 0.25, move_above: 1.2,
   bound: 1.1, moves_part: 0.25, imbalance_s: 600}
 fleet: {reserve: 10, idle_s: 3600}
 `
 
-// jobSeries is a series of equal jobs.
+// jobSeries is a series of similar jobs with consecutive numbers.
 type jobSeries struct {
-	firstNumber, count int // numbers of the jobs
+	firstNumber, count int // number of the first job, and number of jobs
 	tasks              int
 	runS               float64
-	// controllers are the controllers that take the jobs in turn; none: all of them.
+	// controllers receive the jobs in turn; empty: all controllers.
 	controllers []*Controller
 }
 
-// submitAll submits a batch and returns the references of its jobs.
-func submitAll(t *testing.T, c *Cluster, b jobSeries) (refs []string) {
+// submitAll submits a series of jobs and returns their references.
+func submitAll(t *testing.T, c *Cluster, series jobSeries) (refs []string) {
 	t.Helper()
-	via := b.controllers
-	if len(via) == 0 {
-		via = c.Controllers
+	controllers := series.controllers
+	if len(controllers) == 0 {
+		controllers = c.Controllers
 	}
-	for i := b.firstNumber; i < b.firstNumber+b.count; i++ {
+	for i := series.firstNumber; i < series.firstNumber+series.count; i++ {
 		job := wire.Job{
 			Ref:         fmt.Sprintf("j-%06d", i),
 			Class:       "l",
-			Team:        c.environment.config.Teams[i%2],
+			Team:        c.env.config.Teams[i%2],
 			Shape:       wire.ShapeBatch,
 			Priority:    wire.PriorityStandard,
-			Tasks:       b.tasks,
+			Tasks:       series.tasks,
 			CPUs:        0.5,
 			MemoryGB:    0.5,
 			Image:       fmt.Sprint("img-", i%2),
@@ -77,258 +77,269 @@
 			CheckpointS: 1,
 			SaveS:       0.5,
 		}
-		controller := via[i%len(via)]
-		eventually(t, "accepted", func() bool { return c.Submit(controller, job, b.runS) == nil })
+		controller := controllers[i%len(controllers)]
+		eventually(t, "the job is accepted", func() bool { return c.Submit(controller, job, series.runS) == nil })
 		refs = append(refs, job.Ref)
 	}
 	return refs
 }
 
+// checkAllDone waits until all jobs are done and checks that each of their tasks completed exactly once.
 func checkAllDone(t *testing.T, c *Cluster, refs []string, tasks int) {
 	t.Helper()
 	for _, ref := range refs {
 		eventually(t, ref+" is done", func() bool { return c.JobState(c.Controllers[0], ref) == wire.JobDone })
-		if ran, again := c.CompletedTasks(ref); ran != tasks || again > 0 {
-			t.Errorf("%s: %d of %d tasks have run, %d more than once", ref, ran, tasks, again)
+		if completed, repeated := c.CompletedTasks(ref); completed != tasks || repeated > 0 {
+			t.Errorf("%s: %d of %d tasks completed, %d of them more than once", ref, completed, tasks, repeated)
 		}
 	}
 }
 
-// The path of the surge's measurement, in short and by states alone: a load that is moved about, the leader's
-// process that ends, a machine that ends, a link that is cut and healed. Every job is done, no task twice.
+// TestFailoverUnderLoad runs a shortened version of the surge measurement and checks states only, not times. Tasks are
+// migrated, the leader's process is killed, a machine fails, and links are cut and healed. Every job must complete, and
+// no task may complete twice.
 func TestFailoverUnderLoad(t *testing.T) {
-	shape := DefaultClusterConfig()
-	shape.Machines = 8
-	file := filepath.Join(t.TempDir(), "quick.yaml")
-	if err := os.WriteFile(file, []byte(fastMigrationSettings), 0o600); err != nil {
+	config := DefaultClusterConfig()
+	config.Machines = 8
+	settingsFile := filepath.Join(t.TempDir(), "quick.yaml")
+	if err := os.WriteFile(settingsFile, []byte(fastMigrationSettings), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	c, err := Start(t.Context(), t.TempDir(), controllerBinary(t), shape, "../../deploy/swiftledge.yaml", "../../deploy/trace.yaml", file)
+	c, err := Start(t.Context(), t.TempDir(), controllerBinary(t), config,
+		"../../deploy/swiftledge.yaml", "../../deploy/trace.yaml", settingsFile)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(c.Stop)
-	eventually(t, "a controller leads", func() bool { k, _ := c.Leader(); return k != nil })
-	long := submitAll(t, c, jobSeries{firstNumber: 1, count: 4, tasks: 4, runS: 12})
-	short := submitAll(t, c, jobSeries{firstNumber: 11, count: 4, tasks: 4, runS: 2})
-	eventually(t, "work runs", func() bool { return c.SampleLoad().Mean > 0 })
-	checkAllDone(t, c, short, 4)
+	eventually(t, "a controller is leader", func() bool { leader, _ := c.Leader(); return leader != nil })
+	longJobs := submitAll(t, c, jobSeries{firstNumber: 1, count: 4, tasks: 4, runS: 12})
+	shortJobs := submitAll(t, c, jobSeries{firstNumber: 11, count: 4, tasks: 4, runS: 2})
+	eventually(t, "tasks run", func() bool { return c.SampleLoad().Mean > 0 })
+	checkAllDone(t, c, shortJobs, 4)
 
-	first, s := c.Leader()
-	if first == nil || len(s.Machines) == 0 || len(s.Shards) == 0 {
-		t.Fatalf("the leader's status is %+v", s)
+	killed, leaderStatus := c.Leader()
+	if killed == nil || len(leaderStatus.Machines) == 0 || len(leaderStatus.Shards) == 0 {
+		t.Fatalf("leader status = %+v, want machines and shards", leaderStatus)
 	}
-	// With the leader ended and another controller cut off from the state service, the third one leads.
-	cut := c.Controllers[(indexOf(c, first)+1)%len(c.Controllers)]
-	third := c.Controllers[(indexOf(c, first)+2)%len(c.Controllers)]
-	cut.StoreLink.SetFaults(LinkFaults{CutFrom: true})
-	first.Kill()
-	eventually(t, "the third controller leads", func() bool { k, _ := c.Leader(); return k == third })
-	cut.StoreLink.Heal()
-	// Commands to one worker are held, reports of another: both work on when the links are whole again.
-	held := []*Link{c.CommandLink(1), c.HeartbeatLink(2, indexOf(c, third))}
-	for _, l := range held {
-		l.SetFaults(LinkFaults{CutTo: true})
+	// The leader is killed while another controller is partitioned from the state service: the third one must become
+	// leader.
+	partitioned := c.Controllers[(indexOf(c, killed)+1)%len(c.Controllers)]
+	successor := c.Controllers[(indexOf(c, killed)+2)%len(c.Controllers)]
+	partitioned.StoreLink.SetFaults(LinkFaults{CutFrom: true})
+	killed.Kill()
+	eventually(t, "the third controller is leader", func() bool { leader, _ := c.Leader(); return leader == successor })
+	partitioned.StoreLink.Heal()
+	// The commands to one agent and the heartbeats of another are held back. Both agents must resume their work after
+	// the links are healed.
+	cutLinks := []*Link{c.CommandLink(1), c.HeartbeatLink(2, indexOf(c, successor))}
+	for _, link := range cutLinks {
+		link.SetFaults(LinkFaults{CutTo: true})
 	}
-	more := submitAll(t, c, jobSeries{firstNumber: 31, count: 2, tasks: 4, runS: 1, controllers: []*Controller{cut, third}})
-	for _, l := range held {
-		l.Heal()
+	jobsDuringCut := submitAll(t, c,
+		jobSeries{firstNumber: 31, count: 2, tasks: 4, runS: 1, controllers: []*Controller{partitioned, successor}})
+	for _, link := range cutLinks {
+		link.Heal()
 	}
-	if err := first.Start(); err != nil {
+	if err := killed.Start(); err != nil {
 		t.Fatal(err)
 	}
 	c.FailMachine(0)
-	eventually(t, "the first controller answers again", func() bool {
-		row := c.Status()[indexOf(c, first)]
+	eventually(t, "the restarted controller knows the leader", func() bool {
+		row := c.Status()[indexOf(c, killed)]
 		return row.Status != nil && row.Status.Leader != ""
 	})
-	checkAllDone(t, c, long, 4)
-	checkAllDone(t, c, more, 4)
-	eventually(t, "the cut controller knows the ends, too", func() bool { return c.JobState(cut, long[0]) == wire.JobDone })
+	checkAllDone(t, c, longJobs, 4)
+	checkAllDone(t, c, jobsDuringCut, 4)
+	eventually(t, "the partitioned controller knows the final states", func() bool {
+		return c.JobState(partitioned, longJobs[0]) == wire.JobDone
+	})
 	checkAllDone(t, c, submitAll(t, c, jobSeries{firstNumber: 21, count: 3, tasks: 4, runS: 1}), 4)
 	c.Stop()
-	checkTrace(t, c, long[0])
+	checkTrace(t, c, longJobs[0])
 }
 
-// checkTrace says whether the spans of a job tell of it from its submission to its end, in one trace over
-// several controllers.
+// checkTrace checks that the spans of a job cover it from its submission to its end, and form one trace over several
+// controllers.
 func checkTrace(t *testing.T, c *Cluster, ref string) {
 	t.Helper()
-	names, nodes, traces := map[string]bool{}, map[string]bool{}, map[string]bool{}
-	for _, k := range c.Controllers {
-		raw, err := os.ReadFile(filepath.Join(k.WorkDir, "swiftledge-trace.jsonl"))
+	names, controllers, traces := map[string]bool{}, map[string]bool{}, map[string]bool{}
+	for _, controller := range c.Controllers {
+		raw, err := os.ReadFile(filepath.Join(controller.WorkDir, "swiftledge-trace.jsonl"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		for text := range strings.Lines(string(raw)) {
+		for line := range strings.Lines(string(raw)) {
 			var span struct {
 				Trace, Node, Name string
 				Attributes        map[string]string
 			}
-			if err := json.Unmarshal([]byte(text), &span); err != nil {
-				t.Errorf("%q: %v", text, err)
+			if err := json.Unmarshal([]byte(line), &span); err != nil {
+				t.Errorf("decode span %q: %v", line, err)
 			}
 			if span.Attributes["job"] == ref {
-				names[span.Name], nodes[span.Node], traces[span.Trace] = true, true, true
+				names[span.Name], controllers[span.Node], traces[span.Trace] = true, true, true
 			}
 		}
 	}
 	for _, want := range []string{"submit", "queue", "start", "run", "job"} {
 		if !names[want] {
-			t.Errorf("no span %q of %s, only %v", want, ref, names)
+			t.Errorf("no span %q of job %s, only %v", want, ref, names)
 		}
 	}
-	if len(nodes) < 2 || len(traces) != 1 {
-		t.Errorf("%d controllers wrote spans of %s, in %d traces", len(nodes), ref, len(traces))
+	if len(controllers) < 2 || len(traces) != 1 {
+		t.Errorf("%d controllers wrote spans of job %s in %d traces, want at least 2 controllers and 1 trace",
+			len(controllers), ref, len(traces))
 	}
 }
 
-func indexOf(c *Cluster, k *Controller) int {
-	for i, o := range c.Controllers {
-		if o == k {
+func indexOf(c *Cluster, controller *Controller) int {
+	for i, other := range c.Controllers {
+		if other == controller {
 			return i
 		}
 	}
 	return -1
 }
 
-// startEchoServer answers what it is sent.
+// startEchoServer starts a TCP server that sends back all data it receives, and returns its address.
 func startEchoServer(t *testing.T) string {
 	t.Helper()
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.Close() })
+	t.Cleanup(func() { listener.Close() })
 	go func() {
 		for {
-			c, err := l.Accept()
+			connection, err := listener.Accept()
 			if err != nil {
 				return
 			}
 			go func() {
-				defer c.Close()
-				_, _ = io.Copy(c, c) // fails when the connection ends
+				defer connection.Close()
+				_, _ = io.Copy(connection, connection) // returns an error when the connection is closed
 			}()
 		}
 	}()
-	return l.Addr().String()
+	return listener.Addr().String()
 }
 
-// sendText sends a text.
-func sendText(t *testing.T, c net.Conn, text string) {
+func sendText(t *testing.T, connection net.Conn, text string) {
 	t.Helper()
-	if _, err := io.WriteString(c, text); err != nil {
+	if _, err := io.WriteString(connection, text); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// A link can be refused, and cut in one direction: what was sent meanwhile arrives once it is healed, and
-// nothing does before.
+// TestLinkFaults checks that a link can refuse connections and can be cut in one direction. Data that is sent during a
+// cut must arrive after the link is healed, and not before.
 func TestLinkFaults(t *testing.T) {
-	l, err := newLink(startEchoServer(t))
+	link, err := newLink(startEchoServer(t))
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(l.Close)
+	t.Cleanup(link.Close)
 	dial := func() net.Conn {
 		t.Helper()
-		var c net.Conn
-		eventually(t, "connected", func() bool {
-			c, err = net.Dial("tcp4", l.listenAddress)
+		var connection net.Conn
+		eventually(t, "the client is connected", func() bool {
+			connection, err = net.Dial("tcp4", link.listenAddress)
 			return err == nil
 		})
-		t.Cleanup(func() { c.Close() })
-		return c
+		t.Cleanup(func() { connection.Close() })
+		return connection
 	}
-	comes := func(c net.Conn, want string) bool {
+	receives := func(connection net.Conn, want string) bool {
 		t.Helper()
-		c.SetReadDeadline(time.Now().Add(waitTimeout))
+		connection.SetReadDeadline(time.Now().Add(waitTimeout))
 		got := make([]byte, len(want))
-		_, err := io.ReadFull(c, got)
+		_, err := io.ReadFull(connection, got)
 		return err == nil && string(got) == want
 	}
-	c := dial()
-	sendText(t, c, "one")
-	if !comes(c, "one") {
-		t.Fatal("nothing comes over a whole link")
+	connection := dial()
+	sendText(t, connection, "one")
+	if !receives(connection, "one") {
+		t.Fatal("text was not echoed over a link without faults")
 	}
-	for _, cut := range []LinkFaults{{CutTo: true}, {CutFrom: true}} {
-		l.SetFaults(cut)
-		sendText(t, c, "two")
-		c.SetReadDeadline(time.Now().Add(300 * time.Millisecond))
-		if n, _ := c.Read(make([]byte, 3)); n > 0 {
-			t.Errorf("%d bytes come over a link that is cut: %+v", n, cut)
+	for _, faults := range []LinkFaults{{CutTo: true}, {CutFrom: true}} {
+		link.SetFaults(faults)
+		sendText(t, connection, "two")
+		connection.SetReadDeadline(time.Now().Add(300 * time.Millisecond))
+		if n, _ := connection.Read(make([]byte, 3)); n > 0 {
+			t.Errorf("received %d bytes over a cut link, faults %+v", n, faults)
 		}
-		l.Heal()
-		if !comes(c, "two") {
-			t.Errorf("what was held does not come: %+v", cut)
+		link.Heal()
+		if !receives(connection, "two") {
+			t.Errorf("text sent during a cut did not arrive after the link was healed, faults %+v", faults)
 		}
 	}
-	l.SetFaults(LinkFaults{Refused: true})
-	sendText(t, c, "three")
-	c.SetReadDeadline(time.Now().Add(waitTimeout))
-	if n, err := c.Read(make([]byte, 3)); err == nil {
-		t.Errorf("%d bytes come though the link is refused", n)
+	link.SetFaults(LinkFaults{Refused: true})
+	sendText(t, connection, "three")
+	connection.SetReadDeadline(time.Now().Add(waitTimeout))
+	if n, err := connection.Read(make([]byte, 3)); err == nil {
+		t.Errorf("received %d bytes over a link that refuses connections", n)
 	}
 	eventually(t, "a new connection is refused", func() bool {
-		c, err := net.Dial("tcp4", l.listenAddress)
+		connection, err := net.Dial("tcp4", link.listenAddress)
 		if err == nil {
-			c.Close()
+			connection.Close()
 		}
 		return err != nil
 	})
-	l.Heal()
-	c = dial()
-	sendText(t, c, "four")
-	if !comes(c, "four") {
-		t.Error("nothing comes over a healed link")
+	link.Heal()
+	connection = dial()
+	sendText(t, connection, "four")
+	if !receives(connection, "four") {
+		t.Error("text was not echoed over a healed link")
 	}
 }
 
-// A controller that is stopped and resumed tells of its pause, a mistaken job is shown as suspect and then cancelled,
-// and sound work is done beside both.
+// TestPausedControllerAndFaultyJob checks that a controller reports its pause after it was paused and resumed, that a
+// faulty job is marked as suspect and can be cancelled, and that other jobs complete meanwhile.
 func TestPausedControllerAndFaultyJob(t *testing.T) {
 	dir := t.TempDir()
-	file := filepath.Join(dir, "kept.yaml")
-	if err := os.WriteFile(file, []byte("fleet: {reserve: 10, idle_s: 3600}\n"), 0o600); err != nil {
+	settingsFile := filepath.Join(dir, "kept.yaml")
+	if err := os.WriteFile(settingsFile, []byte("fleet: {reserve: 10, idle_s: 3600}\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	c, err := Start(t.Context(), dir, controllerBinary(t), DefaultClusterConfig(), file)
+	c, err := Start(t.Context(), dir, controllerBinary(t), DefaultClusterConfig(), settingsFile)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(c.Stop)
-	eventually(t, "somebody leads", func() bool { k, _ := c.Leader(); return k != nil })
-	mistaken := wire.Job{Ref: "j-900001", Class: "l", Team: c.environment.config.Teams[0], Shape: wire.ShapeBatch, Priority: wire.PriorityStandard, Tasks: 12,
+	eventually(t, "a controller is leader", func() bool { leader, _ := c.Leader(); return leader != nil })
+	faultyJob := wire.Job{Ref: "j-900001", Class: "l", Team: c.env.config.Teams[0], Shape: wire.ShapeBatch, Priority: wire.PriorityStandard, Tasks: 12,
 		CPUs: 0.5, MemoryGB: 0.5, Image: "img-9", ImageGB: 1, Spot: true, EstimateS: 10}
-	eventually(t, "the mistaken job is accepted", func() bool { return c.SubmitFaulty(c.Controllers[0], mistaken) == nil })
-	eventually(t, "the mistaken job is suspect", func() bool {
-		_, s := c.Leader()
-		return len(s.Suspects) == 1 && s.Suspects[0].Job == mistaken.Ref
+	eventually(t, "the faulty job is accepted", func() bool { return c.SubmitFaulty(c.Controllers[0], faultyJob) == nil })
+	eventually(t, "the faulty job is suspect", func() bool {
+		_, leaderStatus := c.Leader()
+		return len(leaderStatus.Suspects) == 1 && leaderStatus.Suspects[0].Job == faultyJob.Ref
 	})
 	refs := submitAll(t, c, jobSeries{firstNumber: 1, count: 4, tasks: 2, runS: 1})
 	checkAllDone(t, c, refs, 2)
-	leader, _ := c.Leader()
-	if leader == nil {
-		t.Fatal("nobody leads")
+	paused, _ := c.Leader()
+	if paused == nil {
+		t.Fatal("no controller is leader")
 	}
-	if err := leader.Pause(); err != nil {
+	if err := paused.Pause(); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "another leads", func() bool { k, _ := c.Leader(); return k != nil && k != leader })
-	if err := leader.Resume(); err != nil {
+	eventually(t, "another controller is leader", func() bool {
+		leader, _ := c.Leader()
+		return leader != nil && leader != paused
+	})
+	if err := paused.Resume(); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "the pause is told", func() bool {
+	eventually(t, "the resumed controller reports its pause", func() bool {
 		for _, row := range c.Status() {
-			if row.Name == leader.Name && row.Status != nil && row.Status.LastPause != nil {
+			if row.Name == paused.Name && row.Status != nil && row.Status.LastPause != nil {
 				return row.Status.LastPause.LengthS > 0
 			}
 		}
 		return false
 	})
-	eventually(t, "the mistaken job is cancelled", func() bool { return c.Cancel(c.Controllers[0], mistaken.Ref) })
+	eventually(t, "the faulty job is cancelled", func() bool { return c.Cancel(c.Controllers[0], faultyJob.Ref) })
 	refs = submitAll(t, c, jobSeries{firstNumber: 20, count: 4, tasks: 2, runS: 1})
 	checkAllDone(t, c, refs, 2)
 }
--- a/internal/loopback/services.go
+++ b/internal/loopback/services.go
@@ -8,31 +8,32 @@
 	"github.com/gofiber/fiber/v3"
 )
 
-// shutdownTimeout is how long a service waits at its end for requests that it is answering.
+// shutdownTimeout bounds the time that a service waits for open requests when it stops.
 const shutdownTimeout = time.Second
 
-// serve answers on loopback until the site ends, and returns the address.
-func (s *environment) serve(routes func(*fiber.App)) (string, error) {
+// serve starts an HTTP service with the given routes on a free loopback port and returns its address. The service runs
+// until the environment stops.
+func (e *environment) serve(routes func(*fiber.App)) (string, error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return "", err
 	}
 	app := fiber.New()
 	routes(app)
-	s.goroutines.Go(func() {
-		// It fails when the listener is closed, which is its end.
+	e.goroutines.Go(func() {
+		// It returns an error when the listener is closed, which is the normal end of the service.
 		_ = app.Listener(listener, fiber.ListenConfig{DisableStartupMessage: true})
 	})
-	s.goroutines.Go(func() {
-		<-s.done
+	e.goroutines.Go(func() {
+		<-e.done
 		listener.Close()
-		// Requests that are still open then are dropped, as by a site that ends.
+		// Requests that are still open after the timeout are dropped.
 		_ = app.ShutdownWithTimeout(shutdownTimeout)
 	})
 	return listener.Addr().String(), nil
 }
 
-// decodeBody reads the body of a request.
+// decodeBody decodes the JSON body of a request. It answers 400 if the body is malformed.
 func decodeBody[T any](c fiber.Ctx) (body T, err error) {
 	if json.Unmarshal(c.Body(), &body) != nil {
 		return body, fiber.NewError(fiber.StatusBadRequest, "malformed")
--- a/internal/loopback/settings.go
+++ b/internal/loopback/settings.go
@@ -10,14 +10,14 @@
 	"swiftledge/internal/config"
 )
 
-// What a controller of the site has.
+// Resource quota of a controller.
 const (
 	controllerCPU     = 0.2
 	controllerMB      = 250
 	controllerSockets = 1500
 )
 
-// What the state service and the cloud take.
+// Limits of the state service and the cloud.
 const (
 	storeRPS      = 200
 	storeWriteRPS = 60
@@ -28,14 +28,15 @@
 )
 
 const (
-	// minPort and maxPort bound the ports that controllers listen on: below those from which the system takes
-	// the near ends of connections, which would take a free one away.
+	// minPort and maxPort bound the ports on which controllers listen. The range lies below the ephemeral ports,
+	// from which the system takes the local ports of connections: such a connection could occupy a port that was
+	// free when it was chosen.
 	minPort, maxPort = 10000, 30000
-	// maxPortAttempts is how many ports are tried.
+	// maxPortAttempts is the maximum number of ports that freeAddress tries.
 	maxPortAttempts = 100
 )
 
-// freeAddress finds an address on loopback that nobody listens on.
+// freeAddress returns a loopback address on which no process listens.
 func freeAddress() (string, error) {
 	var err error
 	for range maxPortAttempts {
@@ -48,36 +49,39 @@
 	return "", err
 }
 
-// writeSettings writes the platform's file for a controller.
-func (c *Cluster) writeSettings(k *Controller) error {
-	shape := c.environment.config
-	s := config.Settings{
-		Name:          k.Name,
+// writeSettings writes a controller's file of platform settings.
+func (c *Cluster) writeSettings(controller *Controller) error {
+	cluster := c.env.config
+	settings := config.Settings{
+		Name:          controller.Name,
 		Zone:          zone,
-		ListenAddress: k.ServeAddress,
-		PeerAddress:   k.PeerAddress,
+		ListenAddress: controller.ServeAddress,
+		PeerAddress:   controller.PeerAddress,
 		Peers:         []config.Peer{},
 	}
-	s.Endpoints.Cloud, s.Endpoints.State = k.CloudLink.listenAddress, k.StoreLink.listenAddress
+	settings.Endpoints.Cloud, settings.Endpoints.State =
+		controller.CloudLink.listenAddress, controller.StoreLink.listenAddress
 	for _, other := range c.Controllers {
-		if other != k {
-			peer := config.Peer{Name: other.Name, Zone: zone, Address: k.PeerLinks[other.Name].listenAddress}
-			s.Peers = append(s.Peers, peer)
+		if other != controller {
+			peer := config.Peer{Name: other.Name, Zone: zone, Address: controller.PeerLinks[other.Name].listenAddress}
+			settings.Peers = append(settings.Peers, peer)
 		}
 	}
-	f := &s.Facts
-	f.InitialSize, f.Zones = shape.Controllers, []string{zone}
-	for _, name := range shape.Teams {
-		f.Teams = append(f.Teams, config.Team{Name: name, CPUs: shape.TeamCPUsMax / 2, CPUsMax: shape.TeamCPUsMax})
+	facts := &settings.Facts
+	facts.InitialSize, facts.Zones = cluster.Controllers, []string{zone}
+	for _, name := range cluster.Teams {
+		facts.Teams = append(facts.Teams,
+			config.Team{Name: name, CPUs: cluster.TeamCPUsMax / 2, CPUsMax: cluster.TeamCPUsMax})
 	}
-	f.Workers.ReportS, f.Workers.LeaseS, f.Workers.CancelS = shape.HeartbeatIntervalS, shape.LeaseS, shape.CancelS
-	f.State.RPS, f.State.WriteRPS = storeRPS, storeWriteRPS
-	f.State.ValueKB, f.State.TxnOps = storeValueKB, storeTxnOps
-	f.Cloud.RPS, f.Cloud.ListLagS = cloudRPS, cloudListLagS
-	f.Quota.CPU, f.Quota.MemMB, f.Quota.MaxSockets = controllerCPU, controllerMB, controllerSockets
-	raw, err := json.MarshalIndent(s, "", "  ")
+	facts.Workers.ReportS, facts.Workers.LeaseS, facts.Workers.CancelS =
+		cluster.HeartbeatIntervalS, cluster.LeaseS, cluster.CancelS
+	facts.State.RPS, facts.State.WriteRPS = storeRPS, storeWriteRPS
+	facts.State.ValueKB, facts.State.TxnOps = storeValueKB, storeTxnOps
+	facts.Cloud.RPS, facts.Cloud.ListLagS = cloudRPS, cloudListLagS
+	facts.Quota.CPU, facts.Quota.MemMB, facts.Quota.MaxSockets = controllerCPU, controllerMB, controllerSockets
+	raw, err := json.MarshalIndent(settings, "", "  ")
 	if err != nil {
 		return err
 	}
-	return os.WriteFile(k.SettingsFile, raw, 0o600)
+	return os.WriteFile(controller.SettingsFile, raw, 0o600)
 }
--- a/internal/loopback/site.go
+++ b/internal/loopback/site.go
@@ -11,19 +11,19 @@
 	"swiftledge/wire"
 )
 
-// ClusterConfig is what a site is made of.
+// ClusterConfig is the configuration of a cluster.
 type ClusterConfig struct {
 	Controllers        int
 	Machines           int
 	Teams              []string
-	TeamCPUsMax        float64 // of each team
+	TeamCPUsMax        float64 // CPU limit of each team
 	MachineType        wire.MachineType
 	HeartbeatIntervalS float64
 	LeaseS             float64
 	CancelS            float64
 }
 
-// DefaultClusterConfig is three controllers and twenty workers of four processors.
+// DefaultClusterConfig returns a configuration of three controllers and twenty machines with four CPUs each.
 func DefaultClusterConfig() ClusterConfig {
 	return ClusterConfig{
 		Controllers: 3,
@@ -49,21 +49,21 @@
 
 const (
 	zone = "a"
-	// tickInterval is how often time passes for the fakes.
+	// tickInterval is the interval at which the fakes advance to the current time.
 	tickInterval = 50 * time.Millisecond
 )
 
-// environment is the actor that owns the state of all fakes; call is how it is spoken to.
+// environment is the actor that owns the state of all fakes. Other goroutines use the state through call only.
 type environment struct {
 	config     ClusterConfig
 	clock      clock.Steady
 	calls      chan func()
 	done       chan struct{}
 	closeDone  func()         // closes done
-	goroutines sync.WaitGroup // its goroutines, those of its services and links
+	goroutines sync.WaitGroup // of the actor, its services and its links
 
 	store          *fake.Store
-	storeChanged   chan struct{} // closed at the next change of the store
+	storeChanged   chan struct{} // closed at the next change of the store, and then replaced
 	cloud          *fake.Cloud
 	machines       []*machine
 	machinesByName map[string]*machine
@@ -71,133 +71,135 @@
 	outputs        *fake.Outputs
 }
 
-// submittedJob is a job as its user knows it.
+// submittedJob is a job with the actual behavior of its tasks and what was observed of it.
 type submittedJob struct {
 	spec        wire.Job
-	runS        float64 // how long its tasks really run
+	runS        float64 // actual run time of its tasks
 	faulty      bool    // its tasks fail on every machine
 	submittedAt clock.Micros
-	startedAt   clock.Micros // when its first task had its image; 0: not yet
-	completions map[int]int  // by task: how often it completed
+	startedAt   clock.Micros // start of its first task; 0: not started
+	completions map[int]int  // number of completions by task index
 }
 
-// completedTasks counts the tasks that have completed, and those of them that did so more than once.
+// completedTasks returns how many tasks have completed and how many of them completed more than once.
 func (j *submittedJob) completedTasks() (tasks, repeated int) {
-	for _, times := range j.completions {
+	for _, count := range j.completions {
 		tasks++
-		if times > 1 {
+		if count > 1 {
 			repeated++
 		}
 	}
 	return tasks, repeated
 }
 
-func newEnvironment(shape ClusterConfig) *environment {
-	s := &environment{
-		config:         shape,
+func newEnvironment(config ClusterConfig) *environment {
+	e := &environment{
+		config:         config,
 		clock:          clock.NewSteady(),
 		calls:          make(chan func()),
 		done:           make(chan struct{}),
 		store:          fake.NewStore(storeValueKB, storeTxnOps),
 		storeChanged:   make(chan struct{}),
-		cloud:          fake.NewCloud([]wire.MachineType{shape.MachineType}, clock.Second),
+		cloud:          fake.NewCloud([]wire.MachineType{config.MachineType}, clock.Second),
 		machinesByName: map[string]*machine{},
 		jobs:           map[string]*submittedJob{},
 		outputs:        fake.NewOutputs(),
 	}
-	s.closeDone = sync.OnceFunc(func() { close(s.done) })
-	s.cloud.Capacity = shape.Machines
-	for range shape.Machines {
-		instance := s.cloud.CreateInstance(0, shape.MachineType.Name, zone, true)
+	e.closeDone = sync.OnceFunc(func() { close(e.done) })
+	e.cloud.Capacity = config.Machines
+	for range config.Machines {
+		instance := e.cloud.CreateInstance(0, config.MachineType.Name, zone, true)
 		instance.BootedAt, instance.ListedAt = 0, 0
 	}
-	return s
+	return e
 }
 
-// start starts the actor; connect gives a new worker its links.
-func (s *environment) start(connect func(*machine) error) {
-	s.goroutines.Go(func() { s.run(connect) })
+// start starts the actor. It calls connect for each new machine to give the machine its address and links.
+func (e *environment) start(connect func(*machine) error) {
+	e.goroutines.Go(func() { e.run(connect) })
 }
 
-// stop ends the actor, its services and links, and returns once they have ended.
-func (s *environment) stop() {
-	s.closeDone()
-	s.goroutines.Wait()
+// stop stops the actor, its services and its links, and returns when they have ended.
+func (e *environment) stop() {
+	e.closeDone()
+	e.goroutines.Wait()
 }
 
 // run is the actor's loop.
-func (s *environment) run(connect func(*machine) error) {
+func (e *environment) run(connect func(*machine) error) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
-		case <-s.done:
+		case <-e.done:
 			return
-		case f := <-s.calls:
+		case f := <-e.calls:
 			f()
 		case <-ticker.C:
-			s.tick(connect)
+			e.tick(connect)
 		}
 	}
 }
 
-// call has the actor carry out f; false when the site has ended.
-func (s *environment) call(f func()) bool {
+// call runs f in the actor's goroutine and waits until it returns. It returns false, without running f, if the
+// environment has stopped.
+func (e *environment) call(f func()) bool {
 	returned := make(chan struct{})
 	select {
-	case s.calls <- func() { f(); close(returned) }:
+	case e.calls <- func() { f(); close(returned) }:
 		<-returned
 		return true
-	case <-s.done:
+	case <-e.done:
 		return false
 	}
 }
 
-// openLink opens a openLink that ends with the site.
-func (s *environment) openLink(target string) (*Link, error) {
-	l, err := newLink(target)
+// openLink opens a link to an address. The link is closed when the environment stops.
+func (e *environment) openLink(targetAddress string) (*Link, error) {
+	link, err := newLink(targetAddress)
 	if err != nil {
-		return nil, fmt.Errorf("link to %s: %w", target, err)
+		return nil, fmt.Errorf("open link to %s: %w", targetAddress, err)
 	}
-	s.goroutines.Go(func() {
-		<-s.done
-		l.Close()
+	e.goroutines.Go(func() {
+		<-e.done
+		link.Close()
 	})
-	return l, nil
+	return link, nil
 }
 
-// tick lets time pass: leases of the state service, machines that boot or are deleted, and tasks.
-func (s *environment) tick(connect func(*machine) error) {
-	now := s.clock.Now()
-	revision := s.storeRevision()
-	s.store.ExpireLeases(now)
-	s.wakeWatches(revision)
-	for _, instance := range s.cloud.Created[len(s.machines):] {
-		w := newMachine(s, instance)
-		s.machines = append(s.machines, w)
-		s.goroutines.Go(func() {
-			// Without sockets left the machine never comes up, like one that fails to boot.
-			_ = connect(w)
+// tick advances the fakes to the current time: it expires leases of the state service, connects new machines, and
+// advances all machines with their tasks.
+func (e *environment) tick(connect func(*machine) error) {
+	now := e.clock.Now()
+	revision := e.storeRevision()
+	e.store.ExpireLeases(now)
+	e.wakeWatches(revision)
+	for _, instance := range e.cloud.Created[len(e.machines):] {
+		m := newMachine(e, instance)
+		e.machines = append(e.machines, m)
+		e.goroutines.Go(func() {
+			// If no sockets are left, the machine never boots, like one whose boot fails.
+			_ = connect(m)
 		})
 	}
-	for _, w := range s.machines {
-		w.tick(now)
+	for _, m := range e.machines {
+		m.tick(now)
 	}
 }
 
-// storeRevision is the revision of the state service.
-func (s *environment) storeRevision() uint64 {
-	_, revision := s.store.List(" ") // no key begins with a blank
+// storeRevision returns the current revision of the state service.
+func (e *environment) storeRevision() uint64 {
+	_, revision := e.store.List(" ") // no key begins with a blank, so the list is empty
 	return revision
 }
 
-// wakeWatches wakes the watches if the state service has a later revision than that.
-func (s *environment) wakeWatches(before uint64) {
-	if s.storeRevision() > before {
-		close(s.storeChanged)
-		s.storeChanged = make(chan struct{})
+// wakeWatches wakes the waiting watches if the revision of the state service is higher than before.
+func (e *environment) wakeWatches(before uint64) {
+	if e.storeRevision() > before {
+		close(e.storeChanged)
+		e.storeChanged = make(chan struct{})
 	}
 }
 
-// jitter is a time between three quarters and five quarters of d.
+// jitter returns a random time between 3/4 and 5/4 of d.
 func jitter(d clock.Micros) clock.Micros { return d*3/4 + clock.Micros(rand.Int64N(int64(d/2))) }
--- a/internal/loopback/surge.go
+++ b/internal/loopback/surge.go
@@ -10,17 +10,17 @@
 	"swiftledge/wire"
 )
 
-// Surge is a steady load by all teams, then ten times its usual volume by the first of them, submitted at
-// every controller.
+// Surge is a load test. All teams submit jobs at a steady rate. During the surge the first team multiplies its rate by
+// Factor. The jobs are spread over all controllers.
 type Surge struct {
-	JobInterval time.Duration // between two jobs of each team, before the surge
-	Factor      int           // by which the first team's volume grows
-	WarmUp      time.Duration // of steady load alone
-	Duration    time.Duration
-	CoolDown    time.Duration // that is watched once the surge is over
+	JobInterval time.Duration // between two jobs of one team at the steady rate
+	Factor      int           // increase of the first team's rate during the surge
+	WarmUp      time.Duration // steady load before the surge
+	Duration    time.Duration // of the surge
+	CoolDown    time.Duration // steady load after the surge, which is still measured
 }
 
-// DefaultSurge takes five minutes.
+// DefaultSurge returns a surge with ten times the steady rate. Its run takes almost five minutes.
 func DefaultSurge() Surge {
 	return Surge{
 		JobInterval: 6 * time.Second,
@@ -31,18 +31,18 @@
 	}
 }
 
-// settleTime is how long after its beginning a surge may leave machines uneven.
+// settleTime is the time after the start of a surge during which an uneven load is tolerated.
 const settleTime = 2 * time.Minute
 
-// LoadSample is the load over the machines that are up at one moment.
+// LoadSample is the load of the running machines at one point in time.
 type LoadSample struct {
-	AtS      float64 `json:"at_s"` // since the surge began
+	AtS      float64 `json:"at_s"` // relative to the start of the surge
 	Machines int     `json:"machines"`
 	Mean     float64 `json:"mean"`
 	Max      float64 `json:"greatest"`
 }
 
-// MaxToMean is the greatest load in multiples of the mean.
+// MaxToMean returns the ratio of the maximum load to the mean load, or 0 without load.
 func (s LoadSample) MaxToMean() float64 {
 	if s.Mean == 0 {
 		return 0
@@ -50,7 +50,8 @@
 	return s.Max / s.Mean
 }
 
-// TeamWait is how long a team's jobs waited for their first task to have its image.
+// TeamWait summarizes the waits of a team's jobs. A job's wait lasts from its submission to the start of its first
+// task.
 type TeamWait struct {
 	Team        string  `json:"team"`
 	Jobs        int     `json:"jobs"`
@@ -59,11 +60,11 @@
 	LongestS    float64 `json:"most_s"`
 }
 
-// Result is what was measured of one surge.
+// Result is the measurement of one surge.
 type Result struct {
 	Samples []LoadSample `json:"samples"`
-	// SettledMaxToMean is the greatest load over the mean from two minutes after the surge began, and AboveTwice
-	// for how many seconds of that time it was above two.
+	// SettledMaxToMean is the maximum of LoadSample.MaxToMean from settleTime after the start of the surge.
+	// SecondsAboveTwice is the number of seconds of that period in which MaxToMean was above 2.
 	SettledMaxToMean   float64                `json:"worst_settled"`
 	SecondsAboveTwice  int                    `json:"seconds_above_twice"`
 	Migrations         peer.MigrationOutcomes `json:"moves"`
@@ -75,37 +76,37 @@
 	RepeatedTasks      int                    `json:"tasks_completed_twice"`
 }
 
-// Run plays the surge on the cluster and measures it.
+// Run applies the surge to a cluster and returns the measurement.
 func (s Surge) Run(ctx context.Context, c *Cluster) (Result, error) {
-	begin := time.Now()
-	surge := begin.Add(s.WarmUp)
-	end := surge.Add(s.Duration + s.CoolDown)
-	refused := make(chan int, 1) // so that the submissions end also when nobody waits for them
-	go func() { refused <- s.submitAll(ctx, c, begin, surge, end) }()
-	var r Result
-	if err := r.collectSamples(ctx, c, surge, end); err != nil {
+	startedAt := time.Now()
+	surgeStart := startedAt.Add(s.WarmUp)
+	end := surgeStart.Add(s.Duration + s.CoolDown)
+	refused := make(chan int, 1) // buffered so that the goroutine ends even if nothing receives its result
+	go func() { refused <- s.submitAll(ctx, c, startedAt, surgeStart, end) }()
+	var result Result
+	if err := result.collectSamples(ctx, c, surgeStart, end); err != nil {
 		<-refused
-		return r, err
+		return result, err
 	}
-	r.RefusedSubmissions = <-refused
-	c.addTotals(&r)
-	return r, nil
+	result.RefusedSubmissions = <-refused
+	c.addTotals(&result)
+	return result, nil
 }
 
-// collectSamples measures the load once a second until the end.
-func (r *Result) collectSamples(ctx context.Context, c *Cluster, surge, end time.Time) error {
-	second := time.NewTicker(time.Second)
-	defer second.Stop()
+// collectSamples samples the load once a second until end.
+func (r *Result) collectSamples(ctx context.Context, c *Cluster, surgeStart, end time.Time) error {
+	ticker := time.NewTicker(time.Second)
+	defer ticker.Stop()
 	for time.Now().Before(end) {
 		select {
 		case <-ctx.Done():
 			return fmt.Errorf("surge: %w", ctx.Err())
-		case <-second.C:
+		case <-ticker.C:
 		}
 		sample := c.SampleLoad()
-		sample.AtS = time.Since(surge).Seconds()
+		sample.AtS = time.Since(surgeStart).Seconds()
 		r.Samples = append(r.Samples, sample)
-		if time.Since(surge) >= settleTime {
+		if time.Since(surgeStart) >= settleTime {
 			r.SettledMaxToMean = max(r.SettledMaxToMean, sample.MaxToMean())
 			if sample.MaxToMean() > 2 {
 				r.SecondsAboveTwice++
@@ -115,47 +116,48 @@
 	return nil
 }
 
-// submitAll submits the jobs of all teams until the end, and says how many submissions were refused.
-func (s Surge) submitAll(ctx context.Context, c *Cluster, begin, surge, end time.Time) (refused int) {
-	teams := c.environment.config.Teams
-	due := make([]time.Time, len(teams))
-	for i := range due {
-		due[i] = begin.Add(s.JobInterval * time.Duration(i) / time.Duration(len(teams)))
+// submitAll submits the jobs of all teams until end and returns the number of refused submissions.
+func (s Surge) submitAll(ctx context.Context, c *Cluster, startedAt, surgeStart, end time.Time) (refused int) {
+	teams := c.env.config.Teams
+	dueTimes := make([]time.Time, len(teams)) // of each team's next job
+	for i := range dueTimes {
+		dueTimes[i] = startedAt.Add(s.JobInterval * time.Duration(i) / time.Duration(len(teams)))
 	}
 	for n := 0; ; n++ {
-		first := slices.MinFunc(due, time.Time.Compare)
-		team := slices.Index(due, first)
-		if first.After(end) || !sleepUntil(ctx, first) {
+		due := slices.MinFunc(dueTimes, time.Time.Compare)
+		team := slices.Index(dueTimes, due)
+		if due.After(end) || !sleepUntil(ctx, due) {
 			return refused
 		}
-		every := s.JobInterval
-		if team == 0 && first.After(surge) && first.Before(surge.Add(s.Duration)) {
-			every /= time.Duration(s.Factor)
+		interval := s.JobInterval
+		if team == 0 && due.After(surgeStart) && due.Before(surgeStart.Add(s.Duration)) {
+			interval /= time.Duration(s.Factor)
 		}
-		due[team] = first.Add(every)
-		j, runS := surgeJob(n, teams[team])
-		if c.Submit(c.Controllers[n%len(c.Controllers)], j, runS) != nil {
+		dueTimes[team] = due.Add(interval)
+		job, runS := surgeJob(n, teams[team])
+		if c.Submit(c.Controllers[n%len(c.Controllers)], job, runS) != nil {
 			refused++
 		}
 	}
 }
 
-func sleepUntil(ctx context.Context, at time.Time) bool {
-	t := time.NewTimer(time.Until(at))
-	defer t.Stop()
+// sleepUntil sleeps until a point in time. It returns false if ctx is cancelled first.
+func sleepUntil(ctx context.Context, wakeTime time.Time) bool {
+	timer := time.NewTimer(time.Until(wakeTime))
+	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 		return false
-	case <-t.C:
+	case <-timer.C:
 		return true
 	}
 }
 
-// surgeJob is one of the jobs: two tasks of half a processor that run for 20 to 120 s and can save. Run
-// times and images differ from job to job in the same way on every run.
+// surgeJob returns the n-th job and the actual run time of its tasks: two tasks of half a CPU that run for 20 to 120 s
+// and save checkpoints. The run times and images vary from job to job, but in the same way on every run.
 func surgeJob(n int, team string) (job wire.Job, runS float64) {
-	const images, minRunS, rangeS, stepS = 4, 20, 100, 37
-	runS = float64(minRunS + n*stepS%rangeS)
+	const imageCount, minRunS, runRangeS, runStepS = 4, 20, 100, 37
+	runS = float64(minRunS + n*runStepS%runRangeS)
 	return wire.Job{
 		Ref:         fmt.Sprintf("j-%06d", n+1),
 		Class:       "results",
@@ -165,7 +167,7 @@
 		Tasks:       2,
 		CPUs:        0.5,
 		MemoryGB:    0.5,
-		Image:       fmt.Sprint("img-", n%images),
+		Image:       fmt.Sprint("img-", n%imageCount),
 		ImageGB:     1,
 		Spot:        true,
 		EstimateS:   runS,
@@ -174,53 +176,53 @@
 	}, runS
 }
 
-// SampleLoad looks at the load of the machines that are up.
-func (c *Cluster) SampleLoad() (s LoadSample) {
-	c.environment.call(func() {
-		for _, w := range c.environment.machines {
-			if !w.booted || w.terminated {
+// SampleLoad measures the load of the machines that have booted and are not terminated.
+func (c *Cluster) SampleLoad() (sample LoadSample) {
+	c.env.call(func() {
+		for _, m := range c.env.machines {
+			if !m.booted || m.terminated {
 				continue
 			}
-			s.Machines++
-			s.Mean += w.Load()
-			s.Max = max(s.Max, w.Load())
+			sample.Machines++
+			sample.Mean += m.Load()
+			sample.Max = max(sample.Max, m.Load())
 		}
 	})
-	if s.Machines > 0 {
-		s.Mean /= float64(s.Machines)
+	if sample.Machines > 0 {
+		sample.Mean /= float64(sample.Machines)
 	}
-	return s
+	return sample
 }
 
-// addTotals adds what is counted over the whole run.
-func (c *Cluster) addTotals(r *Result) {
-	if _, s := c.Leader(); s.IsLeader {
-		r.Migrations = s.MigrationOutcomes
+// addTotals adds the totals over the whole run to a result.
+func (c *Cluster) addTotals(result *Result) {
+	if _, leaderStatus := c.Leader(); leaderStatus.IsLeader {
+		result.Migrations = leaderStatus.MigrationOutcomes
 	}
-	for _, k := range c.Controllers {
-		r.CPUSeconds += k.CPUSeconds()
+	for _, controller := range c.Controllers {
+		result.CPUSeconds += controller.CPUSeconds()
 	}
-	waits := map[string][]float64{}
-	c.environment.call(func() {
-		for _, w := range c.environment.machines {
-			r.ImageFetches += w.ImagesFetched
-			r.LostSeconds += w.LostSeconds
+	waitsByTeam := map[string][]float64{}
+	c.env.call(func() {
+		for _, m := range c.env.machines {
+			result.ImageFetches += m.ImagesFetched
+			result.LostSeconds += m.LostSeconds
 		}
-		for _, j := range c.environment.jobs {
-			_, repeated := j.completedTasks()
-			r.RepeatedTasks += repeated
-			waits[j.spec.Team] = append(waits[j.spec.Team], j.waitS())
+		for _, job := range c.env.jobs {
+			_, repeated := job.completedTasks()
+			result.RepeatedTasks += repeated
+			waitsByTeam[job.spec.Team] = append(waitsByTeam[job.spec.Team], job.waitS())
 		}
 	})
-	for _, team := range c.environment.config.Teams {
-		r.Waits = append(r.Waits, teamWait(team, waits[team]))
+	for _, team := range c.env.config.Teams {
+		result.Waits = append(result.Waits, teamWait(team, waitsByTeam[team]))
 	}
 }
 
-// notStarted is the wait of a job that has not started.
+// notStarted is the value of waitS for a job that has not started.
 const notStarted = -1
 
-// waitS is how long a job waited until its first task had its image.
+// waitS returns the time from a job's submission to the start of its first task, or notStarted.
 func (j *submittedJob) waitS() float64 {
 	if j.startedAt == 0 {
 		return notStarted
@@ -228,35 +230,36 @@
 	return (j.startedAt - j.submittedAt).Seconds()
 }
 
-// teamWait sums up the waits of a team's jobs.
-func teamWait(team string, all []float64) TeamWait {
-	started := slices.DeleteFunc(slices.Sorted(slices.Values(all)), func(s float64) bool { return s == notStarted })
-	w := TeamWait{Team: team, Jobs: len(all), StartedJobs: len(started)}
+// teamWait summarizes the waits of a team's jobs, of which some may be notStarted.
+func teamWait(team string, waits []float64) TeamWait {
+	started := slices.DeleteFunc(slices.Sorted(slices.Values(waits)), func(s float64) bool { return s == notStarted })
+	summary := TeamWait{Team: team, Jobs: len(waits), StartedJobs: len(started)}
 	if len(started) > 0 {
-		w.MedianS, w.LongestS = started[len(started)/2], started[len(started)-1]
+		summary.MedianS, summary.LongestS = started[len(started)/2], started[len(started)-1]
 	}
-	return w
+	return summary
 }
 
-// RunUntilCancelled keeps the steady load up until ctx ends, with a surge whenever one is asked for.
-func (s Surge) RunUntilCancelled(ctx context.Context, c *Cluster, surges <-chan struct{}) {
-	teams := c.environment.config.Teams
-	var until time.Time
+// RunUntilCancelled submits jobs at the steady rate until ctx is cancelled. Each value received from surgeRequests
+// starts a surge.
+func (s Surge) RunUntilCancelled(ctx context.Context, c *Cluster, surgeRequests <-chan struct{}) {
+	teams := c.env.config.Teams
+	var surgeEnd time.Time
 	for n := 0; ; n++ {
-		every := s.JobInterval / time.Duration(len(teams))
+		interval := s.JobInterval / time.Duration(len(teams))
 		team := n % len(teams)
-		if time.Now().Before(until) {
-			every, team = s.JobInterval/time.Duration(s.Factor), 0
+		if time.Now().Before(surgeEnd) {
+			interval, team = s.JobInterval/time.Duration(s.Factor), 0
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-surges:
-			until = time.Now().Add(s.Duration)
-		case <-time.After(every):
+		case <-surgeRequests:
+			surgeEnd = time.Now().Add(s.Duration)
+		case <-time.After(interval):
 		}
-		j, runS := surgeJob(n, teams[team])
-		// A refusal is for the operator to see in the controllers' logs.
-		_ = c.Submit(c.Controllers[n%len(c.Controllers)], j, runS)
+		job, runS := surgeJob(n, teams[team])
+		// The operator sees refused submissions in the controllers' logs.
+		_ = c.Submit(c.Controllers[n%len(c.Controllers)], job, runS)
 	}
 }
--- a/internal/loopback/worker.go
+++ b/internal/loopback/worker.go
@@ -12,65 +12,65 @@
 	"swiftledge/wire"
 )
 
-// machine is a machine with its machine; the site owns its state.
+// machine is a fake machine with its agent. The environment owns its state.
 type machine struct {
 	*fake.Agent
-	environment    *environment
+	env            *environment
 	instance       *fake.Instance
 	booted         bool
 	terminated     bool
 	client         *fasthttp.Client
-	heartbeatLinks []*Link // to the controllers
-	commandLink    *Link   // over which the controllers' direct commands come
+	heartbeatLinks []*Link // to the controllers, by index
+	commandLink    *Link   // for direct commands from the controllers to the agent
 
-	controllerIndex  int // that it sends heartbeats to
+	controllerIndex  int // controller that receives the next heartbeat
 	nextHeartbeat    clock.Micros
 	lastHeartbeat    clock.Micros
-	heartbeatPending bool // one is under way
+	heartbeatPending bool // a heartbeat was sent and its response has not arrived
 }
 
 const (
-	// heartbeatTimeout is how long a worker waits for the answer.
+	// heartbeatTimeout bounds the time that an agent waits for the response to a heartbeat.
 	heartbeatTimeout = 4 * time.Second
-	// minHeartbeatInterval is the least time between two heartbeats.
+	// minHeartbeatInterval is the minimum time between two heartbeats.
 	minHeartbeatInterval = clock.Second / 2
-	// heartbeatRetryDelay is how long a worker waits before it turns to the next controller.
+	// heartbeatRetryDelay is the delay before an agent sends its heartbeat to the next controller after a failure.
 	heartbeatRetryDelay = clock.Second
 )
 
-func newMachine(s *environment, instance *fake.Instance) *machine {
-	w := &machine{environment: s, instance: instance, client: &fasthttp.Client{MaxIdemponentCallAttempts: 1}}
+func newMachine(e *environment, instance *fake.Instance) *machine {
+	m := &machine{env: e, instance: instance, client: &fasthttp.Client{MaxIdemponentCallAttempts: 1}}
 	identity := fake.Identity{Name: instance.Name, Type: instance.Type, Zone: instance.Zone, Spot: instance.Spot}
-	w.Agent = &fake.Agent{
+	m.Agent = &fake.Agent{
 		Identity:  identity,
-		Resources: fake.Resources{CPUs: s.config.MachineType.CPUs, MemoryGB: s.config.MachineType.MemoryGB, FetchSeconds: 1},
-		LeaseTime: clock.FromSeconds(s.config.LeaseS),
-		Workload:  workload{s},
-		Observer:  observer{s},
-		Outputs:   s.outputs,
+		Resources: fake.Resources{CPUs: e.config.MachineType.CPUs, MemoryGB: e.config.MachineType.MemoryGB, FetchSeconds: 1},
+		LeaseTime: clock.FromSeconds(e.config.LeaseS),
+		Workload:  workload{e},
+		Observer:  observer{e},
+		Outputs:   e.outputs,
 	}
-	s.machinesByName[instance.Name] = w
-	return w
+	e.machinesByName[instance.Name] = m
+	return m
 }
 
-// routes answers direct commands.
-func (w *machine) routes(app *fiber.App) {
-	app.Post("/orders", w.handleCommands)
-	app.Get("/inspect", w.inspect)
+// routes registers the HTTP API of the agent.
+func (m *machine) routes(app *fiber.App) {
+	app.Post("/orders", m.handleCommands)
+	app.Get("/inspect", m.inspect)
 }
 
-func (w *machine) handleCommands(c fiber.Ctx) error {
+func (m *machine) handleCommands(c fiber.Ctx) error {
 	batch, err := decodeBody[wire.CommandBatch](c)
 	if err != nil {
 		return err
 	}
 	var result fake.CommandsResult
-	w.environment.call(func() {
-		if w.terminated {
+	m.env.call(func() {
+		if m.terminated {
 			return
 		}
-		if result = w.HandleCommands(w.environment.clock.Now(), batch); result.Changed {
-			w.scheduleHeartbeat()
+		if result = m.HandleCommands(m.env.clock.Now(), batch); result.Changed {
+			m.scheduleHeartbeat()
 		}
 	})
 	if result.Heartbeat == nil {
@@ -79,60 +79,60 @@
 	return c.Status(result.Status).JSON(result.Heartbeat)
 }
 
-func (w *machine) inspect(c fiber.Ctx) error {
+func (m *machine) inspect(c fiber.Ctx) error {
 	var heartbeat *wire.Heartbeat
-	w.environment.call(func() { heartbeat = w.Heartbeat() })
+	m.env.call(func() { heartbeat = m.Heartbeat() })
 	return c.JSON(heartbeat)
 }
 
-// scheduleHeartbeat has the next heartbeat sent as soon as the least gap allows.
-func (w *machine) scheduleHeartbeat() {
-	w.nextHeartbeat = min(w.nextHeartbeat, max(w.environment.clock.Now(), w.lastHeartbeat+minHeartbeatInterval))
+// scheduleHeartbeat schedules the next heartbeat at the earliest time that minHeartbeatInterval allows.
+func (m *machine) scheduleHeartbeat() {
+	m.nextHeartbeat = min(m.nextHeartbeat, max(m.env.clock.Now(), m.lastHeartbeat+minHeartbeatInterval))
 }
 
-// tick lets time pass for the worker: the actor calls it.
-func (w *machine) tick(now clock.Micros) {
-	w.terminated = w.terminated || w.instance.Deleted
+// tick advances the machine and its agent to now, and sends a heartbeat if one is due. The actor calls it.
+func (m *machine) tick(now clock.Micros) {
+	m.terminated = m.terminated || m.instance.Deleted
 	switch {
-	case w.terminated || w.Address == "":
+	case m.terminated || m.Address == "":
 		return
-	case !w.booted:
-		if w.booted = now >= w.instance.BootedAt; w.booted {
-			w.Boot(now)
-			w.nextHeartbeat = now
+	case !m.booted:
+		if m.booted = now >= m.instance.BootedAt; m.booted {
+			m.Boot(now)
+			m.nextHeartbeat = now
 		}
 		return
 	}
-	if w.Advance(now) {
-		w.scheduleHeartbeat()
+	if m.Advance(now) {
+		m.scheduleHeartbeat()
 	}
-	if !w.heartbeatPending && now >= w.nextHeartbeat {
-		w.sendHeartbeat(now)
+	if !m.heartbeatPending && now >= m.nextHeartbeat {
+		m.sendHeartbeat(now)
 	}
 }
 
-// sendHeartbeat sends a heartbeat to the controller whose turn it is.
-func (w *machine) sendHeartbeat(now clock.Micros) {
-	w.heartbeatPending = true
-	w.lastHeartbeat = now
-	w.nextHeartbeat = now + jitter(clock.FromSeconds(w.environment.config.HeartbeatIntervalS))
-	heartbeat, agentEpoch := w.Heartbeat(), w.AgentEpoch
-	link := w.heartbeatLinks[w.controllerIndex]
-	w.environment.goroutines.Go(func() {
-		answer := w.postHeartbeat(link, heartbeat)
-		w.environment.call(func() { w.handleHeartbeatResult(now, agentEpoch, answer) })
+// sendHeartbeat starts to send a heartbeat to the current controller.
+func (m *machine) sendHeartbeat(now clock.Micros) {
+	m.heartbeatPending = true
+	m.lastHeartbeat = now
+	m.nextHeartbeat = now + jitter(clock.FromSeconds(m.env.config.HeartbeatIntervalS))
+	heartbeat, agentEpoch := m.Heartbeat(), m.AgentEpoch
+	link := m.heartbeatLinks[m.controllerIndex]
+	m.env.goroutines.Go(func() {
+		result := m.postHeartbeat(link, heartbeat)
+		m.env.call(func() { m.handleHeartbeatResult(now, agentEpoch, result) })
 	})
 }
 
-// heartbeatResult is what a controller answers to a heartbeat.
+// heartbeatResult is a controller's response to a heartbeat.
 type heartbeatResult struct {
-	status   int                    // 0: there is no answer, or none that can be read
-	response wire.HeartbeatResponse // of a 200
-	redirect wire.Redirect          // of a 421
+	status   int                    // HTTP status; 0: no response or an undecodable one
+	response wire.HeartbeatResponse // for status 200
+	redirect wire.Redirect          // for status 421
 }
 
-// postHeartbeat sends a heartbeat and returns the answer.
-func (w *machine) postHeartbeat(link *Link, heartbeat *wire.Heartbeat) heartbeatResult {
+// postHeartbeat sends a heartbeat over a link and returns the result.
+func (m *machine) postHeartbeat(link *Link, heartbeat *wire.Heartbeat) heartbeatResult {
 	body, err := json.Marshal(heartbeat)
 	if err != nil {
 		return heartbeatResult{}
@@ -144,77 +144,79 @@
 	req.Header.SetContentType(fiber.MIMEApplicationJSON)
 	req.SetRequestURI("http://" + link.listenAddress + "/agent/beat")
 	req.SetBodyRaw(body)
-	if w.client.DoTimeout(req, res, heartbeatTimeout) != nil {
+	if m.client.DoTimeout(req, res, heartbeatTimeout) != nil {
 		return heartbeatResult{}
 	}
-	answer := heartbeatResult{status: res.StatusCode()}
-	switch answer.status {
+	result := heartbeatResult{status: res.StatusCode()}
+	switch result.status {
 	case fiber.StatusOK:
-		err = json.Unmarshal(res.Body(), &answer.response)
+		err = json.Unmarshal(res.Body(), &result.response)
 	case fiber.StatusMisdirectedRequest:
-		err = json.Unmarshal(res.Body(), &answer.redirect)
+		err = json.Unmarshal(res.Body(), &result.redirect)
 	}
 	if err != nil {
 		return heartbeatResult{}
 	}
-	return answer
+	return result
 }
 
-// handleHeartbeatResult goes on after a heartbeat: the actor calls it.
-func (w *machine) handleHeartbeatResult(sent clock.Micros, agentEpoch wire.AgentEpoch, answer heartbeatResult) {
-	now := w.environment.clock.Now()
-	w.heartbeatPending = false
+// handleHeartbeatResult handles the result of the heartbeat that was sent at sentAt with agentEpoch, and schedules the
+// next heartbeat. The actor calls it.
+func (m *machine) handleHeartbeatResult(sentAt clock.Micros, agentEpoch wire.AgentEpoch, result heartbeatResult) {
+	now := m.env.clock.Now()
+	m.heartbeatPending = false
 	switch {
-	case answer.status == fiber.StatusOK:
-		if w.HandleResponse(now, sent, agentEpoch, answer.response) {
-			w.scheduleHeartbeat()
+	case result.status == fiber.StatusOK:
+		if m.HandleResponse(now, sentAt, agentEpoch, result.response) {
+			m.scheduleHeartbeat()
 		}
-	case answer.status == fiber.StatusMisdirectedRequest && w.followRedirect(answer.redirect.Controller):
-		w.nextHeartbeat = now
+	case result.status == fiber.StatusMisdirectedRequest && m.followRedirect(result.redirect.Controller):
+		m.nextHeartbeat = now
 	default:
-		w.controllerIndex = (w.controllerIndex + 1) % len(w.heartbeatLinks)
-		w.nextHeartbeat = now + heartbeatRetryDelay
+		m.controllerIndex = (m.controllerIndex + 1) % len(m.heartbeatLinks)
+		m.nextHeartbeat = now + heartbeatRetryDelay
 	}
 }
 
-// followRedirect turns to the controller that is named; false if it is unknown or the same.
-func (w *machine) followRedirect(name string) bool {
-	for i := range w.heartbeatLinks {
-		if controllerName(i) == name && i != w.controllerIndex {
-			w.controllerIndex = i
+// followRedirect selects the named controller for the next heartbeat. It returns false if the controller is unknown or
+// already selected.
+func (m *machine) followRedirect(name string) bool {
+	for i := range m.heartbeatLinks {
+		if controllerName(i) == name && i != m.controllerIndex {
+			m.controllerIndex = i
 			return true
 		}
 	}
 	return false
 }
 
-// workload tells the workers what the users know of their jobs.
-type workload struct{ environment *environment }
+// workload describes the submitted jobs to the fake agents.
+type workload struct{ env *environment }
 
 // Job implements fake.Workload.
-func (l workload) Job(ref string) (wire.Job, bool) {
-	if job := l.environment.jobs[ref]; job != nil {
+func (w workload) Job(ref string) (wire.Job, bool) {
+	if job := w.env.jobs[ref]; job != nil {
 		return job.spec, true
 	}
 	return wire.Job{}, false
 }
 
 // RunSeconds implements fake.Workload.
-func (l workload) RunSeconds(job *wire.Job, _ int) float64 { return l.environment.jobs[job.Ref].runS }
+func (w workload) RunSeconds(job *wire.Job, _ int) float64 { return w.env.jobs[job.Ref].runS }
 
 // Fails implements fake.Workload.
-func (l workload) Fails(job *wire.Job, _ int) bool { return l.environment.jobs[job.Ref].faulty }
+func (w workload) Fails(job *wire.Job, _ int) bool { return w.env.jobs[job.Ref].faulty }
 
-// observer counts what becomes of tasks.
-type observer struct{ environment *environment }
+// observer records the starts and completions of tasks.
+type observer struct{ env *environment }
 
 // RunCommandExecuted implements fake.Observer.
 func (observer) RunCommandExecuted(*fake.Agent, *fake.Task) {}
 
 // TaskStarted implements fake.Observer.
 func (o observer) TaskStarted(_ *fake.Agent, t *fake.Task) {
-	if job := o.environment.jobs[t.Job.Ref]; job.startedAt == 0 {
-		job.startedAt = o.environment.clock.Now()
+	if job := o.env.jobs[t.Job.Ref]; job.startedAt == 0 {
+		job.startedAt = o.env.clock.Now()
 	}
 }
 
@@ -224,6 +226,6 @@
 // TaskEnded implements fake.Observer.
 func (o observer) TaskEnded(_ *fake.Agent, t *fake.Task) {
 	if t.Cause == wire.ExitDone {
-		o.environment.jobs[t.Job.Ref].completions[t.Index]++
+		o.env.jobs[t.Job.Ref].completions[t.Index]++
 	}
 }
