--- a/cmd/loopback/cluster.go
+++ b/cmd/loopback/cluster.go
@@ -16,34 +16,34 @@
 func clusterCommand(options *clusterOptions) *cobra.Command {
 	return &cobra.Command{
 		Use: "cluster",
-		Short: "Run three controllers and twenty workers; `surge`, `load`, `status`, `kill`, `start`, `pause`, " +
+		Short: "Run three controllers and twenty machines; `surge`, `load`, `status`, `kill`, `start`, `pause`, " +
 			"`resume`, `mistaken`, `cancel` and `quit` are read from standard input",
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			s, err := options.startCluster(cmd.Context())
+			cluster, err := options.startCluster(cmd.Context())
 			if err != nil {
 				return err
 			}
-			defer s.Stop()
+			defer cluster.Stop()
 			out := cmd.OutOrStdout()
-			fmt.Fprintf(out, "settings and logs are in %s; watch with\n  %s status --config %s\n",
-				s.directory, options.binary, s.Controllers[0].SettingsFile)
-			return runConsole(cmd.Context(), s.Cluster, cmd.InOrStdin(), out)
+			fmt.Fprintf(out, "settings and logs are in %s; show the status with\n  %s status --config %s\n",
+				cluster.directory, options.binary, cluster.Controllers[0].SettingsFile)
+			return runConsole(cmd.Context(), cluster.Cluster, cmd.InOrStdin(), out)
 		},
 	}
 }
 
-// runConsole keeps a steady load up and carries out the operator's commands, a line each, until one ends it, in
-// ends, or a command fails.
+// runConsole applies a steady load and executes the operator's commands, one on each line of in. It returns after the
+// quit command, at the end of in, or when a command fails.
 func runConsole(ctx context.Context, cluster *loopback.Cluster, in io.Reader, out io.Writer) error {
 	surge := loopback.DefaultSurge()
-	surges := make(chan struct{}, 1)
-	c := &console{cluster: cluster, out: out, surge: surge, surgeRequests: surges}
-	ctx, stop := context.WithCancel(ctx)
+	surgeRequests := make(chan struct{}, 1)
+	c := &console{cluster: cluster, out: out, surge: surge, surgeRequests: surgeRequests}
+	ctx, cancel := context.WithCancel(ctx)
 	var load sync.WaitGroup
-	load.Go(func() { surge.RunUntilCancelled(ctx, cluster, surges) })
+	load.Go(func() { surge.RunUntilCancelled(ctx, cluster, surgeRequests) })
 	defer load.Wait()
-	defer stop()
+	defer cancel()
 	commands := c.commands()
 	lines := bufio.NewScanner(in)
 	for lines.Scan() {
@@ -53,7 +53,7 @@
 		}
 		command, ok := commands[name]
 		if !ok {
-			fmt.Fprintln(out, "surge, load, status, kill, start, pause, resume, mistaken, cancel or quit")
+			fmt.Fprintln(out, "unknown command; use surge, load, status, kill, start, pause, resume, mistaken, cancel or quit")
 			continue
 		}
 		if err := command(); err != nil {
--- a/cmd/loopback/console.go
+++ b/cmd/loopback/console.go
@@ -9,22 +9,22 @@
 	"swiftledge/wire"
 )
 
-// firstFaultyJobNumber is the number of the first mistaken job: above those of the steady load.
+// firstFaultyJobNumber is the number of the first faulty job. It is above the numbers of the jobs of the steady load.
 const firstFaultyJobNumber = 900001
 
-// console carries out an operator's commands on a cluster.
+// console executes an operator's commands on a cluster.
 type console struct {
 	cluster       *loopback.Cluster
 	out           io.Writer
 	surge         loopback.Surge
-	surgeRequests chan<- struct{} // asks for a surge
+	surgeRequests chan<- struct{} // each value starts a surge
 
-	// What was done to the cluster and can be undone.
+	// Operations that the resume and cancel commands undo.
 	pausedController *loopback.Controller
 	faultyJobs       []string
 }
 
-// commands returns the commands by their names.
+// commands returns the functions that execute the commands, by command name.
 func (c *console) commands() map[string]func() error {
 	return map[string]func() error{
 		"surge":    c.startSurge,
@@ -41,13 +41,13 @@
 
 func (c *console) startSurge() error {
 	c.surgeRequests <- struct{}{}
-	fmt.Fprintln(c.out, "one team submits ten times its usual volume for", c.surge.Duration)
+	fmt.Fprintln(c.out, "surge started: one team submits jobs at ten times its usual rate for", c.surge.Duration)
 	return nil
 }
 
 func (c *console) printLoad() error {
 	sample := c.cluster.SampleLoad()
-	fmt.Fprintf(c.out, "%d machines, mean load %.2f, greatest %.2f (%.2f times the mean)\n",
+	fmt.Fprintf(c.out, "%d machines, mean load %.2f, maximum load %.2f (%.2f times the mean)\n",
 		sample.Machines, sample.Mean, sample.Max, sample.MaxToMean())
 	return nil
 }
@@ -62,11 +62,11 @@
 		return nil
 	}
 	leader.Kill()
-	fmt.Fprintln(c.out, leader.Name, "has led and is ended; `start` starts it again")
+	fmt.Fprintln(c.out, leader.Name, "was the leader and was killed; `start` restarts it")
 	return nil
 }
 
-// startControllers starts those that do not run.
+// startControllers starts the controllers that do not run.
 func (c *console) startControllers() error {
 	for _, controller := range c.cluster.Controllers {
 		if controller.IsRunning() {
@@ -82,17 +82,17 @@
 func (c *console) pauseLeader() error {
 	leader, _ := c.cluster.Leader()
 	if leader == nil || c.pausedController != nil {
-		fmt.Fprintln(c.out, "nobody leads, or one stands still already")
+		fmt.Fprintln(c.out, "no controller is leader, or one is paused already")
 		return nil
 	}
 	c.pausedController = leader
-	fmt.Fprintln(c.out, leader.Name, "has led and stands still; `resume` lets it go on")
+	fmt.Fprintln(c.out, leader.Name, "was the leader and is being paused; `resume` resumes it")
 	return leader.Pause()
 }
 
 func (c *console) resumeController() error {
 	if c.pausedController == nil {
-		fmt.Fprintln(c.out, "none stands still")
+		fmt.Fprintln(c.out, "no controller is paused")
 		return nil
 	}
 	controller := c.pausedController
@@ -122,7 +122,7 @@
 		fmt.Fprintln(c.out, err)
 		return nil
 	}
-	fmt.Fprintln(c.out, ref, "is accepted; its tasks fail on every machine")
+	fmt.Fprintln(c.out, ref, "was accepted; its tasks fail on every machine")
 	return nil
 }
 
--- a/cmd/loopback/main.go
+++ b/cmd/loopback/main.go
@@ -1,5 +1,5 @@
-// Command loopback runs a small site on 127.0.0.1, with real controllers and fakes of everything else, to try
-// and to measure the service.
+// Command loopback runs a small cluster on 127.0.0.1 with real controllers and fakes of all other parts. It serves to
+// try out and to measure the scheduler.
 package main
 
 import (
@@ -24,16 +24,16 @@
 	var options clusterOptions
 	root := &cobra.Command{
 		Use:           "loopback",
-		Short:         "A small site on 127.0.0.1",
+		Short:         "Run a small cluster on 127.0.0.1",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
 	flags := root.PersistentFlags()
-	flags.StringVar(&options.binary, "binary", "target/swiftledge", "the controller")
+	flags.StringVar(&options.binary, "binary", "target/swiftledge", "path of the controller's executable")
 	flags.StringArrayVar(&options.settings, "settings", []string{"deploy/swiftledge.yaml"},
-		"the controllers' settings; given again, a file changes what it names")
+		"the controllers' settings files; a later file overrides the settings that it names")
 	flags.BoolVar(&options.keepMachines, "keep", true,
-		"keep all machines up, as a fleet that is paid for anyway; else idle ones are returned")
+		"keep all machines, as if they were paid for anyway; otherwise the leader deletes idle machines")
 	root.AddCommand(clusterCommand(&options), surgeCommand(&options))
 	return root
 }
--- a/cmd/loopback/site.go
+++ b/cmd/loopback/site.go
@@ -10,31 +10,31 @@
 	"swiftledge/internal/loopback"
 )
 
-// keepMachinesSettings has controllers keep every machine that is up, and provision none beyond.
+// keepMachinesSettings makes the leader keep every running machine and provision no others.
 const keepMachinesSettings = "fleet: {reserve: 10, idle_s: 3600}\n"
 
-// clusterOptions are the flags that all commands share.
+// clusterOptions are the values of the flags that all commands share.
 type clusterOptions struct {
 	binary       string
 	settings     []string
 	keepMachines bool
 }
 
-// tempCluster is a cluster that runs, with the directory of its settings files and logs.
+// tempCluster is a running cluster with the temporary directory of its settings files and logs.
 type tempCluster struct {
 	*loopback.Cluster
 	directory string
 }
 
-// startCluster starts a cluster in a new directory, which stays when the cluster is stopped.
+// startCluster starts a cluster in a new directory. The directory is kept when the cluster is stopped.
 func (o *clusterOptions) startCluster(ctx context.Context) (*tempCluster, error) {
 	directory, err := os.MkdirTemp("", "loopback-")
 	if err != nil {
-		return nil, fmt.Errorf("start: %w", err)
+		return nil, fmt.Errorf("create cluster directory: %w", err)
 	}
 	files, err := o.settingsFiles(directory)
 	if err != nil {
-		return nil, fmt.Errorf("start: %w", err)
+		return nil, fmt.Errorf("write settings file: %w", err)
 	}
 	cluster, err := loopback.Start(ctx, directory, o.binary, loopback.DefaultClusterConfig(), files...)
 	if err != nil {
@@ -43,7 +43,8 @@
 	return &tempCluster{cluster, directory}, nil
 }
 
-// settingsFiles names the controllers' settings files; the last one may be written here.
+// settingsFiles returns the paths of the controllers' settings files. If all machines are kept, it writes an additional
+// file to the directory.
 func (o *clusterOptions) settingsFiles(directory string) ([]string, error) {
 	if !o.keepMachines {
 		return o.settings, nil
@@ -55,8 +56,8 @@
 	return append(o.settings[:len(o.settings):len(o.settings)], file), nil
 }
 
-// stopAndRemove stops the cluster and removes its directory.
-func (s *tempCluster) stopAndRemove(err error) error {
-	s.Stop()
-	return errors.Join(err, os.RemoveAll(s.directory))
+// stopAndRemove stops the cluster and removes its directory. It joins an error of the removal to err.
+func (c *tempCluster) stopAndRemove(err error) error {
+	c.Stop()
+	return errors.Join(err, os.RemoveAll(c.directory))
 }
--- a/cmd/loopback/surge.go
+++ b/cmd/loopback/surge.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	// defaultRepeats is how often a surge is measured.
+	// defaultRepeats is the default number of measured surges.
 	defaultRepeats = 3
-	// connectDelay is how long controllers and workers have to find each other before a surge begins.
+	// connectDelay is the time for controllers and agents to connect to each other before the surge starts.
 	connectDelay = 10 * time.Second
-	// samplesPerLine is so many samples long; there is one a second.
+	// samplesPerLine is the number of samples for each printed line. There is one sample a second.
 	samplesPerLine = 15
 )
 
@@ -27,7 +27,7 @@
 	var reportFile string
 	cmd := &cobra.Command{
 		Use:   "surge",
-		Short: "Measure a surge: five minutes each time",
+		Short: "Measure surges; each takes about five minutes",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			results, err := options.measureSurges(cmd.Context(), repeats, cmd.OutOrStdout())
@@ -37,12 +37,12 @@
 			return writeReport(reportFile, results)
 		},
 	}
-	cmd.Flags().IntVar(&repeats, "repeats", defaultRepeats, "how often")
-	cmd.Flags().StringVar(&reportFile, "report", "", "a file for all samples, as JSON")
+	cmd.Flags().IntVar(&repeats, "repeats", defaultRepeats, "number of surges")
+	cmd.Flags().StringVar(&reportFile, "report", "", "file to which all results and samples are written as JSON")
 	return cmd
 }
 
-// measureSurges measures surges, each on a site of its own, and prints each result.
+// measureSurges measures several surges, each on a new cluster, and prints each result.
 func (o *clusterOptions) measureSurges(ctx context.Context, repeats int, out io.Writer) ([]loopback.Result, error) {
 	var results []loopback.Result
 	for range repeats {
@@ -57,46 +57,46 @@
 }
 
 func (o *clusterOptions) measureSurge(ctx context.Context) (result loopback.Result, err error) {
-	ctx, stop := context.WithCancel(ctx)
-	defer stop()
-	s, err := o.startCluster(ctx)
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	cluster, err := o.startCluster(ctx)
 	if err != nil {
 		return loopback.Result{}, err
 	}
-	defer func() { err = s.stopAndRemove(err) }()
+	defer func() { err = cluster.stopAndRemove(err) }()
 	select {
 	case <-ctx.Done():
 		return loopback.Result{}, ctx.Err()
 	case <-time.After(connectDelay):
 	}
-	return loopback.DefaultSurge().Run(ctx, s.Cluster)
+	return loopback.DefaultSurge().Run(ctx, cluster.Cluster)
 }
 
-// writeReport writes all results, with their samples, to a file.
+// writeReport writes all results with their samples to a JSON file.
 func writeReport(file string, results []loopback.Result) error {
 	raw, err := json.MarshalIndent(results, "", " ")
 	if err != nil {
-		return fmt.Errorf("report: %w", err)
+		return fmt.Errorf("encode report: %w", err)
 	}
 	return os.WriteFile(file, raw, 0o600)
 }
 
-// printResult prints the load each fifteen seconds, then what was counted.
+// printResult prints the load every samplesPerLine seconds and then the totals.
 func printResult(w io.Writer, result *loopback.Result) {
 	for i, sample := range result.Samples {
 		if i%samplesPerLine == 0 {
-			fmt.Fprintf(w, "%6.0f s  %2d machines  mean %.2f  greatest %.2f  %.2f times the mean\n",
+			fmt.Fprintf(w, "%6.0f s  %2d machines  mean %.2f  maximum %.2f  %.2f times the mean\n",
 				sample.AtS, sample.Machines, sample.Mean, sample.Max, sample.MaxToMean())
 		}
 	}
-	fmt.Fprintf(w, "from two minutes on: at most %.2f times the mean, %d s above twice\n",
+	fmt.Fprintf(w, "from two minutes on: maximum at most %.2f times the mean, %d s above twice the mean\n",
 		result.SettledMaxToMean, result.SecondsAboveTwice)
-	fmt.Fprintf(w, "moves %+v, %d image fetches, %.0f s of work redone, %.1f s of processor time, ",
+	fmt.Fprintf(w, "migrations %+v, %d image fetches, %.0f s of run time repeated, %.1f s of CPU time, ",
 		result.Migrations, result.ImageFetches, result.LostSeconds, result.CPUSeconds)
 	fmt.Fprintf(w, "%d submissions refused, %d tasks completed twice\n",
 		result.RefusedSubmissions, result.RepeatedTasks)
 	for _, wait := range result.Waits {
-		fmt.Fprintf(w, "%s: %d of %d jobs begun, after %.1f s (median), %.1f s (most)\n",
+		fmt.Fprintf(w, "%s: %d of %d jobs started, wait %.1f s (median), %.1f s (maximum)\n",
 			wait.Team, wait.StartedJobs, wait.Jobs, wait.MedianS, wait.LongestS)
 	}
 }
