--- a/internal/fake/agent.go
+++ b/internal/fake/agent.go
@@ -99,7 +99,7 @@
 	a.RunCommands = map[string]int{}
 }
 
-// Reboot drops all tasks and starts a new first session under the same name. No earlier state is kept.
+// Reboot starts a new first session under the same name. The agent keeps no tasks, images or session data from before.
 func (a *Agent) Reboot(now clock.Micros) {
 	a.dropTasks(now)
 	a.Boot(now)
