--- a/internal/scenario/agent_test.go
+++ b/internal/scenario/agent_test.go
@@ -22,7 +22,7 @@
 
 // simAgent is a simulated machine with its agent and its network connection.
 type simAgent struct {
-	*fake.Worker
+	*fake.Agent
 	instance   *fake.Instance
 	terminated bool
 	network    machineNetwork
--- a/internal/scenario/commands_machines_test.go
+++ b/internal/scenario/commands_machines_test.go
@@ -33,7 +33,7 @@
 // failBootsCommand makes the next machines fail to boot, or boot without an agent that sends heartbeats.
 func failBootsCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	if d.HasArg("no_heartbeat") {
-		w.cloud.NextNeverReport = arg(t, d, "count", 1)
+		w.cloud.NextNeverHeartbeat = arg(t, d, "count", 1)
 	} else {
 		w.cloud.NextNeverBoot = arg(t, d, "count", 1)
 	}
--- a/internal/scenario/machine_faults_test.go
+++ b/internal/scenario/machine_faults_test.go
@@ -71,8 +71,8 @@
 
 // silenceNewMachines makes the next machines boot without an agent that sends heartbeats.
 func silenceNewMachines(w *world, f fault) func() {
-	w.cloud.NextNeverReport = f.count / 4
-	return func() { w.cloud.NextNeverReport = 0 }
+	w.cloud.NextNeverHeartbeat = f.count / 4
+	return func() { w.cloud.NextNeverHeartbeat = 0 }
 }
 
 func changeBootTime(w *world, f fault) func() {
--- a/internal/scenario/machines_test.go
+++ b/internal/scenario/machines_test.go
@@ -31,7 +31,7 @@
 	m.booting = append(m.booting, w.cloud.Created[m.instancesSeen:]...)
 	m.instancesSeen = len(w.cloud.Created)
 	m.booting = slices.DeleteFunc(m.booting, func(i *fake.Instance) bool {
-		up := !i.Deleted && !i.Failed && !i.NeverBoots && !i.NeverReports && w.now >= i.BootedAt
+		up := !i.Deleted && !i.Failed && !i.NeverBoots && !i.NeverHeartbeats && w.now >= i.BootedAt
 		if up {
 			w.bootAgent(i)
 		}
@@ -47,7 +47,7 @@
 			machineType = t
 		}
 	}
-	s := &simAgent{instance: instance, Worker: &fake.Worker{
+	s := &simAgent{instance: instance, Agent: &fake.Agent{
 		Identity: fake.Identity{
 			Name:    instance.Name,
 			Address: instance.Address,
@@ -55,7 +55,7 @@
 			Zone:    instance.Zone,
 			Spot:    instance.Spot,
 		},
-		Resources: fake.Resources{CPUs: machineType.CPUs, Memory: machineType.MemoryGB, FetchSeconds: 1},
+		Resources: fake.Resources{CPUs: machineType.CPUs, MemoryGB: machineType.MemoryGB, FetchSeconds: 1},
 		LeaseTime: w.cfg.AgentLeaseTime(),
 		Workload:  workload{w},
 		Observer:  observer{w},
@@ -89,21 +89,21 @@
 // observer passes the events of tasks to the rule checks.
 type observer struct{ world *world }
 
-// TaskOrdered implements fake.Observer.
-func (o observer) TaskOrdered(agent *fake.Worker, t *fake.Task) {
+// RunCommandExecuted implements fake.Observer.
+func (o observer) RunCommandExecuted(agent *fake.Agent, t *fake.Task) {
 	o.world.rules.history.checkRunCommand(agent.Name, t)
 }
 
 // TaskStarted implements fake.Observer.
-func (o observer) TaskStarted(agent *fake.Worker, t *fake.Task) {
+func (o observer) TaskStarted(agent *fake.Agent, t *fake.Task) {
 	o.world.checkStart(o.world.agentByName(agent.Name), t)
 }
 
-// TaskRestarted implements fake.Observer.
-func (o observer) TaskRestarted(_ *fake.Worker, t *fake.Task) { o.world.rules.history.checkRestart(t) }
+// TaskAlreadyDone implements fake.Observer.
+func (o observer) TaskAlreadyDone(_ *fake.Agent, t *fake.Task) { o.world.rules.history.checkRestart(t) }
 
 // TaskEnded implements fake.Observer.
-func (o observer) TaskEnded(_ *fake.Worker, t *fake.Task) {
+func (o observer) TaskEnded(_ *fake.Agent, t *fake.Task) {
 	if t.Cause == wire.ExitDone {
 		o.world.rules.completions[t.Task]++
 		o.world.rules.history.noteCompletion(t)
--- a/internal/scenario/size_test.go
+++ b/internal/scenario/size_test.go
@@ -72,13 +72,13 @@
 	if completed < perLoad*9/10 {
 		t.Errorf("%d of %d tasks have completed, want at least 45%%", completed, 2*perLoad)
 	}
-	if putsPerTask := float64(w.store.Puts) / float64(completed); putsPerTask > 0.25 {
-		t.Errorf("%.2f puts for each completed task (%d for %d), want at most 0.25", putsPerTask, w.store.Puts, completed)
+	if putsPerTask := float64(w.store.Writes) / float64(completed); putsPerTask > 0.25 {
+		t.Errorf("%.2f puts for each completed task (%d for %d), want at most 0.25", putsPerTask, w.store.Writes, completed)
 	}
 	w.checkMemory(t, d)
 	w.checkNoViolations(t)
 	t.Logf("%d machines, %d inventory keys, %d completed tasks, %d puts, all agents got a reply %.1f s after all controllers restarted, %.0f MB",
-		machines, len(inventory), completed, w.store.Puts, recovery.Seconds(), heapMB())
+		machines, len(inventory), completed, w.store.Writes, recovery.Seconds(), heapMB())
 }
 
 // checkMemory queues tens of thousands of tasks and checks that the heap of the whole world stays within a third of
@@ -166,9 +166,9 @@
 	if n := w.activeReplicas(); n != services*replicas {
 		t.Fatalf("%d replicas run, want %d", n, services*replicas)
 	}
-	putsBefore := w.store.Puts
+	putsBefore := w.store.Writes
 	w.run(60 * clock.Second)
-	idlePuts := w.store.Puts - putsBefore
+	idlePuts := w.store.Writes - putsBefore
 	pages, _ := w.store.List(attemptPrefix)
 	bytes := 0
 	for _, page := range pages {
