--- a/internal/compat/exact_test.go
+++ b/internal/compat/exact_test.go
@@ -213,7 +213,7 @@
 		Refusals: []peer.RefusalStatus{
 			{Machine: "host-000003", Reason: "cannot save", Task: "j-000413/0", Tasks: 4},
 		},
-		MigrationOutcomes: peer.MigrationOutcomes{Started: 15, Arrived: 5, Diverted: 4, Cancelled: 3, TimedOut: 2},
+		MigrationOutcomes: peer.MigrationOutcomes{Begun: 15, Arrived: 5, Elsewhere: 4, Cancelled: 3, GivenUp: 2},
 		Suspects:          []peer.SuspectStatus{{Job: "j-000414", Team: "vision", Machines: 3, Probes: 2, NextProbeS: 7.5}},
 	}
 }
--- a/internal/leader/rebalancing_test.go
+++ b/internal/leader/rebalancing_test.go
@@ -274,7 +274,7 @@
 	l.inventory.machines[machineNames[5]].draining, l.inventory.machines[machineNames[5]].state.Tasks = true, 1
 	collectStops(l)
 	s := l.status(startTime + 95*clock.Second)
-	if !s.IsLeader || !s.Rebalancing || len(s.Shards) != 2 || len(s.Machines) != len(machineNames) || len(s.Migrations) != 1 || s.MigrationOutcomes.Started != 1 {
+	if !s.IsLeader || !s.Rebalancing || len(s.Shards) != 2 || len(s.Machines) != len(machineNames) || len(s.Migrations) != 1 || s.MigrationOutcomes.Begun != 1 {
 		t.Fatalf("status %+v, want the leader's shards, machines and one migration", s)
 	}
 	if m := s.Machines[0]; m.Load != 1 || m.RelativeLoad < 2 || !m.Schedulable {
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -151,7 +151,7 @@
 // migrationOutcomes returns how many migrations of the term ended in each way.
 func migrationOutcomes(o rebalancer.Outcomes) peer.MigrationOutcomes {
 	return peer.MigrationOutcomes{
-		Started: o.Started, Arrived: o.Arrived, Diverted: o.Diverted, Cancelled: o.Cancelled, TimedOut: o.TimedOut,
+		Begun: o.Started, Arrived: o.Arrived, Elsewhere: o.Diverted, Cancelled: o.Cancelled, GivenUp: o.TimedOut,
 	}
 }
 
--- a/internal/peer/status.go
+++ b/internal/peer/status.go
@@ -101,9 +101,9 @@
 
 // MigrationOutcomes counts migrations by outcome.
 type MigrationOutcomes struct {
-	Started   int `msgpack:"begun" json:"begun"`
+	Begun     int `msgpack:"begun" json:"begun"`
 	Arrived   int `msgpack:"arrived" json:"arrived"`
-	Diverted  int `msgpack:"elsewhere" json:"elsewhere"`
+	Elsewhere int `msgpack:"elsewhere" json:"elsewhere"`
 	Cancelled int `msgpack:"cancelled" json:"cancelled"`
-	TimedOut  int `msgpack:"given_up" json:"given_up"`
+	GivenUp   int `msgpack:"given_up" json:"given_up"`
 }
--- a/internal/scenario/commands_rebalancing_test.go
+++ b/internal/scenario/commands_rebalancing_test.go
@@ -42,5 +42,5 @@
 // migrationsCommand counts the migrations by outcome.
 func migrationsCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	o := w.leaderStatus().MigrationOutcomes
-	return fmt.Sprintf("begun %d, arrived %d, elsewhere %d, cancelled %d, given up %d", o.Started, o.Arrived, o.Diverted, o.Cancelled, o.TimedOut)
+	return fmt.Sprintf("begun %d, arrived %d, elsewhere %d, cancelled %d, given up %d", o.Begun, o.Arrived, o.Elsewhere, o.Cancelled, o.GivenUp)
 }
--- a/internal/scenario/random_faults_test.go
+++ b/internal/scenario/random_faults_test.go
@@ -124,7 +124,7 @@
 	if len(w.rules.violations) > 0 {
 		t.Fatalf("%s", strings.Join(w.rules.violations[:min(len(w.rules.violations), 5)], "\n"))
 	}
-	return w.leaderStatus().MigrationOutcomes.Started
+	return w.leaderStatus().MigrationOutcomes.Begun
 }
 
 // TestRandomFaultRegressions runs worlds in which a longer search found a fault of the scheduler. The key of each case
--- a/internal/status/table.go
+++ b/internal/status/table.go
@@ -176,7 +176,7 @@
 	t.heading("MOVES", "BEGUN", "ARRIVED", "ELSEWHERE", "CANCELLED", "GIVEN UP")
 	outcomes := s.MigrationOutcomes
 	t.row("this epoch",
-		outcomes.Started, outcomes.Arrived, outcomes.Diverted, outcomes.Cancelled, outcomes.TimedOut)
+		outcomes.Begun, outcomes.Arrived, outcomes.Elsewhere, outcomes.Cancelled, outcomes.GivenUp)
 	if len(s.Migrations) > 0 {
 		t.heading("MOVING", "TEAM", "FROM", "TO", "STAGE", "SINCE S", "GAIN S", "COST S")
 		for _, m := range s.Migrations {
