--- a/internal/api/admission.go
+++ b/internal/api/admission.go
@@ -9,17 +9,18 @@
 const (
 	// admissionBatchSize is the number of heartbeats that are admitted before the runtime polls the network again.
 	admissionBatchSize = 8
-	// admissionPause is the pause between two batches while more heartbeats wait. It only has to make the
+	// admissionPause is the pause between two batches while more heartbeats wait. The pause only has to make the
 	// process idle for a moment, so that the runtime polls the network.
 	admissionPause = 100 * time.Microsecond
 	// admissionQueueSize is the number of heartbeats that can be queued before senders block on the queue itself.
 	admissionQueueSize = 1024
 )
 
-// heartbeatAdmission is the actor that prevents heartbeats from starving all other requests: it admits them in
-// small batches. Answering heartbeats is most of a controller's work. When the controller falls behind, hundreds
-// of heartbeats are ready at once. Without batches, users' requests, health probes and the store's answers, which
-// include those to lease renewals, would wait until all of them are answered. They are served between two batches.
+// heartbeatAdmission is the actor that prevents heartbeats from starving all other requests: it admits them in small
+// batches. Answering heartbeats is most of a controller's work. When the controller falls behind, hundreds of
+// heartbeats are ready at once. Without batches, users' requests, health probes and the store's answers, which include
+// those to lease renewals, would wait until all heartbeats are answered. With batches, they are served between two
+// batches.
 type heartbeatAdmission struct {
 	arrivals    chan chan struct{}
 	pause       func()    // called between two batches
--- a/internal/api/admission_test.go
+++ b/internal/api/admission_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// When a controller falls behind, hundreds of heartbeats are ready at once. After every batch of them, other
+// When a controller falls behind, hundreds of heartbeats are ready at once. After every batch of heartbeats, other
 // requests must be served: users' requests, health probes, and the answers that renew the leader's lease.
 func TestHeartbeatsAreAdmittedInBatches(t *testing.T) {
 	const heartbeats = 5*admissionBatchSize + 3
@@ -22,14 +22,14 @@
 		pauses++
 		for i := range admitted {
 			if want := i < pauses*admissionBatchSize; isAdmitted(i) != want {
-				t.Errorf("pause %d: heartbeat %d is admitted: %v, want %v", pauses, i, !want, want)
+				t.Errorf("pause %d: heartbeat %d admitted: %v, want %v", pauses, i, !want, want)
 			}
 		}
 	}
 	go admission.run(t.Context())
 	<-admitted[heartbeats-1]
 	if pauses != heartbeats/admissionBatchSize {
-		t.Errorf("%d pauses for %d heartbeats", pauses, heartbeats)
+		t.Errorf("%d pauses for %d heartbeats, want one after each full batch", pauses, heartbeats)
 	}
 }
 
--- a/internal/api/bounded_map.go
+++ b/internal/api/bounded_map.go
@@ -1,7 +1,7 @@
 package api
 
-// boundedMap is a map that keeps at least the latest entries, up to the number in size, and at most twice as many. It
-// has two generations and drops the older one when the newer one is full.
+// boundedMap is a map that keeps at least the latest entries, as many as size says, and at most twice as many. It has
+// two generations of entries, and drops the older generation when the newer one is full.
 type boundedMap[V any] struct {
 	size         int
 	newer, older map[string]V
--- a/internal/api/bounded_map_test.go
+++ b/internal/api/bounded_map_test.go
@@ -14,7 +14,7 @@
 		m.put(strconv.Itoa(i), i)
 		for age := range min(i+1, size) {
 			if v, ok := m.get(strconv.Itoa(i - age)); !ok || v != i-age {
-				t.Fatalf("entry %d is lost although %d is the latest entry", i-age, i)
+				t.Fatalf("entry %d was lost when the latest entry was %d", i-age, i)
 			}
 		}
 		if n := len(m.newer) + len(m.older); n > 2*size {
@@ -24,6 +24,6 @@
 	m.put("999", -1)
 	m.remove("999")
 	if _, ok := m.get("999"); ok {
-		t.Error("a removed entry is still there")
+		t.Error("entry still found after its removal")
 	}
 }
--- a/internal/api/heartbeat_test.go
+++ b/internal/api/heartbeat_test.go
@@ -41,13 +41,13 @@
 	listener countingListener
 }
 
-// Read counts the call and reads.
+// Read counts the call and reads from the connection.
 func (c countingConn) Read(b []byte) (int, error) {
 	c.listener.reads.Add(1)
 	return c.Conn.Read(b)
 }
 
-// Write counts the call and writes.
+// Write counts the call and writes to the connection.
 func (c countingConn) Write(b []byte) (int, error) {
 	c.listener.writes.Add(1)
 	return c.Conn.Write(b)
@@ -60,7 +60,7 @@
 	seq       uint64
 	heartbeat wire.Heartbeat
 	response  fasthttp.Response
-	// reads and writes count the controller's reads and writes on all its connections.
+	// reads and writes count the controller's reads and writes on all connections to the controller.
 	reads, writes *atomic.Int64
 	address       string
 }
@@ -87,8 +87,8 @@
 // Respond sends the reply to the waiting goroutine.
 func (c replyChannel) Respond(reply shard.HeartbeatReply) { c <- reply }
 
-// startHolder starts a goroutine that answers heartbeats until the test ends. It returns a function that sends it a
-// heartbeat and waits for the reply.
+// startHolder starts a shard holder that answers heartbeats until the test ends. It returns a function that sends the
+// holder a heartbeat and waits for the reply.
 func startHolder(tb testing.TB) func(*wire.Heartbeat) shard.HeartbeatReply {
 	tb.Helper()
 	holder := newTestHolder()
@@ -170,11 +170,12 @@
 		tb.Fatal(err)
 	}
 	if a.response.StatusCode() != 200 || !strings.Contains(string(a.response.Body()), "50") {
-		tb.Fatalf("heartbeat: status %d %s", a.response.StatusCode(), a.response.Body())
+		tb.Fatalf("heartbeat: status %d, body %s, want status 200 and fencing token 50", a.response.StatusCode(), a.response.Body())
 	}
 }
 
-// BenchmarkHeartbeat measures an unchanged heartbeat from the socket to the answer, including the agent's side.
+// BenchmarkHeartbeat measures the time from writing a heartbeat to the agent's connection until the agent has read the
+// answer. Apart from the sequence number, all heartbeats are the same.
 func BenchmarkHeartbeat(b *testing.B) {
 	for _, tasks := range []int{0, 4, 40} {
 		b.Run(fmt.Sprint(tasks, " tasks"), func(b *testing.B) {
@@ -192,9 +193,9 @@
 	}
 }
 
-// Unchanged heartbeats of unchanged machines are a controller's most frequent requests: 200 per second at the cluster
-// sizes that operators name, with a thirtieth of a core to answer them. From the socket to the answer such a heartbeat
-// takes few allocations, and a few more for each task that it lists.
+// Heartbeats without any change since the previous one are a controller's most frequent requests: 200 per second at the
+// cluster sizes that operators name, with a thirtieth of a core to answer them. Such a heartbeat takes few allocations,
+// from writing it to the agent's connection until the answer is read, and a few more for each task that it lists.
 func TestUnchangedHeartbeatAllocations(t *testing.T) {
 	for _, c := range []struct {
 		tasks          int
@@ -229,8 +230,8 @@
 	}
 }
 
-// An agent's connection, which stays open between heartbeats, takes little memory. A controller may have as many of
-// them as its socket limit allows.
+// An agent's connection, which stays open between heartbeats, takes little memory. A controller may have as many such
+// connections as its socket limit allows.
 func TestIdleConnectionMemory(t *testing.T) {
 	agent := newTestAgent(t, 4)
 	agent.send(t, agent.request(t))
--- a/internal/api/job_cache.go
+++ b/internal/api/job_cache.go
@@ -12,9 +12,11 @@
 )
 
 const (
-	// leaderContactTimeout is how long the leader counts as reachable after the last contact.
+	// leaderContactTimeout is how long the leader counts as reachable after a message that confirms a lease renewal and
+	// the leader's access to the store.
 	leaderContactTimeout = 3 * clock.Second
-	// isolationTimeout is the time without contact to any other controller after which a controller counts as isolated.
+	// isolationTimeout is the time without contact with any other controller after which a controller counts as
+	// isolated.
 	isolationTimeout = 5 * clock.Second
 )
 
@@ -58,8 +60,8 @@
 // Post queues a message. It blocks while the mailbox is full.
 func (c *JobCache) Post(message Message) { c.mailbox <- envelope{c.now(), message} }
 
-// Lookup returns a View of a job. With an empty reference, the View has only the data that concerns no job. Lookup
-// waits for Run to answer.
+// Lookup returns a View of a job. With an empty reference, the View has only the data about the cluster. Lookup waits
+// for Run to answer.
 func (c *JobCache) Lookup(ref string) View {
 	request := viewRequested{ref, make(chan View, 1)}
 	c.Post(request)
@@ -89,8 +91,8 @@
 	Types      []wire.MachineType
 	Count      peer.TaskCount
 	FinalState *leader.FinalStateRecord
-	// UnansweredFor is how long polls for the job have failed on this controller without one being answered. It is 0
-	// if the last one was answered.
+	// UnansweredFor is the time since the first of the polls for the job that have failed on this controller since a
+	// poll was last answered. It is 0 if the last poll was answered.
 	UnansweredFor   clock.Micros
 	LeaderReachable bool // a leader with access to the store sent a message to this controller recently
 	Isolated        bool // no recent contact with any other controller
--- a/internal/api/job_cache_test.go
+++ b/internal/api/job_cache_test.go
@@ -16,8 +16,8 @@
 	return newCacheState(cfg)
 }
 
-// The leader counts as reachable until a timeout after its last message, if that has the current term, a renewal and
-// working access to the store.
+// The leader counts as reachable until leaderContactTimeout after its last message that has the current term, confirms
+// a lease renewal and says that the leader has access to the store.
 func TestLeaderIsReachableAfterItsMessages(t *testing.T) {
 	reachable := peer.FromLeader{Term: 7, RenewedSeq: 1, StoreOK: true}
 	for _, c := range []struct {
@@ -42,7 +42,7 @@
 			}
 			s.handle(LeaderChanged{Term: 8, Controller: "c2"}, 2*clock.Second)
 			if view := s.view("", 2*clock.Second); view.LeaderReachable || view.Term != 8 || view.Leader != "c2" {
-				t.Errorf("after a change of leader: %+v", view)
+				t.Errorf("view after a change of leader is %+v, want c2 in term 8, not yet reachable", view)
 			}
 		})
 	}
@@ -54,13 +54,13 @@
 	s := newTestCacheState()
 	s.handle(PeerContacted{}, clock.Second)
 	if s.view("", clock.Second+isolationTimeout).Isolated {
-		t.Error("isolated too early")
+		t.Error("controller counted as isolated before the timeout")
 	}
 	if !s.view("", clock.Second+isolationTimeout+1).Isolated {
-		t.Error("not isolated without contact to other controllers")
+		t.Error("controller not counted as isolated after the timeout without contact with other controllers")
 	}
 	if newCacheState(&config.Config{}).view("", isolationTimeout+1).Isolated {
-		t.Error("isolated although it has no peers")
+		t.Error("controller without peers counted as isolated")
 	}
 }
 
@@ -73,13 +73,13 @@
 	s.handle(pollFailed{testRef}, 2*clock.Second)
 	view := s.view(testRef, 4*clock.Second)
 	if view.Count != count || view.FinalState != nil || view.UnansweredFor != 3*clock.Second {
-		t.Errorf("view of a running job: %+v", view)
+		t.Errorf("view of a running job is %+v, want its task counts and 3 s without an answered poll", view)
 	}
 	s.handle(pollAnswered{testRef}, 4*clock.Second)
 	s.handle(jobEnded{testRef, leader.FinalStateRecord{State: wire.JobDone, Tasks: 5}}, 4*clock.Second)
 	view = s.view(testRef, 5*clock.Second)
 	if view.Count.Done != 0 || view.FinalState == nil || view.FinalState.Tasks != 5 || view.UnansweredFor != 0 {
-		t.Errorf("view of a finished job: %+v", view)
+		t.Errorf("view of a finished job is %+v, want only its final state", view)
 	}
 }
 
@@ -89,10 +89,10 @@
 	s.handle(catalogRead{[]wire.MachineType{{Name: "small"}}}, 0)
 	s.handle(LeaderMessage{&peer.FromLeader{}}, 0)
 	if types := s.view("", 0).Types; len(types) != 1 || types[0].Name != "small" {
-		t.Errorf("machine types %+v", types)
+		t.Errorf("machine types %+v after a message without types, want only small", types)
 	}
 	s.handle(LeaderMessage{&peer.FromLeader{Types: []wire.MachineType{{Name: "large"}, {Name: "g8"}}}}, 0)
 	if types := s.view("", 0).Types; len(types) != 2 {
-		t.Errorf("machine types %+v", types)
+		t.Errorf("machine types %+v after a message with two types, want these two", types)
 	}
 }
--- a/internal/api/retry.go
+++ b/internal/api/retry.go
@@ -25,8 +25,8 @@
 var errJobChanged = errors.New("the job changed meanwhile")
 
 // shouldRetry reports whether a failed request should be retried while the user waits, given the number of retries so
-// far. It allows several retries after a rate limit or a conflicting change, which pass soon, and one if there was no
-// answer. After any other error the store counts as unavailable, and the user is asked at once to retry later.
+// far. It allows several retries after a rate limit or a conflicting change, which pass soon, and one retry if there
+// was no answer. After any other error the store counts as unavailable, and the user is asked at once to retry later.
 func shouldRetry(err error, retries int) bool {
 	switch {
 	case errors.Is(err, errJobChanged):
--- a/internal/api/retry_test.go
+++ b/internal/api/retry_test.go
@@ -46,6 +46,6 @@
 		return Result{}, errJobChanged
 	})
 	if !errors.Is(err, errJobChanged) || attempts != 1 {
-		t.Errorf("%d attempts, error %v", attempts, err)
+		t.Errorf("%d attempts, error %v; want 1 attempt, error errJobChanged", attempts, err)
 	}
 }
--- a/internal/api/service_test.go
+++ b/internal/api/service_test.go
@@ -113,20 +113,21 @@
 		}
 	}
 	if keptOpen < cfg.MaxHTTPConnections()/2 || keptOpen >= cfg.MaxHTTPConnections() {
-		t.Errorf("%d agents keep their connections, with a limit of %d connections", keptOpen, cfg.MaxHTTPConnections())
+		t.Errorf("%d connections of agents kept open, want at least half of the limit of %d, and fewer than the limit", keptOpen, cfg.MaxHTTPConnections())
 	}
 	for range 5 {
 		if response := send("GET /ready HTTP/1.1\r\nHost: a\r\n\r\n"); response.StatusCode() != 200 || response.ConnectionClose() {
-			t.Errorf("health probe: status %d", response.StatusCode())
+			t.Errorf("health probe: status %d or connection closed, want 200 on an open connection", response.StatusCode())
 		}
 	}
 	if !strings.HasPrefix(string(send("GET /api/jobs/nothing HTTP/1.1\r\nHost: a\r\n\r\n").Body()), "{") {
-		t.Error("user's request: no JSON answer")
+		t.Error("user's request got no JSON answer")
 	}
 }
 
 // An agent whose heartbeat is refused goes to another controller and closes its connection. An isolated controller
-// refuses all heartbeats. It saves hundreds of wake-ups per second by closing the connections with the answers.
+// refuses all heartbeats. This controller saves hundreds of wake-ups per second by closing the connections with the
+// answers.
 func TestConnectionOfRefusedAgentIsClosed(t *testing.T) {
 	for _, status := range []int{200, 421, 503} {
 		send := startService(t, fewSocketsConfig(), shard.HeartbeatReply{Status: status})
--- a/internal/api/status_test.go
+++ b/internal/api/status_test.go
@@ -22,7 +22,7 @@
 	*fake.Store
 	beforeRead   map[string]func() // by key: called once, before the next read of the key
 	afterRead    func()            // called once, after the next read
-	lostOutcomes int               // number of next transactions that are executed without an answer
+	lostOutcomes int               // number of coming transactions that are executed without an answer
 	afterLost    func()            // called after each of these transactions
 }
 
@@ -77,8 +77,8 @@
 	}
 }
 
-// No user gets an older status of a job than one that was already given, regardless of what other controllers write
-// between two requests to the store and of lost answers from the store.
+// No user gets an older status of a job than a user got before, regardless of what other controllers write between two
+// requests to the store and of lost answers from the store.
 func TestJobStatusNeverRegresses(t *testing.T) {
 	const ref = testRef
 	body := []byte(`{"ref":"` + ref + `","lane":"l","owner":"red","shape":"batch","rank":"high","lots":1,"cpus":1,"accelerators":0,"ramGb":1,
@@ -134,11 +134,11 @@
 				t.Fatalf("submission: status %d %s", r.Code, r.Reason)
 			}
 			if r := c.call(hooked, service); r.Code != c.code || r.Status.State != c.want {
-				t.Errorf("%d %s %s, want %d %s", r.Code, r.Status.State, r.Reason, c.code, c.want)
+				t.Errorf("got status %d, state %s, reason %s, want status %d, state %s", r.Code, r.Status.State, r.Reason, c.code, c.want)
 			}
-			// Another controller, without anything in its cache, gives the same answer.
+			// Another controller, with an empty cache, gives the same answer.
 			if r := newService(t, hooked).Status(ref); r.Code != c.code || r.Status.State != c.want {
-				t.Errorf("another controller answers %d %s", r.Code, r.Status.State)
+				t.Errorf("another controller answered status %d, state %s, want the same answer", r.Code, r.Status.State)
 			}
 		})
 	}
@@ -147,11 +147,11 @@
 	hooked.lostOutcomes = 1
 	hooked.afterLost = func() { hooked.endJob(t, wire.JobCancelled) }
 	if r := newService(t, hooked).Submit(body); r.Code != 200 || r.Status.State != wire.JobCancelled {
-		t.Errorf("retry after the job was accepted and cancelled: %d %s", r.Code, r.Status.State)
+		t.Errorf("retry after the job was accepted and cancelled: status %d, state %s, want 200 and cancelled", r.Code, r.Status.State)
 	}
 }
 
-// refusingStore is a store that can refuse reads. It records their priorities.
+// refusingStore is a store that can refuse reads. It records the priorities of all reads.
 type refusingStore struct {
 	*hookedStore
 	refuseReads bool
@@ -168,7 +168,7 @@
 }
 
 // If there are more polls than the store's limit allows, the polls for one job must not by chance stay unanswered for a
-// minute. After they have failed for some time, the next poll gets a higher priority.
+// minute. After a job's polls have failed for some time, its next poll gets a higher priority.
 func TestStarvedPollsGetPriority(t *testing.T) {
 	const ref = testRef
 	refusing := &refusingStore{hookedStore: newHookedStore(), refuseReads: true}
@@ -208,7 +208,7 @@
 	refusing.priorities = nil
 	s.Status(testRef)
 	if priority := refusing.priorities[0]; priority != store.PriorityStarvedReads {
-		t.Errorf("priority %d, want %d", priority, store.PriorityStarvedReads)
+		t.Errorf("second poll after the threshold: priority %d, want %d", priority, store.PriorityStarvedReads)
 	}
 }
 
--- a/internal/autoscaler/option.go
+++ b/internal/autoscaler/option.go
@@ -15,9 +15,9 @@
 	Type wire.MachineType
 	Zone string
 	Spot bool // false: on demand
-	// DelayS is the expected boot delay of the machines beyond the usual boot time, because some recently failed to
-	// boot. It raises the option's price per slot, so that other options that serve the demand tend to come first. The
-	// number of machines does not depend on the delay.
+	// DelayS is the expected boot delay of the machines beyond the usual boot time, because machines of the option
+	// recently failed to boot. The delay raises the option's price per slot, so that other options that serve the
+	// demand tend to come first. The number of machines does not depend on the delay.
 	DelayS float64
 }
 
@@ -41,7 +41,7 @@
 func (o *Option) pricePerCPU() float64 { return o.Price() / max(o.Type.CPUs, 1e-6) }
 
 // priceBand returns the number of the band that the price per CPU is in. Prices in one band differ by less than a
-// factor of 1.5. Among machines in one band, the load is a better criterion for which of them to keep.
+// factor of 1.5. Among machines in one band, the load is a better criterion for which machines to keep.
 func (o *Option) priceBand() float64 {
 	return math.Floor(math.Log(max(o.pricePerCPU(), 1e-9)) / math.Log(1.5))
 }
@@ -56,8 +56,8 @@
 	TaskSeconds          float64 // remaining run time of all tasks
 }
 
-// Slots returns the number of tasks of the demand that fit on one machine of the option, or 0 if the constraints do not
-// allow the option.
+// Slots returns the number of slots for the demand on one machine of the option, or 0 if the constraints do not allow
+// the option. A slot is the capacity for one task of a demand.
 func (d *Demand) Slots(option *Option) int {
 	if !d.allows(option) {
 		return 0
@@ -80,8 +80,8 @@
 		(len(d.Types) == 0 || slices.Contains(d.Types, option.Type.Name))
 }
 
-// expectedUsageS is the assumed time in seconds for which a new machine is used. The cost of its boot time, which is
-// also billed, is spread over this time.
+// expectedUsageS is the assumed time in seconds for which a new machine is used. The boot time is billed, too, and its
+// cost is spread over the time of use.
 const expectedUsageS = 120
 
 // pricePerSlot returns the hourly price of a slot for the demand on the option, including the cost of the boot time.
--- a/internal/autoscaler/plan.go
+++ b/internal/autoscaler/plan.go
@@ -16,19 +16,20 @@
 // Machine is an existing or pending machine.
 type Machine struct {
 	Option
-	Name   string // "": none yet
+	Name   string // "": the cloud has not named it yet
 	Up     bool
 	Idle   bool    // up and without tasks
-	Retain bool    // not to be scaled in now, because that is premature or saves no cost
+	Retain bool    // whether it is kept for now, because scaling it in is premature or saves no cost
 	Load   float64 // share of its CPUs in use
 }
 
 // Params limit how long tasks may wait before machines are provisioned, and set the reserve for future tasks.
 type Params struct {
-	// SpotBacklogS is the time in seconds in which the machines should clear the demand, if spot machines serve it or
-	// it does not allow them.
+	// SpotBacklogS is the time in seconds within which the machines should clear a demand that spot machines serve, or
+	// a demand that does not allow spot machines.
 	SpotBacklogS float64
-	// OnDemandBacklogS is the same time if on-demand machines serve a demand that allows spot machines.
+	// OnDemandBacklogS is the time in seconds within which the machines should clear a demand that allows spot machines
+	// but is served by on-demand machines.
 	OnDemandBacklogS float64
 	// ReserveRatio is the capacity that is kept in addition to the demand, relative to the demand.
 	ReserveRatio float64
@@ -59,7 +60,7 @@
 }
 
 // onDemandRetention is the factor by which existing on-demand machines may exceed the demand for them before they are
-// given up. With a lower factor, machines would be provisioned and deleted in turns.
+// cordoned or scaled in. With a lower factor, machines would be provisioned and deleted in turns.
 const onDemandRetention = 1.4
 
 // Plan decides which machines of a cluster to provision, delete, cordon and deprioritize.
@@ -94,9 +95,9 @@
 	return decision
 }
 
-// demandedSlots returns the number of slots that the demand justifies: as many as clear it in time, but not more than
-// can be used concurrently. An on-demand machine is kept only while tasks would wait long without it, because only then
-// are its slots worth their price.
+// demandedSlots returns the number of slots that the demand justifies: as many as clear the demand in time, but not
+// more than can be used concurrently. An on-demand machine is kept only while tasks would wait long without it, because
+// only then are its slots worth their price.
 func demandedSlots(demand *Demand, params Params) slotLimits {
 	spot := min(float64(demand.Tasks), math.Ceil(demand.TaskSeconds/params.SpotBacklogS))
 	onDemand := min(float64(demand.Tasks), math.Ceil(demand.TaskSeconds/params.OnDemandBacklogS))
--- a/internal/autoscaler/plan_test.go
+++ b/internal/autoscaler/plan_test.go
@@ -64,10 +64,10 @@
 	demand := Demand{CPUs: 4, Spot: true, Tasks: 2, TaskSeconds: 1000}
 	decision := Plan(Input{Demands: []Demand{demand}, Machines: machines, Params: testParams, Allowed: allowEveryOption})
 	if len(decision.Cordon) != 1 || decision.Cordon[0] != "busy on demand" {
-		t.Errorf("cordons %v, want the busy on-demand machine", decision.Cordon)
+		t.Errorf("plan cordons %v, want the busy on-demand machine", decision.Cordon)
 	}
 	if len(decision.ScaleIn) != 1 || decision.ScaleIn[0] != "idle on demand" {
-		t.Errorf("scales in %v, want only the idle on-demand machine", decision.ScaleIn)
+		t.Errorf("plan scales in %v, want only the idle on-demand machine", decision.ScaleIn)
 	}
 }
 
@@ -82,7 +82,7 @@
 	}
 	for _, launch := range launches {
 		if launch.Count > MaxMachinesPerRequest {
-			t.Errorf("launches %d machines in one request, want at most MaxMachinesPerRequest", launch.Count)
+			t.Errorf("plan launches %d machines in one request, want at most MaxMachinesPerRequest", launch.Count)
 		}
 	}
 }
@@ -97,11 +97,11 @@
 	demand := Demand{CPUs: 1, Spot: true, Tasks: 8, TaskSeconds: 80}
 	decision := Plan(Input{Demands: []Demand{demand}, Machines: machines, Params: params, Allowed: allowEveryOption})
 	if len(decision.Deprioritize) != 1 || decision.Deprioritize[0] != "d" {
-		t.Errorf("deprioritizes %v, want only d, because 12 slots are kept for 8 tasks", decision.Deprioritize)
+		t.Errorf("plan deprioritizes %v, want only d, because 12 slots are kept for 8 tasks", decision.Deprioritize)
 	}
 }
 
-// The plan launches no machine if the existing ones complete all tasks before it has booted.
+// The plan launches no machine if the existing machines complete all tasks before a new machine has booted.
 func TestPlanCountsWorkDoneWhileMachinesBoot(t *testing.T) {
 	slow := spot
 	slow.Type.BootS = 30
@@ -115,7 +115,7 @@
 		}).ScaleOut
 	}
 	if launches := plan(120); len(launches) != 0 {
-		t.Errorf("launches %v for tasks that complete before the machines have booted", launches)
+		t.Errorf("launches %v for tasks that complete before new machines have booted, want none", launches)
 	}
 	launches := plan(400)
 	if gotSpot, _ := countMachines(launches); gotSpot != 6 {
--- a/internal/autoscaler/pool.go
+++ b/internal/autoscaler/pool.go
@@ -12,8 +12,8 @@
 	next     int       // position in the order before which all machines are fully assigned
 }
 
-// slotLimits limits the slots of a demand. The demand gets slots on spot machines while its total is below spot, and on
-// on-demand machines while its total is below onDemand.
+// slotLimits limits the slots of a demand. The demand gets slots on spot machines while it has fewer than spot slots in
+// total, and on on-demand machines while it has fewer than onDemand slots in total.
 type slotLimits struct{ spot, onDemand float64 }
 
 func (l slotLimits) forMachine(machine *Machine) float64 {
--- a/internal/autoscaler/scaleout.go
+++ b/internal/autoscaler/scaleout.go
@@ -9,8 +9,8 @@
 const (
 	// MaxMachinesPerRequest is the maximum number of machines in one provision request.
 	MaxMachinesPerRequest = 50
-	// maxMachinesPerPlan is the maximum number of machines of one option in a plan, which is made before the cloud's
-	// responses are known.
+	// maxMachinesPerPlan is the maximum number of machines of one option in a plan. It is limited because a plan is
+	// made before the cloud's responses to its requests are known.
 	maxMachinesPerPlan = 100
 )
 
@@ -20,7 +20,7 @@
 	launches []Launch
 }
 
-// add adds launches for the slots that a demand needs in addition to its existing ones.
+// add adds launches for the slots that a demand needs in addition to its slots on the input's machines.
 func (l *launchPlan) add(demand *Demand, existing slotCount) {
 	options := slices.Clone(l.input.Options)
 	slices.SortStableFunc(options, func(a, b Option) int {
@@ -52,8 +52,8 @@
 	}
 }
 
-// missingSlots returns the number of slots of an option that a demand needs in addition to its existing ones. It
-// subtracts the work that the machines that are up complete while a machine of the option boots.
+// missingSlots returns the number of slots of an option that a demand needs in addition to its existing slots. It
+// subtracts the work that running machines complete while a machine of the option boots.
 func (l *launchPlan) missingSlots(demand *Demand, option *Option, existing slotCount) float64 {
 	backlogS := l.input.Params.OnDemandBacklogS
 	if option.Spot || !demand.Spot {
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -25,8 +25,8 @@
 	callTimeout    = 5 * time.Second
 	// rateLimitFraction is the fraction of the rate limit that the client uses.
 	rateLimitFraction = 0.95
-	// burstSeconds is the burst size in seconds of the rate limit. The cloud allows bursts of two seconds. The rest is
-	// left for calls of the previous leader.
+	// burstSeconds is the burst size in seconds of the rate limit. The cloud allows bursts of two seconds. The
+	// difference is left for calls of the previous leader.
 	burstSeconds = 1.5
 )
 
@@ -52,7 +52,8 @@
 }
 
 // Provision requests machines and returns the names of the provisioned machines, which may be fewer than requested. It
-// is idempotent: the same request returns the same machines. ErrNoCapacity means that no machine is available.
+// is idempotent: a request with the same ID returns the same machines. ErrNoCapacity means that no machine is
+// available.
 func (c *Client) Provision(ctx context.Context, request wire.ProvisionRequest) ([]string, error) {
 	var machines wire.MachineNames
 	err := c.do(ctx, call{
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -79,7 +79,7 @@
 	want := DefaultTuning()
 	want.Spread.Enabled, want.Trace.File = true, "swiftledge-trace.jsonl"
 	if got != want {
-		t.Errorf("the files in deploy contain %+v, the defaults are %+v", got, want)
+		t.Errorf("the files in deploy contain %+v, want %+v", got, want)
 	}
 }
 
@@ -120,16 +120,16 @@
 	var cfg Config
 	cfg.Facts.State.ValueKB, cfg.Facts.State.TxnOps = 4, 8
 	if cfg.MaxValueBytes() != 4096 || cfg.MaxTxnWrites() != 8 {
-		t.Errorf("limits are %d bytes and %d writes without next limits", cfg.MaxValueBytes(), cfg.MaxTxnWrites())
+		t.Errorf("limits are %d bytes and %d writes without next limits, want 4096 and 8", cfg.MaxValueBytes(), cfg.MaxTxnWrites())
 	}
 	cfg.Facts.State.Next = &Next{ValueKB: 2, TxnOps: 4}
 	if cfg.MaxValueBytes() != 2048 || cfg.TargetValueBytes() >= 2048 || cfg.MaxTxnWrites() != 4 {
-		t.Errorf("limits are %d bytes (target %d) and %d writes with smaller next limits",
+		t.Errorf("limits are %d bytes (target %d) and %d writes with smaller next limits, want 2048 (target below) and 4",
 			cfg.MaxValueBytes(), cfg.TargetValueBytes(), cfg.MaxTxnWrites())
 	}
 	cfg.Facts.State.Next = &Next{ValueKB: 64}
 	if cfg.MaxValueBytes() != 4096 || cfg.MaxTxnWrites() != 8 {
-		t.Errorf("limits are %d bytes and %d writes with larger next limits", cfg.MaxValueBytes(), cfg.MaxTxnWrites())
+		t.Errorf("limits are %d bytes and %d writes with larger next limits, want 4096 and 8", cfg.MaxValueBytes(), cfg.MaxTxnWrites())
 	}
 }
 
@@ -143,10 +143,10 @@
 			cfg.Facts.Workers.LeaseS, cfg.Facts.Workers.CancelS = leaseAndCancelS[0], leaseAndCancelS[1]
 			totalS := float64(cfg.MaxViewAge()+cfg.GrantTime()+cfg.AgentLeaseTime()) / 1e6
 			if totalS += 0.0005*leaseAndCancelS[1] + 0.5; totalS > leaseAndCancelS[1] {
-				t.Errorf("ttl %g, lease %g, cancel %g: tasks may keep running for %.2f s", ttl, leaseAndCancelS[0], leaseAndCancelS[1], totalS)
+				t.Errorf("ttl %g, lease %g, cancel %g: tasks may run for %.2f s, want at most cancel_s", ttl, leaseAndCancelS[0], leaseAndCancelS[1], totalS)
 			}
 			if cfg.LongestGrantTime() < cfg.GrantTime() {
-				t.Error("a silent holder's shard may be granted to another holder before its grant has ended")
+				t.Error("LongestGrantTime is shorter than GrantTime: a shard could be granted again before a silent holder's grant has ended")
 			}
 		}
 	}
--- a/internal/config/grant.go
+++ b/internal/config/grant.go
@@ -15,7 +15,7 @@
 	// priorVersionMarginS is the part of cancel_s, besides lease_s, that the version in production does not use
 	// for a grant, regardless of the election's TTL.
 	priorVersionMarginS = 4.0
-	// priorVersionMinGrantS is the shortest grant of that version.
+	// priorVersionMinGrantS is the shortest grant of the version in production.
 	priorVersionMinGrantS = 2.0
 )
 
@@ -26,7 +26,7 @@
 //   - for GrantTime, a holder may answer heartbeats under the grant that was last renewed,
 //   - for AgentLeaseTime, a task keeps running after its agent sent the last heartbeat that was answered.
 //
-// Together they end cancelMargin before cancel_s has passed.
+// Together these periods end cancelMargin before cancel_s has passed.
 func (c *Config) GrantTime() clock.Micros {
 	return min(clock.FromSeconds(c.Tuning.Grants.DurationS), c.maxGrantTime())
 }
--- a/internal/config/schema.go
+++ b/internal/config/schema.go
@@ -55,7 +55,8 @@
 	return nil
 }
 
-// addRange adds one rule of a validate tag to the schema of a property.
+// addRange adds to the schema of a property the limit that one rule of its validate tag sets, such as gte=0. The rule
+// gtfield is skipped, because a schema cannot compare two properties.
 func addRange(property *jsonschema.Schema, rule string) error {
 	name, bound, _ := strings.Cut(rule, "=")
 	switch name {
--- a/internal/config/schema_test.go
+++ b/internal/config/schema_test.go
@@ -76,7 +76,7 @@
 	schema := compileSchema(t)
 	files, err := filepath.Glob("../../deploy/*.yaml")
 	if err != nil || len(files) < 2 {
-		t.Fatalf("found %d files in deploy, error %v", len(files), err)
+		t.Fatalf("found %d files in deploy, error %v, want at least 2 files", len(files), err)
 	}
 	for _, file := range files {
 		raw, err := os.ReadFile(file)
@@ -84,7 +84,7 @@
 			t.Fatal(err)
 		}
 		if !schemaAccepts(t, schema, raw) {
-			t.Errorf("the schema rejects %s", file)
+			t.Errorf("the schema rejected %s", file)
 		}
 	}
 }
@@ -132,7 +132,7 @@
 			acceptedCount++
 		}
 		if got := schemaAccepts(t, schema, []byte(text)); got != (err == nil) {
-			t.Errorf("%q: the schema accepts it: %t; error of loadTuning: %v", text, got, err)
+			t.Errorf("%q: accepted by the schema: %t, error of loadTuning: %v; want both to accept or both to reject it", text, got, err)
 		}
 	})
 	if acceptedCount == 0 {
--- a/internal/failures/failures_test.go
+++ b/internal/failures/failures_test.go
@@ -20,13 +20,13 @@
 		failTask(&job, clock.Second, &a, "a", i)
 	}
 	if job.Suspect() || a.Faulty() {
-		t.Error("the job is suspect or the machine faulty after failures of one job on one machine")
+		t.Error("the job became suspect or the machine faulty after failures of one job on one machine")
 	}
 	if !failTask(&job, clock.Second, &b, "b", 20) || !job.Suspect() {
-		t.Error("the job is not suspect after failures on two machines")
+		t.Error("the job did not become suspect after failures on two machines")
 	}
 	if a.Faulty() || b.Faulty() {
-		t.Error("a machine is faulty after failures of a suspect job")
+		t.Error("a machine became faulty after failures of a suspect job")
 	}
 }
 
@@ -39,7 +39,7 @@
 		failTask(job, clock.Second, &b, "b", 1)
 	}
 	if a.Faulty() || b.Faulty() {
-		t.Error("a machine is faulty after failures of jobs that fail on all machines")
+		t.Error("a machine became faulty after failures of jobs that fail on all machines")
 	}
 }
 
@@ -50,28 +50,28 @@
 	var soundJob Job
 	soundJob.TaskCompleted(0, "h", &healthy)
 	if failTask(&soundJob, clock.Second, &faulty, "f", 1); faulty.Faulty() {
-		t.Error("the machine is faulty after a single failure")
+		t.Error("the machine became faulty after a single failure")
 	}
 	if failTask(&soundJob, clock.Second, &faulty, "f", 2); !faulty.Faulty() {
-		t.Error("the machine is not faulty after two failures of a sound job")
+		t.Error("the machine did not become faulty after two failures of a sound job")
 	}
 	jobs := make([]Job, 3)
 	for i := range jobs {
 		if busy.Faulty() {
-			t.Errorf("the machine is faulty after failures of %d jobs with an unknown verdict", i)
+			t.Errorf("the machine became faulty after failures of %d jobs with an unknown verdict, want 3 jobs", i)
 		}
 		failTask(&jobs[i], clock.Second, &busy, "u", 0)
 	}
 	if !busy.Faulty() {
-		t.Error("the machine is not faulty after failures of three jobs with an unknown verdict")
+		t.Error("the machine did not become faulty after failures of three jobs with an unknown verdict")
 	}
 	if soundJob.TaskCompleted(7, "u", &busy); busy.Faulty() {
-		t.Error("the machine is faulty after a completion")
+		t.Error("the machine was still faulty after a completion")
 	}
 }
 
-// A sound job first fails on faulty machines and becomes suspect. Once a task has completed elsewhere, its failures
-// count against these machines, and its tasks no longer wait.
+// A sound job first fails on faulty machines and becomes suspect. Once one of its tasks has completed elsewhere, the
+// job's failures count against these machines, and the job's tasks no longer wait.
 func TestWronglySuspectedJobRecovers(t *testing.T) {
 	var job Job
 	var a, b, c Machine
@@ -79,14 +79,14 @@
 	failTask(&job, clock.Second, &b, "b", 1)
 	failTask(&job, clock.Second, &a, "a", 2)
 	if !job.InBackoff(clock.Second) || job.InBackoff(clock.Second+Backoff(1)) {
-		t.Error("want the suspect job to be probed when its backoff ends")
+		t.Error("the suspect job was not in backoff, or still was when its first backoff had ended")
 	}
 	job.TaskCompleted(0, "c", &c)
 	if job.Suspect() || job.InBackoff(clock.Second) {
-		t.Error("the job is suspect or in backoff after a completion")
+		t.Error("the job was still suspect or in backoff after a completion")
 	}
 	if !a.Faulty() || b.Faulty() {
-		t.Error("want the machine with two failures faulty, and the other not")
+		t.Error("the machine with two failures was not faulty, or the one with a single failure was")
 	}
 }
 
@@ -97,17 +97,17 @@
 	job.TaskFailed(0, &a, Failure{TaskIndex: 0, Machine: "a", Runtime: 8 * clock.Second})
 	job.TaskFailed(0, &b, Failure{TaskIndex: 1, Machine: "b", Runtime: 2 * clock.Second})
 	if job.TaskSurvived(23 * clock.Second) {
-		t.Error("suspicion cleared by a run shorter than three times the longest failed run")
+		t.Error("the suspicion was cleared by a run shorter than three times the longest failed run")
 	}
 	if !job.TaskSurvived(24*clock.Second) || job.Suspect() || job.Sound() {
-		t.Error("want an unknown verdict after a long run")
+		t.Error("the verdict was not reset to unknown by a long run")
 	}
 	if _, failed := job.FailedOn("a"); failed {
-		t.Error("failures on a machine are kept after a long run")
+		t.Error("failures on a machine were kept after a long run")
 	}
 }
 
-// The backoff between probes grows up to a maximum. Failures of tasks that started before do not extend it.
+// The backoff between probes grows up to a maximum. Failures of tasks that started before the backoff do not extend it.
 func TestBackoffIsBounded(t *testing.T) {
 	var job Job
 	var machine Machine
@@ -120,13 +120,13 @@
 			t.Error("a failure during the backoff extended the backoff")
 		}
 		if backoff := probeAt - now; backoff != Backoff(i+1) || backoff > maxBackoff {
-			t.Errorf("backoff %d is %.0f s", i+1, backoff.Seconds())
+			t.Errorf("backoff %d was %.0f s, want the value of Backoff and at most maxBackoff", i+1, backoff.Seconds())
 		}
 		now = probeAt
 		job.ProbeStarted(now)
 	}
 	if Backoff(5) != maxBackoff || Backoff(1) != firstBackoff {
-		t.Errorf("backoffs range from %.0f to %.0f s", Backoff(1).Seconds(), Backoff(5).Seconds())
+		t.Errorf("backoffs range from %.0f to %.0f s, want firstBackoff to maxBackoff", Backoff(1).Seconds(), Backoff(5).Seconds())
 	}
 }
 
@@ -144,14 +144,14 @@
 	}
 	for i := range machines {
 		if machines[i].Faulty() {
-			t.Errorf("machine %d is faulty after failures of one faulty task", i)
+			t.Errorf("machine %d became faulty after failures of one faulty task", i)
 		}
 	}
 	if job.TaskBackoff(9) == 0 || job.TaskBackoff(1) != 0 {
-		t.Error("want a backoff for the faulty task only")
+		t.Error("the faulty task had no backoff, or another task had one")
 	}
 	if job.TaskCompleted(9, "a", &machines[0]); job.TaskBackoff(9) != 0 {
-		t.Error("the task is in backoff after it completed")
+		t.Error("the task was still in backoff after it completed")
 	}
 }
 
@@ -163,7 +163,7 @@
 		failTask(&jobs[i], 0, &machine, "a", 0)
 	}
 	if jobs[0].Cancel(); machine.Faulty() {
-		t.Error("the failures of a cancelled job make the machine faulty")
+		t.Error("the machine was still faulty after one of the three failed jobs was cancelled")
 	}
 }
 
@@ -175,6 +175,6 @@
 		failTask(&job, 0, &machine, "a", i)
 	}
 	if len(machine.failures) != maxFailures {
-		t.Errorf("%d failures are kept", len(machine.failures))
+		t.Errorf("%d failures were kept, want maxFailures", len(machine.failures))
 	}
 }
--- a/internal/failures/job.go
+++ b/internal/failures/job.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// minSurvivalTime is the minimum run time that shows that the tasks of a job do not fail immediately.
+	// minSurvivalTime is the minimum run time of a task that shows that the tasks of its job do not fail immediately.
 	minSurvivalTime = 10 * clock.Second
-	// survivalFactor is the minimum ratio of that run time to the longest failed run of the job.
+	// survivalFactor is the minimum ratio of this task's run time to the longest failed run of the job.
 	survivalFactor = 3
 )
 
@@ -21,7 +21,7 @@
 	unknown verdict = iota
 	suspect
 	sound
-	cancelled // before it was known to be sound: its failures are no evidence against machines
+	cancelled // before the job was known to be sound: its failures are no evidence against machines
 )
 
 // Job is the evidence about one job. The zero value is a job without evidence.
@@ -29,7 +29,7 @@
 	verdict          verdict
 	failedOn         map[string]clock.Micros // by machine: time of the last failure there
 	failedTasks      map[int]*taskFailures   // by index: tasks that failed since they last completed
-	backoffCount     int                     // of a suspect job: 1 when it became suspect, and 1 for each probe
+	backoffCount     int                     // of a suspect job: 1 for becoming suspect, and 1 for each probe
 	nextProbeAt      clock.Micros
 	longestFailedRun clock.Micros // duration of the longest failed run
 }
@@ -75,7 +75,8 @@
 // NextProbeAt returns the earliest time for the next probe of a suspect job.
 func (j *Job) NextProbeAt() clock.Micros { return j.nextProbeAt }
 
-// Probes returns the number of probes dispatched since the job became suspect.
+// Probes returns the number of probes dispatched since the job became suspect. The first backoff is not due to a probe:
+// it began when the job became suspect.
 func (j *Job) Probes() int { return max(0, j.backoffCount-1) }
 
 // ProbeStarted records that a task of a suspect job is dispatched as a probe, and extends the backoff before the next
@@ -87,8 +88,8 @@
 	j.nextProbeAt = now + Backoff(j.backoffCount)
 }
 
-// TaskFailed records a failure, and reports whether it made the job suspect. The machine is nil if it is no longer
-// known.
+// TaskFailed records a failure, and reports whether the failure made the job suspect. machine is nil if the machine is
+// no longer known.
 func (j *Job) TaskFailed(now clock.Micros, machine *Machine, failure Failure) (becameSuspect bool) {
 	if j.failedOn == nil {
 		j.failedOn, j.failedTasks = map[string]clock.Micros{}, map[int]*taskFailures{}
@@ -123,7 +124,7 @@
 }
 
 // TaskCompleted records that a task has completed on a machine. The job is sound from now on, and the machine's earlier
-// failures are dropped. The machine is nil if it is no longer known.
+// failures are dropped. machine is nil if the machine is no longer known.
 func (j *Job) TaskCompleted(index int, name string, machine *Machine) {
 	j.MarkSound()
 	delete(j.failedTasks, index)
@@ -133,8 +134,8 @@
 	}
 }
 
-// TaskSurvived records how long a task of a suspect job has been running. If it has run much longer than the failed
-// tasks, the job is no longer suspect, its recorded failures are dropped, and TaskSurvived returns true.
+// TaskSurvived records how long a task of a suspect job has been running. If the task has run much longer than the
+// failed tasks, the job is no longer suspect, its recorded failures are dropped, and TaskSurvived returns true.
 func (j *Job) TaskSurvived(runtime clock.Micros) bool {
 	if j.verdict != suspect || runtime < max(minSurvivalTime, survivalFactor*j.longestFailedRun) {
 		return false
--- a/internal/jsonhttp/jsonhttp.go
+++ b/internal/jsonhttp/jsonhttp.go
@@ -1,6 +1,6 @@
 // Package jsonhttp has the common parts of clients for JSON over HTTP: host clients that never retry a request on their
-// own, and the encoding of requests. It sends nothing. Each client implements its own limits, retries and handling of
-// answers.
+// own, and the encoding of requests. The package sends nothing itself. Each client implements its own limits, retries
+// and handling of answers.
 package jsonhttp
 
 import (
--- a/internal/jsonhttp/jsonhttp_test.go
+++ b/internal/jsonhttp/jsonhttp_test.go
@@ -10,7 +10,7 @@
 	"github.com/valyala/fasthttp"
 )
 
-// The client sends a request without an answer only once.
+// The client does not repeat a request that got no answer.
 func TestHostClientNeverRetries(t *testing.T) {
 	var requests atomic.Int32
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
@@ -47,6 +47,6 @@
 		t.Errorf("request %s, want %s", got, want)
 	}
 	if err := Encode(&request, fasthttp.MethodPost, "127.0.0.1:80", "/", func() {}); err == nil {
-		t.Error("no error for a body that JSON cannot encode")
+		t.Error("Encode returned no error for a body that JSON cannot encode")
 	}
 }
--- a/internal/load/bound.go
+++ b/internal/load/bound.go
@@ -21,8 +21,8 @@
 	SavedFetchS float64 // image fetch time saved on this machine
 }
 
-// Allows reports whether a candidate is within the bound. A machine without other tasks always is, whatever the size of
-// the task: no machine would end up with a lower load.
+// Allows reports whether a candidate is within the bound. A machine without other tasks is always within the bound,
+// whatever the size of the task: no machine would end up with a lower load.
 func (b Bound) Allows(candidate Candidate, mean float64) bool {
 	limit := (b.MaxRelativeLoad + candidate.SavedFetchS/b.ImbalanceCostS) * mean
 	return candidate.Load <= max(limit, candidate.TaskLoad)+tolerance
--- a/internal/load/fetch.go
+++ b/internal/load/fetch.go
@@ -5,7 +5,8 @@
 const (
 	// rateWindowFetches is the approximate number of fetches over which a rate is averaged.
 	rateWindowFetches = 20
-	// minFetchDuration is the shortest duration that counts as a fetch. Below it the image was cached already.
+	// minFetchDuration is the shortest duration that counts as a fetch. After a shorter time, the image was cached
+	// already.
 	minFetchDuration = clock.Second / 2
 	// defaultGBPerS is the fetch rate assumed for machine types without a published or observed rate.
 	defaultGBPerS = 0.5
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -42,13 +42,13 @@
 		{"in an empty cluster", Candidate{Load: 0.2, TaskLoad: 0.1}, 0, false},
 	} {
 		if got := bound.Allows(c.candidate, c.mean); got != c.want {
-			t.Errorf("%s: the bound allows the candidate: %v", c.name, got)
+			t.Errorf("%s: candidate allowed by the bound: %v, want the opposite", c.name, got)
 		}
 	}
 	exceeding := Candidate{Load: 0.9, TaskLoad: 0.1}
 	widened := bound.Widened(exceeding, 0.4)
 	if !widened.Allows(exceeding, 0.4) || widened.Allows(Candidate{Load: 0.95, TaskLoad: 0.1}, 0.4) {
-		t.Errorf("the bound is widened to %+v, want it to allow a load of 0.9 and not 0.95", widened)
+		t.Errorf("the bound was widened to %+v, want it to allow a load of 0.9 and not 0.95", widened)
 	}
 }
 
@@ -57,7 +57,7 @@
 func TestFetchRates(t *testing.T) {
 	rates := NewFetchRates()
 	if seconds := rates.FetchSeconds("small", 1); seconds != 1/defaultGBPerS {
-		t.Errorf("fetch takes %g s without a known rate", seconds)
+		t.Errorf("fetch takes %g s without a known rate, want 1/defaultGBPerS", seconds)
 	}
 	rates.SetPublished("small", 0.25)
 	rates.SetPublished("small", 100) // ignored: a rate is already known
--- a/internal/netio/conn_linux.go
+++ b/internal/netio/conn_linux.go
@@ -3,8 +3,8 @@
 // Package net announces each read and write to Go's scheduler as a system call that may block, which wakes the
 // runtime's monitor thread. On a machine that is mostly idle between small messages, that doubles the number of system
 // calls per message. Since the sockets are non-blocking, the announcement is unnecessary: package netio makes the
-// system calls without it. Waiting, deadlines and closing are still those of package net. On systems other than Linux,
-// the connections are those of package net.
+// system calls without the announcement. Waiting, deadlines and closing are still those of package net. On systems
+// other than Linux, the connections are those of package net.
 package netio
 
 import (
--- a/internal/netio/conn_test.go
+++ b/internal/netio/conn_test.go
@@ -47,13 +47,13 @@
 	}
 	go func() {
 		if n, err := a.Write(want); n != len(want) || err != nil {
-			t.Errorf("wrote %d of %d bytes: %v", n, len(want), err)
+			t.Errorf("wrote %d of %d bytes, error %v", n, len(want), err)
 		}
 		a.Close()
 	}()
 	got, err := io.ReadAll(b)
 	if err != nil || !bytes.Equal(got, want) {
-		t.Errorf("read %d of %d bytes: %v", len(got), len(want), err)
+		t.Errorf("read %d of %d bytes, or other bytes than were written; error %v", len(got), len(want), err)
 	}
 }
 
@@ -61,16 +61,16 @@
 	a, b := newConnPair(t)
 	a.SetReadDeadline(time.Now().Add(-time.Second))
 	if _, err := a.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("read past the deadline: %v", err)
+		t.Errorf("read after the deadline: error %v, want os.ErrDeadlineExceeded", err)
 	}
 	b.Close()
 	a.SetReadDeadline(time.Time{})
 	if _, err := a.Read(make([]byte, 1)); err == nil {
-		t.Error("read from a connection that the peer closed: no error")
+		t.Error("read from a connection that the peer closed returned no error")
 	}
 	a.Close()
 	if _, err := a.Read(make([]byte, 1)); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("read after Close: %v", err)
+		t.Errorf("read after Close: error %v, want net.ErrClosed", err)
 	}
 }
 
@@ -108,6 +108,6 @@
 	b.Close()
 	inner.Close()
 	if _, err := l.Accept(); err == nil {
-		t.Error("accept on a closed listener: no error")
+		t.Error("accept on a closed listener returned no error")
 	}
 }
--- a/internal/placement/affinity.go
+++ b/internal/placement/affinity.go
@@ -10,15 +10,16 @@
 // maxVisits is the maximum number of visits that are kept for an image (section IV.A of the paper).
 const maxVisits = 10
 
-// visit is the latest use of an image on a machine.
+// visit is the latest use of an image on a machine: the latest assignment of a task with the image to the machine, or
+// the report that the machine has cached the image.
 type visit struct {
 	machine   string
 	visitedAt clock.Micros
 	tasksRun  int // number of tasks assigned to the machine up to and including this visit
 }
 
-// VisitHistory keeps the latest machine visits of each image, newest first, and the number of tasks assigned to each
-// machine.
+// VisitHistory keeps, for each image, the visits to the machines that used the image most recently (at most maxVisits,
+// newest first). It also keeps the number of tasks assigned to each machine.
 type VisitHistory struct {
 	visits   map[string][]visit // by image
 	tasksRun map[string]int     // by machine
@@ -35,15 +36,15 @@
 	h.add(image, machine, visitedAt)
 }
 
-// RecordCached adds a visit for an image that a machine has cached, unless the history has a visit of this image to
-// the machine.
+// RecordCached adds a visit for an image that a machine has cached, unless the history already has a visit for this
+// image and machine.
 func (h *VisitHistory) RecordCached(image, machine string, visitedAt clock.Micros) {
 	if !slices.ContainsFunc(h.visits[image], onMachine(machine)) {
 		h.add(image, machine, visitedAt)
 	}
 }
 
-// RemoveMachine removes a machine that no longer exists.
+// RemoveMachine removes from the history a machine that no longer exists.
 func (h *VisitHistory) RemoveMachine(machine string) {
 	delete(h.tasksRun, machine)
 	for image, visits := range h.visits {
@@ -63,7 +64,7 @@
 }
 
 // affinity returns the decayed affinity of a visit, which is 1 at first. It implements equation 2 of the paper, with α
-// as (tasks waiting + tasks run since the visit) · k.
+// as (unstarted tasks on the machine + tasks assigned to it since the visit) · k.
 func (h *VisitHistory) affinity(v visit, m *Machine, decayRate float64, now clock.Micros) float64 {
 	alpha := float64(m.UnstartedTasks+h.tasksRun[m.Name]-v.tasksRun) * decayRate
 	return math.Exp(-alpha * max(0, (now-v.visitedAt).Seconds()))
--- a/internal/placement/affinity_test.go
+++ b/internal/placement/affinity_test.go
@@ -33,7 +33,7 @@
 		t.Errorf("affinity is %v, then %v, want it to decay", earlyAffinity, lateAffinity)
 	}
 	if affinityOf(history, "x", &Machine{Name: "m2"}, testParams.DecayRate, 0) != 0 {
-		t.Error("a machine without visits has affinity")
+		t.Error("the image has affinity with a machine without visits, want 0")
 	}
 }
 
--- a/internal/placement/auction.go
+++ b/internal/placement/auction.go
@@ -5,13 +5,15 @@
 	"slices"
 )
 
-// edge connects a group with a machine for which its image has an affinity above η.
+// edge connects a group with a machine for which the group's image has an affinity above η. The group's tasks bid on
+// the machines of its edges.
 type edge struct {
 	machine int
 	weight  float64
 }
 
-// edgeList is a list of edges that all tasks of one or more groups share.
+// edgeList holds the edges of one or more groups with the same image and the same edges. These groups share one list,
+// which counts the tasks that bid on its edges.
 type edgeList struct {
 	edges   []edge
 	bidders int // number of tasks that bid on these edges
@@ -29,7 +31,7 @@
 }
 
 // edgesOf returns the edges of a group, ordered by machine. The weight is the affinity divided by the load (equation 4
-// of the paper). It iterates over the visits, not the machines: an image has few visits, so the graph is sparse.
+// of the paper). edgesOf iterates over the visits, not the machines: an image has few visits, so the graph is sparse.
 func (p *placer) edgesOf(group *Group) []edge {
 	var edges []edge
 	for _, v := range p.History.visits[group.Image] {
@@ -68,7 +70,8 @@
 	return edgesByGroup, bidders
 }
 
-// sharedEdgeList returns the list of an image with exactly these edges, and adds it if there is none.
+// sharedEdgeList returns the image's list with exactly these edges. If there is none, it adds a new list to
+// listsByImage.
 func sharedEdgeList(listsByImage map[string][]*edgeList, image string, edges []edge) *edgeList {
 	lists := listsByImage[image]
 	i := slices.IndexFunc(lists, func(list *edgeList) bool { return slices.Equal(list.edges, edges) })
@@ -80,8 +83,8 @@
 	return list
 }
 
-// runBidding lets tasks bid until no task is outbid. The comparison of the change of the total weight with η does not
-// end the bidding earlier.
+// runBidding lets tasks bid until no task is outbid. It also compares the change of the total weight with η, but a
+// small change does not end the bidding while tasks are outbid.
 func (p *placer) runBidding(tasks []auctionTask, edges map[*Group]*edgeList, bidders []int) {
 	previousWeight := 0.0
 	for queue := bidders; len(queue) > 0; {
--- a/internal/placement/auction_test.go
+++ b/internal/placement/auction_test.go
@@ -79,14 +79,14 @@
 				continue
 			}
 			if assigned[task.machine] || !task.group.Fits(cycle.Machines[task.machine]) {
-				t.Fatalf("seed %d: machine %d is assigned twice or does not fit", seed, task.machine)
+				t.Fatalf("seed %d: machine %d was assigned twice, or to a task that does not fit on it", seed, task.machine)
 			}
 			assigned[task.machine] = true
 			totalWeight += weights[i][task.machine]
 		}
 		bestWeight := bestTotalWeight(weights, 0, make([]bool, len(cycle.Machines)))
 		if totalWeight < bestWeight-float64(len(tasks))*cycle.Params.Epsilon-1e-9 {
-			t.Errorf("seed %d: total weight is %.4f, the best is %.4f", seed, totalWeight, bestWeight)
+			t.Errorf("seed %d: total weight %.4f, want at most n·ε less than the best total weight %.4f", seed, totalWeight, bestWeight)
 		}
 	}
 }
--- a/internal/placement/fallback.go
+++ b/internal/placement/fallback.go
@@ -15,7 +15,7 @@
 }
 
 // compare orders fallbacks, the best first: by avoid rank, then by the number of unstarted tasks, then machines that
-// have the image or fetch it, which saves a fetch, then by free CPUs, the fewest first, then by index.
+// have the task's image or are fetching it (which saves a fetch), then by free CPUs, the fewest first, then by index.
 func (f *fallback) compare(other *fallback) int {
 	if f.avoidRank != other.avoidRank {
 		return cmp.Compare(f.avoidRank, other.avoidRank)
--- a/internal/placement/loadbound.go
+++ b/internal/placement/loadbound.go
@@ -24,7 +24,7 @@
 	return b.Mean.Value()
 }
 
-// candidate returns the load of a machine if it ran one more task of the group, which must fit there.
+// candidate returns the load of a machine with one more task of the group. The task must fit on the machine.
 func (p *placer) candidate(group *Group, machineIndex int) load.Candidate {
 	machine := p.Machines[machineIndex]
 	candidate := load.Candidate{
@@ -47,8 +47,8 @@
 	return loadBound == nil || p.bound.Allows(p.candidate(group, machineIndex), loadBound.mean())
 }
 
-// widenBound widens the bound so that the least loaded machine admits one of the tasks, which fit only on machines
-// beyond the bound.
+// widenBound widens the bound so that the least loaded machine admits one of the tasks. All of these tasks fit only on
+// machines beyond the bound.
 func (p *placer) widenBound(tasks []auctionTask) {
 	leastLoaded := load.Candidate{Load: math.Inf(1)}
 	seen := map[*Group]bool{}
--- a/internal/placement/loadbound_test.go
+++ b/internal/placement/loadbound_test.go
@@ -99,7 +99,7 @@
 			FleetMean:  1,
 		})
 		if !reflect.DeepEqual(formatMatches(unbounded), formatMatches(bounded)) {
-			t.Fatalf("placed %v without a bound, and %v with a bound that is never reached", formatMatches(unbounded), formatMatches(bounded))
+			t.Fatalf("placed %v without a bound, and %v with an unreached bound, want no difference", formatMatches(unbounded), formatMatches(bounded))
 		}
 	})
 }
@@ -146,7 +146,7 @@
 		}
 		otherLoad := other.used().Plus(request).DominantShare(other.Capacity)
 		if otherLoad*widening+1e-9 < actualLoad {
-			t.Fatalf("%s has load %.2f, over %.1f times the mean %.2f, while %s with the task would have load %.2f",
+			t.Fatalf("%s got load %.2f by its last task, over %.1f times the mean %.2f, although %s would have got load %.2f",
 				lastMatch.Machine.Name, actualLoad, loadBound.Bound.MaxRelativeLoad, mean, other.Name, otherLoad)
 		}
 	}
@@ -166,15 +166,15 @@
 		for _, index := range group.TaskIndexes {
 			for _, machine := range machines {
 				if !placed[task{group.Job, index}] && group.Fits(machine) {
-					t.Fatalf("%s/%d is not placed although it fits on %s", group.Job, index, machine.Name)
+					t.Fatalf("task %s/%d was not placed although it fits on %s", group.Job, index, machine.Name)
 				}
 			}
 		}
 	}
 }
 
-// The bound is relative to the mean load of the fleet if that is known. Relative to the mean load of a shard's own few
-// machines, the bound would let the shard holder fill them.
+// The bound is relative to the mean load of the fleet if that is known. If it were relative to the mean load of the
+// shard's own few machines, it would let the shard holder fill these machines.
 func TestBoundIsRelativeToFleetMean(t *testing.T) {
 	place := func(fleetMean float64) string {
 		history := NewVisitHistory()
@@ -198,10 +198,10 @@
 		return Place(cycle)[0].Machine.Name
 	}
 	if machine := place(0); machine != "m0" {
-		t.Errorf("placed on %s with the mean of the shard, want the machine with the image", machine)
+		t.Errorf("task placed on %s with the mean of the shard, want m0, which has the image", machine)
 	}
 	if machine := place(0.1); machine != "m1" {
-		t.Errorf("placed on %s with the mean of the fleet, want the machine within the bound", machine)
+		t.Errorf("task placed on %s with the mean of the fleet, want m1, which is within the bound", machine)
 	}
 }
 
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -19,13 +19,13 @@
 	// DecayRate is the parameter k: the decay rate of affinity per second, for each task that waits on the machine
 	// or has run there since the visit.
 	DecayRate float64
-	// Eta is η: affinity at or below it counts as zero. The bidding also compares the change of the total weight
-	// with it.
+	// Eta is η: an affinity at or below η counts as zero. The bidding also compares the change of the total weight with
+	// η.
 	Eta float64
 	// Epsilon is ε: the amount that each bid adds to a price beyond the difference of the two best profits.
 	Epsilon float64
-	// LoadOffset is a small number that is added to a machine's number of unstarted tasks before affinity is
-	// divided by it.
+	// LoadOffset is a small number. An affinity is divided by the sum of the machine's number of unstarted tasks and
+	// LoadOffset.
 	LoadOffset float64
 	// LoadBound limits the candidates by their load; nil: no limit.
 	LoadBound *LoadBound
@@ -37,9 +37,9 @@
 	Spot             bool
 	Free             load.Resources
 	Capacity         load.Resources
-	UnstartedTasks   int
+	UnstartedTasks   int         // tasks assigned to the machine that do not run yet
 	CachedImages     *ImageCache // the images known to be cached; nil: none
-	FetchingImages   []string    // images that its unstarted tasks wait for
+	FetchingImages   []string    // images that the unstarted tasks wait for
 }
 
 // Load returns the dominant share of the machine's capacity that is in use.
@@ -57,7 +57,8 @@
 	Types       []string // machine types; none: any
 	Spot        bool     // spot machines are allowed, too
 	Request     load.Resources
-	// AvoidRank has the machines to use only when no other is left. Those with a higher rank are used last.
+	// AvoidRank has, by name, the machines that get a task of the group only when no other machine is left. Machines
+	// with a higher rank are used later. Machines that are not in the map have rank 0.
 	AvoidRank map[string]int
 }
 
@@ -79,7 +80,7 @@
 
 // Cycle is the input of one scheduling cycle.
 type Cycle struct {
-	Groups   []*Group // their tasks are interleaved in this order
+	Groups   []*Group // their tasks are interleaved, ties in this order
 	Machines []*Machine
 	History  *VisitHistory
 	Params   Params
@@ -87,11 +88,11 @@
 }
 
 // Place runs auctions until all tasks are placed or no machine has free capacity for the remaining ones, and returns
-// the matches in the order in which they were made. It subtracts the tasks' requests from the free capacity of the
-// machines, and records the visits in the history.
+// the matches in the order in which they were made. Place also subtracts the tasks' requests from the free capacity of
+// the machines, and records the visits in the history.
 func Place(cycle Cycle) []Match {
 	if len(cycle.Machines) == 0 {
-		return nil // the offered capacity may be gone, and an auction without machines never ends
+		return nil // all machines may be gone when the tasks arrive, and without machines the auctions would never end
 	}
 	p := newPlacer(cycle)
 	matches, beyondBound := p.place(interleaveTasks(cycle.Groups))
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -43,12 +43,12 @@
 	for _, match := range matches {
 		allocatedCPUs[match.Machine.Name] += match.Group.Request.CPUs
 		if match.Group == tooLarge {
-			t.Error("a task was placed on a machine where it does not fit")
+			t.Error("the task that fits on no machine was placed")
 		}
 	}
 	for name, allocated := range allocatedCPUs {
 		if allocated > 4 {
-			t.Errorf("%v CPUs are allocated on %s, want at most 4", allocated, name)
+			t.Errorf("%v CPUs allocated on %s, want at most 4", allocated, name)
 		}
 	}
 }
@@ -56,7 +56,7 @@
 func TestPlaceWithoutMachinesReturns(t *testing.T) {
 	group := &Group{Job: "a", TaskIndexes: []int{0}, Image: "x", Request: load.Resources{CPUs: 2}}
 	if matches := placeAll([]*Group{group}, nil, NewVisitHistory(), 0); len(matches) != 0 {
-		t.Errorf("%d tasks placed without machines", len(matches))
+		t.Errorf("%d tasks placed without machines, want 0", len(matches))
 	}
 }
 
--- a/internal/rebalancer/migration.go
+++ b/internal/rebalancer/migration.go
@@ -24,8 +24,8 @@
 // Stage is the progress of a migration.
 type Stage int
 
-// A migration goes from Stopping to Terminated once the old attempt is proven to be gone, and to Assigned when its
-// task is assigned to a machine. It ends when the task runs there.
+// A migration goes from Stopping to Terminated once the old attempt is proven to be gone, and to Assigned when its task
+// is assigned to a machine. The migration ends when the task runs on that machine.
 const (
 	Stopping Stage = iota
 	Terminated
@@ -45,8 +45,9 @@
 	return fmt.Sprintf("Stage(%d)", int(s))
 }
 
-// Migration is the migration of a task to another machine. The target is only a preference: between its stop and its
-// start the task waits like any other task, and it may be placed elsewhere.
+// Migration moves a running task to another machine: the old attempt is stopped with a checkpoint, and a new attempt
+// starts. The target is only a preference: between the two attempts the task waits like any other task, and it may be
+// placed on a machine other than the target.
 type Migration struct {
 	Task         TaskID
 	Team         string
--- a/internal/rebalancer/plan.go
+++ b/internal/rebalancer/plan.go
@@ -121,7 +121,7 @@
 	p.remainingBudget--
 }
 
-// overloaded returns the machines that are to lose tasks, the highest load first.
+// overloaded returns the machines that tasks should be migrated off, the highest load first.
 func (p *planner) overloaded() []*Machine {
 	end := slices.IndexFunc(p.schedulable, func(machine *Machine) bool {
 		return machine.Load() <= p.params.MigrateAbove*p.mean || machine.Load() <= p.params.MinLoad
--- a/internal/rebalancer/plan_test.go
+++ b/internal/rebalancer/plan_test.go
@@ -11,7 +11,7 @@
 func TestPlanMigratesOffTheFullestMachine(t *testing.T) {
 	migrations := New(testParams(), 0).Plan(afterLeaderCooldown, imbalancedCluster().view)
 	if len(migrations) != 1 || migrations[0].From != "m0" || migrations[0].To != "m1" || migrations[0].Task.Index != 0 {
-		t.Errorf("migrations %+v, want the first task from m0 to m1", migrations)
+		t.Errorf("planned %+v, want one migration, of task 0 from m0 to m1", migrations)
 	}
 }
 
@@ -56,10 +56,10 @@
 			c.change(&params, cluster)
 			r := New(params, 0)
 			if migrations := r.Plan(afterLeaderCooldown, cluster.view); len(migrations) != 0 {
-				t.Errorf("migrations %+v, want none", migrations)
+				t.Errorf("planned %+v, want no migration", migrations)
 			}
 			if !slices.ContainsFunc(r.Refusals(), func(refusal Refusal) bool { return refusal.Reason == c.reason }) {
-				t.Errorf("refusals %+v, want %s", r.Refusals(), c.reason)
+				t.Errorf("refusals %+v, want one with the reason %q", r.Refusals(), c.reason)
 			}
 		})
 	}
@@ -72,10 +72,10 @@
 		r.migratedAt[task.ID] = afterLeaderCooldown - 120*second + 1
 	}
 	if migrations := r.Plan(afterLeaderCooldown, c.view); len(migrations) != 0 || r.Refusals()[0].Reason != RecentlyMigrated {
-		t.Errorf("migrations %+v and refusals %+v during the cooldown", migrations, r.Refusals())
+		t.Errorf("planned %+v with refusals %+v during the cooldown, want only refusals as recently migrated", migrations, r.Refusals())
 	}
 	if migrations := r.Plan(afterLeaderCooldown+second, c.view); len(migrations) != 1 {
-		t.Errorf("migrations %+v after the cooldown, want one", migrations)
+		t.Errorf("planned %+v after the cooldown, want one migration", migrations)
 	}
 }
 
@@ -85,13 +85,13 @@
 	c := imbalancedCluster()
 	c.machines[0].Schedulable = false
 	if migrations := New(testParams(), 0).Plan(afterLeaderCooldown, c.view); len(migrations) != 0 {
-		t.Errorf("migrations %+v off an unschedulable machine", migrations)
+		t.Errorf("planned %+v off an unschedulable machine, want no migration", migrations)
 	}
 	c = imbalancedCluster()
 	for _, machine := range c.machines[1:] {
 		machine.Schedulable = false
 	}
 	if migrations := New(testParams(), 0).Plan(afterLeaderCooldown, c.view); len(migrations) != 0 {
-		t.Errorf("migrations %+v to unschedulable machines", migrations)
+		t.Errorf("planned %+v to unschedulable machines, want no migration", migrations)
 	}
 }
--- a/internal/rebalancer/property_test.go
+++ b/internal/rebalancer/property_test.go
@@ -17,7 +17,7 @@
 	taskCount     int  // number of drawn tasks, some of which fit on no machine
 	sameSize      bool // whether all machines have the same capacity
 	notMigratable map[TaskID]bool
-	stopped       map[TaskID]Task // stopped on the source and not yet started on the target
+	stopped       map[TaskID]Task // tasks stopped on the source and not yet started on the target
 	migrations    int
 	lastSources   map[TaskID]string // by task: source of its last migration
 }
@@ -25,7 +25,7 @@
 func drawSimulation(t *rapid.T) *simulation {
 	params := testParams()
 	params.MigrationBudget = rapid.SampledFrom([]float64{0.02, 0.1, 0.25}).Draw(t, "migration budget")
-	params.TaskCooldown = rapid.SampledFrom([]clock.Micros{0, 120 * second}).Draw(t, "pause")
+	params.TaskCooldown = rapid.SampledFrom([]clock.Micros{0, 120 * second}).Draw(t, "task cooldown")
 	run := &simulation{testCluster: newTestCluster(), rebalancer: New(params, 0), now: afterLeaderCooldown,
 		notMigratable: map[TaskID]bool{}, stopped: map[TaskID]Task{}, lastSources: map[TaskID]string{}}
 	run.sameSize = rapid.Bool().Draw(t, "same size")
@@ -35,7 +35,7 @@
 			cpus = rapid.SampledFrom([]float64{4, 8, 16, 64}).Draw(t, "cpus")
 		}
 		machine := run.addMachine(fmt.Sprintf("m%02d", i), cpus)
-		machine.Schedulable = rapid.IntRange(0, 9).Draw(t, "serving") > 0
+		machine.Schedulable = rapid.IntRange(0, 9).Draw(t, "schedulable") > 0
 	}
 	run.taskCount = rapid.IntRange(0, 150).Draw(t, "tasks")
 	for i := range run.taskCount {
@@ -60,10 +60,10 @@
 		r.migrations++
 		from, to := r.machine(migration.From), r.machine(migration.To)
 		if r.notMigratable[migration.Task] || !to.Schedulable || !from.Schedulable {
-			t.Fatalf("migration %+v is not allowed", migration)
+			t.Fatalf("planned %+v, want only migratable tasks and schedulable machines", migration)
 		}
 		if r.lastSources[migration.Task] == migration.To && r.rebalancer.params.TaskCooldown > 0 {
-			t.Fatalf("task %s is migrated back to %s", migration.Task, migration.To)
+			t.Fatalf("task %s was migrated back to %s, the source of its last migration", migration.Task, migration.To)
 		}
 		r.lastSources[migration.Task] = migration.From
 	}
@@ -75,17 +75,17 @@
 	limit := r.rebalancer.maxMigrations(r.countSchedulable())
 	teamLimit := max(1, int(float64(limit)*r.rebalancer.params.TeamShare))
 	if len(inFlight) > limit {
-		t.Fatalf("%d migrations in flight in a fleet of %d machines", len(inFlight), r.countSchedulable())
+		t.Fatalf("%d migrations in flight with %d schedulable machines, more than the budget", len(inFlight), r.countSchedulable())
 	}
 	byTeam, involved := map[string]int{}, map[string]bool{}
 	for _, migration := range inFlight {
 		byTeam[migration.Team]++
 		if involved[migration.From] || involved[migration.To] {
-			t.Fatalf("two migrations involve %s or %s", migration.From, migration.To)
+			t.Fatalf("second migration in flight that involves %s or %s, want at most one per machine", migration.From, migration.To)
 		}
 		involved[migration.From], involved[migration.To] = true, true
 		if byTeam[migration.Team] > teamLimit {
-			t.Fatalf("%d migrations of one team in flight", byTeam[migration.Team])
+			t.Fatalf("%d migrations of one team in flight, more than the budget of a team", byTeam[migration.Team])
 		}
 	}
 }
@@ -108,7 +108,7 @@
 			r.rebalancer.TaskRunning(migration.Task, migration.To)
 		}
 	case Assigned:
-		t.Fatalf("migration %+v is in flight although its task runs", migration)
+		t.Fatalf("migration %+v still in flight after its task started to run", migration)
 	}
 }
 
@@ -120,7 +120,7 @@
 		idleRounds := 0 // consecutive rounds without a migration in flight
 		for round := 0; idleRounds < 3; round++ {
 			if round > 40*(run.taskCount+2) {
-				t.Fatalf("rebalancing does not end after %d migrations of %d tasks", run.migrations, run.taskCount)
+				t.Fatalf("rebalancing did not end after %d migrations of %d tasks", run.migrations, run.taskCount)
 			}
 			run.now += 2 * second
 			run.plan(t)
--- a/internal/rebalancer/rebalancer.go
+++ b/internal/rebalancer/rebalancer.go
@@ -1,10 +1,11 @@
 // Package rebalancer decides which running tasks are worth migrating off machines whose load is far above the mean,
 // and tracks these migrations until their tasks run again.
 //
-// A Rebalancer belongs to one leader. It owns the migrations in flight and the time of each task's last migration. This
-// is soft state: a leader that loses it loses only placement preferences. From a View of the machines and the events of
+// A Rebalancer belongs to one leader. It owns the migrations in flight and the time of each task's last migration. Both
+// are soft state: if they are lost, only placement preferences are lost. From a View of the machines and the events of
 // tasks, the Rebalancer determines the migrations to start and the reasons against others. The package performs no I/O
-// and reads no clock. It only makes decisions: the leader stops and places the tasks by its ordinary commands.
+// and reads no clock. A Rebalancer only makes decisions: the leader stops and places the tasks by its ordinary
+// commands.
 package rebalancer
 
 import (
@@ -20,11 +21,11 @@
 	Bound           load.Bound
 	MigrateAbove    float64      // tasks are migrated off machines above this multiple of the mean load
 	MinLoad         float64      // no task is migrated off a machine at or below this load
-	MinRuntime      clock.Micros // a task is not migrated before it has run this long, or if less run time remains
+	MinRuntime      clock.Micros // a task is not migrated until it has run this long, nor if less run time remains
 	TaskCooldown    clock.Micros // minimum time between the starts of two migrations of a task
 	LeaderCooldown  clock.Micros // no task is migrated for this long after a change of leader
 	MigrationBudget float64      // maximum migrations in flight, relative to the schedulable machines
-	TeamShare       float64      // maximum share of these for one team
+	TeamShare       float64      // maximum share of these migrations for one team; at least one migration
 	Timeout         clock.Micros // a migration that has not ended after this time has failed
 }
 
--- a/internal/rebalancer/rebalancer_test.go
+++ b/internal/rebalancer/rebalancer_test.go
@@ -11,17 +11,17 @@
 	migration := r.Plan(afterLeaderCooldown, c.view)[0]
 	task := migration.Task
 	if r.PreferredMachine(task) != "" {
-		t.Error("the task has a preferred machine before its old attempt is gone")
+		t.Error("the task had a preferred machine before its old attempt was gone")
 	}
 	if more := r.Plan(afterLeaderCooldown+second, c.view); len(more) != 0 || r.Refusals()[0].Reason != MachineMigrating {
-		t.Errorf("migrations %+v and refusals %+v while a migration is in flight", more, r.Refusals())
+		t.Errorf("planned %+v with refusals %+v during a migration, want only a refusal off its machine", more, r.Refusals())
 	}
 	if _, ended := r.TaskRunning(task, "m3"); ended {
 		t.Error("the migration ended before the task's old attempt was gone")
 	}
 	r.AttemptTerminated(afterLeaderCooldown, task)
 	if r.PreferredMachine(task) != migration.To {
-		t.Errorf("the preferred machine is %q, want %q", r.PreferredMachine(task), migration.To)
+		t.Errorf("preferred machine %q, want %q", r.PreferredMachine(task), migration.To)
 	}
 	r.TaskAssigned(task, "m2")
 	_, ended := r.TaskRunning(task, "m2")
@@ -31,7 +31,7 @@
 	c.startTask(c.machine("m2"), c.stopTask(c.machine("m0"), task))
 	for _, next := range r.Plan(afterLeaderCooldown+2*second, c.view) {
 		if next.Task == task {
-			t.Error("the task is migrated again within the cooldown")
+			t.Error("the task was migrated again within the cooldown")
 		}
 	}
 }
@@ -46,7 +46,7 @@
 	}
 	r.JobEnded(task.Job)
 	if isMigrating(r, task) || r.Outcomes().Cancelled != 1 || len(r.migratedAt) != 0 {
-		t.Errorf("outcomes are %+v, and %d migration times are kept after the job ended", r.Outcomes(), len(r.migratedAt))
+		t.Errorf("outcomes %+v and %d migration times after the job ended, want 1 cancelled and 0", r.Outcomes(), len(r.migratedAt))
 	}
 	r, c = New(testParams(), 0), imbalancedCluster()
 	task = r.Plan(afterLeaderCooldown, c.view)[0].Task
@@ -55,6 +55,6 @@
 	}
 	timedOut := r.Expire(afterLeaderCooldown + 90*second + 1)
 	if len(timedOut) != 1 || isMigrating(r, task) || r.Outcomes().TimedOut != 1 {
-		t.Errorf("migrations %+v timed out, outcomes are %+v", timedOut, r.Outcomes())
+		t.Errorf("migrations %+v timed out with outcomes %+v, want one that timed out and ended", timedOut, r.Outcomes())
 	}
 }
--- a/internal/rebalancer/view.go
+++ b/internal/rebalancer/view.go
@@ -11,7 +11,7 @@
 // View is the input of a plan.
 type View struct {
 	Machines    []*Machine
-	Tasks       func(*Machine) []Task // called only for machines that are to lose tasks
+	Tasks       func(*Machine) []Task // the tasks on a machine; called only for overloaded machines
 	Stale       bool                  // the leader's view of the jobs may be out of date
 	WorkWaiting bool                  // there are waiting tasks that would take the capacity that a stopped task frees
 	FetchRates  *load.FetchRates
@@ -23,7 +23,7 @@
 	Capacity     load.Resources
 	Used         load.Resources // by assigned and running tasks
 	Schedulable  bool           // new tasks may be placed on it
-	OfferPending bool           // its shard holder has not yet answered an offer of tasks
+	OfferPending bool           // the holder of its shard has not yet answered an offer of tasks
 	Images       []string       // images known to be cached or being fetched
 }
 
@@ -54,7 +54,7 @@
 	PlacementBound bool         // its placement depends on the placement of other tasks of its job
 	Service        bool         // whether it is a replica of a service
 	Stopping       bool         // whether it is being stopped
-	TeamAtLimit    bool         // whether tasks of its team wait at the team's limit, and would take the freed capacity
+	TeamAtLimit    bool         // whether its team's tasks wait at the team's limit and would take the freed capacity
 	Allows         func(*Machine) bool
 }
 
--- a/internal/status/status.go
+++ b/internal/status/status.go
@@ -15,7 +15,7 @@
 	"swiftledge/internal/peer"
 )
 
-// Controller is one controller's answer, or the problem that prevented it.
+// Controller is one controller's answer, or the problem that prevented an answer.
 type Controller struct {
 	Name    string       `json:"name"`
 	Address string       `json:"address"`
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -2,9 +2,9 @@
 // conditional transactions, leases and watches.
 //
 // The client owns the controller's share of the service's request and write limits: every request waits in a rate
-// limiter until the budget allows it, in order of priority. Only Commit retries. All other calls leave that to the
-// caller, since a transaction without an answer may have been executed and the caller has to decide what follows from
-// that. The client does not cache stored data.
+// limiter until the budget allows it, in order of priority. Only Commit retries. All other calls leave retries to the
+// caller, since a transaction without an answer may have been executed and the caller has to decide what to do then.
+// The client does not cache stored data.
 package store
 
 import (
@@ -38,8 +38,8 @@
 	reportAvailability func(available bool)
 }
 
-// New returns a client of the state service at address. The client sends no request before Run is called. It calls
-// reportAvailability after every answer and after every failure to get one.
+// New returns a client of the state service at address. The client sends no request before Run is called. The client
+// calls reportAvailability after every answer and after every failure to get one.
 func New(address string, budget Budget, reportAvailability func(available bool)) *Client {
 	return &Client{
 		connections:        newHostClient(address, maxConnections),
--- a/internal/store/client_test.go
+++ b/internal/store/client_test.go
@@ -155,17 +155,17 @@
 	read := func(c *Client) { _, _ = c.Get(t.Context(), PriorityReads, "job/j-000001") }
 	watch := func(c *Client) { _, _ = c.Watch(t.Context(), "job/", 1, 0) }
 	if sentBefore := countSentBefore(t, reads, read, watch, "/watch"); sentBefore > reads*3/4 {
-		t.Errorf("%d of %d reads were sent before the watch", sentBefore, reads)
+		t.Errorf("%d of %d reads were sent before the watch, want at most three quarters", sentBefore, reads)
 	}
 }
 
-// The renewal of the leader's lease has priority over all other requests, including submissions of users: without a
-// leader no user is served.
+// The renewal of the leader's lease has priority over all other requests, including users' submissions, because no user
+// is served without a leader.
 func TestLeaseRenewalIsNotDelayedBySubmissions(t *testing.T) {
 	const submissions = 20
 	submit := func(c *Client) { _, _ = c.Get(t.Context(), PriorityUrgent, "job/j-000001") }
 	renew := func(c *Client) { _ = c.RenewLease(t.Context(), 7) }
 	if sentBefore := countSentBefore(t, submissions, submit, renew, "/grants/7/touch"); sentBefore > submissions*3/4 {
-		t.Errorf("%d of %d submissions were sent before the lease renewal", sentBefore, submissions)
+		t.Errorf("%d of %d submissions were sent before the lease renewal, want at most three quarters", sentBefore, submissions)
 	}
 }
--- a/internal/store/leases.go
+++ b/internal/store/leases.go
@@ -28,8 +28,8 @@
 	return response.Lease, nil
 }
 
-// RenewLease renews a lease. It returns ErrNotFound if the lease has expired. It waits twice as long as other requests
-// on a key, while an answer may still be of use, since a late renewal is better than none.
+// RenewLease renews a lease. It returns ErrNotFound if the lease has expired. Its timeout is twice that of other
+// requests on a key: the answer may still be of use then, since a late renewal is better than none.
 func (c *Client) RenewLease(ctx context.Context, lease uint64) error {
 	leaseID := strconv.FormatUint(lease, 10)
 	r := request{
--- a/internal/store/rate_limiter.go
+++ b/internal/store/rate_limiter.go
@@ -89,7 +89,7 @@
 	}
 }
 
-// run admits requests until ctx ends.
+// run admits waiting requests within the budget until ctx ends.
 func (l *rateLimiter) run(ctx context.Context) {
 	defer close(l.stopped)
 	bucket := newTokenBucket(l.initialBudget, time.Now())
--- a/internal/store/rate_limiter_test.go
+++ b/internal/store/rate_limiter_test.go
@@ -20,11 +20,11 @@
 	bucket := tokenBucket{budget: Budget{RequestsPerSecond: 10, WritesPerSecond: 4}, budgetFraction: 1, refilledAt: start}
 	bucket.refill(start.Add(500 * time.Millisecond))
 	if bucket.requests != 5 || bucket.writes != 2 {
-		t.Errorf("%g requests and %g writes after half a second, want 5 and 2", bucket.requests, bucket.writes)
+		t.Errorf("bucket has %g requests and %g writes after half a second, want 5 and 2", bucket.requests, bucket.writes)
 	}
 	bucket.refill(start.Add(time.Minute))
 	if bucket.requests != 10 || bucket.writes != 4 {
-		t.Errorf("%g requests and %g writes after a minute, want 10 and 4 as the maximum", bucket.requests, bucket.writes)
+		t.Errorf("bucket has %g requests and %g writes after a minute, want 10 and 4 as the maximum", bucket.requests, bucket.writes)
 	}
 	for range 20 {
 		bucket.slowDown()
@@ -34,7 +34,7 @@
 	}
 	bucket.refill(start.Add(2 * time.Minute))
 	if bucket.budgetFraction != 1 {
-		t.Errorf("%g of the budget a minute later, want all of it", bucket.budgetFraction)
+		t.Errorf("%g of the budget used a minute later, want all of it", bucket.budgetFraction)
 	}
 }
 
@@ -45,7 +45,7 @@
 		name             string
 		requests, writes float64
 		queues           requestQueues
-		read, write      bool // expected to be sent next
+		read, write      bool // whether a read or a write is expected to be sent next
 		waitS            float64
 	}{
 		{"empty queues", 5, 4, requestQueues{}, false, false, math.Inf(1)},
@@ -64,7 +64,7 @@
 			bucket := tokenBucket{budget: budget, budgetFraction: 1, requests: c.requests, writes: c.writes}
 			next := c.queues.nextQueue(&bucket)
 			if (next == &c.queues.reads) != c.read || (next == &c.queues.writes) != c.write {
-				t.Errorf("queue %v is sent next", next)
+				t.Errorf("next request came from queue %v, want another queue or none", next)
 			}
 			if waitS := c.queues.waitSeconds(&bucket); next == nil && math.Abs(waitS-c.waitS) > 1e-9 && waitS != c.waitS {
 				t.Errorf("wait of %g s, want %g s", waitS, c.waitS)
@@ -83,10 +83,10 @@
 	stop()
 	<-limiter.stopped
 	if err := <-waitResult; !errors.Is(err, errStopped) {
-		t.Errorf("waiting request: error %v", err)
+		t.Errorf("waiting request: error %v, want errStopped", err)
 	}
 	if err := limiter.wait(t.Context(), PriorityReads, 0); !errors.Is(err, errStopped) {
-		t.Errorf("later request: error %v", err)
+		t.Errorf("later request: error %v, want errStopped", err)
 	}
 	for range budgetBuffer + 1 {
 		limiter.setBudget(Budget{})
@@ -110,6 +110,6 @@
 		t.Error("the request behind an abandoned one was not admitted")
 	}
 	if bucket.requests != 0 {
-		t.Errorf("%g requests left, want 0", bucket.requests)
+		t.Errorf("bucket has %g requests left, want 0", bucket.requests)
 	}
 }
--- a/internal/store/request_queue.go
+++ b/internal/store/request_queue.go
@@ -62,7 +62,7 @@
 }
 
 // requestQueues holds the requests that wait for the budget. Reads and writes have separate queues, so that requests
-// that wait for the write limit do not delay reads, which the write limit does not apply to.
+// that wait for the write limit do not delay reads. The write limit does not apply to reads.
 type requestQueues struct {
 	reads, writes requestQueue
 	nextSequence  int
--- a/internal/store/token_bucket.go
+++ b/internal/store/token_bucket.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	// slowDownFactor multiplies the rate after an answer that a limit is exceeded.
+	// slowDownFactor multiplies the rate after the state service answered that a rate limit was exceeded.
 	slowDownFactor = 0.7
 	// minBudgetFraction is the smallest fraction of the budget that is used.
 	minBudgetFraction = 0.25
@@ -33,7 +33,8 @@
 	return Budget{b.budget.RequestsPerSecond * b.budgetFraction, b.budget.WritesPerSecond * b.budgetFraction}
 }
 
-// slowDown reduces the rate after an answer that a limit is exceeded.
+// slowDown reduces the rate and empties the bucket. It is called after the state service answered that a rate limit was
+// exceeded.
 func (b *tokenBucket) slowDown() {
 	b.budgetFraction = max(minBudgetFraction, b.budgetFraction*slowDownFactor)
 	b.requests, b.writes = 0, 0
--- a/internal/store/transactions.go
+++ b/internal/store/transactions.go
@@ -18,7 +18,7 @@
 	FailedKeys []string
 	// LeaseExpired is set when the transaction names a lease that no longer exists.
 	LeaseExpired bool
-	// Ambiguous is set when an earlier attempt of the same transaction got no answer. That attempt may have been
+	// Ambiguous is set when an earlier attempt of the same transaction got no answer. The earlier attempt may have been
 	// executed, and may itself be the reason why a condition failed.
 	Ambiguous bool
 	// Rejected is set when the service rejected this attempt as malformed, most likely because of its size. Every
@@ -85,7 +85,7 @@
 		case errors.Is(err, ErrOutcomeUnknown):
 			ambiguous = true
 		case !errors.Is(err, ErrNotExecuted):
-			// The answer is definite. If it says that the transaction is malformed, that holds for this attempt only: the
+			// The answer is definite. An answer that the transaction is malformed concerns this attempt only: the
 			// limits may have been lowered since an earlier attempt.
 			result.Ambiguous = ambiguous
 			return result, err
--- a/internal/store/watch.go
+++ b/internal/store/watch.go
@@ -12,8 +12,8 @@
 )
 
 // Watch waits for at most blockFor for changes of keys with a prefix after a revision. It returns ErrCompacted if the
-// service no longer keeps those changes. Users' requests must not delay it: decisions that depend on a view of
-// the jobs wait until that view is fresh.
+// service no longer keeps those changes. Users' requests must not delay a watch: decisions that depend on a view of the
+// jobs wait until the view is fresh.
 func (c *Client) Watch(
 	ctx context.Context, prefix string, after uint64, blockFor clock.Micros,
 ) (wire.WatchResponse, error) {
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -70,7 +70,7 @@
 		t.Errorf("%+v and %+v do not belong to one trace, or do not differ in span and controller", first, all[2])
 	}
 	if first.TraceID == all[1].TraceID {
-		t.Error("two jobs share one trace")
+		t.Error("spans of two jobs have the same trace ID")
 	}
 	if first.Name != "run" || first.DurationS != 2 || first.Attributes["machine"] != "host-1" || first.Attributes["task"] != "j-000001/3" {
 		t.Errorf("first span record is %+v, want task j-000001/3 run for 2 s on host-1", first)
@@ -80,7 +80,7 @@
 	}
 }
 
-// Post drops and counts spans when the queue is full instead of blocking. On a nil Tracer it does nothing.
+// Post drops and counts spans when the queue is full instead of blocking. Post on a nil Tracer does nothing.
 func TestPostNeverBlocks(t *testing.T) {
 	tracer := newTracer(t, Settings{File: filepath.Join(t.TempDir(), "trace"), MaxBytes: 1 << 20, JobShare: 1, QueueSize: 16}, "c0")
 	for range 20 {
@@ -122,7 +122,7 @@
 	for i := range 4000 {
 		job := "j-" + strings.Repeat("0", 3) + string(rune('a'+i%26)) + string(rune(0x4e00+i))
 		if a.isTraced(job) != b.isTraced(job) {
-			t.Fatalf("job %s is traced by one of two controllers", job)
+			t.Fatalf("job %s is traced by only one of two controllers", job)
 		}
 		if a.isTraced(job) {
 			traced++
--- a/wire/agents.go
+++ b/wire/agents.go
@@ -40,8 +40,8 @@
 // ExitCause says why a task exited.
 type ExitCause string
 
-// Exit causes. The last three mean that the agent refused to start the task: the machine lacks resources, it has
-// another attempt of the task, or the job is unknown.
+// Exit causes. The last three mean that the agent refused to start the task: the machine lacks resources, the machine
+// has another attempt of the task, or the job is unknown.
 const (
 	ExitDone    ExitCause = "done"
 	ExitStopped ExitCause = "stopped"
