--- a/internal/api/job_cache.go
+++ b/internal/api/job_cache.go
@@ -102,14 +102,14 @@
 type cacheState struct {
 	hasPeers bool
 
-	term   cluster.Term
-	leader string
-	types  []wire.MachineType
+	term         cluster.Term
+	leader       string
+	machineTypes []wire.MachineType
 
 	lastLeaderContact clock.Micros // 0: none since the last change of leader
 	lastPeerContact   clock.Micros
 
-	counts          *boundedMap[peer.TaskCount]
+	taskCounts      *boundedMap[peer.TaskCount]
 	finalStates     *boundedMap[leader.FinalStateRecord]
 	unansweredSince *boundedMap[clock.Micros]
 }
@@ -118,7 +118,7 @@
 	size := cachedJobsPerMap(cfg)
 	return &cacheState{
 		hasPeers:        len(cfg.Peers) > 0,
-		counts:          newBoundedMap[peer.TaskCount](size),
+		taskCounts:      newBoundedMap[peer.TaskCount](size),
 		finalStates:     newBoundedMap[leader.FinalStateRecord](size),
 		unansweredSince: newBoundedMap[clock.Micros](size),
 	}
@@ -135,10 +135,10 @@
 	case LeaderMessage:
 		s.handleLeaderMessage(m.Message, postedAt)
 	case catalogRead:
-		s.types = m.types
+		s.machineTypes = m.types
 	case jobEnded:
 		s.finalStates.put(m.ref, m.final)
-		s.counts.remove(m.ref)
+		s.taskCounts.remove(m.ref)
 	case pollAnswered:
 		s.unansweredSince.remove(m.ref)
 	case pollFailed:
@@ -152,13 +152,13 @@
 
 func (s *cacheState) handleLeaderMessage(m *peer.FromLeader, postedAt clock.Micros) {
 	if len(m.Types) > 0 {
-		s.types = m.Types
+		s.machineTypes = m.Types
 	}
 	if m.RenewedSeq > 0 && m.StoreOK && m.Term == s.term {
 		s.lastLeaderContact = postedAt
 	}
 	for _, count := range m.TaskCounts {
-		s.counts.put(count.Job, count)
+		s.taskCounts.put(count.Job, count)
 	}
 }
 
@@ -166,14 +166,14 @@
 	view := View{
 		Term:            s.term,
 		Leader:          s.leader,
-		Types:           s.types,
+		Types:           s.machineTypes,
 		LeaderReachable: s.lastLeaderContact > 0 && now-s.lastLeaderContact < leaderContactTimeout,
 		Isolated:        s.hasPeers && now-s.lastPeerContact > isolationTimeout,
 	}
 	if since, ok := s.unansweredSince.get(ref); ok {
 		view.UnansweredFor = now - since
 	}
-	view.Count, _ = s.counts.get(ref)
+	view.Count, _ = s.taskCounts.get(ref)
 	if final, ok := s.finalStates.get(ref); ok {
 		view.FinalState = &final
 	}
--- a/internal/placement/affinity.go
+++ b/internal/placement/affinity.go
@@ -13,26 +13,26 @@
 // visit is the latest use of an image on a machine: the latest assignment of a task with the image to the machine, or
 // the report that the machine has cached the image.
 type visit struct {
-	machine   string
-	visitedAt clock.Micros
-	tasksRun  int // number of tasks assigned to the machine up to and including this visit
+	machine       string
+	visitedAt     clock.Micros
+	tasksAssigned int // number of tasks assigned to the machine up to and including this visit
 }
 
 // VisitHistory keeps, for each image, the visits to the machines that used the image most recently (at most maxVisits,
 // newest first). It also keeps the number of tasks assigned to each machine.
 type VisitHistory struct {
-	visits   map[string][]visit // by image
-	tasksRun map[string]int     // by machine
+	visits        map[string][]visit // by image
+	tasksAssigned map[string]int     // by machine
 }
 
 // NewVisitHistory returns an empty history.
 func NewVisitHistory() *VisitHistory {
-	return &VisitHistory{visits: map[string][]visit{}, tasksRun: map[string]int{}}
+	return &VisitHistory{visits: map[string][]visit{}, tasksAssigned: map[string]int{}}
 }
 
 // RecordVisit records that a task with the image was assigned to the machine.
 func (h *VisitHistory) RecordVisit(image, machine string, visitedAt clock.Micros) {
-	h.tasksRun[machine]++
+	h.tasksAssigned[machine]++
 	h.add(image, machine, visitedAt)
 }
 
@@ -46,7 +46,7 @@
 
 // RemoveMachine removes from the history a machine that no longer exists.
 func (h *VisitHistory) RemoveMachine(machine string) {
-	delete(h.tasksRun, machine)
+	delete(h.tasksAssigned, machine)
 	for image, visits := range h.visits {
 		h.visits[image] = slices.DeleteFunc(visits, onMachine(machine))
 	}
@@ -54,7 +54,7 @@
 
 func (h *VisitHistory) add(image, machine string, visitedAt clock.Micros) {
 	visits := slices.DeleteFunc(h.visits[image], onMachine(machine))
-	visits = slices.Insert(visits, 0, visit{machine, visitedAt, h.tasksRun[machine]})
+	visits = slices.Insert(visits, 0, visit{machine, visitedAt, h.tasksAssigned[machine]})
 	h.visits[image] = visits[:min(len(visits), maxVisits)]
 }
 
@@ -66,6 +66,6 @@
 // affinity returns the decayed affinity of a visit, which is 1 at first. It implements equation 2 of the paper, with α
 // as (unstarted tasks on the machine + tasks assigned to it since the visit) · k.
 func (h *VisitHistory) affinity(v visit, m *Machine, decayRate float64, now clock.Micros) float64 {
-	alpha := float64(m.UnstartedTasks+h.tasksRun[m.Name]-v.tasksRun) * decayRate
+	alpha := float64(m.UnstartedTasks+h.tasksAssigned[m.Name]-v.tasksAssigned) * decayRate
 	return math.Exp(-alpha * max(0, (now-v.visitedAt).Seconds()))
 }
--- a/internal/rebalancer/plan.go
+++ b/internal/rebalancer/plan.go
@@ -58,7 +58,7 @@
 // reasonAgainstAll returns the reason why no task is migrated now, or noReason.
 func (r *Rebalancer) reasonAgainstAll(now clock.Micros, view *View) Reason {
 	switch {
-	case now-r.startedAt < r.params.LeaderCooldown:
+	case now-r.termStartedAt < r.params.LeaderCooldown:
 		return LeaderChanged
 	case view.Stale:
 		return StaleView
--- a/internal/rebalancer/rebalancer.go
+++ b/internal/rebalancer/rebalancer.go
@@ -31,21 +31,21 @@
 
 // Rebalancer plans and tracks the migrations of one leader.
 type Rebalancer struct {
-	params     Params
-	startedAt  clock.Micros
-	migrations map[TaskID]*Migration
-	migratedAt map[TaskID]clock.Micros // start time of each task's last migration
-	refusals   []Refusal
-	outcomes   Outcomes
+	params        Params
+	termStartedAt clock.Micros
+	migrations    map[TaskID]*Migration
+	migratedAt    map[TaskID]clock.Micros // start time of each task's last migration
+	refusals      []Refusal
+	outcomes      Outcomes
 }
 
-// New returns the rebalancer of a leader whose term started at startedAt.
-func New(params Params, startedAt clock.Micros) *Rebalancer {
+// New returns the rebalancer of a leader whose term started at termStartedAt.
+func New(params Params, termStartedAt clock.Micros) *Rebalancer {
 	return &Rebalancer{
-		params:     params,
-		startedAt:  startedAt,
-		migrations: map[TaskID]*Migration{},
-		migratedAt: map[TaskID]clock.Micros{},
+		params:        params,
+		termStartedAt: termStartedAt,
+		migrations:    map[TaskID]*Migration{},
+		migratedAt:    map[TaskID]clock.Micros{},
 	}
 }
 
--- a/internal/store/request_queue.go
+++ b/internal/store/request_queue.go
@@ -96,11 +96,11 @@
 // nextQueue returns the queue whose first request may be sent now, or nil if there is none.
 func (q *requestQueues) nextQueue(bucket *tokenBucket) *requestQueue {
 	queue := &q.reads
-	if len(q.writes) > 0 && bucket.missingWrites(q.writes[0]) <= 0 &&
+	if len(q.writes) > 0 && bucket.missingWriteTokens(q.writes[0]) <= 0 &&
 		(len(q.reads) == 0 || q.writes[0].before(q.reads[0])) {
 		queue = &q.writes
 	}
-	if len(*queue) == 0 || bucket.missingRequests() > 0 {
+	if len(*queue) == 0 || bucket.missingRequestTokens() > 0 {
 		return nil
 	}
 	return queue
@@ -110,11 +110,11 @@
 func (q *requestQueues) waitSeconds(bucket *tokenBucket) float64 {
 	rate, waitS := bucket.rate(), math.Inf(1)
 	if len(q.writes) > 0 {
-		waitS = max(bucket.missingRequests()/rate.RequestsPerSecond,
-			bucket.missingWrites(q.writes[0])/rate.WritesPerSecond)
+		waitS = max(bucket.missingRequestTokens()/rate.RequestsPerSecond,
+			bucket.missingWriteTokens(q.writes[0])/rate.WritesPerSecond)
 	}
 	if len(q.reads) > 0 {
-		waitS = min(waitS, bucket.missingRequests()/rate.RequestsPerSecond)
+		waitS = min(waitS, bucket.missingRequestTokens()/rate.RequestsPerSecond)
 	}
 	return waitS
 }
--- a/internal/store/token_bucket.go
+++ b/internal/store/token_bucket.go
@@ -56,11 +56,11 @@
 	b.writes -= float64(r.writes)
 }
 
-// missingRequests returns how many request tokens are missing for one request.
-func (b *tokenBucket) missingRequests() float64 { return 1 - b.requests }
+// missingRequestTokens returns how many request tokens are missing for one request.
+func (b *tokenBucket) missingRequestTokens() float64 { return 1 - b.requests }
 
-// missingWrites returns how many write tokens are missing for the request. A request that needs more than the bucket
-// can hold only has to wait until the bucket is full.
-func (b *tokenBucket) missingWrites(r *pendingRequest) float64 {
+// missingWriteTokens returns how many write tokens are missing for the request. A request that needs more tokens than
+// the bucket can hold only has to wait until the bucket is full.
+func (b *tokenBucket) missingWriteTokens(r *pendingRequest) float64 {
 	return min(float64(r.writes), max(b.rate().WritesPerSecond, 1)) - b.writes
 }
