--- a/internal/api/feasibility.go
+++ b/internal/api/feasibility.go
@@ -14,8 +14,8 @@
 // quotaTolerance absorbs rounding errors when the total demand of many tasks is compared with a quota.
 const quotaTolerance = 1e-9
 
-// checkFeasible rejects a job that can never run. If types is empty because the cache has no machine types, it
-// reads them from the store.
+// checkFeasible rejects a job that can never run. If types is empty because the cache has no machine types,
+// checkFeasible reads the machine types from the store.
 func (s *Service) checkFeasible(job *wire.Job, types []wire.MachineType) *rejection {
 	if len(types) == 0 {
 		types = s.readStoredTypes()
@@ -43,8 +43,8 @@
 	return catalog.Types
 }
 
-// infeasibleReason returns why a job can never run, regardless of the current machines and of how long it waits. It
-// returns "" if the job can run.
+// infeasibleReason returns why a job can never run, regardless of the current machines and of how long the job waits.
+// It returns "" if the job can run.
 func (s *Service) infeasibleReason(job *wire.Job, types []wire.MachineType) string {
 	team, ok := s.options.Config.Team(job.Team)
 	if !ok {
--- a/internal/api/handlers.go
+++ b/internal/api/handlers.go
@@ -93,9 +93,9 @@
 	return c.SendStatus(reply.Status)
 }
 
-// isNearConnectionLimit reports whether so many connections are open that those of agents are closed after each answer.
-// Agents send heartbeats every few seconds, and their open connections must not prevent users and health probes from
-// connecting.
+// isNearConnectionLimit reports whether so many connections are open that agents' connections are closed after each
+// answer. Agents send heartbeats every few seconds, and their open connections must not prevent users and health probes
+// from connecting.
 func (s *Service) isNearConnectionLimit(app *fiber.App) bool {
 	return int(app.Server().GetOpenConnectionsCount()) > s.options.Config.MaxHTTPConnections()*9/10
 }
--- a/internal/api/result.go
+++ b/internal/api/result.go
@@ -40,7 +40,8 @@
 	return Result{Code: http.StatusServiceUnavailable, Reason: reason}
 }
 
-// storeUnavailableResult returns the result for a request that failed because the store did not serve it.
+// storeUnavailableResult returns the result for a request that failed because the store did not serve its reads or
+// writes.
 func storeUnavailableResult() Result { return unavailableResult("the state service is away") }
 
 // rejection is the reason why a submission is not accepted. It applies only to a job that does not exist yet: see
--- a/internal/api/retry.go
+++ b/internal/api/retry.go
@@ -21,7 +21,8 @@
 	maxUnknownOutcomeRetries = 1
 )
 
-// errJobChanged means that another writer changed a job between a read and the transaction based on it.
+// errJobChanged means that another writer changed a job between a read of the job and the transaction based on that
+// read.
 var errJobChanged = errors.New("the job changed meanwhile")
 
 // shouldRetry reports whether a failed request should be retried while the user waits, given the number of retries so
--- a/internal/api/service.go
+++ b/internal/api/service.go
@@ -61,8 +61,8 @@
 	return &Service{options: options, validator: newSubmissionValidator(), heartbeats: newHeartbeatAdmission()}
 }
 
-// Serve answers requests on listener until ctx ends, which closes listener, or until listener fails. It must be called
-// only once. It does not wait for requests in progress before it returns.
+// Serve answers requests on listener until ctx ends, which closes listener, or until listener fails. Serve must be
+// called only once. It does not wait for requests in progress before it returns.
 func (s *Service) Serve(ctx context.Context, listener net.Listener) error {
 	ctx, stop := context.WithCancel(ctx)
 	var admission sync.WaitGroup
@@ -94,11 +94,10 @@
 	return app
 }
 
-// Ready reports whether the load balancer should send users to this controller. It returns false when other
-// controllers probably serve them better: when the store fails for this controller but not for the leader, or when
-// this controller has contact neither with the store nor with any other controller, which may still reach the store.
-// In an outage of the store for all controllers, all stay ready, since the load balancer is slow to include a
-// controller again.
+// Ready reports whether the load balancer should send users to this controller. It returns false when other controllers
+// probably serve users better: when the store fails for this controller but not for the leader, or when this controller
+// has contact neither with the store nor with any other controller, which may still reach the store. In an outage of
+// the store for all controllers, all stay ready, since the load balancer is slow to include a controller again.
 func (s *Service) Ready() bool {
 	if s.options.StoreHealthy() {
 		return true
--- a/internal/api/service_test.go
+++ b/internal/api/service_test.go
@@ -106,7 +106,7 @@
 	for range 2 * cfg.MaxHTTPConnections() {
 		response := send(heartbeatRequest())
 		if response.StatusCode() != 200 {
-			t.Fatalf("heartbeat: status %d: %s", response.StatusCode(), response.Body())
+			t.Fatalf("heartbeat: status %d, body %s, want 200", response.StatusCode(), response.Body())
 		}
 		if !response.ConnectionClose() {
 			keptOpen++
--- a/internal/api/status_test.go
+++ b/internal/api/status_test.go
@@ -131,7 +131,7 @@
 			hooked := newHookedStore()
 			service := newService(t, hooked)
 			if r := service.Submit(body); r.Code != 201 {
-				t.Fatalf("submission: status %d %s", r.Code, r.Reason)
+				t.Fatalf("first submission: status %d %s, want 201", r.Code, r.Reason)
 			}
 			if r := c.call(hooked, service); r.Code != c.code || r.Status.State != c.want {
 				t.Errorf("got status %d, state %s, reason %s, want status %d, state %s", r.Code, r.Status.State, r.Reason, c.code, c.want)
--- a/internal/autoscaler/plan.go
+++ b/internal/autoscaler/plan.go
@@ -1,5 +1,5 @@
 // Package autoscaler plans the size of a cluster. From the demand for capacity, the existing and pending machines, and
-// the options of the cloud, it decides which machines to provision, which idle machines to scale in, which busy
+// the options of the cloud, a plan decides which machines to provision, which idle machines to scale in, which busy
 // on-demand machines to cordon so that they can be scaled in later, and which busy spot machines to deprioritize so
 // that they become idle.
 //
@@ -19,7 +19,7 @@
 	Name   string // "": the cloud has not named it yet
 	Up     bool
 	Idle   bool    // up and without tasks
-	Retain bool    // whether it is kept for now, because scaling it in is premature or saves no cost
+	Retain bool    // an idle machine is kept for now: its deletion would be premature or save no cost
 	Load   float64 // share of its CPUs in use
 }
 
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -1,7 +1,7 @@
 // Package cloud is the client of the cloud's API, which provisions and deletes machines.
 //
 // The client owns the leader's share of the API's rate limit: each call waits until the limit allows it. The client
-// never retries, since a call without an answer may have been executed, and it does not cache answers. The leader
+// never retries, since a call without an answer may have been executed. The client does not cache answers. The leader
 // decides what to provision and delete, and when.
 package cloud
 
--- a/internal/cloud/client_test.go
+++ b/internal/cloud/client_test.go
@@ -35,7 +35,7 @@
 	request := wire.ProvisionRequest{RequestID: "r-17", Type: "g8", Zone: "a", Spot: true, Count: 12}
 	names, err := client.Provision(t.Context(), request)
 	if err != nil || !slices.Equal(names, []string{"host-000231"}) {
-		t.Errorf("provision: machines %v, error %v", names, err)
+		t.Errorf("provision: machines %v, error %v, want host-000231 and no error", names, err)
 	}
 	if got, want := <-requests, `POST /hosts {"hire":"r-17","breed":"g8","paddock":"a","stray":true,"count":12}`; got != want {
 		t.Errorf("request %s, want %s", got, want)
@@ -56,7 +56,7 @@
 	})
 	page, err := client.List(t.Context(), "host-000230")
 	if err != nil || len(page.Machines) != 1 || page.Machines[0].Name != "host-000231" || !page.More {
-		t.Errorf("list: page %+v, error %v", page, err)
+		t.Errorf("list: page %+v, error %v, want a page with host-000231 and more to follow", page, err)
 	}
 	if got, want := <-requests, "GET /hosts?most=500&since=host-000230"; got != want {
 		t.Errorf("request %s, want %s", got, want)
@@ -113,7 +113,7 @@
 
 // A call that waits for the rate limit fails without being sent when its context ends.
 func TestCallEndsWithContext(t *testing.T) {
-	client := startClient(t, func(http.ResponseWriter, *http.Request) { t.Error("the call was sent") })
+	client := startClient(t, func(http.ResponseWriter, *http.Request) { t.Error("the call was sent after its context had ended") })
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	if _, err := client.Catalog(ctx); !errors.Is(err, ErrNotExecuted) || !errors.Is(err, context.Canceled) {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -53,7 +53,7 @@
 		_, err := Load(writeFile(t, "s.json", c.settings), tuning...)
 		switch {
 		case c.want == "" && err != nil:
-			t.Errorf("%s: %v", c.name, err)
+			t.Errorf("%s: error %v, want none", c.name, err)
 		case c.want != "" && (err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n")):
 			t.Errorf("%s: error is %v, want one line that contains %s", c.name, err, c.want)
 		}
--- a/internal/config/grant.go
+++ b/internal/config/grant.go
@@ -44,9 +44,9 @@
 	return max(c.GrantTime(), clock.FromSeconds(min(c.Tuning.Grants.DurationS, priorGrantS)))
 }
 
-// MaxViewAge returns the maximum age of the leader's view of the jobs at which the leader may still act on it. It
-// equals the time that leadership lasts without a renewal, so the same bound holds whether the leader lost the
-// store or only the watch.
+// MaxViewAge returns the maximum age of the leader's view of the jobs at which the leader may still act on the view.
+// The maximum age equals the time that leadership lasts without a renewal, so the same bound holds whether the leader
+// lost the store or only the watch.
 func (c *Config) MaxViewAge() clock.Micros { return clock.FromSeconds(c.Tuning.Election.TTLS) }
 
 // AgentLeaseTime returns how long an agent's lease lasts after the agent sent the last heartbeat that was answered.
--- a/internal/failures/job.go
+++ b/internal/failures/job.go
@@ -27,14 +27,14 @@
 // Job is the evidence about one job. The zero value is a job without evidence.
 type Job struct {
 	verdict          verdict
-	failedOn         map[string]clock.Micros // by machine: time of the last failure there
+	failedOn         map[string]clock.Micros // by machine: time of the last failure on the machine
 	failedTasks      map[int]*taskFailures   // by index: tasks that failed since they last completed
 	backoffCount     int                     // of a suspect job: 1 for becoming suspect, and 1 for each probe
 	nextProbeAt      clock.Micros
 	longestFailedRun clock.Micros // duration of the longest failed run
 }
 
-// taskFailures are the failures of one task of a job since it last completed.
+// taskFailures are the failures of one task of a job since the task last completed.
 type taskFailures struct {
 	machines []string // the first distinct ones, up to failedMachinesThreshold
 	count    int
@@ -69,7 +69,7 @@
 	return names
 }
 
-// InBackoff reports whether no task of the job may start now, because it is suspect and its next probe is not due.
+// InBackoff reports whether no task of the job may start now, because the job is suspect and its next probe is not due.
 func (j *Job) InBackoff(now clock.Micros) bool { return j.Suspect() && now < j.nextProbeAt }
 
 // NextProbeAt returns the earliest time for the next probe of a suspect job.
--- a/internal/failures/machine.go
+++ b/internal/failures/machine.go
@@ -10,8 +10,8 @@
 	maxFailures = 32
 )
 
-// Machine is the evidence about one machine: the failures there since a task last completed. The zero value is a
-// machine without failures.
+// Machine is the evidence about one machine: the failures on the machine since a task last completed there. The zero
+// value is a machine without failures.
 type Machine struct{ failures []machineFailure }
 
 // machineFailure is one task failure on a machine.
--- a/internal/load/bound.go
+++ b/internal/load/bound.go
@@ -3,7 +3,7 @@
 // minWidening is the minimum factor by which a bound grows when it is widened.
 const minWidening = 1.05
 
-// Bound limits the load of a machine, including a task that it would take, to a multiple of the mean load, as in
+// Bound limits the load of a machine, including a task that may be placed on it, to a multiple of the mean load, as in
 // consistent hashing with bounded loads. A saved fetch raises the limit: a machine that has cached the task's image may
 // have a higher load, by the imbalance that the fetch is worth.
 type Bound struct {
--- a/internal/netio/conn_test.go
+++ b/internal/netio/conn_test.go
@@ -103,7 +103,7 @@
 	defer a.Close()
 	b, err := l.Accept()
 	if err != nil {
-		t.Fatalf("accept: %v", err)
+		t.Fatalf("accept after transient errors: error %v, want a connection", err)
 	}
 	b.Close()
 	inner.Close()
--- a/internal/netio/listen.go
+++ b/internal/netio/listen.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// isTransient reports whether a later accept may succeed: there was a lack of sockets or memory, or the client aborted
-// the connection before it was accepted.
+// isTransient reports whether a later accept may succeed after the error: there was a lack of sockets or memory, or the
+// client aborted the connection before it was accepted.
 func isTransient(err error) bool {
 	for _, transient := range []syscall.Errno{
 		syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ECONNABORTED, syscall.EPROTO,
--- a/internal/placement/imagecache.go
+++ b/internal/placement/imagecache.go
@@ -2,14 +2,14 @@
 
 import "slices"
 
-// ImageCache is a model of the image cache of a machine: the images used there, most recently used first, up to the
-// cache's capacity. The zero value is empty.
+// ImageCache is a model of the image cache of a machine: the images used on the machine, most recently used first, up
+// to the cache's capacity. The zero value is empty.
 type ImageCache struct {
 	images  []string
 	sizesGB []float64
 }
 
-// Use records that an image is cached and in use, and evicts the images that no longer fit into the capacity.
+// Use records that an image is cached and in use, and evicts the least recently used images beyond the capacity.
 func (c *ImageCache) Use(image string, sizeGB, capacityGB float64) {
 	if i := slices.Index(c.images, image); i >= 0 {
 		c.images = slices.Delete(c.images, i, i+1)
--- a/internal/placement/loadbound.go
+++ b/internal/placement/loadbound.go
@@ -37,8 +37,8 @@
 	return candidate
 }
 
-// admits reports whether a machine is a candidate for a task of the group: the task fits there, and the machine's load
-// stays within the bound.
+// admits reports whether a machine is a candidate for a task of the group: the task fits on it, and the machine's load
+// with the task stays within the bound.
 func (p *placer) admits(group *Group, machineIndex int) bool {
 	if !group.Fits(p.Machines[machineIndex]) {
 		return false
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -1,6 +1,7 @@
-// Package placement assigns tasks to machines. It prefers machines that recently ran the task's image: each such
-// machine has an image affinity that decays (equations 1 to 4 of the paper) and is divided by the machine's load.
-// Successive auctions (the paper's Algorithm 1) match tasks with machines, one task per machine and auction.
+// Package placement assigns tasks to machines. It prefers machines that recently ran the task's image: a visit, which
+// is the use of an image on a machine, gives the machine an image affinity that decays (equations 1 to 4 of the paper)
+// and is divided by the machine's load. Successive auctions (the paper's Algorithm 1) match tasks with machines, one
+// task per machine and auction.
 //
 // The package owns the visit history of images. It takes groups of tasks and machines with their free capacity,
 // updates the free capacity, and returns matches. Placement is deterministic. The package performs no I/O and reads no
@@ -62,7 +63,7 @@
 	AvoidRank map[string]int
 }
 
-// Fits reports whether a machine has free capacity for one task of the group, and the constraints allow it.
+// Fits reports whether a machine has free capacity for one task of the group and the group's constraints allow it.
 func (g *Group) Fits(m *Machine) bool { return g.Request.Fits(m.Free) && g.Allows(m) }
 
 // Allows reports whether the group's constraints allow its tasks to run on a machine.
--- a/internal/placement/placer.go
+++ b/internal/placement/placer.go
@@ -130,7 +130,8 @@
 	fitsWithinBound
 )
 
-// findFits adds the fits of the tasks' groups to the map. The caller provides the map, so that it stays off the heap.
+// findFits adds the fits of the tasks' groups to the map. The caller provides the map, so that the map stays off the
+// heap.
 func (p *placer) findFits(tasks []auctionTask, fits map[*Group]fit) {
 	for _, task := range tasks {
 		if _, known := fits[task.group]; !known {
@@ -152,7 +153,7 @@
 	return best
 }
 
-// machinesWithImage returns, by machine, whether an image is known to be cached or being fetched there.
+// machinesWithImage returns, by machine, whether an image is known to be cached or being fetched on the machine.
 func (p *placer) machinesWithImage(image string) []bool {
 	has, known := p.hasImage[image]
 	if !known {
--- a/internal/rebalancer/plan.go
+++ b/internal/rebalancer/plan.go
@@ -191,8 +191,8 @@
 	return noReason
 }
 
-// bestMigrationOf returns the migration of a task with the highest benefit among those to the least loaded machines, or
-// the reason why there is none.
+// bestMigrationOf returns the migration of a task with the highest benefit among the migrations to the least loaded
+// machines, or the reason why there is no such migration.
 func (p *planner) bestMigrationOf(task *Task, from *Machine) (best Migration, reason Reason) {
 	reason = NoTarget
 	evaluated := 0
--- a/internal/rebalancer/view.go
+++ b/internal/rebalancer/view.go
@@ -13,7 +13,7 @@
 	Machines    []*Machine
 	Tasks       func(*Machine) []Task // the tasks on a machine; called only for overloaded machines
 	Stale       bool                  // the leader's view of the jobs may be out of date
-	WorkWaiting bool                  // there are waiting tasks that would take the capacity that a stopped task frees
+	WorkWaiting bool                  // waiting tasks would take the capacity that a stopped task frees
 	FetchRates  *load.FetchRates
 }
 
@@ -22,7 +22,7 @@
 	Name, Type   string
 	Capacity     load.Resources
 	Used         load.Resources // by assigned and running tasks
-	Schedulable  bool           // new tasks may be placed on it
+	Schedulable  bool           // new tasks may be placed on the machine
 	OfferPending bool           // the holder of its shard has not yet answered an offer of tasks
 	Images       []string       // images known to be cached or being fetched
 }
--- a/internal/status/status_test.go
+++ b/internal/status/status_test.go
@@ -76,7 +76,7 @@
 		t.Fatalf("the leader's answer is %+v, want a status with term 7", controllers[0])
 	}
 	if controllers[1].Problem != "its version does not know the question" {
-		t.Errorf("problem of the version without status requests is %q", controllers[1].Problem)
+		t.Errorf("problem of the version without status requests is %q, want that it does not know the question", controllers[1].Problem)
 	}
 	for _, c := range controllers[2:] {
 		if c.Status != nil || c.Problem == "" || strings.Contains(c.Problem, "\n") {
@@ -99,10 +99,10 @@
 	}
 	var decoded []Controller
 	if err := json.Unmarshal(out.Bytes(), &decoded); err != nil || len(decoded) != 4 || decoded[0].Status.Migrations[0].Task != "j-000001/3" {
-		t.Errorf("decoding the JSON output: error %v, controllers %+v", err, decoded)
+		t.Errorf("decoded JSON output: error %v, controllers %+v, want 4 controllers and the migration of j-000001/3", err, decoded)
 	}
 	if AnyAnswered(controllers[1:]) {
-		t.Error("AnyAnswered is true for controllers without an answer")
+		t.Error("AnyAnswered returned true for controllers without an answer")
 	}
 }
 
@@ -115,7 +115,7 @@
 		t.Fatal(err)
 	}
 	if s := healthy.String(); strings.Contains(s, "STOOD STILL") || strings.Contains(s, "SUSPECT") || !strings.Contains(s, "none") {
-		t.Errorf("table of a site without pauses and suspect jobs is\n%s", s)
+		t.Errorf("table of a site without pauses and suspect jobs has rows for them, or lacks a team without a limit:\n%s", s)
 	}
 	leaderStatus.Suspects = []peer.SuspectStatus{{Job: "j-000007", Team: "guest", Machines: 3, Probes: 2, NextProbeS: 7.5}}
 	pausedStatus := peer.Status{Controller: "c1", Pauses: 4, LastPause: &peer.PauseStatus{
--- a/internal/status/table.go
+++ b/internal/status/table.go
@@ -191,7 +191,7 @@
 	}
 }
 
-// refusalScope returns the machine that a refusal concerns, or "all" if it names none.
+// refusalScope returns the machine that a refusal concerns, or "all" if the refusal names no machine.
 func refusalScope(machine string) string {
 	if machine == "" {
 		return "all"
--- a/internal/store/errors.go
+++ b/internal/store/errors.go
@@ -9,7 +9,7 @@
 
 // Outcomes of failed requests. Every error of this package is an *Error that wraps one of these.
 var (
-	// ErrNotExecuted means that the request was certainly not executed; it may be retried.
+	// ErrNotExecuted means that the request was certainly not executed. The request may be retried.
 	ErrNotExecuted = errors.New("not executed")
 	// ErrOutcomeUnknown means that the request may have been executed, or may still be executed later.
 	ErrOutcomeUnknown = errors.New("outcome unknown")
@@ -21,7 +21,8 @@
 	ErrCompacted = errors.New("revision compacted")
 )
 
-// ErrRateLimited accompanies ErrNotExecuted when the request only exceeded a rate limit; it may be retried soon.
+// ErrRateLimited accompanies ErrNotExecuted when the request only exceeded a rate limit. The request may be retried
+// soon.
 var ErrRateLimited = errors.New("rate limited")
 
 // Operation is a kind of request to the state service.
--- a/internal/store/transactions.go
+++ b/internal/store/transactions.go
@@ -35,8 +35,9 @@
 	minTxnOps     = 2
 )
 
-// ReducedLimits halves the limits of bytes per value and of operations per transaction, down to their lower bounds. It
-// is called after a transaction was rejected, since a transaction of the same size would be rejected each time.
+// ReducedLimits halves the limits of bytes per value and of operations per transaction, down to their lower bounds.
+// Callers reduce the limits after a transaction was rejected, since every transaction of the same size would be
+// rejected.
 func ReducedLimits(valueBytes, txnOps int) (reducedBytes, reducedOps int) {
 	return max(valueBytes/2, minValueBytes), max(txnOps/2, minTxnOps)
 }
--- a/internal/trace/export.go
+++ b/internal/trace/export.go
@@ -31,7 +31,7 @@
 // instanceIDKey is the key of the resource attribute that names the controller.
 const instanceIDKey = "service.instance.id"
 
-// spanRecord is a span as it is written to the file, one JSON object per line.
+// spanRecord is a span as written to the file, one JSON object per line.
 type spanRecord struct {
 	TraceID      string            `json:"trace"`
 	SpanID       string            `json:"span"`
--- a/internal/trace/rotating_file.go
+++ b/internal/trace/rotating_file.go
@@ -48,7 +48,8 @@
 	return err
 }
 
-// rotate replaces the previous file by the current one and creates a new file. It can be called again after an error.
+// rotate replaces the previous file by the current one and creates a new file. After an error, rotate can be called
+// again.
 func (r *rotatingFile) rotate() error {
 	// The error is ignored: every write has returned its own, and the file may be closed already if an earlier call
 	// failed.
--- a/wire/agents.go
+++ b/wire/agents.go
@@ -17,7 +17,8 @@
 //	leewayS   grace period
 //	foreman   controller
 
-// FencingToken identifies who may send commands to an agent. An agent obeys the highest token that it has seen.
+// FencingToken identifies who may send commands to an agent. An agent refuses commands whose token is lower than the
+// highest token that it has seen.
 type FencingToken uint64
 
 // AgentEpoch counts the incarnations of an agent. A new epoch begins each time the agent's lease expires.
--- a/wire/users.go
+++ b/wire/users.go
@@ -49,7 +49,8 @@
 // Shape says whether a job is a batch or a service.
 type Shape string
 
-// Shapes of jobs. The tasks of a batch run to completion. The replicas of a service run until its user cancels it.
+// Shapes of jobs. The tasks of a batch run to completion. The replicas of a service run until its user cancels the
+// service.
 const (
 	ShapeBatch   Shape = "batch"
 	ShapeService Shape = "service"
@@ -95,7 +96,7 @@
 	FleetLoad float64 `json:"-" msgpack:",omitempty"`
 }
 
-// IsService reports whether the job is a service, whose replicas run until it is cancelled.
+// IsService reports whether the job is a service, whose replicas run until the job is cancelled.
 func (j *Job) IsService() bool { return j.Shape == ShapeService }
 
 // JobSubmission is a submission as received. Its fields are pointers to distinguish a missing field from a zero value.
