--- a/internal/api/job_cache.go
+++ b/internal/api/job_cache.go
@@ -12,9 +12,11 @@
 )
 
 const (
-	// leaderContactTimeout is how long the leader counts as reachable after the last contact.
+	// leaderContactTimeout is how long the leader counts as reachable after a message that confirms a lease renewal and
+	// the leader's access to the store.
 	leaderContactTimeout = 3 * clock.Second
-	// isolationTimeout is the time without contact to any other controller after which a controller counts as isolated.
+	// isolationTimeout is the time without contact with any other controller after which a controller counts as
+	// isolated.
 	isolationTimeout = 5 * clock.Second
 )
 
@@ -58,8 +60,8 @@
 // Post queues a message. It blocks while the mailbox is full.
 func (c *JobCache) Post(message Message) { c.mailbox <- envelope{c.now(), message} }
 
-// Lookup returns a View of a job. With an empty reference, the View has only the data that concerns no job. Lookup
-// waits for Run to answer.
+// Lookup returns a View of a job. With an empty reference, the View has only the data about the cluster. Lookup waits
+// for Run to answer.
 func (c *JobCache) Lookup(ref string) View {
 	request := viewRequested{ref, make(chan View, 1)}
 	c.Post(request)
@@ -89,8 +91,8 @@
 	Types      []wire.MachineType
 	Count      peer.TaskCount
 	FinalState *leader.FinalStateRecord
-	// UnansweredFor is how long polls for the job have failed on this controller without one being answered. It is 0
-	// if the last one was answered.
+	// UnansweredFor is the time since the first of the polls for the job that have failed on this controller since a
+	// poll was last answered. It is 0 if the last poll was answered.
 	UnansweredFor   clock.Micros
 	LeaderReachable bool // a leader with access to the store sent a message to this controller recently
 	Isolated        bool // no recent contact with any other controller
@@ -100,14 +102,14 @@
 type cacheState struct {
 	hasPeers bool
 
-	term   cluster.Term
-	leader string
-	types  []wire.MachineType
+	term         cluster.Term
+	leader       string
+	machineTypes []wire.MachineType
 
 	lastLeaderContact clock.Micros // 0: none since the last change of leader
 	lastPeerContact   clock.Micros
 
-	counts          *boundedMap[peer.TaskCount]
+	taskCounts      *boundedMap[peer.TaskCount]
 	finalStates     *boundedMap[leader.FinalStateRecord]
 	unansweredSince *boundedMap[clock.Micros]
 }
@@ -116,7 +118,7 @@
 	size := cachedJobsPerMap(cfg)
 	return &cacheState{
 		hasPeers:        len(cfg.Peers) > 0,
-		counts:          newBoundedMap[peer.TaskCount](size),
+		taskCounts:      newBoundedMap[peer.TaskCount](size),
 		finalStates:     newBoundedMap[leader.FinalStateRecord](size),
 		unansweredSince: newBoundedMap[clock.Micros](size),
 	}
@@ -133,10 +135,10 @@
 	case LeaderMessage:
 		s.handleLeaderMessage(m.Message, postedAt)
 	case catalogRead:
-		s.types = m.types
+		s.machineTypes = m.types
 	case jobEnded:
 		s.finalStates.put(m.ref, m.final)
-		s.counts.remove(m.ref)
+		s.taskCounts.remove(m.ref)
 	case pollAnswered:
 		s.unansweredSince.remove(m.ref)
 	case pollFailed:
@@ -150,13 +152,13 @@
 
 func (s *cacheState) handleLeaderMessage(m *peer.FromLeader, postedAt clock.Micros) {
 	if len(m.Types) > 0 {
-		s.types = m.Types
+		s.machineTypes = m.Types
 	}
 	if m.RenewedSeq > 0 && m.StoreOK && m.Term == s.term {
 		s.lastLeaderContact = postedAt
 	}
 	for _, count := range m.TaskCounts {
-		s.counts.put(count.Job, count)
+		s.taskCounts.put(count.Job, count)
 	}
 }
 
@@ -164,14 +166,14 @@
 	view := View{
 		Term:            s.term,
 		Leader:          s.leader,
-		Types:           s.types,
+		Types:           s.machineTypes,
 		LeaderReachable: s.lastLeaderContact > 0 && now-s.lastLeaderContact < leaderContactTimeout,
 		Isolated:        s.hasPeers && now-s.lastPeerContact > isolationTimeout,
 	}
 	if since, ok := s.unansweredSince.get(ref); ok {
 		view.UnansweredFor = now - since
 	}
-	view.Count, _ = s.counts.get(ref)
+	view.Count, _ = s.taskCounts.get(ref)
 	if final, ok := s.finalStates.get(ref); ok {
 		view.FinalState = &final
 	}
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -1,7 +1,7 @@
 // Package cloud is the client of the cloud's API, which provisions and deletes machines.
 //
 // The client owns the leader's share of the API's rate limit: each call waits until the limit allows it. The client
-// never retries, since a call without an answer may have been executed, and it does not cache answers. The leader
+// never retries, since a call without an answer may have been executed. The client does not cache answers. The leader
 // decides what to provision and delete, and when.
 package cloud
 
@@ -25,8 +25,8 @@
 	callTimeout    = 5 * time.Second
 	// rateLimitFraction is the fraction of the rate limit that the client uses.
 	rateLimitFraction = 0.95
-	// burstSeconds is the burst size in seconds of the rate limit. The cloud allows bursts of two seconds. The rest is
-	// left for calls of the previous leader.
+	// burstSeconds is the burst size in seconds of the rate limit. The cloud allows bursts of two seconds. The
+	// difference is left for calls of the previous leader.
 	burstSeconds = 1.5
 )
 
@@ -52,7 +52,8 @@
 }
 
 // Provision requests machines and returns the names of the provisioned machines, which may be fewer than requested. It
-// is idempotent: the same request returns the same machines. ErrNoCapacity means that no machine is available.
+// is idempotent: a request with the same ID returns the same machines. ErrNoCapacity means that no machine is
+// available.
 func (c *Client) Provision(ctx context.Context, request wire.ProvisionRequest) ([]string, error) {
 	var machines wire.MachineNames
 	err := c.do(ctx, call{
--- a/internal/load/bound.go
+++ b/internal/load/bound.go
@@ -3,7 +3,7 @@
 // minWidening is the minimum factor by which a bound grows when it is widened.
 const minWidening = 1.05
 
-// Bound limits the load of a machine, including a task that it would take, to a multiple of the mean load, as in
+// Bound limits the load of a machine, including a task that may be placed on it, to a multiple of the mean load, as in
 // consistent hashing with bounded loads. A saved fetch raises the limit: a machine that has cached the task's image may
 // have a higher load, by the imbalance that the fetch is worth.
 type Bound struct {
@@ -21,8 +21,8 @@
 	SavedFetchS float64 // image fetch time saved on this machine
 }
 
-// Allows reports whether a candidate is within the bound. A machine without other tasks always is, whatever the size of
-// the task: no machine would end up with a lower load.
+// Allows reports whether a candidate is within the bound. A machine without other tasks is always within the bound,
+// whatever the size of the task: no machine would end up with a lower load.
 func (b Bound) Allows(candidate Candidate, mean float64) bool {
 	limit := (b.MaxRelativeLoad + candidate.SavedFetchS/b.ImbalanceCostS) * mean
 	return candidate.Load <= max(limit, candidate.TaskLoad)+tolerance
--- a/internal/rebalancer/plan.go
+++ b/internal/rebalancer/plan.go
@@ -58,7 +58,7 @@
 // reasonAgainstAll returns the reason why no task is migrated now, or noReason.
 func (r *Rebalancer) reasonAgainstAll(now clock.Micros, view *View) Reason {
 	switch {
-	case now-r.startedAt < r.params.LeaderCooldown:
+	case now-r.termStartedAt < r.params.LeaderCooldown:
 		return LeaderChanged
 	case view.Stale:
 		return StaleView
@@ -121,7 +121,7 @@
 	p.remainingBudget--
 }
 
-// overloaded returns the machines that are to lose tasks, the highest load first.
+// overloaded returns the machines that tasks should be migrated off, the highest load first.
 func (p *planner) overloaded() []*Machine {
 	end := slices.IndexFunc(p.schedulable, func(machine *Machine) bool {
 		return machine.Load() <= p.params.MigrateAbove*p.mean || machine.Load() <= p.params.MinLoad
@@ -191,8 +191,8 @@
 	return noReason
 }
 
-// bestMigrationOf returns the migration of a task with the highest benefit among those to the least loaded machines, or
-// the reason why there is none.
+// bestMigrationOf returns the migration of a task with the highest benefit among the migrations to the least loaded
+// machines, or the reason why there is no such migration.
 func (p *planner) bestMigrationOf(task *Task, from *Machine) (best Migration, reason Reason) {
 	reason = NoTarget
 	evaluated := 0
--- a/internal/store/token_bucket.go
+++ b/internal/store/token_bucket.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	// slowDownFactor multiplies the rate after an answer that a limit is exceeded.
+	// slowDownFactor multiplies the rate after the state service answered that a rate limit was exceeded.
 	slowDownFactor = 0.7
 	// minBudgetFraction is the smallest fraction of the budget that is used.
 	minBudgetFraction = 0.25
@@ -33,7 +33,8 @@
 	return Budget{b.budget.RequestsPerSecond * b.budgetFraction, b.budget.WritesPerSecond * b.budgetFraction}
 }
 
-// slowDown reduces the rate after an answer that a limit is exceeded.
+// slowDown reduces the rate and empties the bucket. It is called after the state service answered that a rate limit was
+// exceeded.
 func (b *tokenBucket) slowDown() {
 	b.budgetFraction = max(minBudgetFraction, b.budgetFraction*slowDownFactor)
 	b.requests, b.writes = 0, 0
@@ -55,11 +56,11 @@
 	b.writes -= float64(r.writes)
 }
 
-// missingRequests returns how many request tokens are missing for one request.
-func (b *tokenBucket) missingRequests() float64 { return 1 - b.requests }
+// missingRequestTokens returns how many request tokens are missing for one request.
+func (b *tokenBucket) missingRequestTokens() float64 { return 1 - b.requests }
 
-// missingWrites returns how many write tokens are missing for the request. A request that needs more than the bucket
-// can hold only has to wait until the bucket is full.
-func (b *tokenBucket) missingWrites(r *pendingRequest) float64 {
+// missingWriteTokens returns how many write tokens are missing for the request. A request that needs more tokens than
+// the bucket can hold only has to wait until the bucket is full.
+func (b *tokenBucket) missingWriteTokens(r *pendingRequest) float64 {
 	return min(float64(r.writes), max(b.rate().WritesPerSecond, 1)) - b.writes
 }
