--- a/cmd/loopback/main.go
+++ b/cmd/loopback/main.go
@@ -1,4 +1,4 @@
-// Command loopback runs a small cluster on 127.0.0.1 with real controllers and fakes of all other parts. It serves to
+// Command loopback runs a small cluster on 127.0.0.1 with real controllers and fakes of all other parts. It is used to
 // try out and to measure the scheduler.
 package main
 
--- a/internal/compat/compat_test.go
+++ b/internal/compat/compat_test.go
@@ -29,7 +29,7 @@
 	return raw
 }
 
-// codec is one of the two encodings that are exchanged between versions.
+// codec is one of the two encodings in which versions exchange values, with the samples that have it.
 type codec struct {
 	ext       string
 	samples   []sample
@@ -147,7 +147,7 @@
 		t.Fatal(err)
 	}
 	if want := testdata(t, "choices.json"); !bytes.Equal(bytes.TrimSpace(want), raw) {
-		t.Errorf("choices are %s", raw)
+		t.Errorf("computed values differ from production's: %s", raw)
 	}
 }
 
--- a/internal/fake/agent.go
+++ b/internal/fake/agent.go
@@ -99,7 +99,8 @@
 	a.RunCommands = map[string]int{}
 }
 
-// Reboot starts a new first session under the same name. The agent keeps no tasks, images or session data from before.
+// Reboot restarts the agent under the same name. It keeps no tasks, images or session data, so its agent epoch is 1
+// again.
 func (a *Agent) Reboot(now clock.Micros) {
 	a.dropTasks(now)
 	a.Boot(now)
--- a/internal/fake/agent_commands.go
+++ b/internal/fake/agent_commands.go
@@ -20,11 +20,12 @@
 type CommandsResult struct {
 	Status    int // 200; 409 if the batch has another agent epoch or an outdated fencing token
 	Heartbeat *wire.Heartbeat
-	Changed   bool // the next heartbeat differs from the previous one
+	Changed   bool // a task changed or the fencing token increased, so a heartbeat is due soon
 }
 
 // HandleResponse handles a 200 response to the heartbeat that was sent at sentAt with agentEpoch: it renews the lease
-// and executes the commands. It reports whether anything changed.
+// and executes the commands. It ignores a response that is late, has an outdated fencing token or belongs to another
+// agent epoch. It reports whether anything changed.
 func (a *Agent) HandleResponse(
 	now, sentAt clock.Micros, agentEpoch wire.AgentEpoch, response wire.HeartbeatResponse,
 ) bool {
@@ -84,7 +85,8 @@
 	return false
 }
 
-// killTask stops a task. A running task saves a checkpoint first if the grace period is long enough.
+// killTask stops a task. A running task saves a checkpoint first if its job has checkpoints and the grace period is long
+// enough.
 func (a *Agent) killTask(now clock.Micros, task *Task, graceS *float64) {
 	grace := 0.0
 	if graceS != nil {
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -40,8 +40,9 @@
 	return &Cloud{Types: types, ListLag: listLag, Instances: map[string]*Instance{}, namesByRequest: map[string][]string{}}
 }
 
-// Provision creates the machines of a request and returns their names. A repeated request ID returns the names of
-// the first request. The result is false if there is no capacity or the machine type is unknown.
+// Provision creates the machines of a request, or as many of them as the capacity allows, and returns their names. A
+// repeated request ID returns the names of the first request. The result is false if there is no capacity or the
+// machine type is unknown.
 func (c *Cloud) Provision(now clock.Micros, request wire.ProvisionRequest) ([]string, bool) {
 	if names, ok := c.namesByRequest[request.RequestID]; ok {
 		return names, true
--- a/internal/loopback/surge.go
+++ b/internal/loopback/surge.go
@@ -14,7 +14,7 @@
 // Factor. The jobs are spread over all controllers.
 type Surge struct {
 	JobInterval time.Duration // between two jobs of one team at the steady rate
-	Factor      int           // increase of the first team's rate during the surge
+	Factor      int           // multiplies the first team's rate during the surge
 	WarmUp      time.Duration // steady load before the surge
 	Duration    time.Duration // of the surge
 	CoolDown    time.Duration // steady load after the surge, which is still measured
@@ -241,7 +241,7 @@
 }
 
 // RunUntilCancelled submits jobs at the steady rate until ctx is cancelled. Each value received from surgeRequests
-// starts a surge.
+// starts a surge, during which only the first team submits jobs, at its increased rate.
 func (s Surge) RunUntilCancelled(ctx context.Context, c *Cluster, surgeRequests <-chan struct{}) {
 	teams := c.env.config.Teams
 	var surgeEnd time.Time
--- a/internal/scenario/agent_test.go
+++ b/internal/scenario/agent_test.go
@@ -16,7 +16,7 @@
 	heartbeatRetry = clock.Second
 	// redirectDelay is how long it waits before it follows a redirect.
 	redirectDelay = 100 * clock.Millisecond
-	// minHeartbeatInterval is the least time between two heartbeats of an agent.
+	// minHeartbeatInterval is the minimum time between two heartbeats of an agent.
 	minHeartbeatInterval = clock.Second / 2
 )
 
@@ -37,13 +37,13 @@
 	heartbeatPending bool // a heartbeat waits for its reply
 }
 
-// machineNetwork are the faults of a machine's network connection.
+// machineNetwork holds the faults of a machine's network connection.
 type machineNetwork struct {
 	unreachable       bool         // all messages are dropped
 	inboundDropped    bool         // messages to the machine are dropped, messages from it arrive
 	heartbeatsDropped bool         // its heartbeats are dropped, commands arrive
 	delayedUntil      clock.Micros // messages are delayed until then
-	duplicateDelay    clock.Micros // greatest delay of duplicated heartbeats and commands, beyond a second; 0 if none
+	duplicateDelay    clock.Micros // a copy of each heartbeat and command arrives after a second and up to this much more; 0: no copies
 }
 
 // hasFaults reports whether any fault of the machine is active.
@@ -99,7 +99,7 @@
 	agentEpoch wire.AgentEpoch
 	sentAt     clock.Micros
 	controller *simController
-	completed  bool // it got a reply, or failed
+	completed  bool // it got a reply or timed out, or its controller does not run
 }
 
 // sendHeartbeat sends a heartbeat to the agent's current controller.
--- a/internal/scenario/commands_controllers_test.go
+++ b/internal/scenario/commands_controllers_test.go
@@ -93,7 +93,7 @@
 	return fmt.Sprintf("%.0f s: %s", p.Length().Seconds(), strings.Join(p.Expired, ", "))
 }
 
-// catalogCommand tells whether the machine types are stored, where all controllers read them.
+// catalogCommand tells whether the machine types are stored in the state service, from which all controllers read them.
 func catalogCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	for _, c := range w.controllers {
 		if _, ok := w.store.Get(leader.CatalogKey); !ok {
--- a/internal/scenario/commands_jobs_test.go
+++ b/internal/scenario/commands_jobs_test.go
@@ -77,8 +77,8 @@
 	return w.awaitState(w.controllerArg(t, d), ref, arg(t, d, "state", string(wire.JobDone)), duration(t, d, "within"))
 }
 
-// queryOftenCommand makes users query unfinished jobs at every tick, and all controllers as soon as one of them first
-// reports a job or reports its final state.
+// queryOftenCommand makes users query unfinished jobs at every tick. They also query a job and submit it again at all
+// controllers as soon as one of them first reports the job or reports its final state.
 func queryOftenCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	w.users.queryOften = !d.HasArg("off")
 	return ""
--- a/internal/scenario/commands_machines_test.go
+++ b/internal/scenario/commands_machines_test.go
@@ -40,7 +40,8 @@
 	return ""
 }
 
-// workerCommand sets the faults of agents and their machines, or reboots, fails or preempts the machines.
+// workerCommand sets the faults of agents and their machines, and clears those that it does not name. It can also
+// reboot the machines, make them fail or give them a preemption notice.
 func workerCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	for _, s := range w.agentsArg(t, d) {
 		s.network = machineNetwork{
@@ -142,7 +143,8 @@
 	return "in time"
 }
 
-// runCommandsCommand tells whether all agents together have received few run commands for a job.
+// runCommandsCommand tells whether all agents together have executed at most a number of run commands for a job since
+// their last boot.
 func runCommandsCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	ref := arg(t, d, "ref", "")
 	n, limit := 0, arg(t, d, "most", 1)
--- a/internal/scenario/controller_holder_test.go
+++ b/internal/scenario/controller_holder_test.go
@@ -17,7 +17,7 @@
 	commandTimeout = 3 * clock.Second
 	// connectTimeout is how long a connection attempt to an unreachable agent takes to fail.
 	connectTimeout = clock.Second
-	// extraCommandDelayRange is the greatest delay of a late command beyond minExtraDelay.
+	// extraCommandDelayRange is the maximum delay of a late command beyond minExtraDelay.
 	extraCommandDelayRange = 14 * clock.Second
 )
 
@@ -38,7 +38,7 @@
 	case shard.PauseDetected:
 		c.pauses.Add(x.Pause)
 	case shard.Log:
-		// The holder logs only contradictory state, which the fakes never produce.
+		// The holder logs only agent statuses that contradict themselves, which the fakes never send.
 		c.world.reportViolation("%s: %v", x.Message, x.Attributes)
 	case shard.SendCommands:
 		c.sendCommands(x)
--- a/internal/scenario/controller_leader_test.go
+++ b/internal/scenario/controller_leader_test.go
@@ -124,7 +124,8 @@
 
 // callCloud sends a request to the cloud and passes the response to the leader, even if it has lost leadership
 // meanwhile. With the fault of late requests, the cloud may execute the request late, after the leader stopped
-// waiting. A request that fails passes failure to the leader, unless that is nil.
+// waiting. If the cloud is down or the request is late, the leader gets the message failure, unless that is nil. A
+// request from a partitioned zone is lost without any message to the leader.
 func (c *simController) callCloud(execute func() leader.Message, failure leader.Message) {
 	w := c.world
 	fail := func() {
--- a/internal/scenario/controller_store_test.go
+++ b/internal/scenario/controller_store_test.go
@@ -17,7 +17,7 @@
 	storeRetry = 100 * clock.Millisecond
 	// leaderKeyRetry is how long it waits before it retries a read of the leader's key.
 	leaderKeyRetry = 200 * clock.Millisecond
-	// minExtraDelay and extraDelayRange bound the delay of a late message: the least delay and the range above it.
+	// minExtraDelay is the minimum delay of a late message, and extraDelayRange the range of delays above it.
 	minExtraDelay, extraDelayRange = 2 * clock.Second, 10 * clock.Second
 )
 
--- a/internal/scenario/controller_test.go
+++ b/internal/scenario/controller_test.go
@@ -40,7 +40,7 @@
 	loadedRevision    uint64       // revision up to which it has seen the jobs
 }
 
-// controllerFaults are the current faults of a controller.
+// controllerFaults holds the current faults of a controller.
 type controllerFaults struct {
 	storeUnreachable     bool    // for this controller only
 	peersUnreachable     bool    // the other controllers
@@ -126,7 +126,8 @@
 	}
 }
 
-// ifSameProcess returns a function that runs f only if the process has not been restarted since this call.
+// ifSameProcess returns a function that runs f at once, or when the process resumes if it is paused. The function does
+// nothing if the process has crashed since this call, even if the controller runs again.
 func (c *simController) ifSameProcess(f func()) func() {
 	incarnation := c.incarnation
 	return func() {
--- a/internal/scenario/deployments_test.go
+++ b/internal/scenario/deployments_test.go
@@ -28,7 +28,7 @@
 	runSeconds  float64 // of each task
 }
 
-// zonesOfDeployments returns all zones; each deployment uses the first few.
+// zonesOfDeployments returns the zones that deployments use: each uses the first one, the first three or all of them.
 func zonesOfDeployments() []string { return []string{"a", "b", "c", "d"} }
 
 // deployments returns the clusters that operators run.
@@ -211,7 +211,8 @@
 	}
 }
 
-// mustSubmit submits a job at a controller that its number selects in turn, and fails the test if it is not accepted.
+// mustSubmit submits a job and fails the test if it is not accepted. Jobs with consecutive numbers go to the controllers
+// in turn.
 func (w *world) mustSubmit(t *testing.T, number int, j wire.Job) {
 	t.Helper()
 	body, err := json.Marshal(j)
--- a/internal/scenario/faults_test.go
+++ b/internal/scenario/faults_test.go
@@ -31,7 +31,7 @@
 	inject func(w *world, f fault) (end func())
 }
 
-// faultKinds returns the kinds of faults that operators have reported (docs/meetings.md). A seed draws a kind by its
+// faultKinds returns the kinds of faults that operators have named (docs/meetings.md). A seed draws a kind by its
 // index, so new kinds must be appended.
 func faultKinds() []faultKind {
 	return []faultKind{
--- a/internal/scenario/machines_test.go
+++ b/internal/scenario/machines_test.go
@@ -7,16 +7,16 @@
 	"swiftledge/wire"
 )
 
-// machines holds the cluster's booted machines with their agents, and the instances that are still booting.
+// machines holds the machines on which an agent has started, and the instances on which none has started yet.
 type machines struct {
 	agents        []*simAgent
 	byName        map[string]*simAgent
 	outputs       *fake.Outputs
-	booting       []*fake.Instance // created, but not up yet
+	booting       []*fake.Instance // created, but without an agent yet
 	instancesSeen int              // number of the cloud's created instances that were added to booting so far
 }
 
-// agentByName returns the agent of a machine, or nil if the machine has never booted.
+// agentByName returns the agent of a machine, or nil if none has started on the machine.
 func (w *world) agentByName(name string) *simAgent { return w.machines.byName[name] }
 
 // addMachine adds a machine that is up and listed from the start of the simulation.
@@ -68,7 +68,7 @@
 	w.machines.byName[s.Name] = s
 }
 
-// workload provides the fake agents with the users' jobs and the behaviour of their tasks.
+// workload provides the fake agents with the users' jobs and the behavior of their tasks.
 type workload struct{ world *world }
 
 // Job implements fake.Workload.
--- a/internal/scenario/peer_link_test.go
+++ b/internal/scenario/peer_link_test.go
@@ -14,7 +14,7 @@
 const (
 	// linkRetry is how long a follower waits before it tries to connect again.
 	linkRetry = 300 * clock.Millisecond
-	// linkTimeout is how long after a message that could not be delivered a link breaks.
+	// linkTimeout is the time from a message that cannot be delivered until its link breaks.
 	linkTimeout = 4 * clock.Second
 )
 
--- a/internal/scenario/size_test.go
+++ b/internal/scenario/size_test.go
@@ -12,7 +12,7 @@
 	"swiftledge/wire"
 )
 
-// electionTime is how long a new cluster runs until a controller leads.
+// electionTime is the time that a new cluster gets to elect its leader.
 const electionTime = 3 * clock.Second
 
 // heapMB returns the size of the heap in use, after a garbage collection.
@@ -123,7 +123,7 @@
 	t.Helper()
 	for _, s := range w.machines.agents {
 		if s.AgentEpoch > 1 && !s.terminated {
-			t.Fatalf("the agent lease of %s expired, in a restart of all controllers with replies to all agents after %.1f s",
+			t.Fatalf("the agent lease of %s expired; all agents got a reply %.1f s after all controllers restarted",
 				s.Name, recovery.Seconds())
 		}
 	}
--- a/internal/scenario/users_test.go
+++ b/internal/scenario/users_test.go
@@ -17,10 +17,10 @@
 	runSeconds    map[string]float64  // real run time of each task; 0 for a service that does not end
 	failEveryNth  map[string]int      // N if every Nth task fails on any machine; 0 if none fails
 	acceptedAt    map[string]clock.Micros
-	cancelledAt   map[string]clock.Micros  // when the user got the response
+	cancelledAt   map[string]clock.Micros  // when the user got the response that the job is cancelled
 	reportedState map[string]wire.JobState // latest state that any controller reported
 	randomJobs    int                      // number of jobs that random worlds have submitted
-	queryOften    bool                     // users query at every tick, and all controllers after a first or final state
+	queryOften    bool                     // users query at every tick, and query and resubmit everywhere after a first or final state
 }
 
 func newUsers() users {
@@ -71,8 +71,8 @@
 	return string(r.Status.State)
 }
 
-// awaitState runs the cluster until a controller reports a state of a job. The state "off" means that the job has no
-// active tasks.
+// awaitState runs the cluster until the controller reports that a job is in a state, or until the timeout. The state
+// "off" means that the job has no active tasks.
 func (w *world) awaitState(c *simController, ref, state string, timeout clock.Micros) string {
 	for end := w.now + timeout; w.now < end; {
 		if state == "off" { // checked at every tick, to return at the one at which the last task ends
--- a/internal/scenario/waiting_rule_test.go
+++ b/internal/scenario/waiting_rule_test.go
@@ -11,8 +11,8 @@
 const (
 	// maxWait is how long a job may wait although there is free capacity for it, once all faults are over.
 	maxWait = 90 * clock.Second
-	// maxRetryDelay is the longest time between the starts of two tasks of a job with tasks that fail on any machine: the
-	// longest backoff and the time to place a task.
+	// maxRetryDelay is how long a job with tasks that fail on any machine may wait after the last start of one of its
+	// tasks: the longest backoff and the time to place a task.
 	maxRetryDelay = 40 * clock.Second
 )
 
@@ -21,11 +21,11 @@
 	cpus, memoryGB float64
 }
 
-// occupancy sums up the tasks on all machines that have not exited.
+// occupancy holds the free capacity of each machine and what the tasks that have not exited use in total.
 type occupancy struct {
 	free       map[*simAgent]freeCapacity
 	cpusByTeam map[string]float64
-	tasksByJob map[string]int // number of tasks
+	tasksByJob map[string]int // number of tasks that have not exited
 }
 
 // checkWaitingJobs checks, once a second, that no job waits longer than maxWait while an allowed machine has free
@@ -94,7 +94,9 @@
 	return false
 }
 
-// mayStart reports whether another task of a batch job without zone constraints may start now under the team's limit.
+// mayStart reports whether the limit of a job's team and the backoff after failures allow another task of the job to
+// start now. It returns false for a job with a final state, and for services and jobs with zone constraints, whose
+// waiting is not checked.
 func (w *world) mayStart(job *wire.Job, occupied *occupancy) bool {
 	if _, ended := w.store.Get(leader.FinalStatePrefix + job.Ref); ended {
 		return false
--- a/internal/scenario/world_test.go
+++ b/internal/scenario/world_test.go
@@ -37,7 +37,7 @@
 	goroutines    sync.WaitGroup // of the controllers
 }
 
-// worldFaults are the current faults outside of controllers and machines.
+// worldFaults holds the current faults outside of controllers and machines.
 type worldFaults struct {
 	// The zone is partitioned from everything else. Messages sent meanwhile are delivered when the partition ends.
 	partitionedZone   string
@@ -85,7 +85,8 @@
 	w.goroutines.Wait()
 }
 
-// tick expires leases, ticks the controllers and agents, checks the rules, and schedules the next tick.
+// tick expires leases, ticks the controllers, boots machines, ticks the agents, checks the rules, and schedules the next
+// tick.
 func (w *world) tick() {
 	w.store.ExpireLeases(w.now)
 	for _, c := range w.controllers {
