--- a/internal/scenario/commands_machines_test.go
+++ b/internal/scenario/commands_machines_test.go
@@ -127,7 +127,7 @@
 // activeMachinesCommand counts the machines with active tasks of a job.
 func activeMachinesCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	ref := arg(t, d, "ref", "")
-	return fmt.Sprint(len(w.machinesOf(ref)))
+	return fmt.Sprint(len(w.agentsRunning(ref)))
 }
 
 // awaitActiveCommand waits until a number of a job's tasks are active.
--- a/internal/scenario/machines_test.go
+++ b/internal/scenario/machines_test.go
@@ -110,8 +110,8 @@
 	}
 }
 
-// machinesOf returns the agents of the machines with active tasks of a job.
-func (w *world) machinesOf(ref string) (agents []*simAgent) {
+// agentsRunning returns the agents of the machines with active tasks of a job.
+func (w *world) agentsRunning(ref string) (agents []*simAgent) {
 	for _, s := range w.machines.agents {
 		if s.activeTasks(ref) > 0 {
 			agents = append(agents, s)
--- a/internal/scenario/size_test.go
+++ b/internal/scenario/size_test.go
@@ -43,11 +43,11 @@
 // controllers, at the size that operators' clusters may reach. No agent lease may expire while a new leader takes over.
 func TestCostAtSize(t *testing.T) {
 	for _, d := range deployments() {
-		t.Run(d.name, func(t *testing.T) { costAtSize(t, &d) })
+		t.Run(d.name, func(t *testing.T) { checkCostAtSize(t, &d) })
 	}
 }
 
-func costAtSize(t *testing.T, d *deployment) {
+func checkCostAtSize(t *testing.T, d *deployment) {
 	w := d.world(t.Name())
 	t.Cleanup(w.stop)
 	w.run(electionTime)
