--- a/internal/compat/compat_test.go
+++ b/internal/compat/compat_test.go
@@ -92,7 +92,7 @@
 				t.Errorf("%s decodes to %+v in production", s.name, got)
 			}
 			if again, err := c.marshal(got); err != nil || !bytes.Equal(again, productionBytes) {
-				t.Errorf("%s is encoded again as %q, %v", s.name, again, err)
+				t.Errorf("%s: production encodes the decoded value as %q (error %v)", s.name, again, err)
 			}
 		}
 	}
@@ -127,7 +127,7 @@
 	}
 	var record oldJobRecord
 	if err := goccy.Unmarshal(raw, &record); err != nil || record.Spec.Tasks != 3 || record.Spec.EstimateS != 0 {
-		t.Errorf("the record of a service decodes to %+v, %v", record, err)
+		t.Errorf("the record of a service decodes to %+v (error %v)", record, err)
 	}
 	raw, err = msgpack.Marshal(peer.FromLeader{Orders: []peer.ShardOrders{{Offers: []peer.TaskOffer{{Job: service, TaskIndexes: []int{0}}}}}})
 	if err != nil {
@@ -135,7 +135,7 @@
 	}
 	var down oldDown
 	if err := msgpack.Unmarshal(raw, &down); err != nil || down.Orders[0].Offers[0].Job.Ref != service.Ref {
-		t.Errorf("an offer of a service decodes to %+v, %v", down, err)
+		t.Errorf("an offer of a service decodes to %+v (error %v)", down, err)
 	}
 }
 
--- a/internal/compat/exact_test.go
+++ b/internal/compat/exact_test.go
@@ -265,7 +265,7 @@
 	if err := unmarshal(raw, got.Interface()); err != nil {
 		t.Error(err)
 	} else if !reflect.DeepEqual(got.Elem().Interface(), want) {
-		t.Errorf("decoded as %+v", got.Elem())
+		t.Errorf("decoded as %+v, want the value that was encoded", got.Elem())
 	}
 }
 
@@ -285,7 +285,7 @@
 			want := lines["json:"+s.name]
 			for name, marshal := range jsonEncoders() {
 				if raw, err := marshal(s.value); err != nil || string(raw) != want {
-					t.Errorf("%s encodes %s, %v, want %s", name, raw, err, want)
+					t.Errorf("%s encodes it as %s (error %v), want %s", name, raw, err, want)
 				}
 			}
 			checkDecodes(t, []byte(want), s.value, json.Unmarshal)
@@ -302,7 +302,7 @@
 			want := lines["msgpack:"+s.name]
 			raw, err := msgpack.Marshal(s.value)
 			if err != nil || hex.EncodeToString(raw) != want {
-				t.Errorf("encoded as %x, %v, want %s", raw, err, want)
+				t.Errorf("encoded as %x (error %v), want %s", raw, err, want)
 			}
 			wantBytes, err := hex.DecodeString(want)
 			if err != nil {
@@ -329,7 +329,7 @@
 		writeTestdata(t, "status_output.json", out.Bytes(), nil)
 	}
 	if want := testdata(t, "status_output.json"); !bytes.Equal(out.Bytes(), want) {
-		t.Errorf("printed\n%s", out.String())
+		t.Errorf("status --json printed unexpected output:\n%s", out.String())
 	}
 	checkDecodes(t, out.Bytes(), controllers, json.Unmarshal)
 }
@@ -342,7 +342,7 @@
 			t.Run(s.name, func(t *testing.T) {
 				raw, err := c.marshal(s.value)
 				if want := testdata(t, s.name+c.ext); err != nil || !bytes.Equal(raw, want) {
-					t.Errorf("encoded as %q, %v, want %q", raw, err, want)
+					t.Errorf("encoded as %q (error %v), want %q", raw, err, want)
 				}
 			})
 		}
--- a/internal/scenario/random_faults_test.go
+++ b/internal/scenario/random_faults_test.go
@@ -64,12 +64,12 @@
 	// earliestFault and latestFault bound the start times of random faults.
 	earliestFault = 12 * clock.Second
 	latestFault   = 75 * clock.Second
-	// recoveryTime is how long a world runs without faults, so that all accepted jobs can complete.
+	// recoveryTime is how long a world runs without faults, so that all accepted batch jobs can end.
 	recoveryTime = 130 * clock.Second
 )
 
-// TestRandomFaults verifies that overlapping faults violate no rule of the protocol, and that all accepted jobs run to
-// completion after the faults. Rapid shrinks a world that violates a rule to a few faults.
+// TestRandomFaults verifies that overlapping faults violate no rule of the protocol, and that all accepted batch jobs
+// reach a final state after the faults. Rapid shrinks a world that violates a rule to a few faults.
 func TestRandomFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) { runRandomFaults(t, 30, 150, config.DefaultTuning().Spread) })
 }
