--- a/internal/fake/agent_commands.go
+++ b/internal/fake/agent_commands.go
@@ -85,8 +85,8 @@
 	return false
 }
 
-// killTask stops a task. A running task saves a checkpoint first if its job has checkpoints and the grace period is long
-// enough.
+// killTask stops a task. A running task saves a checkpoint first if its job has checkpoints and the grace period is
+// long enough.
 func (a *Agent) killTask(now clock.Micros, task *Task, graceS *float64) {
 	grace := 0.0
 	if graceS != nil {
