--- a/internal/scenario/size_test.go
+++ b/internal/scenario/size_test.go
@@ -12,7 +12,7 @@
 	"swiftledge/wire"
 )
 
-// electionTime is how long a new cluster runs until a controller leads.
+// electionTime is the time that a new cluster gets to elect its leader.
 const electionTime = 3 * clock.Second
 
 // heapMB returns the size of the heap in use, after a garbage collection.
@@ -43,11 +43,11 @@
 // controllers, at the size that operators' clusters may reach. No agent lease may expire while a new leader takes over.
 func TestCostAtSize(t *testing.T) {
 	for _, d := range deployments() {
-		t.Run(d.name, func(t *testing.T) { costAtSize(t, &d) })
+		t.Run(d.name, func(t *testing.T) { checkCostAtSize(t, &d) })
 	}
 }
 
-func costAtSize(t *testing.T, d *deployment) {
+func checkCostAtSize(t *testing.T, d *deployment) {
 	w := d.world(t.Name())
 	t.Cleanup(w.stop)
 	w.run(electionTime)
@@ -123,7 +123,7 @@
 	t.Helper()
 	for _, s := range w.machines.agents {
 		if s.AgentEpoch > 1 && !s.terminated {
-			t.Fatalf("the agent lease of %s expired, in a restart of all controllers with replies to all agents after %.1f s",
+			t.Fatalf("the agent lease of %s expired; all agents got a reply %.1f s after all controllers restarted",
 				s.Name, recovery.Seconds())
 		}
 	}
