--- a/internal/leader/assignment/assignment.go
+++ b/internal/leader/assignment/assignment.go
@@ -1,7 +1,7 @@
 // Package assignment decides which controller holds the lease of which shard. It owns the leader's knowledge of the
 // shard holders and of which controllers are fit to hold shards. Its input is the shards, the controllers and the time,
-// its output the shards whose holder has changed. It does no I/O, writes no keys and grants no shards: the leader does
-// that.
+// its output the shards whose holder has changed. The package does no I/O, writes no keys and grants no shards: the
+// leader does.
 package assignment
 
 import (
@@ -27,9 +27,9 @@
 
 // Phases of a shard's lease.
 const (
-	Unassigned Phase = iota // no controller holds it
-	Moving                  // its key is being written, or its attempt records are being read
-	Granted                 // it is granted to its holder
+	Unassigned Phase = iota // no controller holds the shard
+	Moving                  // the shard's key is being written, or its attempt records are being read
+	Granted                 // the shard is granted to its holder
 )
 
 // Shard is a shard and its holder.
@@ -37,22 +37,24 @@
 	ID              int
 	Holder          string // current or last holder; "" if none
 	UnassignedSince clock.Micros
-	AttemptsRead    bool // the tasks that may run in it are known
-	// Phase and HolderConnected describe the current round. The holder is connected if the link is up over which the
-	// shard was granted.
+	AttemptsRead    bool // its attempt records are read: the tasks that may run in the shard are known
+	// Phase and HolderConnected describe the current round. The holder counts as connected while the link over which
+	// the shard was granted is up.
 	Phase           Phase
 	HolderConnected bool
 }
 
 // Controller is a connected controller, which may hold shards.
 type Controller struct {
-	Name              string
-	ViaStore          bool // linked through the store, which delays messages by seconds
+	Name string
+	// ViaStore is set for a controller that the leader reaches only through the store: no direct connection can be
+	// made, so messages are exchanged as frames in the store, which takes seconds.
+	ViaStore          bool
 	ConnectedAt       clock.Micros
-	NoAgentContactAt  clock.Micros // last report that no agent contacts it; 0 if never
-	StoreRefusedSince clock.Micros // start of the store's refusals; 0 if it is not refused
-	lastShardMovedAt  clock.Micros // when rebalancing last moved a shard to it
-	takeoverUntil     clock.Micros // end of its work for the last shard taken over
+	NoAgentContactAt  clock.Micros // last report that no agent contacts the controller; 0 if never
+	StoreRefusedSince clock.Micros // since when the store has refused the controller; 0 if it does not
+	lastShardMovedAt  clock.Micros // when rebalancing last moved a shard to the controller
+	takeoverUntil     clock.Micros // when the controller's work for the last shard that it took over ends
 }
 
 // unfit reports whether the controller should hold no shards. A controller that is connected to the leader but
@@ -73,8 +75,9 @@
 	Capacity    Capacity
 }
 
-// Assign finds holders for shards that need one. If no holder changes, it rebalances the shards. It returns the shards
-// whose holder has changed, and the shards whose attempts must be read although no controller can take them.
+// Assign finds holders for the shards without one. If no holder changes, it rebalances the shards. It returns the
+// shards whose holder has changed, and the shards whose attempt records must be read although no controller can take
+// the shards over now.
 func Assign(r Round) []*Shard {
 	a := &assigner{Round: r, eligible: eligible(r), shardCounts: map[string]int{}}
 	a.distribute(a.returnToFormerHolders(a.unassigned()))
@@ -84,7 +87,7 @@
 	return a.changed
 }
 
-// eligible returns the names of the controllers that may hold shards. If none is fit, all are eligible.
+// eligible returns the names of the controllers that may hold shards: the fit ones or, if no controller is fit, all.
 func eligible(r Round) []string {
 	names := slices.Sorted(maps.Keys(r.Controllers))
 	fit := slices.DeleteFunc(slices.Clone(names), func(name string) bool { return r.Controllers[name].unfit(r.Now) })
@@ -119,7 +122,7 @@
 	return unassigned
 }
 
-// returnToFormerHolders assigns shards to their last holders, which still know the machines, and returns the
+// returnToFormerHolders assigns shards to their last holders, which still know the shards' machines, and returns the
 // remaining shards.
 func (a *assigner) returnToFormerHolders(shards []*Shard) []*Shard {
 	evenShare := (len(a.Shards) + len(a.eligible) - 1) / len(a.eligible)
@@ -155,7 +158,7 @@
 	return slices.MinFunc(a.eligible, func(x, y string) int { return weight(x) - weight(y) })
 }
 
-// distribute assigns shards to the controllers with the fewest, as many as these can take over now.
+// distribute assigns shards to the controllers with the fewest shards, as many as these controllers can take over now.
 func (a *assigner) distribute(shards []*Shard) {
 	maxShards := a.Capacity.MaxShards(len(a.Shards))
 	for _, s := range shards {
@@ -167,7 +170,8 @@
 			a.assign(s, holder)
 			continue
 		}
-		// Even without a holder the attempts must be read: tasks that may run in the shard count against quotas.
+		// The attempt records of a shard without a holder must be read, too: the tasks that they name may run, and
+		// count against quotas.
 		if !s.AttemptsRead {
 			s.Holder = ""
 			a.changed = append(a.changed, s)
@@ -175,8 +179,11 @@
 	}
 }
 
-// rebalance moves shards to the controller with the fewest, from controllers that have at least two more. All of them
-// move in one round, because a controller with many shards is often overloaded by them.
+// rebalance moves shards to the controller with the fewest shards, from controllers that hold at least two shards more.
+// All these shards move in one round, because a controller with many shards is often overloaded by them.
+//
+// A controller that has reported no agent contact is on trial once it may hold shards again: it gets one shard at a
+// time, to show whether agents contact it now.
 func (a *assigner) rebalance() {
 	holder := a.leastLoaded()
 	c := a.Controllers[holder]
@@ -185,9 +192,10 @@
 		return
 	}
 	for _, s := range a.Shards {
-		// A grant through the store may take longer than the leases of the shard's agents last. So a controller hands
-		// shards over to one that is linked through the store only if it has more than it can serve.
-		if c.ViaStore && a.shardCounts[s.Holder] <= a.Capacity.serviceableShards(len(a.Shards)) {
+		// A grant through the store may take longer than the leases of the shard's agents last. A holder therefore
+		// hands shards over to a controller that is reached only through the store only while the holder has more
+		// shards than it can serve.
+		if c.ViaStore && a.shardCounts[s.Holder] <= a.Capacity.maxServableShards(len(a.Shards)) {
 			continue
 		}
 		if s.Phase != Granted || a.shardCounts[s.Holder] < a.shardCounts[holder]+2 {
@@ -196,8 +204,7 @@
 		a.shardCounts[s.Holder]--
 		a.assign(s, holder)
 		c.lastShardMovedAt = a.Now
-		// A controller that had no contact to agents gets a single shard at a time on trial, and so does one that is
-		// linked through the store.
+		// A controller that is on trial, or that is reached only through the store, gets a single shard at a time.
 		if onTrial || c.ViaStore {
 			return
 		}
--- a/internal/leader/assignment/assignment_test.go
+++ b/internal/leader/assignment/assignment_test.go
@@ -9,8 +9,8 @@
 
 const now = 100 * clock.Second
 
-// round returns a round with connected controllers that connected long ago, and shards with the given last holders. A
-// shard is granted if its holder is connected.
+// round returns a round with the named controllers, which connected long ago, and a shard for each of the given last
+// holders. A shard is granted if its holder is connected.
 func round(holders, connected []string) Round {
 	r := Round{Now: now, Leader: "n0", Controllers: map[string]*Controller{},
 		Capacity: Capacity{Controllers: 3, CPU: 0.1, HeartbeatS: 3, AgentLease: 20 * clock.Second, Machines: 30}}
@@ -71,7 +71,7 @@
 			}
 			Assign(r)
 			if got := holders(r); !slices.Equal(got, c.want) {
-				t.Errorf("holders %v, want %v", got, c.want)
+				t.Errorf("holders of the shards are %v, want %v", got, c.want)
 			}
 		})
 	}
--- a/internal/leader/autoscaler_state.go
+++ b/internal/leader/autoscaler_state.go
@@ -10,9 +10,9 @@
 // capacity plans.
 type autoscalerState struct {
 	types        map[string]wire.MachineType
-	catalog      []wire.MachineType // the same types in the order of the cloud
+	catalog      []wire.MachineType // the same types in the order of the cloud's catalog
 	refusals     map[autoscaler.OptionKey]capacityRefusal
-	bootFailures map[autoscaler.OptionKey]int // number of consecutive machines that did not come up
+	bootFailures map[autoscaler.OptionKey]int // consecutive machines of the option that did not come up
 
 	reconciledAt, plannedAt, catalogRequestedAt clock.Micros
 }
--- a/internal/leader/catalog.go
+++ b/internal/leader/catalog.go
@@ -8,8 +8,8 @@
 	"swiftledge/wire"
 )
 
-// catalogLoaded applies the cloud's catalog. It is stored, so that submissions can be validated while the cloud is
-// unavailable, and sent to the other controllers.
+// catalogLoaded applies the cloud's catalog of machine types. A changed catalog is stored, so that submissions can be
+// validated while the cloud is unavailable, and sent to all connected controllers.
 func (l *Leader) catalogLoaded(types []wire.MachineType) {
 	if len(types) == 0 {
 		return
--- a/internal/leader/demand.go
+++ b/internal/leader/demand.go
@@ -15,7 +15,7 @@
 type demandKey struct {
 	shape   jobs.TaskShape
 	service bool
-	zone    string // of tasks that must be spread over zones
+	zone    string // the zone of tasks that must be spread over zones; "" for other tasks
 }
 
 // demandSet collects the demands for capacity in order of precedence: those of services come first, as services cannot
@@ -25,8 +25,8 @@
 	list  []*autoscaler.Demand
 }
 
-// demandFor returns the demand of jobs like the given one in a zone, or, with the zone "", in any zone that the job
-// allows.
+// demandFor returns the demand of jobs that are like the given job, for a zone or, with the zone "", for any zone that
+// the job allows. It adds an empty demand if there is none yet.
 func (d *demandSet) demandFor(job *jobs.Job, zone string) *autoscaler.Demand {
 	spec := &job.Spec
 	key := demandKey{job.TaskShape, spec.IsService(), zone}
@@ -44,7 +44,7 @@
 	return demand
 }
 
-// addTasks adds tasks of a service, which run without end.
+// addTasks adds tasks of a service to the demand. Tasks of a service run without end.
 func (d *demandSet) addTasks(job *jobs.Job, zone string, tasks int) {
 	demand := d.demandFor(job, zone)
 	demand.Tasks += tasks
@@ -57,8 +57,8 @@
 	cpus   map[string]float64
 }
 
-// reserve reserves quota for tasks of a job, for as many as their team's remaining quota covers, and returns their
-// number.
+// reserve reserves quota for tasks of a job, for as many tasks as the remaining quota of the job's team covers, and
+// returns the number of these tasks.
 func (q *remainingQuota) reserve(spec *wire.Job, tasks int) int {
 	if _, known := q.cpus[spec.Team]; !known {
 		q.cpus[spec.Team] = q.leader.teams[spec.Team].CPULimit()
@@ -97,8 +97,9 @@
 	return demands
 }
 
-// unfinishedTasks returns the number of tasks for which a job needs capacity. A job in backoff needs none, and a
-// suspect job needs capacity for its dispatched tasks and one probe only.
+// unfinishedTasks returns the number of tasks for which a job needs capacity. A job in backoff needs no capacity. A
+// suspect job, whose tasks have failed on several machines, needs capacity only for its dispatched tasks and one probe:
+// a single task that is started to see whether it still fails.
 func unfinishedTasks(now clock.Micros, job *jobs.Job) int {
 	if job.Failures.InBackoff(now) {
 		return 0
@@ -111,7 +112,7 @@
 }
 
 // addServiceDemand adds the demand of a service's replicas. Replicas that must be spread need capacity in several
-// zones: with all of it in the cheapest zone, half of them could not be placed.
+// zones: with all the capacity in the cheapest zone, half of the replicas could not be placed.
 func (l *Leader) addServiceDemand(now clock.Micros, demand *demandSet, job *jobs.Job, replicas int) {
 	zones := l.openZones(now, job)
 	if len(zones) == 0 {
@@ -130,7 +131,8 @@
 	}
 }
 
-// openZones returns the zones over which a job's tasks may be spread now, or none if the job needs no spreading.
+// openZones returns the zones over which a job's tasks may be spread now: those with an option that fits the tasks and
+// that the cloud has not refused recently. It returns none if the job needs no spreading.
 func (l *Leader) openZones(now clock.Micros, job *jobs.Job) (zones []string) {
 	spec := &job.Spec
 	if !spec.Spread || spec.Zone != "" {
@@ -176,7 +178,7 @@
 // addArrivalReserve adds the capacity for services that arrive while a machine requested for them would still boot:
 // the recent arrivals projected over that time, plus arrivalDeviations standard deviations.
 func (l *Leader) addArrivalReserve(now clock.Micros, demand *demandSet) {
-	arrivals, windowS := l.recentArrivals(now)
+	arrivals, windowS := l.recentServiceArrivals(now)
 	for _, a := range arrivals {
 		replicas := a.expectedReplicas(l.bootTimeS(&a.sampleJob.Spec), windowS)
 		zones := l.openZones(now, a.sampleJob)
@@ -189,9 +191,9 @@
 	}
 }
 
-// recentArrivals sums up the recently accepted services by shape and returns the number of seconds that they span, but
-// at least minArrivalWindowS.
-func (l *Leader) recentArrivals(now clock.Micros) (arrivals []*arrivalStats, windowS float64) {
+// recentServiceArrivals sums up the recently accepted services by shape. It also returns the number of seconds over
+// which these services were accepted, or minArrivalWindowS if that is more.
+func (l *Leader) recentServiceArrivals(now clock.Micros) (arrivals []*arrivalStats, windowS float64) {
 	byShape := map[jobs.TaskShape]*arrivalStats{}
 	oldestS := 0.0
 	for job := range l.jobs.Sorted() {
@@ -228,7 +230,7 @@
 	// unseenClassCPUs is the maximum number of CPUs kept on on-demand machines for each service class whose jobs are
 	// expected to start sooner than a machine boots and of which no job has arrived yet. What such a job needs is
 	// unknown, so the reserve covers the first few jobs only. unseenClassShare limits the reserve to a part of the
-	// CPUs in use, as a small site would otherwise pay for it with a large part of its machines.
+	// CPUs in use, as the reserve would otherwise cost a small site a large part of its machines.
 	unseenClassCPUs  = 24
 	unseenClassShare = 0.08
 )
--- a/internal/leader/effects.go
+++ b/internal/leader/effects.go
@@ -21,7 +21,8 @@
 		Link    Link
 		Message peer.FromLeader
 	}
-	// LoadState requests all of the scheduler's data in the store, and a watch of the jobs from that state on.
+	// LoadState requests all of the scheduler's data in the store, and a watch of the jobs from the revision of that
+	// data on.
 	LoadState struct{ Term cluster.Term }
 	// LoadAttempts requests a shard's attempt records.
 	LoadAttempts struct {
--- a/internal/leader/failure_attribution.go
+++ b/internal/leader/failure_attribution.go
@@ -65,7 +65,8 @@
 	}
 }
 
-// jobBecameSuspect stops the tasks of a suspect job that do not run yet, as they would only fetch its image and fail.
+// jobBecameSuspect stops those tasks of a suspect job that do not run yet, as they would only fetch the job's image and
+// fail. A job is suspect if its tasks have failed on several machines and none of them has completed.
 func (l *Leader) jobBecameSuspect(job *jobs.Job) {
 	ref := job.Spec.Ref
 	l.info("job is suspect", "job", ref, "team", job.Spec.Team, "failed_on", job.Failures.FailedMachines(),
@@ -82,12 +83,13 @@
 	}
 }
 
-// clearSuspicion clears the suspicion of a job once one of its tasks has run long enough.
+// clearSuspicion clears the suspicion of a job once one of its tasks has run for long enough, much longer than the
+// failed tasks.
 func (l *Leader) clearSuspicion(now clock.Micros, job *jobs.Job) {
 	if !job.Failures.Suspect() {
 		return
 	}
-	l.eachDispatched(job, func(t peer.Task, task *grantedTask) {
+	l.eachDispatchedTask(job, func(t peer.Task, task *grantedTask) {
 		if task.running && job.Failures.TaskSurvived(now-task.runningSince) {
 			l.info("job is suspect no more", "job", t.Job, "task", shard.TaskName(t),
 				"ran_s", (now - task.runningSince).Seconds())
@@ -111,7 +113,7 @@
 // hasStableReplica reports whether a replica of a service has run stably. If so, failures of the service's replicas are
 // attributed to their machines.
 func (l *Leader) hasStableReplica(now clock.Micros, job *jobs.Job) (stable bool) {
-	l.eachDispatched(job, func(_ peer.Task, task *grantedTask) {
+	l.eachDispatchedTask(job, func(_ peer.Task, task *grantedTask) {
 		stable = stable || task.running && now-task.runningSince > jobs.StableAfter
 	})
 	return stable
--- a/internal/leader/failure_attribution_test.go
+++ b/internal/leader/failure_attribution_test.go
@@ -11,7 +11,7 @@
 	"swiftledge/wire"
 )
 
-// When a job becomes suspect, its tasks that are not running yet are stopped. Its running tasks continue, and one
+// When a job becomes suspect, its tasks that are not running yet are stopped. Its running tasks continue, and a task
 // that runs for long enough clears the suspicion.
 func TestUnstartedTasksOfSuspectJobAreStopped(t *testing.T) {
 	l := newGrantedLeader(t, nil)
@@ -38,10 +38,10 @@
 		t.Errorf("stopped tasks %v, want the three that are not running", stopped)
 	}
 	if l.clearSuspicion(startTime+jobs.StableAfter-1, j); !j.Failures.Suspect() {
-		t.Error("suspicion cleared by a short run")
+		t.Error("suspicion of the job was cleared by a run shorter than StableAfter")
 	}
 	if l.clearSuspicion(startTime+jobs.StableAfter, j); j.Failures.Suspect() {
-		t.Error("suspicion not cleared by a long run")
+		t.Error("suspicion of the job was not cleared by a run of StableAfter")
 	}
 }
 
@@ -61,7 +61,7 @@
 	if l.creditCompletion(startTime, j, peer.TaskEvent{
 		Task: peer.Task{Job: testJob.Ref, Index: 1}, Machine: machineNames[2],
 	}); !l.inventory.machines[machineNames[1]].draining {
-		t.Error("machine not drained after the job has completed a task elsewhere")
+		t.Error("machine not drained after the job completed a task on another machine")
 	}
 }
 
@@ -78,13 +78,13 @@
 		}
 	}
 	if l.inventory.machines[machineNames[1]].draining {
-		t.Error("machine drained although one of the three failed jobs was cancelled")
+		t.Error("machine drained although one of the three jobs that failed on it was cancelled")
 	}
 }
 
-// A machine that the cloud lists as running but whose agent never sends a heartbeat is removed, and so is one that
-// stays listed as starting. Machines that do not come up increase the expected boot delay of their option until one
-// comes up.
+// A machine that the cloud lists as running but whose agent never sends a heartbeat is removed, and so is a machine
+// that stays listed as starting. Machines that do not come up increase the expected boot delay of their option until a
+// machine of the option comes up.
 func TestMachinesThatDoNotBootAreRemoved(t *testing.T) {
 	l := newGrantedLeader(t, nil)
 	silent, booting, healthy := l.inventory.machines[machineNames[0]], l.inventory.machines[machineNames[1]], l.inventory.machines[machineNames[2]]
@@ -109,15 +109,15 @@
 		{startTime + 10*bootTimeout, healthy, removalNone},
 	} {
 		if reason := l.removalReason(c.at, c.m, shardSilence{up: 3, silent: 1}); reason != c.want {
-			t.Errorf("%s after %.0f s: removal reason is %q, want %q", c.m.name, (c.at - startTime).Seconds(), reason, c.want)
+			t.Errorf("%s after %.0f s: removal reason %q, want %q", c.m.name, (c.at - startTime).Seconds(), reason, c.want)
 		}
 	}
 	l.machinesToRemove(startTime + bootTimeout + clock.Second)
-	if delayS := l.withExpectedDelay(booting.option).DelayS; delayS != 20 {
-		t.Errorf("expected boot delay is %g s after a machine did not come up, want 20", delayS)
+	if delayS := l.withExpectedBootDelay(booting.option).DelayS; delayS != 20 {
+		t.Errorf("expected boot delay of %g s after a machine did not come up, want 20 s", delayS)
 	}
 	l.machineReported(startTime+bootTimeout+2*clock.Second, peer.MachineState{Name: booting.name, Type: "small", Schedulable: true})
-	if delayS := l.withExpectedDelay(booting.option).DelayS; delayS != 0 {
-		t.Errorf("expected boot delay is %g s after a machine came up, want 0", delayS)
+	if delayS := l.withExpectedBootDelay(booting.option).DelayS; delayS != 0 {
+		t.Errorf("expected boot delay of %g s after a machine came up, want 0 s", delayS)
 	}
 }
--- a/internal/leader/fairshare/order.go
+++ b/internal/leader/fairshare/order.go
@@ -6,11 +6,14 @@
 
 // jobOrder is the sort key of a job within its team.
 type jobOrder struct {
-	late         bool // it can no longer complete by its deadline or, without one, within the SLO of its class
-	priorityRank int  // rank of its priority, 0 for the most important
-	// With a deadline: seconds until the latest start that meets it. Without one: seconds of remaining work.
+	// late is set if the job can no longer complete by its deadline or, without a deadline, within the service-level
+	// objective (SLO) of its class.
+	late         bool
+	priorityRank int // rank of the job's priority, 0 for the most important
+	// slack is, with a deadline, the seconds until the latest start that meets the deadline and, without a deadline,
+	// the seconds of remaining work.
 	slack float64
-	age   float64
+	age   float64 // seconds since the job's submission
 }
 
 // compare orders jobs that can still complete in time before those that cannot, then by priority, then by slack, then
@@ -26,10 +29,10 @@
 
 // teamOrder is the sort key of a team among the teams.
 type teamOrder struct {
-	startOverdue   bool    // one of its jobs has not started in time; such a team goes first
-	overGuarantee  bool    // its next task would exceed its guarantee
-	priorityRank   int     // priority rank of the first job in its queue
-	guaranteeInUse float64 // used processors as a share of the guaranteed ones
+	startOverdue   bool    // one of the team's jobs has not started in time; such a team goes first
+	overGuarantee  bool    // the team's next task would exceed its guarantee
+	priorityRank   int     // priority rank of the first job in the team's queue
+	guaranteeInUse float64 // used processors as a share of the guaranteed processors
 }
 
 func (o teamOrder) compare(other teamOrder) int {
--- a/internal/leader/fairshare/policy.go
+++ b/internal/leader/fairshare/policy.go
@@ -14,7 +14,7 @@
 // Policy is the operators' scheduling policy.
 type Policy struct {
 	Teams map[string]config.Team
-	// CompletionSLO maps a class to the seconds within which its jobs should complete.
+	// CompletionSLO maps a job class to the seconds within which its jobs should complete (service-level objective).
 	CompletionSLO map[string]float64
 	// StartWithinS is the number of seconds within which every job should start.
 	StartWithinS float64
@@ -24,12 +24,12 @@
 
 // PassTime is the time of a scheduling pass.
 type PassTime struct {
-	Now       clock.Micros
-	TimeOfDay clock.Micros
+	Now       clock.Micros // steady time
+	TimeOfDay clock.Micros // wall clock time
 }
 
 // Queues returns the queues of the teams with waiting jobs, sorted by team name. It also records for each job since
-// when it waits for free capacity.
+// when the job waits for free capacity.
 func (p Policy) Queues(pass PassTime, table *jobs.Table, usage *Usage) []*TeamQueue {
 	byTeam := map[string]*TeamQueue{}
 	for j := range table.Sorted() {
@@ -69,7 +69,7 @@
 		q.hasOtherJobs = true
 	}
 	if waitedLong {
-		q.cpusByClass[longWaiting] += cpus
+		q.cpusByClass[longWaitingKey] += cpus
 	}
 }
 
--- a/internal/leader/fairshare/queue.go
+++ b/internal/leader/fairshare/queue.go
@@ -12,12 +12,12 @@
 type entry struct {
 	job        *jobs.Job
 	order      jobOrder
-	waitedLong bool // longer than StartWithinS: such jobs have a minimum share
-	exhausted  bool // no more of its tasks can be dispatched in this pass
+	waitedLong bool // waited longer than StartWithinS: such jobs have a minimum share
+	exhausted  bool // no more of the job's tasks can be dispatched in this pass
 }
 
-// longWaiting is the key in cpusByClass for all jobs that have waited long, whatever their class.
-const longWaiting = ""
+// longWaitingKey is the key in cpusByClass for all jobs that have waited long, whatever their class.
+const longWaitingKey = ""
 
 // TeamQueue holds the waiting jobs of one team in order, for one scheduling pass.
 type TeamQueue struct {
@@ -27,14 +27,14 @@
 	entries  []*entry
 	// preemptors are the waiting jobs that may preempt other tasks.
 	preemptors []*jobs.Job
-	// cpusByClass is the processors used by each class, and by the jobs that have waited long under longWaiting.
+	// cpusByClass is the processors used by each class and, under longWaitingKey, by the jobs that have waited long.
 	cpusByClass map[string]float64
 	// serviceCPUs is the processors used by services. hasOtherJobs is set if the team also has jobs that are no
 	// services. Neither kind may starve the other.
 	serviceCPUs  float64
 	hasOtherJobs bool
 
-	// nextEntry is the job whose turn it is within the team. It changes only after a turn of the team.
+	// nextEntry is the job whose turn it is within the team. The entry changes only after a turn of the team.
 	nextEntry   *entry
 	oneTaskOnly bool // the turn covers a single task
 	order       teamOrder
@@ -53,14 +53,14 @@
 // ServiceCPUs returns the processors used by the team's services.
 func (q *TeamQueue) ServiceCPUs() float64 { return q.serviceCPUs }
 
-// Fits reports whether the team may run one more task of the job: it stays within its limit and, if the job is a
-// service, leaves the minimum share to its other jobs, because a service never ends by itself.
+// Fits reports whether the team may run one more task of the job: with the task the team stays within its limit and, if
+// the job is a service, its services leave the minimum share to its other jobs, because a service never ends by itself.
 func (q *TeamQueue) Fits(job *wire.Job) bool {
 	return q.ServiceFits(job, q.serviceCPUs) && q.Usage().FitsLimit(job, q.team)
 }
 
 // ServiceFits reports whether one more task of the job leaves the minimum share to the team's other jobs when its
-// services use serviceCPUs processors. It is always true for a job that is no service.
+// services use serviceCPUs processors. It always reports true for a job that is no service.
 func (q *TeamQueue) ServiceFits(job *wire.Job, serviceCPUs float64) bool {
 	return !job.IsService() || !q.hasOtherJobs ||
 		serviceCPUs+job.CPUs <= q.team.CPULimit()*(1-q.minShare)+tolerance
@@ -86,7 +86,7 @@
 		return q.cpusByClass[class] < q.minShare*q.Usage().CPUs
 	}
 	for _, e := range q.entries {
-		if isBelowShare(e.job.Spec.Class) || e.waitedLong && isBelowShare(longWaiting) {
+		if isBelowShare(e.job.Spec.Class) || e.waitedLong && isBelowShare(longWaitingKey) {
 			return e, false
 		}
 	}
@@ -130,11 +130,11 @@
 	}
 }
 
-// Turn permits a job to have tasks dispatched.
+// Turn permits a job to have tasks dispatched, until Done ends the turn.
 type Turn struct {
 	Queue       *TeamQueue
 	Job         *jobs.Job
-	OneTaskOnly bool // for a single task
+	OneTaskOnly bool // the turn covers a single task
 	entry       *entry
 }
 
@@ -164,6 +164,6 @@
 	}
 	q.cpusByClass[spec.Class] += cpus
 	if t.entry.waitedLong {
-		q.cpusByClass[longWaiting] += cpus
+		q.cpusByClass[longWaitingKey] += cpus
 	}
 }
--- a/internal/leader/fairshare/queue_test.go
+++ b/internal/leader/fairshare/queue_test.go
@@ -9,7 +9,7 @@
 	"swiftledge/wire"
 )
 
-// newJob returns a job whose tasks all wait. change, if not nil, alters its specification first.
+// newJob returns a job whose tasks all wait. change, if not nil, alters the job's specification first.
 func newJob(ref string, change func(*wire.Job)) *jobs.Job {
 	spec := wire.Job{Ref: ref, Team: "red", Class: "batch", Priority: wire.PriorityStandard, Tasks: 2, CPUs: 1, EstimateS: 10}
 	if change != nil {
@@ -49,7 +49,7 @@
 	first, second := newEntry("a", false, true), newEntry("b", false, true)
 	waitedLong, unstarted := newEntry("a", true, true), newEntry("a", true, false)
 	q := &TeamQueue{team: config.Team{Name: "red"}, usage: usageOf("red", 100), minShare: 0.1,
-		entries: []*entry{first, second, waitedLong, unstarted}, cpusByClass: map[string]float64{"a": 60, "b": 30, longWaiting: 30}}
+		entries: []*entry{first, second, waitedLong, unstarted}, cpusByClass: map[string]float64{"a": 60, "b": 30, longWaitingKey: 30}}
 	for _, c := range []struct {
 		name   string
 		change func()
@@ -58,18 +58,18 @@
 		{"job not started in time", func() {}, unstarted},
 		{"no job starves", func() { unstarted.exhausted = true }, first},
 		{"class below its minimum share", func() { q.cpusByClass["b"] = 5 }, second},
-		{"long-waiting jobs below their minimum share", func() { q.cpusByClass["b"], q.cpusByClass[longWaiting] = 30, 5 }, waitedLong},
+		{"long-waiting jobs below their minimum share", func() { q.cpusByClass["b"], q.cpusByClass[longWaitingKey] = 30, 5 }, waitedLong},
 		{"no task of the long-waiting job can be dispatched", func() { waitedLong.exhausted = true }, first},
 	} {
 		c.change()
 		if got, _ := q.next(); got != c.want {
-			t.Errorf("%s: next is a job of class %s that has waited long: %t", c.name, got.job.Spec.Class, got.waitedLong)
+			t.Errorf("%s: next job is of class %s and has waited long: %t, want another job", c.name, got.job.Spec.Class, got.waitedLong)
 		}
 	}
 }
 
-// dispatchOrder returns the references of the jobs in the order of their turns. Each job dispatches as many tasks as
-// fit.
+// dispatchOrder returns the references of the jobs in the order of their turns. In each turn as many tasks of the job
+// are dispatched as fit.
 func dispatchOrder(queues []*TeamQueue, usage *Usage) (refs []string) {
 	for {
 		turn, ok := Next(queues)
@@ -136,11 +136,11 @@
 	usage := NewUsage()
 	q := policy.Queues(PassTime{}, newTable(service, batch), usage)[0]
 	if !q.ServiceFits(&service.Spec, 7) || q.ServiceFits(&service.Spec, 8) || !q.ServiceFits(&batch.Spec, 8) {
-		t.Error("limit of services is not exactly 8 of the 10 processors")
+		t.Error("processors that services may use are not limited to exactly 8 of 10, or other jobs are limited")
 	}
 	servicesOnly := policy.Queues(PassTime{}, newTable(service), usage)[0]
 	if !servicesOnly.ServiceFits(&service.Spec, 9) {
-		t.Error("minimum share reserved although the team has no other jobs")
+		t.Error("minimum share was reserved although the team had no jobs other than services")
 	}
 }
 
@@ -156,13 +156,13 @@
 	}{{5, full, 5}, {7, full, 7}, {9, free, 7}, {11, free, 7}} {
 		policy.Queues(PassTime{Now: c.now}, newTable(j), c.usage)
 		if got := j.UnservedSince(); got != c.want {
-			t.Errorf("at %d: unserved since %d, want %d", c.now, got, c.want)
+			t.Errorf("at time %d: job unserved since %d, want %d", c.now, got, c.want)
 		}
 	}
 	j.DispatchFirst()
 	j.DispatchFirst()
 	if policy.Queues(PassTime{Now: 13}, newTable(j), free); j.UnservedSince() != 0 {
-		t.Error("unserved although no task waits")
+		t.Error("job counted as unserved although none of its tasks was waiting")
 	}
 }
 
@@ -176,7 +176,7 @@
 		policy := Policy{Teams: map[string]config.Team{"red": {Name: "red", CPUs: c.guarantee}}}
 		q := policy.Queues(PassTime{}, newTable(high, standard), NewUsage())[0]
 		if got := q.Preemptors(); len(got) != c.want || got[0] != high {
-			t.Errorf("guarantee of %g: %d jobs may preempt others, want %d", c.guarantee, len(got), c.want)
+			t.Errorf("guarantee of %g: %d jobs may preempt other tasks, want %d, the one of high priority first", c.guarantee, len(got), c.want)
 		}
 	}
 }
--- a/internal/leader/fairshare/usage.go
+++ b/internal/leader/fairshare/usage.go
@@ -1,7 +1,8 @@
 // Package fairshare decides which job's tasks are dispatched next. It owns the resource usage of the teams, compares
-// it with the teams' quotas, and orders the waiting jobs: teams by their guarantees, the jobs of a team by lateness,
-// priority and slack, with a minimum share for the jobs that would always sort last. It knows no machines and does no
-// I/O. The leader asks it for the next turn and reports how many tasks it dispatched.
+// the usage with the teams' quotas, and orders the waiting jobs: teams by their guarantees, the jobs of a team by
+// lateness, priority and slack, with a minimum share for the jobs that would always sort last. The package knows no
+// machines and does no I/O. The leader asks it for the next turn, which permits one job to have tasks dispatched, and
+// reports how many tasks were dispatched in the turn.
 package fairshare
 
 import (
--- a/internal/leader/free_capacity.go
+++ b/internal/leader/free_capacity.go
@@ -16,14 +16,14 @@
 	now      clock.Micros
 	machines []*machine // sorted ascending by placementRank, price per CPU and free CPUs
 	byImage  map[string][]*machine
-	skipped  map[candidateKey]int // number of machines at the head of each list that are too full
+	skipped  map[candidateKey]int // how many machines at the head of each list are too full
 	bound    *loadBound           // nil: no load bound applies
-	// pending are, with rebalancing, the machines whose free capacity can be offered once the pending offer to their
-	// shard is settled.
-	pending   []*machine
-	overBound map[candidateKey]overBoundMark
-	// avoided has, by job, the machines that its next task should avoid, and why. For a service these include the
-	// machines that get a replica in this pass.
+	// pendingOfferMachines are, with rebalancing, the machines whose free capacity can be offered once the pending
+	// offer to their shard is settled.
+	pendingOfferMachines []*machine
+	overBound            map[candidateKey]overBoundMark
+	// avoided maps a job to the machines that its next task should avoid, and why. For a service they include the
+	// machines on which a replica is offered in this pass.
 	avoided map[string]map[string]int
 }
 
@@ -40,7 +40,7 @@
 	if reasons == nil {
 		reasons = map[string]int{}
 		if spec.IsService() {
-			l.eachDispatched(job, func(_ peer.Task, task *grantedTask) { reasons[task.machine] = avoidReplica })
+			l.eachDispatchedTask(job, func(_ peer.Task, task *grantedTask) { reasons[task.machine] = avoidReplica })
 		}
 		for _, name := range job.Failures.FailedMachines() {
 			reasons[name] = avoidFailure
@@ -59,10 +59,11 @@
 	unserved bool
 }
 
-// overBoundMark records that the first machines of a list are all over the load bound at some mean load.
+// overBoundMark records that the first machines of a list cannot take one more task within the load bound at a certain
+// mean load.
 type overBoundMark struct {
-	skipped int // number of machines at the head of the list
-	mean    float64
+	skipped int     // number of these machines, at the head of the list
+	mean    float64 // the mean load at which they were checked
 }
 
 // meanRecheckFactor is the factor by which the mean load must grow for machines over the bound to be checked again.
@@ -78,7 +79,7 @@
 		if capacity.isOfferable(m) {
 			capacity.machines = append(capacity.machines, m)
 		} else if capacity.bound != nil && m.acceptsNewTasks() && m.state.CPUs > 0 {
-			capacity.pending = append(capacity.pending, m)
+			capacity.pendingOfferMachines = append(capacity.pendingOfferMachines, m)
 		}
 	}
 	slices.SortFunc(capacity.machines, func(a, b *machine) int {
@@ -132,7 +133,8 @@
 }
 
 // allowed reports whether the job may run on the machine. A cordoned machine, which is not worth its price for batch
-// jobs, accepts services, which make it worth keeping, and jobs that have waited too long for a better one.
+// jobs, accepts services, which make the machine worth keeping, and jobs that have waited too long for a better
+// machine.
 func (m *machine) allowed(now clock.Micros, job *jobs.Job) bool {
 	spec := &job.Spec
 	return (!m.cordoned || spec.IsService() || job.IsUnserved(now)) && (spec.Spot || !m.option.Spot) &&
@@ -140,7 +142,7 @@
 		(len(spec.Types) == 0 || slices.Contains(spec.Types, m.option.Type.Name))
 }
 
-// firstFit returns the first machine of a list that can take a task of the job and on which none of its tasks has
+// firstFit returns the first machine of a list that can take a task of the job and on which no task of the job has
 // failed, or nil.
 func (c *freeCapacity) firstFit(list []*machine, key candidateKey, job *jobs.Job) *machine {
 	spec := &job.Spec
@@ -156,23 +158,24 @@
 	return nil
 }
 
-// maxPendingWait is how long a job waits for free capacity within the load bound in a shard whose offer is pending.
-const maxPendingWait = clock.Second
+// maxPendingOfferWait is how long a job waits for free capacity within the load bound in a shard whose last offer is
+// not settled yet.
+const maxPendingOfferWait = clock.Second
 
-// waitsForPending reports whether the job should wait until a pending offer to a shard is settled, because that shard
-// has free capacity within the load bound.
-func (c *freeCapacity) waitsForPending(job *jobs.Job) bool {
-	if c.bound == nil || job.UnservedSince() == 0 || c.now-job.UnservedSince() > maxPendingWait {
+// waitsForPendingOffer reports whether the job should wait until a pending offer to a shard is settled, because that
+// shard has free capacity within the load bound.
+func (c *freeCapacity) waitsForPendingOffer(job *jobs.Job) bool {
+	if c.bound == nil || job.UnservedSince() == 0 || c.now-job.UnservedSince() > maxPendingOfferWait {
 		return false
 	}
 	spec := &job.Spec
-	return slices.ContainsFunc(c.pending, func(m *machine) bool {
+	return slices.ContainsFunc(c.pendingOfferMachines, func(m *machine) bool {
 		return m.fits(spec) && m.allowed(c.now, job) && c.bound.allows(m, spec)
 	})
 }
 
-// leastLoaded returns, with rebalancing, the machine that one more task of the job leaves least loaded. It returns nil
-// if there is none.
+// leastLoaded returns, with rebalancing, the machine that has the lowest load after it gets one more task of the job.
+// It returns nil if no machine can take the task.
 func (c *freeCapacity) leastLoaded(job *jobs.Job) (best *machine) {
 	if c.bound == nil {
 		return nil
--- a/internal/leader/holder_messages.go
+++ b/internal/leader/holder_messages.go
@@ -81,8 +81,8 @@
 	}
 }
 
-// reportTaskCounts sends the changed task counts of jobs to the controllers, which answer the status requests of
-// users.
+// reportTaskCounts sends the changed task counts of jobs to all connected controllers, which answer the status requests
+// of users.
 func (l *Leader) reportTaskCounts() {
 	counts := l.jobs.ChangedCounts()
 	if len(counts) == 0 {
--- a/internal/leader/instance_groups.go
+++ b/internal/leader/instance_groups.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	// pruneInterval is how long terminated machines may stay in the durable inventory. There they only cost a new
-	// leader some waiting time, while each write costs a put.
+	// pruneInterval is how long terminated machines may stay in the durable inventory. They only cost a new leader some
+	// waiting time, while each write that removes them costs a put.
 	pruneInterval = 20 * clock.Second
-	// machineEntryBytes is the approximate size of a machine in the record of its group, with its part of the
-	// overhead.
+	// machineEntryBytes is the approximate size of one machine in the record of its instance group, with its part of
+	// the record's overhead.
 	machineEntryBytes = 20
-	// failedProvisionRetryDelay is how soon a provision request is repeated after its call failed.
+	// failedProvisionRetryDelay is how soon a provision request is repeated after the cloud call for it failed.
 	failedProvisionRetryDelay = 2 * clock.Second
 	// minRefusalWait and maxRefusalWait bound how long an option is not requested after the cloud lacked capacity for
 	// it.
@@ -69,7 +69,7 @@
 	}
 	group.prunedAt = now
 	if len(remaining)*machineEntryBytes > l.valueBytes {
-		return // written when values could be larger: it stays until fewer machines are left
+		return // the record was written when values could be larger: it stays until fewer machines are left
 	}
 	group.record.Machines = remaining
 	if len(remaining) == 0 {
@@ -82,8 +82,8 @@
 }
 
 // instanceGroupWritten handles the outcome of the write of an instance group's record. Only a committed write proves
-// what is stored. A failed condition does not: the record may have been changed by an earlier write of this leader
-// whose answer was lost.
+// what is stored. A failed condition proves nothing: the record may have been changed by an earlier write of this
+// leader whose answer was lost.
 func (l *Leader) instanceGroupWritten(now clock.Micros, tag instanceGroupTag, m TxnCompleted) {
 	group := l.inventory.groups[tag.key]
 	switch {
@@ -99,8 +99,8 @@
 	}
 }
 
-// instanceGroupRead compares the stored record of an instance group with the one to be written, and writes it again if
-// they differ.
+// instanceGroupRead compares the stored record of an instance group with the record to be written, and repeats the
+// write if the two differ.
 func (l *Leader) instanceGroupRead(now clock.Micros, tag instanceGroupTag, m KeyRead) {
 	group := l.inventory.groups[tag.key]
 	if group == nil {
@@ -124,8 +124,8 @@
 	return r.Request == o.Request && r.Answered == o.Answered && slices.Equal(r.Machines, o.Machines)
 }
 
-// instanceGroupStored continues once the record of an instance group is known to be stored as it is here: it sends the
-// recorded provision request, or adds the recorded machines to the inventory.
+// instanceGroupStored continues once the record of an instance group is known to be stored as this leader has it: the
+// function sends the recorded provision request, or adds the recorded machines to the inventory.
 func (l *Leader) instanceGroupStored(now clock.Micros, group *instanceGroup) {
 	group.busy = false
 	if !group.record.Answered {
@@ -168,8 +168,8 @@
 	}
 }
 
-// recordProvisionOutcome records whether the cloud had all the machines that were requested of an option. If not, the
-// option is not requested for a while, longer each time, as every attempt costs puts and cloud calls.
+// recordProvisionOutcome records whether the cloud could provide all the machines that were requested of an option. If
+// it could not, the option is not requested for a while, longer each time, as every attempt costs puts and cloud calls.
 func (l *Leader) recordProvisionOutcome(now clock.Micros, group *instanceGroup, short bool) {
 	requested := l.option(group.record.Request)
 	option := requested.Key()
--- a/internal/leader/inventory.go
+++ b/internal/leader/inventory.go
@@ -10,12 +10,13 @@
 type inventory struct {
 	machines   map[string]*machine
 	terminated map[string]bool // machines whose end is proven
-	// discovered are machines that no known provision request brought.
+	// discovered are machines that exist, according to the cloud or a shard holder, but that no known provision request
+	// brought.
 	discovered map[string]wire.Machine
-	// unconfirmed are machines that only attempt records name.
+	// unconfirmed are machines that attempt records name and no inventory record does.
 	unconfirmed map[string]bool
 
-	groups     map[string]*instanceGroup // by key
+	groups     map[string]*instanceGroup // by the key of their record
 	requestSeq int                       // sequence number of the latest group created in this term
 	// unansweredRequests are the keys of former leaders' records of provision requests that lack an answer or cannot be
 	// read.
@@ -52,6 +53,6 @@
 	busy         bool // a write or a request is in flight
 	requestedAt  clock.Micros
 	pendingSince clock.Micros // when this leader created or loaded the request
-	// when terminated machines were last removed from its record
+	// prunedAt is when terminated machines were last removed from the group's record.
 	prunedAt clock.Micros
 }
--- a/internal/leader/job_lifecycle.go
+++ b/internal/leader/job_lifecycle.go
@@ -54,9 +54,9 @@
 	l.scheduling.requestUrgently()
 }
 
-// jobKeyDeleted cancels a job: apart from the leader itself, only an abort deletes a job's key. While the job's final
-// state is being written, the outcome of that write tells the two apart. A progress write in flight must not hide an
-// abort.
+// jobKeyDeleted cancels a job: a job's key is deleted only by an abort, or by the leader when it writes the job's final
+// state. While that write is in flight, its outcome shows which of the two deleted the key. A progress write in flight
+// must not hide an abort.
 func (l *Leader) jobKeyDeleted(now clock.Micros, key string) {
 	if job := l.jobs.Get(strings.TrimPrefix(key, JobPrefix)); job != nil && !job.IsFinishing() {
 		l.cancelJob(now, job)
@@ -71,7 +71,7 @@
 	l.jobs.Remove(ref)
 	for _, lease := range l.shards.all {
 		lease.stopJob(ref)
-		// Completed tasks are stopped as well: a delayed copy of a run command must not start them again.
+		// Completed tasks are stopped as well: a delayed copy of a run command must not start such a task again.
 		for _, t := range lease.unpersisted {
 			if t.Job == ref {
 				lease.orders.Stop = append(lease.orders.Stop, peer.StopTask{Task: t})
@@ -82,14 +82,14 @@
 	l.progress.Forget(job)
 }
 
-// finishJob removes a job whose final state is stored: all its tasks have completed.
+// finishJob removes a job, all of whose tasks have completed, once its final state is stored.
 func (l *Leader) finishJob(now clock.Micros, job *jobs.Job) {
 	ref := job.Spec.Ref
 	l.jobEnded(now, job, wire.JobDone)
 	l.jobs.Remove(ref)
 	for _, lease := range l.shards.all {
 		lease.acknowledge(func(t peer.Task) bool { return t.Job == ref })
-		// An attempt that a stale record still names must not run on.
+		// An attempt that a stale attempt record still names must not continue to run.
 		lease.stopJob(ref)
 	}
 	l.progress.Forget(job)
@@ -144,7 +144,7 @@
 	}
 }
 
-// replicaStopped records that a replica has ended and must run again.
+// replicaStopped records that an attempt of a replica has ended, so that the replica must run again.
 func (l *Leader) replicaStopped(now clock.Micros, job *jobs.Job, event peer.TaskEvent, task *grantedTask) {
 	attempt := jobs.ReplicaAttempt{Task: event.Index, Running: task.running, RunningSince: task.runningSince,
 		Inherited: task.inherited,
--- a/internal/leader/jobs/job.go
+++ b/internal/leader/jobs/job.go
@@ -1,8 +1,10 @@
 // Package jobs holds the leader's view of the unfinished jobs: which tasks of a job have completed, which wait for a
 // machine and which are dispatched to shards, what is known of a service's replicas between their attempts, how long
-// tasks of a class run compared with their estimates, and the pages on which completed tasks are stored. It owns only
-// this state and makes no decisions about machines. The leader reports task events to it, and turns the progress page
-// writes that it returns into transactions. It does no I/O and reads no clock.
+// tasks of a class run compared with their estimates, and the progress pages, on which completed tasks are stored. The
+// package owns only this state and makes no decisions about machines. The leader reports task events to it, and turns
+// the returned writes of progress pages into transactions. The package does no I/O and reads no clock.
+//
+// A waiting task is queued for dispatch. A dispatched task is in the grant of at least one shard.
 package jobs
 
 import (
@@ -20,7 +22,7 @@
 	Spec       wire.Job
 	AcceptedAt clock.Micros  // wall clock time
 	KeyVersion uint64        // version of the job's key in the store
-	TaskShape  TaskShape     // resources and placement that its tasks need
+	TaskShape  TaskShape     // resources and placement that the job's tasks need
 	Failures   *failures.Job // task failures by machine
 
 	progress   []chunk
@@ -33,7 +35,7 @@
 
 	unservedSince clock.Micros // see SetUnservedSince
 	cancelled     bool
-	finishing     bool // the write of its final state is in flight
+	finishing     bool // the write of the job's final state is in flight
 }
 
 // TaskShape is the resources and the placement that a job's tasks need. Jobs of the same shape compare equal.
@@ -43,8 +45,8 @@
 	spot               bool
 }
 
-// New returns a job without waiting tasks. EnqueueAll queues its tasks, and so does FinishLoading once the stored
-// completions are loaded.
+// New returns a job without waiting tasks. The caller then queues the job's tasks with EnqueueAll, or with
+// FinishLoading once the stored completions are loaded.
 func New(spec wire.Job, acceptedAt clock.Micros, keyVersion uint64) *Job {
 	return &Job{
 		Spec: spec, AcceptedAt: acceptedAt, KeyVersion: keyVersion,
@@ -71,7 +73,7 @@
 // Completed returns how many tasks have completed.
 func (j *Job) Completed() int { return j.completed }
 
-// MarkCompleted records that a task has completed, and reports whether it was not recorded before.
+// MarkCompleted records that a task has completed, and reports whether this was not recorded before.
 func (j *Job) MarkCompleted(task int) bool {
 	if j.IsCompleted(task) {
 		return false
@@ -142,7 +144,7 @@
 }
 
 // Requeue records that a shard grant no longer contains a task, and queues the task again if no other grant contains
-// it.
+// the task.
 func (j *Job) Requeue(task int) {
 	j.ClearDispatched(task)
 	j.enqueueIfDue(task)
@@ -191,8 +193,8 @@
 // are not worth their price. No job may wait 90 s while there is free capacity.
 const unservedLimit = 45 * clock.Second
 
-// SetUnservedSince records since when the job waits for free capacity without a dispatched task. 0 means that it does
-// not wait.
+// SetUnservedSince records since when the job waits for free capacity without having a task dispatched. 0 means that
+// the job does not wait.
 func (j *Job) SetUnservedSince(since clock.Micros) { j.unservedSince = since }
 
 // UnservedSince returns the time set by SetUnservedSince.
--- a/internal/leader/jobs/pages.go
+++ b/internal/leader/jobs/pages.go
@@ -9,7 +9,8 @@
 	"swiftledge/internal/store"
 )
 
-// ProgressPages owns the progress pages, which store the completed tasks of many jobs each.
+// ProgressPages owns the progress pages. A progress page is a value in the store that lists completed tasks of many
+// jobs.
 type ProgressPages struct {
 	term         cluster.Term
 	pagesCreated int // number of pages created in this term
@@ -27,7 +28,7 @@
 	Record  ProgressRecord
 }
 
-// PageWrite is a transaction that stores a progress page or deletes an empty one.
+// PageWrite is a transaction that stores a progress page or deletes an empty progress page.
 type PageWrite struct {
 	Key     string
 	Version uint64 // expected version of the key, the condition of a write that stores a page
@@ -38,7 +39,7 @@
 	written []chunkID // chunks in Record, in the same order
 }
 
-// Load adds a stored page. maxValueBytes is the maximum size of a value.
+// Load adds a stored progress page. maxValueBytes is the maximum size of a value.
 func (p *ProgressPages) Load(stored StoredPage, table *Table, maxValueBytes int) {
 	page := &progressPage{key: stored.Key, version: stored.Version, size: emptyPageBytes}
 	p.pages = append(p.pages, page)
@@ -58,7 +59,7 @@
 			page.add(id)
 			continue
 		}
-		// Several pages hold the chunk. One of them is enough once it holds the completions of all.
+		// Several pages hold the chunk. One page is enough once it holds the completions of all these pages.
 		c.addFormerPage(page)
 	}
 	if page.size > maxValueBytes {
@@ -66,7 +67,7 @@
 	}
 }
 
-// Forget removes a finished job from its pages. Later writes of the pages omit it.
+// Forget removes a finished job from its progress pages. Later writes of the pages omit the job.
 func (p *ProgressPages) Forget(j *Job) {
 	for i := range j.progress {
 		c := &j.progress[i]
@@ -115,8 +116,8 @@
 	}
 }
 
-// place adds a chunk to a page with enough space. It skips pages with pending moves: these are not written until
-// their former chunks, possibly including this one, are stored elsewhere.
+// place adds a chunk to a page with enough space. It skips pages with pending moves: such a page is not written until
+// the chunks that leave it, possibly including this chunk, are stored on other pages.
 func (p *ProgressPages) place(id chunkID, maxValueBytes int) {
 	neededBytes := id.chunk().storedBytes()
 	for _, page := range p.pages {
@@ -132,7 +133,7 @@
 	page.add(id)
 }
 
-// deleteEmpty drops the pages without chunks, and returns the deletions of those that are stored.
+// deleteEmpty drops the pages without chunks, and returns the deletions of the dropped pages that are stored.
 func (p *ProgressPages) deleteEmpty() (writes []PageWrite) {
 	p.pages = slices.DeleteFunc(p.pages, func(page *progressPage) bool {
 		if page.inFlight || !page.dirty || len(page.chunks) > 0 || page.pendingMoves > 0 {
@@ -160,7 +161,7 @@
 	return w
 }
 
-// Committed records that a write succeeded, and returns the jobs, by reference, whose completed tasks it stored.
+// Committed records that a write succeeded, and returns the jobs, by reference, whose completed tasks were stored.
 func (p *ProgressPages) Committed(w PageWrite, revision uint64) map[string]*Job {
 	w.page.inFlight, w.page.version = false, revision
 	stored := map[string]*Job{}
--- a/internal/leader/jobs/pages_test.go
+++ b/internal/leader/jobs/pages_test.go
@@ -57,9 +57,9 @@
 	return bits
 }
 
-// Three pages hold a chunk because leaders ended while they moved it. No page may be rewritten without the chunk or
-// deleted before one page holds the completions of all three. Otherwise completions stored on only one page are lost
-// and their tasks run again.
+// Three progress pages hold the same chunk because leaders ended while they moved the chunk. No page may be rewritten
+// without the chunk or deleted before one page holds the completions of all three. Otherwise completions stored on only
+// one page are lost and their tasks run again.
 func TestChunkOnThreePagesKeepsItsCompletions(t *testing.T) {
 	keys := []string{ProgressPrefix + "1-1", ProgressPrefix + "1-2", ProgressPrefix + "1-3"}
 	for _, oversized := range append([]string{""}, keys...) {
@@ -77,20 +77,20 @@
 		}
 		for round := 1; round <= 6; round++ {
 			writes := pages.DueWrites(clock.Micros(round)*ProgressInterval, table, maxValueBytes)
-			// Writes without the chunk are applied at once, those with the chunk are delayed.
+			// Writes without the chunk are applied at once, writes with the chunk are delayed.
 			stored.apply(pages, writes, func(w PageWrite) bool { return round <= 2 && len(w.Record.Chunks) > 0 })
 			if got := stored.bits(j.Spec.Ref); got != 7 {
-				t.Fatalf("oversized page %q: stored bits are %03b after round %d, want 111", oversized, got, round)
+				t.Fatalf("oversized page %q: stored bits were %03b after round %d, want 111", oversized, got, round)
 			}
 		}
 		if len(stored.pages) > 1 {
-			t.Errorf("oversized page %q: %d of three pages remain, want one", oversized, len(stored.pages))
+			t.Errorf("oversized page %q: %d of three pages remained stored, want at most one", oversized, len(stored.pages))
 		}
 	}
 }
 
 // A progress page that was stored when the maximum value size was larger is neither lost nor written as it is. Its
-// chunks move to pages that fit, and it is deleted only once all of them are stored.
+// chunks move to pages that fit, and the old page is deleted only once all its chunks are stored on these.
 func TestOversizedPageIsSplit(t *testing.T) {
 	table, pages := NewTable(), NewProgressPages(5)
 	old := StoredPage{Key: ProgressPrefix + "1-1", Version: 7}
@@ -101,7 +101,7 @@
 	pages.Load(old, table, maxValueBytes)
 	first := pages.DueWrites(ProgressInterval, table, maxValueBytes)
 	if len(first) < 2 {
-		t.Fatalf("%d pages written, want at least 2", len(first))
+		t.Fatalf("%d progress pages written, want at least 2", len(first))
 	}
 	for _, w := range first {
 		value, err := json.Marshal(w.Record)
@@ -109,12 +109,12 @@
 			t.Fatal(err)
 		}
 		if w.Delete || w.Key == old.Key || len(value) > maxValueBytes {
-			t.Errorf("write of %s has %d bytes, deletes: %t", w.Key, len(value), w.Delete)
+			t.Errorf("write of %s with %d bytes, delete: %t, want a page other than the old one that fits into a value", w.Key, len(value), w.Delete)
 		}
 	}
 	for i, w := range first {
 		if again := pages.DueWrites(clock.Micros(2+i)*ProgressInterval, table, maxValueBytes); len(again) > 0 {
-			t.Fatalf("%s written before all chunks of the old page are stored elsewhere", again[0].Key)
+			t.Fatalf("%s was written before all chunks of the old page were stored on other pages", again[0].Key)
 		}
 		pages.Committed(w, committed.Revision)
 	}
@@ -124,12 +124,13 @@
 	}
 	for j := range table.All() {
 		if !j.IsPersisted(0) || !j.IsPersisted(2) || j.IsPersisted(1) {
-			t.Errorf("%s does not have exactly its stored completions", j.Spec.Ref)
+			t.Errorf("tasks of %s counted as persisted are not exactly those that its stored page lists", j.Spec.Ref)
 		}
 	}
 }
 
-// A page is not written while a write of it is in flight. It is written again after a failed write.
+// A progress page is not written while another write of the same page is in flight. It is written again after a failed
+// write.
 func TestFailedWriteIsRepeated(t *testing.T) {
 	conflict := store.TxnResult{FailedKeys: []string{"k"}}
 	for name, c := range map[string]struct {
@@ -145,14 +146,14 @@
 			j.MarkCompleted(3)
 			first := pages.DueWrites(ProgressInterval, table, maxValueBytes)
 			if len(first) != 1 || first[0].Version != 0 {
-				t.Fatalf("writes %+v, want one of a new page", first)
+				t.Fatalf("writes %+v, want one that creates a page", first)
 			}
 			j.MarkCompleted(4)
 			if more := pages.DueWrites(2*ProgressInterval, table, maxValueBytes); len(more) > 0 {
-				t.Errorf("second write while the first is in flight: %+v", more)
+				t.Errorf("writes %+v while the first write was in flight, want none", more)
 			}
 			if mustRead := pages.Failed(first[0], c.result, maxValueBytes); mustRead != c.mustRead {
-				t.Errorf("must read the key: %t, want %t", mustRead, c.mustRead)
+				t.Errorf("Failed reported that the page's key must be read: %t, want %t", mustRead, c.mustRead)
 			}
 			version := uint64(0)
 			if c.mustRead {
@@ -161,16 +162,16 @@
 			}
 			again := pages.DueWrites(3*ProgressInterval, table, maxValueBytes)
 			if len(again) != 1 || again[0].Version != version || again[0].Record.Chunks[0].Completed[0] != 1<<3|1<<4 {
-				t.Errorf("writes %+v, want one at the version read, with tasks 3 and 4", again)
+				t.Errorf("writes %+v, want one with tasks 3 and 4, conditional on the last known version of the key", again)
 			}
 			if j.IsPersisted(3) {
-				t.Error("task counts as persisted after a failed write")
+				t.Error("task counted as persisted after a failed write")
 			}
 		})
 	}
 }
 
-// The stored page of a finished job is deleted.
+// A stored progress page that holds only tasks of a finished job is deleted.
 func TestPageOfAFinishedJobIsDeleted(t *testing.T) {
 	table, pages := NewTable(), NewProgressPages(5)
 	j := addJob(table, "j-000001", 8)
@@ -181,7 +182,7 @@
 	pages.Forget(j)
 	writes := pages.DueWrites(2*ProgressInterval, table, maxValueBytes)
 	if len(writes) != 1 || !writes[0].Delete || writes[0].Key != w.Key {
-		t.Errorf("writes %+v, want the deletion of %s", writes, w.Key)
+		t.Errorf("writes %+v, want only the deletion of page %s", writes, w.Key)
 	}
 }
 
@@ -194,6 +195,6 @@
 	r := ProgressRecord{Chunks: []ProgressChunk{{Job: j.Spec.Ref, Completed: []byte{3}}}}
 	pages.Load(StoredPage{Key: ProgressPrefix + "1-1", Version: 7, Record: r}, table, maxValueBytes)
 	if j.IsCompleted(0) || j.IsCompleted(1) {
-		t.Error("replicas of a service count as completed")
+		t.Error("replica of a service counted as completed")
 	}
 }
--- a/internal/leader/jobs/progress.go
+++ b/internal/leader/jobs/progress.go
@@ -45,9 +45,9 @@
 // chunk is a range of a job's tasks whose progress is stored as a unit.
 type chunk struct {
 	completed, persisted taskBitmap
-	dirty                bool
+	dirty                bool            // the chunk must be written again
 	page                 *progressPage   // page that holds the chunk
-	formerPages          []*progressPage // other pages that hold it; not rewritten until page is stored
+	formerPages          []*progressPage // other pages that hold the chunk; not rewritten until page is stored
 }
 
 func newChunks(tasks int) []chunk {
@@ -62,8 +62,8 @@
 // storedBytes returns the approximate size of the chunk on a page.
 func (c *chunk) storedBytes() int { return (len(c.completed)+2)/3*4 + 48 }
 
-// addFormerPage records that a page holds the chunk and must drop it once another page with all its known completions
-// is stored.
+// addFormerPage records that a page holds the chunk, and must drop the chunk once another page that has all known
+// completions of the chunk is stored.
 func (c *chunk) addFormerPage(page *progressPage) {
 	c.formerPages = append(c.formerPages, page)
 	c.dirty = true
@@ -89,11 +89,11 @@
 	key      string
 	version  uint64
 	chunks   []chunkID
-	size     int // approximate, in bytes
-	dirty    bool
+	size     int  // approximate, in bytes
+	dirty    bool // the page must be written again
 	inFlight bool // a write or read is in flight
-	// pendingMoves counts the chunks that this page must drop and that are not stored elsewhere yet. The page is not
-	// written while there are any.
+	// pendingMoves counts the chunks that this page must drop and that are not stored on another page yet. The page is
+	// not written while there are such chunks.
 	pendingMoves int
 }
 
@@ -112,7 +112,7 @@
 }
 
 // split empties a page that was written when the maximum value size was larger, and that can no longer be written as
-// it is. Its chunks move to other pages, and it stays in the store until they are stored there.
+// it is. Its chunks move to other pages. The old page stays in the store until all its chunks are stored on these.
 func (p *progressPage) split() {
 	p.dirty = true
 	for _, id := range p.chunks {
--- a/internal/leader/jobs/replica.go
+++ b/internal/leader/jobs/replica.go
@@ -16,23 +16,23 @@
 
 // replica is the state of a service's task that is kept between its attempts.
 type replica struct {
-	quickExits int          // exits of its own since its last long run
-	endedAt    clock.Micros // end of the last attempt; 0 while it runs
-	cause      string
+	quickExits int          // how often the replica has exited by itself since its last long run
+	endedAt    clock.Micros // end of the last attempt; 0 while the replica runs
+	cause      string       // why the last attempt ended
 }
 
 // ReplicaAttempt is an ended attempt of a replica.
 type ReplicaAttempt struct {
 	Task         int
-	Running      bool         // it was reported as running
+	Running      bool         // the attempt was reported as running
 	RunningSince clock.Micros // start of the run, if Running
 	Inherited    bool         // known only from the attempt records of an earlier grant
-	Released     bool         // it was stopped and did not exit by itself
-	Cause        string
+	Released     bool         // the attempt was stopped and did not exit by itself
+	Cause        string       // why the attempt ended
 }
 
-// ReplicaEnded records that a replica has ended and must run again. A replica that keeps exiting by itself waits longer
-// each time. ReplicaEnded reports whether the replica was up until now.
+// ReplicaEnded records that an attempt of a replica has ended, so that the replica must run again. A replica that keeps
+// exiting by itself waits longer each time. ReplicaEnded reports whether the replica was up until now.
 func (j *Job) ReplicaEnded(now clock.Micros, attempt ReplicaAttempt) (wasUp bool) {
 	r := j.replicas[attempt.Task]
 	if r == nil {
@@ -58,10 +58,10 @@
 // Outage is a period in which a replica did not run.
 type Outage struct {
 	Since clock.Micros
-	Cause string
+	Cause string // why the attempt before the outage ended
 }
 
-// ReplicaRunning records that a replica runs, and returns the outage that this ends, if there was one.
+// ReplicaRunning records that a replica runs, and returns the outage that ended with this run, if there was one.
 func (j *Job) ReplicaRunning(task int) (Outage, bool) {
 	r := j.replicas[task]
 	if r == nil || r.endedAt == 0 {
--- a/internal/leader/jobs/table.go
+++ b/internal/leader/jobs/table.go
@@ -11,9 +11,9 @@
 // Table holds the unfinished jobs and the run time history of their classes.
 type Table struct {
 	byRef          map[string]*Job
-	runTimes       map[string]*runTimeRatio // by class
-	classesSeen    map[string]bool          // classes with a job in this term
-	reportedCounts map[string]peer.TaskCount
+	runTimes       map[string]*runTimeRatio  // by class
+	classesSeen    map[string]bool           // classes with a job in this term
+	reportedCounts map[string]peer.TaskCount // by job, as last returned by ChangedCounts
 }
 
 // runTimeRatio is the mean ratio of actual to estimated run time of a class's tasks.
@@ -54,7 +54,7 @@
 // Get returns a job, or nil if the table has no such job.
 func (t *Table) Get(ref string) *Job { return t.byRef[ref] }
 
-// OfTask returns the job of a task, or nil if the table has no such job or the job has no such task.
+// OfTask returns the job to which a task belongs, or nil if the table has no such job or the job has no such task.
 func (t *Table) OfTask(task peer.Task) *Job {
 	j := t.byRef[task.Job]
 	if j == nil || task.Index < 0 || task.Index >= j.Spec.Tasks {
--- a/internal/leader/jobs/waiting.go
+++ b/internal/leader/jobs/waiting.go
@@ -9,7 +9,7 @@
 type waitingTasks struct {
 	words []uint64
 	count int
-	head  int // lower bound: no task before it waits
+	head  int // lower bound: no task with a lower index waits
 }
 
 func newWaitingTasks(tasks int) waitingTasks {
@@ -35,7 +35,7 @@
 	w.count--
 }
 
-// first returns the first task, or -1 if the set is empty.
+// first returns the waiting task with the lowest index, or -1 if the set is empty.
 func (w *waitingTasks) first() int {
 	for i := w.head / wordBits; i < len(w.words); i++ {
 		if w.words[i] != 0 {
@@ -45,7 +45,7 @@
 	return -1
 }
 
-// popFirst removes the first task and returns it, or -1 if the set is empty.
+// popFirst removes the waiting task with the lowest index and returns it, or -1 if the set is empty.
 func (w *waitingTasks) popFirst() int {
 	task := w.first()
 	if task >= 0 {
--- a/internal/leader/keys_test.go
+++ b/internal/leader/keys_test.go
@@ -10,8 +10,8 @@
 	"swiftledge/wire"
 )
 
-// Some keys consist of a term and a counter. A leader of another version finds them by their prefix, and a leader
-// must never create a key that already exists.
+// Some keys consist of a prefix, a term and a counter. A leader of another version finds these keys by their prefix,
+// and a leader must never create a key that already exists.
 func TestKeysContainTerm(t *testing.T) {
 	cases := []struct {
 		name, want string
@@ -31,7 +31,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			if got := c.key(newLeader(t)); got != c.want {
-				t.Errorf("key %s, want %s", got, c.want)
+				t.Errorf("key of the record is %s, want %s", got, c.want)
 			}
 		})
 	}
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -21,7 +21,7 @@
 	pauses  pausedetect.Detector
 }
 
-// Step handles one message and returns the effects of handling it.
+// Step handles one message and returns the resulting effects.
 func (l *Leader) Step(now clock.Micros, message Message) []Effect {
 	l.effects = nil
 	if pauseStart, paused := l.pauses.Observe(now); paused {
@@ -68,7 +68,7 @@
 	return now < l.jobsViewedAt+l.cfg.MaxViewAge().MinusDrift()
 }
 
-// handleEvent handles a message that does not depend on the requests of this term.
+// handleEvent handles a message that is no answer to a request of this term.
 func (l *Leader) handleEvent(now clock.Micros, message event) {
 	switch m := message.(type) {
 	case PeerConnected:
--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -55,7 +55,7 @@
 	return newLeaderWithTuning(t, config.DefaultTuning())
 }
 
-// newLeaderWithTuning is newLeader with other operator settings.
+// newLeaderWithTuning is newLeader with the given operator settings.
 func newLeaderWithTuning(t *testing.T, tuning config.Tuning) *Leader {
 	t.Helper()
 	cfg := &config.Config{Tuning: tuning}
@@ -104,13 +104,13 @@
 	}
 	l.Step(now, AttemptsLoaded{Term: 5, Shard: 0, FencingToken: l.shards.all[0].token})
 	if n := countOffers(reportShard(0)); n != 0 {
-		t.Fatalf("%d tasks offered before the records of shard 1 are read", n)
+		t.Fatalf("%d tasks offered before the attempt records of shard 1 were read, want none", n)
 	}
 	effects := l.Step(now, AttemptsLoaded{Term: 5, Shard: 1, FencingToken: l.shards.all[1].token,
 		Pages: map[string]peer.AttemptPage{"run/001/1-1": {Machines: machineNames[:1],
 			Groups: []peer.AttemptGroup{{Job: testJob.Ref, Team: "red", CPUs: 1, Attempts: []int{0, 1, 0}}}}}})
 	if n := countOffers(effects); n != 1 {
-		t.Errorf("%d tasks offered, want the one without an attempt record", n)
+		t.Errorf("%d tasks offered, want only the task without an attempt record", n)
 	}
 }
 
@@ -143,7 +143,7 @@
 	}
 	// The completed task is stopped, too: it must stay listed while a delayed copy of its command can still arrive.
 	if len(stopped) != 2 || stopped[0].Index != 1 || stopped[1].Index != 0 {
-		t.Errorf("stopped tasks %v, want 1 and 0", stopped)
+		t.Errorf("stop orders %v, want one for task 1, then one for task 0", stopped)
 	}
 }
 
@@ -179,7 +179,7 @@
 	l.valueBytes, l.txnOps = 3600, 8
 	l.Step(startTime, TxnCompleted{Term: 5, Tag: finalStateTag{"j-999999"}, Result: store.TxnResult{Rejected: true}})
 	if l.valueBytes != 1800 || l.txnOps != 4 {
-		t.Errorf("limits are %d bytes for a value and %d operations, want 1800 and 4", l.valueBytes, l.txnOps)
+		t.Errorf("limits of %d bytes for a value and %d operations for a transaction, want 1800 and 4", l.valueBytes, l.txnOps)
 	}
 }
 
@@ -200,10 +200,10 @@
 		}
 	}
 	if !found {
-		t.Error("grant message does not stop the task of the finished job")
+		t.Error("grant message did not contain the order to stop the task of the finished job")
 	}
 	if l.usage.Of("red").CPUs != 3 {
-		t.Errorf("usage of %g processors, want the 3 of the task that may still run", l.usage.Of("red").CPUs)
+		t.Errorf("team usage of %g processors, want the 3 of the task that may still run", l.usage.Of("red").CPUs)
 	}
 }
 
--- a/internal/leader/leadership.go
+++ b/internal/leader/leadership.go
@@ -5,8 +5,8 @@
 	"swiftledge/internal/cluster"
 )
 
-// leadership is the state of the current term, the authority to act in it, and the limits that the store has shown
-// during it.
+// leadership is the state of the current term, the authority to act in the term, and the limits that the store has
+// shown during the term.
 type leadership struct {
 	term        cluster.Term
 	incarnation cluster.Incarnation
--- a/internal/leader/limits_test.go
+++ b/internal/leader/limits_test.go
@@ -41,14 +41,14 @@
 		n0.lastHeartbeat, n0.Controller = now, assignment.Controller{Name: "n0"}
 		token, ok := regrantFirstShard(l, now, revision)
 		if !ok {
-			t.Fatalf("no token for grant %d", i)
+			t.Fatalf("leader did not issue a fencing token for grant %d", i)
 		}
 		if token <= lastToken {
-			t.Fatalf("token %d is not higher than the one before, %d", token, lastToken)
+			t.Fatalf("fencing token %d after token %d, want a higher one", token, lastToken)
 		}
 		// The next leader's key has a later revision than any write of this term.
 		if next := wire.FencingToken(revision+1) << tokenBits; token > next {
-			t.Fatalf("token %d is higher than the first one of a later leader, %d", token, next)
+			t.Fatalf("fencing token %d is higher than the first token of a later leader, %d", token, next)
 		}
 		lastToken = token
 	}
@@ -60,7 +60,7 @@
 	l := newLeader(t)
 	l.shards.tokensIssued, l.highestRevision = 1<<tokenBits-1, 0
 	if token, ok := regrantFirstShard(l, startTime, 30); ok {
-		t.Errorf("token %d reaches the tokens of term %d", token, l.term+1)
+		t.Errorf("leader issued fencing token %d, which may belong to term %d, want no token", token, l.term+1)
 	}
 }
 
--- a/internal/leader/load_bound.go
+++ b/internal/leader/load_bound.go
@@ -23,7 +23,8 @@
 	return load.Resources{CPUs: t.CPUs, GPUs: t.GPUs, Memory: t.MemoryGB}
 }
 
-// used returns the resources of the machine that are taken, by ordered and running tasks, according to its holder.
+// used returns the resources of the machine that are taken, by tasks ordered to start and by running tasks, according
+// to its shard holder.
 func (m *machine) used() load.Resources {
 	return m.capacity().Minus(load.Resources{CPUs: m.state.CPUs, GPUs: m.state.GPUs, Memory: m.state.MemoryGB})
 }
@@ -65,8 +66,9 @@
 	return m.usedWithOffers().Plus(resourcesOf(spec)).DominantShare(m.capacity())
 }
 
-// allows reports whether one more task keeps the machine within the bound. A machine that the autoscaler wants to be
-// empty is never within it: it is for tasks that find no free capacity elsewhere, not for spreading load.
+// allows reports whether one more task keeps the machine within the load bound. A machine that the autoscaler wants to
+// be empty never counts as within the bound: such a machine is for tasks that find no free capacity elsewhere, not for
+// spreading load.
 func (b *loadBound) allows(m *machine, spec *wire.Job) bool {
 	if b == nil {
 		return true
@@ -92,7 +94,8 @@
 	}
 }
 
-// annotate adds to offers the mean load that they lead to, which a holder of a few machines cannot know.
+// annotate adds the mean load after all offers of the pass to each offer. A holder, which knows only the machines of
+// its shards, cannot compute this mean.
 func (b *loadBound) annotate(offers []peer.TaskOffer) {
 	if b == nil {
 		return
--- a/internal/leader/load_state.go
+++ b/internal/leader/load_state.go
@@ -27,7 +27,7 @@
 			if r, ok := decode[InstanceGroupRecord](l, item); ok {
 				l.loadInstanceGroup(now, item, r)
 			} else {
-				l.inventory.unansweredRequests[item.Key] = true // any machine that it names may run tasks
+				l.inventory.unansweredRequests[item.Key] = true // any machine that the unreadable record names may run tasks
 			}
 		}
 	}
@@ -44,7 +44,7 @@
 }
 
 // loadShards creates the shards, to which the machines belong, and loads the machine types. The first leader that uses
-// a store records the number of shards in it.
+// a store writes the number of shards to the store.
 func (l *Leader) loadShards(items []wire.Item) {
 	shards, layoutStored := int(l.cfg.Tuning.Grants.Shards), false
 	versions := map[string]uint64{}
@@ -79,8 +79,8 @@
 	}
 }
 
-// loadProgress loads which tasks of the jobs have completed. All other tasks wait until the attempt records show which
-// of them may already run.
+// loadProgress loads which tasks of the jobs have completed. All other tasks count as waiting until the attempt records
+// show which of these tasks may already run.
 func (l *Leader) loadProgress(items []wire.Item) {
 	for _, item := range items {
 		if !strings.HasPrefix(item.Key, jobs.ProgressPrefix) {
--- a/internal/leader/machine_choice.go
+++ b/internal/leader/machine_choice.go
@@ -2,8 +2,8 @@
 
 import "swiftledge/internal/leader/jobs"
 
-// machineFor returns the machine on which the next task of a job is offered, and the zone to which the task is bound,
-// if any.
+// machineFor returns the machine on which the next task of a job is to be offered, or nil if there is none, and the
+// zone to which the task is bound, if any.
 func (l *Leader) machineFor(job *jobs.Job, capacity *freeCapacity) (*machine, string) {
 	spec := &job.Spec
 	if spec.OneZone || spec.Spread || spec.IsService() {
@@ -21,9 +21,9 @@
 			return m, ""
 		}
 	}
-	// With a load bound, the least loaded machine beyond it is better than none, but worse than one that can be
-	// offered in a moment.
-	if capacity.waitsForPending(job) {
+	// With a load bound, the least loaded machine beyond the bound is better than no machine, but worse than a machine
+	// within the bound that can be offered in a moment.
+	if capacity.waitsForPendingOffer(job) {
 		return nil, ""
 	}
 	if m := capacity.leastLoaded(job); m != nil {
@@ -32,7 +32,7 @@
 	if m := capacity.firstFit(capacity.machines, all, job); m != nil {
 		return m, ""
 	}
-	// A machine on which a task of the job failed is better than none.
+	// A machine on which a task of the job failed is better than no machine.
 	for _, m := range capacity.machines {
 		if _, failed := job.Failures.FailedOn(m.name); failed && m.fits(spec) && m.allowed(capacity.now, job) {
 			return m, ""
@@ -47,7 +47,7 @@
 	zones := l.zonesOf(job)
 	avoid := capacity.avoidedMachines(l, job)
 	best := capacity.leastAvoided(job, zones, avoid, capacity.bound)
-	if best == nil && capacity.bound != nil && !capacity.waitsForPending(job) {
+	if best == nil && capacity.bound != nil && !capacity.waitsForPendingOffer(job) {
 		best = capacity.leastAvoided(job, zones, avoid, nil)
 	}
 	switch {
@@ -59,8 +59,8 @@
 	return best, ""
 }
 
-// leastAvoided returns the machine to avoid least, among those within the bound, for a job whose tasks restrict each
-// other's placement.
+// leastAvoided returns the machine with the weakest reason to avoid it, among the machines within the bound, for a job
+// whose tasks restrict each other's placement.
 func (c *freeCapacity) leastAvoided(
 	job *jobs.Job, zones jobZones, avoid map[string]int, bound *loadBound,
 ) (best *machine) {
--- a/internal/leader/machine_removal.go
+++ b/internal/leader/machine_removal.go
@@ -8,7 +8,8 @@
 	"swiftledge/internal/clock"
 )
 
-// removalReason is why a machine that serves no tasks any longer is deleted; "" if it is not.
+// removalReason is why a machine that serves no tasks any longer is deleted. It is removalNone for a machine that is
+// kept.
 type removalReason string
 
 // Reasons to remove a machine, as the log shows them.
@@ -25,7 +26,8 @@
 const (
 	// minMissingLists is the number of consecutive machine lists that must lack a machine for it to count as gone.
 	minMissingLists = 3
-	// unlistedGrace is how long, beyond three times the lag of machine lists, an idle machine may be missing from them.
+	// unlistedGrace is how long, beyond three times the lag of machine lists, an idle machine may be missing from the
+	// lists before it is removed.
 	unlistedGrace = 10 * clock.Second
 )
 
@@ -52,7 +54,7 @@
 	return names
 }
 
-// shardSilence counts the machines of a shard that are up, and those of them that are silent.
+// shardSilence counts the machines of a shard that are up, and how many of these are silent.
 type shardSilence struct{ up, silent int }
 
 // isMachineFault reports whether the silence of a machine may be its own fault. Many silent machines at once indicate
@@ -77,18 +79,18 @@
 	return counts
 }
 
-// silentBootTimeout returns how long a machine may be listed as running without a heartbeat. By then any task that an
-// earlier shard holder started there has lost its lease.
+// silentBootTimeout returns how long a machine may be listed as running without a heartbeat. After that time, the lease
+// of any task that an earlier shard holder started on the machine has expired.
 func (l *Leader) silentBootTimeout(bootTimeout clock.Micros) clock.Micros {
 	return max(bootTimeout, 2*l.cfg.AgentLeaseTime())
 }
 
-// maxBootFailures bounds how many failed boots of an option add to its expected delay.
+// maxBootFailures bounds how many failed boots of an option add to its expected boot delay.
 const maxBootFailures = 4
 
-// withExpectedDelay returns the option with the expected delay of its machines: one boot time for each machine that
-// did not come up since one last did.
-func (l *Leader) withExpectedDelay(option autoscaler.Option) autoscaler.Option {
+// withExpectedBootDelay returns the option with the expected boot delay of its machines: one boot time for each machine
+// of the option that did not come up since the last machine that came up.
+func (l *Leader) withExpectedBootDelay(option autoscaler.Option) autoscaler.Option {
 	option.DelayS = option.Type.BootS * float64(min(l.autoscaler.bootFailures[option.Key()], maxBootFailures))
 	return option
 }
@@ -111,7 +113,7 @@
 }
 
 // isUnlisted reports whether the cloud's machine lists show that a machine is gone. The lists alone never remove a
-// machine that runs tasks: if it is really gone, it also falls silent.
+// machine that runs tasks: a machine that is really gone also falls silent.
 func (l *Leader) isUnlisted(now clock.Micros, m *machine) bool {
 	if m.missingLists < minMissingLists {
 		return false
--- a/internal/leader/machines.go
+++ b/internal/leader/machines.go
@@ -20,13 +20,13 @@
 	shard         *shardLease
 	address       string
 	up            bool // its agent has sent a heartbeat
-	cordoned      bool // not worth new tasks
-	deprioritized bool // not needed for new tasks while others have free capacity
-	excluded      bool // its holder was ordered to exclude it from scheduling
+	cordoned      bool // not worth its price: for services and jobs that have waited too long only
+	deprioritized bool // not needed for new tasks while other machines have free capacity
+	excluded      bool // its shard holder was ordered to exclude the machine from scheduling
 	draining      bool
 	deleting      bool
 	state         peer.MachineState // as its shard holder sees it
-	idleSince     clock.Micros      // since when it has no tasks
+	idleSince     clock.Micros      // since when the machine has no tasks
 	failures      failures.Machine
 	cloudListing
 	offerable
@@ -36,10 +36,10 @@
 type cloudListing struct {
 	firstSeenAt  clock.Micros
 	booting      bool
-	failed       bool         // it stopped without being deleted
-	listedAt     clock.Micros // when a list last had it; 0: never
-	runningSince clock.Micros // since when lists show it as running; 0: they do not
-	missingLists int          // number of consecutive lists that lacked it
+	failed       bool         // the machine stopped without being deleted
+	listedAt     clock.Micros // when a list last had the machine; 0: never
+	runningSince clock.Micros // since when lists show the machine as running; 0: they do not
+	missingLists int          // number of consecutive lists that lacked the machine
 }
 
 // offerable is the capacity of a machine that remains free while offers are made. The free capacity that its holder
@@ -71,8 +71,8 @@
 			lease := l.shardOfMachine(state.Name)
 			lease.orders.Terminated = append(lease.orders.Terminated, state.Name)
 		} else if state.Type != "" && state.TokenConfirmed {
-			// A report alone may stem from a delayed heartbeat of a machine that was deleted long ago. A machine that
-			// has confirmed a fencing token of this term exists, and so does one in a machine list.
+			// A report alone may stem from a delayed heartbeat of a machine that was deleted long ago. A machine exists
+			// if it has confirmed a fencing token of this term or is in a machine list.
 			l.inventory.discovered[state.Name] = wire.Machine{
 				Name: state.Name, Type: state.Type, Zone: state.Zone, Spot: state.Spot,
 			}
@@ -84,8 +84,9 @@
 		return
 	}
 	if state.Type == "" {
-		// The holder knows the machine by name only and has no heartbeat of it yet. Unless it counts as silent, a machine
-		// that was up under the former holder and ended while the shard changed hands would never be missed.
+		// The holder knows the machine by name only and has no heartbeat of it yet. A machine that was up under the
+		// former holder may have ended while the shard moved to the new holder. Unless the machine counted as silent,
+		// it would never be missed.
 		m.state.Silent = m.up && state.Silent
 		return
 	}
@@ -118,8 +119,8 @@
 	slices.SortFunc(tasks, func(a, b peer.Task) int { return cmp.Or(strings.Compare(a.Job, b.Job), a.Index-b.Index) })
 	for _, t := range tasks {
 		task, job := lease.tasks[t], l.jobs.Get(t.Job)
-		// A replica moves at once if there is free capacity for it elsewhere. Otherwise it runs here until the machine
-		// ends.
+		// A replica moves at once if there is free capacity for it elsewhere. Otherwise it runs on this machine until
+		// the machine ends.
 		moves := false
 		if job.Spec.IsService() && m.state.PreemptionNotice {
 			if capacity == nil {
@@ -193,7 +194,7 @@
 	}
 }
 
-// markTerminated removes a machine from the inventory, as its end is proven, and tells its holder.
+// markTerminated removes a machine from the inventory, as its end is proven, and reports the end to its shard holder.
 func (l *Leader) markTerminated(name string) {
 	delete(l.inventory.machines, name)
 	l.inventory.terminated[name] = true
--- a/internal/leader/messages.go
+++ b/internal/leader/messages.go
@@ -8,14 +8,14 @@
 	"swiftledge/wire"
 )
 
-// Link is a connection to a controller, possibly to this one. Links are compared: the holder of a shard receives
-// orders for it over the link over which the shard was granted.
+// Link is a connection to a controller, possibly to this controller itself. Links are compared: the holder of a shard
+// receives the orders for the shard over the link over which the shard was granted.
 type Link interface {
 	// Send queues a message for delivery and returns without waiting for it.
 	Send(message *peer.FromLeader)
 }
 
-// TxnTag identifies the purpose of a transaction or a read. It is returned with the outcome.
+// TxnTag identifies the purpose of a transaction or a read. The tag is part of the message with the outcome.
 //
 //sumtype:decl
 type TxnTag interface{ txnTag() }
@@ -44,12 +44,12 @@
 		TimeOfDay   clock.Micros
 		RequestedAt clock.Micros // when the read of the jobs was requested
 	}
-	// PeerConnected reports a new link to a controller, possibly to this one.
+	// PeerConnected reports a new link to a controller, possibly to this controller itself.
 	PeerConnected struct {
 		Controller  string
 		Incarnation cluster.Incarnation
 		Link        Link
-		ViaStore    bool // through the store: messages take seconds
+		ViaStore    bool // messages go through the store, because no direct connection can be made, and take seconds
 	}
 	// PeerDisconnected reports the end of a link.
 	PeerDisconnected struct {
--- a/internal/leader/preemption.go
+++ b/internal/leader/preemption.go
@@ -16,12 +16,12 @@
 const (
 	// preemptionInterval is the minimum time between two preemption passes.
 	preemptionInterval = 300 * clock.Millisecond
-	// stoppingWindow is how long a task that was ordered to stop counts as capacity that is about to be free.
+	// stoppingWindow is how long the resources of a task that was ordered to stop count as about to be free.
 	stoppingWindow = 3 * clock.Second
 	// maxPreemptions bounds how many tasks one preemption pass stops.
 	maxPreemptions = 64
-	// minBootTimesLeft is how many usual boot times of run time a task must have left to be preempted for anything but
-	// production work. With less left, its capacity or a new machine is available about as soon anyway.
+	// minBootTimesLeft is the run time, in usual boot times, that a task must have left to be preempted for anything
+	// but production work. With less time left, the task's capacity or a new machine is available about as soon anyway.
 	minBootTimesLeft = 2
 	// placementCostS is the approximate cost, in seconds, of placing a stopped task again and fetching its image.
 	placementCostS = 5
@@ -39,17 +39,17 @@
 	cost             float64 // CPU seconds of work lost, weighted down for low priorities
 }
 
-// preemptionCandidate is a machine on which capacity may be freed for waiting work.
+// preemptionCandidate is a machine on which capacity may be freed for waiting tasks.
 type preemptionCandidate struct {
 	machine      *machine
-	cpus, memory float64 // free now or after the tasks that are already stopping
+	cpus, memory float64 // free now or once the tasks that are already stopping have ended
 	victims      []victim
 }
 
-// claim describes why a job's next task may preempt others (PROTOCOL, "Preemption").
+// claim describes why a job's next task may preempt other tasks (PROTOCOL, "Preemption").
 type claim struct {
 	team            string
-	rank            int
+	rank            int  // rank of the job's priority, 0 for the most important
 	withinGuarantee bool // the team stays within its guarantee with the task
 	ownTasksOnly    bool // the team is at its limit: only its own tasks may be preempted
 }
@@ -59,14 +59,14 @@
 	leader        *Leader
 	now           clock.Micros
 	urgent        bool               // production work waits
-	longRunning   map[string]float64 // usual boot time of its machines, in seconds, by job with long-running tasks
+	longRunning   map[string]float64 // usual boot time of a job's machines, in seconds, for jobs with long-running tasks
 	candidates    []*preemptionCandidate
-	stoppingUsage *fairshare.Usage // resources that stopping tasks give back, less those this pass has assigned
+	stoppingUsage *fairshare.Usage // resources that stopping tasks give back, less those that this pass has assigned
 	preempted     int
 }
 
-// preempt frees capacity for waiting tasks that find none. It stops tasks of lower priority, and for a team that is
-// within its guarantee also tasks of equal priority that other teams run beyond theirs.
+// preempt frees capacity for waiting tasks that find no free capacity. It stops tasks of lower priority and, for a team
+// that is within its guarantee, also tasks of equal priority that other teams run beyond their own guarantees.
 func (l *Leader) preempt(now clock.Micros, queues []*fairshare.TeamQueue) {
 	if now-l.preemption.ranAt < preemptionInterval {
 		return
@@ -113,7 +113,7 @@
 	}
 }
 
-// collectCandidates collects, by name, the machines that may take waiting work, and the usage of stopping tasks.
+// collectCandidates collects the machines that may take waiting tasks, sorted by name, and the usage of stopping tasks.
 func (p *preemptionPass) collectCandidates() {
 	l, byMachine := p.leader, map[string]*preemptionCandidate{}
 	p.stoppingUsage = fairshare.NewUsage()
@@ -138,7 +138,7 @@
 	}
 }
 
-// collectTask counts a task as capacity that is about to become free, or adds it to the victims of its machine.
+// collectTask counts a stopping task as capacity that is about to become free, or adds a victim to the task's machine.
 func (p *preemptionPass) collectTask(byMachine map[string]*preemptionCandidate, t peer.Task, task *grantedTask) {
 	stopping := task.stopReason != "" && p.now-task.stoppedAt < stoppingWindow
 	if stopping {
@@ -169,7 +169,7 @@
 		cmp.Compare(a.task.Index, b.task.Index))
 }
 
-// victim describes a task that may be preempted. Its progress up to the last periodic checkpoint is not lost.
+// victim describes a task that may be preempted. Its cost leaves out the work that its last checkpoint saved.
 func (l *Leader) victim(now clock.Micros, t peer.Task, task *grantedTask, job *jobs.Job) victim {
 	spec := &job.Spec
 	rank, runtimeS := spec.Priority.Rank(), 0.0
@@ -184,7 +184,7 @@
 		savesCheckpoints: spec.CheckpointS > 0, cost: task.cpus * (lostS + placementCostS) / float64(max(rank, 1))}
 }
 
-// makeCapacityFor frees capacity for the waiting tasks of one job, as far as its team may run them.
+// makeCapacityFor frees capacity for the waiting tasks of one job, for as many tasks as the job's team may run.
 func (p *preemptionPass) makeCapacityFor(queue *fairshare.TeamQueue, job *jobs.Job) {
 	spec := &job.Spec
 	zones := p.leader.zonesOf(job)
@@ -210,7 +210,7 @@
 	}
 }
 
-// claim returns the claim of one more task of the team to preempt others, and whether it may preempt any.
+// claim returns the claim of one more task of the team, and whether that task may preempt other tasks at all.
 func (p *preemptionPass) claim(queue *fairshare.TeamQueue, spec *wire.Job) (claim, bool) {
 	usage := queue.Usage().Minus(p.stoppingUsage.Of(spec.Team))
 	c := claim{team: spec.Team, rank: spec.Priority.Rank(),
@@ -219,9 +219,9 @@
 }
 
 // mayPreempt reports whether a claim allows a task to be preempted. Production work preempts any task of lower
-// priority. Other work only preempts long-running tasks on borrowed capacity: those of lower priority, and, for a
-// guarantee, those of equal priority of other teams that save checkpoints. It does not make other tasks of equal
-// priority repeat their work, although the protocol would allow that.
+// priority. Other work only preempts long-running tasks on borrowed capacity: tasks of lower priority and, for a team
+// within its guarantee, tasks of other teams that have equal priority and save checkpoints. Tasks of equal priority
+// without checkpoints are not made to repeat their work, although the protocol would allow that.
 func (p *preemptionPass) mayPreempt(c claim, v *victim) bool {
 	switch {
 	case c.ownTasksOnly && v.granted.team != c.team:
@@ -234,13 +234,13 @@
 	return c.rank < v.rank || c.withinGuarantee && c.rank == v.rank && v.savesCheckpoints && v.granted.team != c.team
 }
 
-// isBorrowed reports whether a task runs on borrowed capacity: without it, its team still uses at least its guarantee.
+// isBorrowed reports whether a task runs on borrowed capacity: without it, the team still uses at least its guarantee.
 func (p *preemptionPass) isBorrowed(task *grantedTask) bool {
 	usage := p.leader.usage.Of(task.team).Minus(p.stoppingUsage.Of(task.team))
 	return usage.CPUs-task.cpus >= p.leader.teams[task.team].CPUs-1e-9
 }
 
-// cheapestCandidate returns the machine on which one more task costs least to fit, and its victims' indexes.
+// cheapestCandidate returns the machine on which one more task costs least to fit, and the victims' indexes there.
 func (p *preemptionPass) cheapestCandidate(
 	job *jobs.Job, zones jobZones, c claim,
 ) (best *preemptionCandidate, victims []int) {
@@ -260,7 +260,7 @@
 }
 
 // victimsFor returns the indexes of the victims to preempt on a machine for one more task to fit, and their cost. For
-// a team at its limit, its preempted tasks must also free at least the CPUs that the task takes.
+// a team at its limit, the victims, all of that team, must also free at least the CPUs that the task takes.
 func (p *preemptionPass) victimsFor(
 	candidate *preemptionCandidate, spec *wire.Job, c claim,
 ) (indexes []int, cost float64, ok bool) {
--- a/internal/leader/preemption_test.go
+++ b/internal/leader/preemption_test.go
@@ -10,8 +10,8 @@
 	"swiftledge/wire"
 )
 
-// newLeaderWithFullMachine returns a leader with one usable machine, which is full of four long tasks of team guest
-// that have run for a while. change, if not nil, alters their job before it is added.
+// newLeaderWithFullMachine returns a leader with one usable machine, which is full with four long tasks of team guest
+// that have run for a while. change, if not nil, alters the specification of their job before the job is added.
 func newLeaderWithFullMachine(t *testing.T, change func(*wire.Job)) *Leader {
 	t.Helper()
 	l := newGrantedLeader(t, nil)
@@ -54,7 +54,8 @@
 	return indexes
 }
 
-// Which waiting jobs preempt which tasks (PROTOCOL, "Preemption").
+// A waiting job preempts tasks according to both priorities and to the guarantees of the teams (PROTOCOL,
+// "Preemption").
 func TestPreemption(t *testing.T) {
 	high := wire.Job{Ref: "j-000200", Team: "blue", Priority: wire.PriorityHigh, Tasks: 1, CPUs: 1, MemoryGB: 1, EstimateS: 10, Spot: true}
 	highWith := func(change func(*wire.Job)) wire.Job {
@@ -99,7 +100,7 @@
 	l := newLeaderWithFullMachine(t, func(j *wire.Job) { j.CheckpointS = 22 })
 	high := wire.Job{Ref: "j-000200", Team: "blue", Priority: wire.PriorityHigh, Tasks: 1, CPUs: 1, MemoryGB: 1, EstimateS: 10, Spot: true}
 	if got := preemptedTasks(t, l, high); len(got) != 1 || got[0] != 2 {
-		t.Errorf("preempted tasks %v, want the one that has run for 22 s", got)
+		t.Errorf("preempted tasks %v, want only task 2, which has run for 22 s", got)
 	}
 }
 
@@ -112,18 +113,18 @@
 		l.taskFailed(startTime, j, peer.TaskEvent{Task: peer.Task{Job: high.Ref, Index: i}, Machine: machineNames[1+i]}, &grantedTask{})
 	}
 	if !j.Failures.Suspect() {
-		t.Fatal("job is not suspect after failures on two machines")
+		t.Fatal("job not suspect after failures on two machines")
 	}
 	j.EnqueueAll()
 	l.preempt(startTime+clock.Minute, l.queues(startTime+clock.Minute))
 	for _, lease := range l.shards.all {
 		if len(lease.orders.Stop) > 0 {
-			t.Errorf("suspect job preempts %v", lease.orders.Stop)
+			t.Errorf("stop orders %v for a waiting suspect job, want none", lease.orders.Stop)
 		}
 	}
 }
 
-// A failure of a task that is in no grant does not count.
+// A failure of a task that is in no shard grant does not count.
 func TestFailureOutsideGrantIsIgnored(t *testing.T) {
 	l := newGrantedLeader(t, nil)
 	j := l.jobs.Get(testJob.Ref)
@@ -132,6 +133,6 @@
 		l.taskEvent(startTime, lease, peer.TaskEvent{Task: peer.Task{Job: testJob.Ref, Index: 0}, Kind: peer.EventFailed, Machine: name})
 	}
 	if j.Failures.Suspect() || len(j.Failures.FailedMachines()) > 0 {
-		t.Error("failure of a task in no grant was counted")
+		t.Error("failure of a task that was in no shard grant counted against the job")
 	}
 }
--- a/internal/leader/process_pause.go
+++ b/internal/leader/process_pause.go
@@ -7,7 +7,8 @@
 	"swiftledge/internal/pausedetect"
 )
 
-// pauseDetected reports a pause of this process, and which parts of its leadership expired meanwhile.
+// pauseDetected reports a pause of this process, and whether the leader's authority and its view of the jobs expired
+// during the pause.
 func (l *Leader) pauseDetected(start, end clock.Micros) {
 	pause := pausedetect.Pause{Start: start, End: end}
 	if l.leading && l.authorityEnds > start && !l.authorised(end) {
--- a/internal/leader/process_pause_test.go
+++ b/internal/leader/process_pause_test.go
@@ -7,8 +7,8 @@
 	"swiftledge/internal/clock"
 )
 
-// After a process pause, a leader that still leads has the messages of the other controllers in its queue. It must
-// not treat any of them as disconnected, or all shards would change holders.
+// After a process pause, a leader that still leads has the messages of the other controllers in its queue. The leader
+// must not treat any controller as disconnected, or all shards would change holders.
 func TestProcessPauseDisconnectsNoController(t *testing.T) {
 	l := newLeader(t)
 	resumed := startTime + controllerTimeout + clock.Second
@@ -16,7 +16,7 @@
 	l.jobsViewedAt, l.authorityEnds = resumed, resumed+clock.Second
 	effects := l.Step(resumed, Tick{})
 	if l.shards.controllers["n0"] == nil {
-		t.Error("controller disconnected because of the leader's own pause")
+		t.Error("controller n0 counted as disconnected because of the leader's own pause")
 	}
 	if !slices.ContainsFunc(effects, func(e Effect) bool { _, ok := e.(PauseDetected); return ok }) {
 		t.Error("process pause was not detected")
@@ -26,7 +26,7 @@
 		l.Step(at, Tick{})
 	}
 	if l.shards.controllers["n0"] != nil {
-		t.Error("controller that stays silent after the pause is still connected")
+		t.Error("controller n0 still counted as connected although it sent nothing after the pause")
 	}
 }
 
@@ -38,7 +38,7 @@
 	for _, e := range l.Step(startTime+10*clock.Second, Tick{}) {
 		if p, ok := e.(PauseDetected); ok {
 			if want := []string{"authority of epoch 5", "view of the jobs"}; !slices.Equal(p.Pause.Expired, want) {
-				t.Errorf("expired %v, want %v", p.Pause.Expired, want)
+				t.Errorf("pause reported %v as expired, want %v", p.Pause.Expired, want)
 			}
 			return
 		}
--- a/internal/leader/proofs_test.go
+++ b/internal/leader/proofs_test.go
@@ -33,7 +33,7 @@
 	return peer.TaskEvent{Task: peer.Task{Job: testJob.Ref, Index: 0}, Kind: kind, Machine: machineNames[0]}
 }
 
-// Events of an earlier grant, or that arrive over an earlier link, release no task.
+// Events that belong to an earlier grant, or that arrive over an earlier link, remove no task from the current grant.
 func TestEventsOfEarlierGrantAreIgnored(t *testing.T) {
 	l := newGrantedLeader(t, attemptPagesFor(machineNames[0], 0, 1))
 	lease := l.shards.all[shard.ForMachine(machineNames[0], 2)]
@@ -42,11 +42,11 @@
 	earlierLink.Link = testLink("an earlier link")
 	l.Step(startTime+clock.Second, earlierLink)
 	if task := lease.tasks[peer.Task{Job: testJob.Ref}]; task == nil || !task.inherited {
-		t.Error("task released by an event of an earlier grant or link")
+		t.Error("task was removed from the grant by an event of an earlier grant or link")
 	}
 	l.Step(startTime+clock.Second, holderUpdate(lease, lease.token, firstTaskEvent(peer.EventReleased)))
 	if task := lease.tasks[peer.Task{Job: testJob.Ref}]; task != nil && task.inherited {
-		t.Error("task not released by an event of the current grant")
+		t.Error("task was not removed from the grant by an event of the current grant")
 	}
 }
 
@@ -61,16 +61,16 @@
 	j := l.jobs.Get(testJob.Ref)
 	l.Step(startTime, holderUpdate(l.shards.all[0], l.shards.all[0].token, firstTaskEvent(peer.EventReleased)))
 	if j.GrantCount(0) != 1 || j.IsWaiting(0) {
-		t.Errorf("task in %d grants, waiting: %v, want in one grant and not waiting", j.GrantCount(0), j.IsWaiting(0))
+		t.Errorf("task in %d grants, waiting: %v after it left one of two grants, want in one grant and not waiting", j.GrantCount(0), j.IsWaiting(0))
 	}
 	l.Step(startTime, holderUpdate(l.shards.all[1], l.shards.all[1].token, firstTaskEvent(peer.EventReleased)))
 	if j.GrantCount(0) != 0 || !j.IsWaiting(0) {
-		t.Errorf("task in %d grants, waiting: %v, want in no grant and waiting", j.GrantCount(0), j.IsWaiting(0))
+		t.Errorf("task in %d grants, waiting: %v after it left both grants, want in no grant and waiting", j.GrantCount(0), j.IsWaiting(0))
 	}
 	j.MarkCompleted(1)
 	j.MarkDispatched(1)
 	if j.Requeue(1); j.IsWaiting(1) {
-		t.Error("completed task waits again")
+		t.Error("completed task was queued again")
 	}
 }
 
@@ -89,7 +89,7 @@
 	}
 }
 
-// Attempt records that were read for an earlier grant or term may lack later attempts.
+// Attempt records that were read for an earlier grant or term are not used, as they may lack later attempts.
 func TestAttemptRecordsOfEarlierGrantAreRejected(t *testing.T) {
 	for _, loaded := range []AttemptsLoaded{{Term: 4}, {Term: 5}} {
 		l := newLeader(t)
@@ -98,7 +98,7 @@
 			loaded.FencingToken--
 		}
 		if l.Step(startTime, loaded); lease.state != reading || lease.AttemptsRead {
-			t.Errorf("attempt records of term %d and token %d accepted for term 5 and token %d", loaded.Term, loaded.FencingToken, lease.token)
+			t.Errorf("attempt records read for term %d and token %d were accepted in term 5 for token %d", loaded.Term, loaded.FencingToken, lease.token)
 		}
 	}
 }
@@ -114,7 +114,7 @@
 		key := shard.Key(lease.ID)
 		l.Step(startTime, TxnCompleted{Term: 5, Tag: tag, Result: store.TxnResult{Ambiguous: true, FailedKeys: []string{key}}})
 		if lease.state != writing {
-			t.Error("failed condition treated as a successful write")
+			t.Error("write with a failed condition was treated as successful")
 		}
 		record := ShardRecord{FencingToken: lease.token, Holder: "n0"}
 		if !isOwnWrite {
@@ -122,13 +122,14 @@
 		}
 		l.Step(startTime, KeyRead{Term: 5, Tag: tag, Found: true, Item: storeItem(t, key, 12, record)})
 		if (lease.state == reading) != isOwnWrite || lease.keyVersion != 12 {
-			t.Errorf("own write %v: state %v at version %d", isOwnWrite, lease.state, lease.keyVersion)
+			t.Errorf("own write %v: lease state %v at key version %d, want reading only after the own write, at version 12",
+				isOwnWrite, lease.state, lease.keyVersion)
 		}
 	}
 }
 
-// A deletion without a successful answer does not prove that a machine is terminated, and neither does a list without
-// the machine.
+// Only a deletion with a successful answer proves that a machine is terminated. A machine list without the machine does
+// not prove it.
 func TestOnlySuccessfulDeletionProvesMachineTerminated(t *testing.T) {
 	l := newGrantedLeader(t, nil)
 	l.Step(startTime+clock.Second, MachinesDeleted{Term: 5, Machines: machineNames[:1], Err: errors.New("no answer")})
@@ -141,7 +142,7 @@
 		effects := l.Step(at, MachinesListed{Machines: list})
 		effects = append(effects, l.Step(at, Tick{})...)
 		if l.inventory.machines[machineNames[0]] == nil || l.inventory.terminated[machineNames[0]] {
-			t.Errorf("machine treated as terminated after list %d", i)
+			t.Errorf("machine was treated as terminated after machine list %d, without a successful deletion", i)
 		}
 		deletes := slices.ContainsFunc(effects, func(e Effect) bool {
 			d, ok := e.(DeleteMachines)
@@ -151,16 +152,16 @@
 			l.Step(at, MachinesDeleted{Term: 5, Machines: machineNames[:1], Err: errors.New("no answer")})
 		}
 		if i == 4 && !deletes {
-			t.Error("machine missing from the lists is not deleted")
+			t.Error("no deletion was requested for the machine that was missing from the lists")
 		}
 	}
 	if l.Step(startTime+8*clock.Second, MachinesDeleted{Term: 5, Machines: machineNames[:1]}); l.inventory.machines[machineNames[0]] != nil ||
 		!l.inventory.terminated[machineNames[0]] {
-		t.Error("machine not treated as terminated after a successful deletion")
+		t.Error("machine was not treated as terminated after a successful deletion")
 	}
 }
 
-// A completion is acknowledged only once it is stored, by a write that no delayed copy of another write can revert.
+// A task's completion is acknowledged only once a write has stored it that no delayed copy of another write can revert.
 func TestCompletionIsAcknowledgedOnlyOnceStored(t *testing.T) {
 	l := newGrantedLeader(t, attemptPagesFor(machineNames[0], 0, 1))
 	lease := l.shards.all[shard.ForMachine(machineNames[0], 2)]
@@ -171,7 +172,7 @@
 		return n
 	}
 	if n := acknowledged(l.Step(startTime, holderUpdate(lease, lease.token, firstTaskEvent(peer.EventCompleted)))); n != 0 {
-		t.Error("completion acknowledged before it is written")
+		t.Error("completion was acknowledged before it was written")
 	}
 	var write CommitTxn
 	for _, e := range l.Step(startTime+jobs.ProgressInterval, Tick{}) {
@@ -184,20 +185,21 @@
 	page := write.Txn.Writes[0].Put
 	for _, condition := range []wire.Condition{{Key: Key, Version: 5}, {Key: page}} {
 		if !slices.Contains(write.Txn.Conditions, condition) {
-			t.Errorf("progress write lacks the condition %v", condition)
+			t.Errorf("progress write lacked the condition %v", condition)
 		}
 	}
 	if n := acknowledged(l.Step(startTime+jobs.ProgressInterval, TxnCompleted{Term: 5, Tag: write.Tag,
 		Result: store.TxnResult{Ambiguous: true, FailedKeys: []string{page}}})); n != 0 {
-		t.Error("completion acknowledged after a failed condition")
+		t.Error("completion was acknowledged after its write failed on a condition")
 	}
 	if n := acknowledged(l.Step(startTime+jobs.ProgressInterval, TxnCompleted{Term: 5, Tag: write.Tag,
 		Result: store.TxnResult{Committed: true, Revision: 9}})); n != 1 {
-		t.Errorf("%d completions acknowledged, want one", n)
+		t.Errorf("%d completions acknowledged after the committed write, want one", n)
 	}
 }
 
-// While the write of a job's final state is in flight, a deletion of the job's key may come from that write.
+// While the write of a job's final state is in flight, a deletion of the job's key may come from that write, and must
+// not cancel the job.
 func TestFinalStateWriteIsNotTakenForCancellation(t *testing.T) {
 	l := newGrantedLeader(t, nil)
 	j := l.jobs.Get(testJob.Ref)
@@ -205,10 +207,10 @@
 		j.MarkCompleted(i)
 	}
 	if !j.StartFinishing() {
-		t.Fatal("completed job does not start finishing")
+		t.Fatal("completed job did not start finishing")
 	}
 	l.Step(startTime, JobsChanged{Term: 5, RequestedAt: startTime, Events: []wire.Event{{Delete: JobPrefix + testJob.Ref, Version: 9}}})
 	if j.IsCancelled() {
-		t.Error("write of the job's final state treated as a cancellation")
+		t.Error("job was cancelled by the write of its final state")
 	}
 }
--- a/internal/leader/rebalancing.go
+++ b/internal/leader/rebalancing.go
@@ -13,15 +13,15 @@
 // stoppedForMigration is the stop reason of a task that is migrated to another machine.
 const stoppedForMigration = "moved"
 
-// rebalancing is the leader's part in keeping load even: it bounds the free capacity that is offered, and migrates
-// running tasks. It is soft state, and nil while rebalancing is off.
+// rebalancing is the leader's state for keeping the load of the machines even: the leader bounds the free capacity that
+// it offers, and migrates running tasks. The state is not stored, and nil while rebalancing is off.
 type rebalancing struct {
 	*rebalancer.Rebalancer
 	bound     load.Bound
 	fetches   *load.FetchRates
 	interval  clock.Micros
 	plannedAt clock.Micros
-	// machines with impossible resource figures that are already logged
+	// loggedInvalid has the machines whose impossible resource figures are already logged.
 	loggedInvalid map[string]bool
 }
 
@@ -90,8 +90,8 @@
 	l.logInvalidResources()
 }
 
-// startMigration orders a task to stop with time to save a checkpoint. The task waits like any other once its attempt
-// is proven to have ended.
+// startMigration orders a task to stop with time to save a checkpoint. Once the task's attempt is proven to have ended,
+// the task waits like any other task.
 func (l *Leader) startMigration(now clock.Micros, m rebalancer.Migration) {
 	t := peer.Task{Job: m.Task.Job, Index: m.Task.Index}
 	lease := l.inventory.machines[m.From].shard
@@ -101,7 +101,7 @@
 	l.debug("migrating task", "task", shard.TaskName(t), "from", m.From, "to", m.To, "gain_s", m.GainS, "cost_s", m.CostS)
 }
 
-// logInvalidResources logs each machine with impossible resource figures once.
+// logInvalidResources logs, once for each machine, that a machine reports impossible resource figures.
 func (l *Leader) logInvalidResources() {
 	for _, refusal := range l.rebalancing.Refusals() {
 		if refusal.Reason == rebalancer.InvalidResources && !l.rebalancing.loggedInvalid[refusal.Machine] {
--- a/internal/leader/rebalancing_test.go
+++ b/internal/leader/rebalancing_test.go
@@ -51,8 +51,8 @@
 	return l
 }
 
-// reportMachines sends the leader a holder message with all machines and the given events. The machines are empty
-// unless change alters their state.
+// reportMachines sends the leader a holder message with all machines and the given events of the first machine's shard.
+// A machine is reported as empty unless change alters its state.
 func reportMachines(l *Leader, now clock.Micros, events []peer.TaskEvent, change func(*peer.MachineState)) []Effect {
 	message := &peer.ToLeader{Term: 5, StoreOK: true}
 	for shardID := range l.shards.all {
@@ -72,7 +72,8 @@
 	return l.Step(now, HolderMessage{Controller: "n0", Link: testLink("link"), Message: message})
 }
 
-// collectStops advances the time until tasks may be migrated, and returns the stop orders and all effects.
+// collectStops advances the time until tasks may be migrated, and returns the stop orders and all effects that the
+// leader gave meanwhile.
 func collectStops(l *Leader) (stops []peer.StopTask, effects []Effect) {
 	for now := startTime + 90*clock.Second; now < startTime+94*clock.Second; now += clock.Second / 2 {
 		l.authorityEnds, l.jobsViewedAt, l.shards.controllers["n0"].lastHeartbeat = now+clock.Minute, now, now
@@ -89,7 +90,7 @@
 	l := newUnbalancedLeader(t, true)
 	stops, _ := collectStops(l)
 	if len(stops) != 1 || !stops[0].Checkpoint || stops[0].Job != checkpointJob.Ref {
-		t.Fatalf("stop orders %v, want one with time for a checkpoint", stops)
+		t.Fatalf("stop orders %v, want one for a task of checkpointJob with time for a checkpoint", stops)
 	}
 	// The task is not started elsewhere before its old attempt has provably ended. Then it is offered to the shard of
 	// the target machine.
@@ -99,15 +100,15 @@
 	l.authorityEnds, l.jobsViewedAt = now+clock.Minute, now
 	effects := reportMachines(l, now, nil, func(*peer.MachineState) {})
 	if n := countOffers(effects); n != 0 {
-		t.Errorf("%d tasks offered before the old attempt has ended", n)
+		t.Errorf("%d tasks offered before the old attempt had ended, want none", n)
 	}
 	effects = reportMachines(l, now, []peer.TaskEvent{{Task: stops[0].Task, Kind: peer.EventReleased, Machine: machineNames[0]}}, func(*peer.MachineState) {})
 	orders := sentOrders(effects)
 	if len(orders) != 1 || orders[0].Shard != target.shard.ID || len(orders[0].Offers) != 1 || orders[0].Offers[0].TaskIndexes[0] != migrated.Index {
-		t.Errorf("orders %+v, want an offer of the task to shard %d", orders, target.shard.ID)
+		t.Errorf("orders %+v, want only an offer of the migrated task to shard %d", orders, target.shard.ID)
 	}
 	if orders[0].Offers[0].Job.FleetLoad <= 0 {
-		t.Error("offer lacks the mean load")
+		t.Error("offer of the migrated task lacked the mean load")
 	}
 }
 
@@ -119,14 +120,14 @@
 	l := newUnbalancedLeader(t, true)
 	l.addJob(JobRecord{Spec: waiting}, 31).EnqueueAll()
 	if got, _ := collectStops(l); len(got) != 0 || l.rebalancing.Refusals()[0].Reason != rebalancer.WorkWaiting {
-		t.Errorf("stop orders %v, refusals %v", got, l.rebalancing.Refusals())
+		t.Errorf("stop orders %v, refusals %v, want no stop order because other work waits", got, l.rebalancing.Refusals())
 	}
 	// A task that waits at its team's limit would take the quota that a migrated task of the team releases.
 	l = newUnbalancedLeader(t, true)
 	waiting.CPUs = 13
 	l.addJob(JobRecord{Spec: waiting}, 31).EnqueueAll()
 	if got, _ := collectStops(l); len(got) != 0 || l.rebalancing.Refusals()[0].Reason != rebalancer.TeamAtLimit {
-		t.Errorf("stop orders %v, refusals %v", got, l.rebalancing.Refusals())
+		t.Errorf("stop orders %v, refusals %v, want no stop order because the team is at its limit", got, l.rebalancing.Refusals())
 	}
 }
 
@@ -158,7 +159,7 @@
 	}
 }
 
-// The target machine of a migration is not deleted meanwhile, even if it is idle and not needed.
+// The target machine of a migration is not deleted during the migration, even if it is idle and not needed.
 func TestMigrationTargetIsNotDeleted(t *testing.T) {
 	l := newUnbalancedLeader(t, true)
 	collectStops(l)
@@ -177,7 +178,7 @@
 		}
 	}
 	if len(deleted) == 0 || deleted[target] {
-		t.Errorf("deleted %v, want machines other than %s", deleted, target)
+		t.Errorf("deleted machines %v, want idle machines other than the migration target %s", deleted, target)
 	}
 }
 
@@ -190,16 +191,16 @@
 	}
 	l.autoscaler.plannedAt = startTime + clock.Minute*10 // no new autoscaler decision
 	if got, _ := collectStops(l); len(got) != 0 {
-		t.Errorf("stop orders %v for migrations to deprioritized machines", got)
+		t.Errorf("stop orders %v, want no migration to deprioritized machines", got)
 	}
-	// A machine that is not deprioritized has free capacity, but beyond the load bound. It is still preferred to the
-	// deprioritized ones.
+	// A machine that is not deprioritized has free capacity, but only beyond the load bound. It is still preferred to
+	// the deprioritized machines.
 	l.rebalancing.bound.MaxRelativeLoad = 1.05
 	m := l.inventory.machines[machineNames[1]]
 	m.deprioritized, m.state.CPUs, m.state.MemoryGB = false, 1, 7
 	orders := ordersForNewJob(l, startTime+95*clock.Second, wire.Job{CPUs: 1, MemoryGB: 7})
 	if len(orders) != 1 || orders[0].Shard != m.shard.ID || len(orders[0].Include) != 0 {
-		t.Errorf("orders %+v, want an offer for the fuller machine that is not deprioritized", orders)
+		t.Errorf("orders %+v, want only an offer to the shard of the fuller machine that is not deprioritized", orders)
 	}
 }
 
@@ -230,14 +231,14 @@
 	}
 	now := startTime + 95*clock.Second
 	if orders := ordersForNewJob(l, now, wire.Job{CPUs: 1, MemoryGB: 1}); len(orders) != 0 {
-		t.Fatalf("orders %+v while another shard may soon have free capacity within the bound", orders)
+		t.Fatalf("orders %+v, want none while the offer to a shard with free capacity within the bound is pending", orders)
 	}
-	if orders := ordersOfSchedulingPass(l, now+maxPendingWait+clock.Millisecond); len(orders) != 1 || orders[0].Shard != loadedShard.ID {
-		t.Errorf("orders %+v, want an offer beyond the bound after %v", orders, maxPendingWait)
+	if orders := ordersOfSchedulingPass(l, now+maxPendingOfferWait+clock.Millisecond); len(orders) != 1 || orders[0].Shard != loadedShard.ID {
+		t.Errorf("orders %+v, want one offer beyond the load bound after %v", orders, maxPendingOfferWait)
 	}
 }
 
-// A machine that reports impossible resources is excluded from migrations, which is logged once.
+// A machine that reports impossible resources is excluded from migrations. The exclusion is logged once.
 func TestImpossibleResourcesAreLoggedOnce(t *testing.T) {
 	for name, c := range map[string]struct {
 		change   func(*peer.MachineState)
@@ -245,7 +246,7 @@
 	}{
 		"more free than the machine has": {func(s *peer.MachineState) { s.MemoryGB = 900 }, 1},
 		"not the provisioned type":       {func(s *peer.MachineState) { s.Type = "other" }, 1},
-		// After a takeover stale attempt records count in addition to running attempts.
+		// This is possible: after a takeover, stale attempt records count in addition to running attempts.
 		"more in use than the machine has": {func(s *peer.MachineState) { s.CPUs = -3 }, 0},
 	} {
 		l := newUnbalancedLeader(t, true)
@@ -263,12 +264,13 @@
 			}
 		}
 		if len(stops) != 0 || logged != c.wantLogs {
-			t.Errorf("%s: stop orders %v, logged %d times", name, stops, logged)
+			t.Errorf("%s: stop orders %v, exclusion logged %d times, want no stop order and the log line only for impossible figures", name, stops, logged)
 		}
 	}
 }
 
-// The status shows loads, why a machine gets no tasks, migrations and refusals.
+// The operator status shows the loads, why a machine gets no tasks, the migrations, and why other tasks are not
+// migrated (refusals).
 func TestStatus(t *testing.T) {
 	l := newUnbalancedLeader(t, true)
 	l.inventory.machines[machineNames[5]].draining, l.inventory.machines[machineNames[5]].state.Tasks = true, 1
@@ -278,19 +280,19 @@
 		t.Fatalf("status %+v, want the leader's shards, machines and one migration", s)
 	}
 	if m := s.Machines[0]; m.Load != 1 || m.RelativeLoad < 2 || !m.Schedulable {
-		t.Errorf("status of the full machine: %+v", m)
+		t.Errorf("status of the full machine %+v, want load 1, a relative load of at least 2, and schedulable", m)
 	}
 	if m := s.Machines[5]; m.Schedulable || m.UnschedulableReason != "drained" {
-		t.Errorf("status of the drained machine: %+v", m)
+		t.Errorf("status of the drained machine %+v, want not schedulable because it is drained", m)
 	}
 	if s.Migrations[0].From != machineNames[0] || s.Migrations[0].Stage != "stopping" || len(s.Refusals) == 0 {
-		t.Errorf("migrations %+v, refusals %+v", s.Migrations, s.Refusals)
+		t.Errorf("migrations %+v, refusals %+v, want a task of the first machine stopping, and at least one refusal", s.Migrations, s.Refusals)
 	}
 	if len(s.Teams) != 1 || s.Teams[0].CPUs != 4 {
 		t.Errorf("team status %+v, want one team with 4 processors", s.Teams)
 	}
 	l.Step(startTime+96*clock.Second, LeadershipLost{})
 	if s := l.status(startTime + 96*clock.Second); s.IsLeader || len(s.Machines) > 0 {
-		t.Errorf("status %+v of a controller that is not the leader", s)
+		t.Errorf("status %+v of a controller that is not the leader, want one without machines", s)
 	}
 }
--- a/internal/leader/rebalancing_view.go
+++ b/internal/leader/rebalancing_view.go
@@ -14,7 +14,7 @@
 // rebalancingView returns the view of machines and tasks on which migrations are decided.
 func (l *Leader) rebalancingView(now clock.Micros) rebalancer.View {
 	view := rebalancer.View{Stale: !l.viewIsFresh(now), FetchRates: l.rebalancing.fetches}
-	atLimit := l.waitingAtLimit(now, &view)
+	atLimit := l.teamsWaitingAtLimit(now, &view)
 	for _, name := range slices.Sorted(maps.Keys(l.inventory.machines)) {
 		m := l.inventory.machines[name]
 		if !m.up || m.state.Silent || m.state.PreemptionNotice {
@@ -37,9 +37,9 @@
 	return view
 }
 
-// waitingAtLimit returns the teams with work that waits at their limit. It also sets WorkWaiting if other work
-// waits, as that would take the capacity that a stopped task frees.
-func (l *Leader) waitingAtLimit(now clock.Micros, view *rebalancer.View) map[string]bool {
+// teamsWaitingAtLimit returns the teams that have waiting tasks and are at their limit. It also sets WorkWaiting in the
+// view if a job waits whose team is not at its limit, as that job would take the capacity that a stopped task frees.
+func (l *Leader) teamsWaitingAtLimit(now clock.Micros, view *rebalancer.View) map[string]bool {
 	migrating := map[string]int{}
 	for _, m := range l.rebalancing.InFlight() {
 		if m.Stage == rebalancer.Terminated {
@@ -67,8 +67,8 @@
 	granted *grantedTask
 }
 
-// tasksByMachine returns the granted tasks by the machine that they are on. It ignores tasks that a holder reports on a
-// machine of another shard.
+// tasksByMachine returns the tasks in shard grants by the machine that they are assigned to. It ignores tasks that a
+// holder reports on a machine of another shard.
 func (l *Leader) tasksByMachine() map[string][]placedTask {
 	byMachine := map[string][]placedTask{}
 	for _, lease := range l.shards.all {
--- a/internal/leader/reconcile.go
+++ b/internal/leader/reconcile.go
@@ -32,7 +32,7 @@
 	if len(l.autoscaler.types) == 0 {
 		return
 	}
-	// While a provision request is unanswered, unknown machines may be those that it brought.
+	// While a provision request is unanswered, unknown machines may be those that the request brought.
 	if unanswered == 0 {
 		l.adoptDiscovered()
 	}
@@ -54,8 +54,8 @@
 	minPollInterval = 2 * clock.Second
 	// listTimeout is how long the leader waits for a machine list.
 	listTimeout = 30 * clock.Second
-	// catalogInterval is the time between two reads of the catalog, and firstCatalogInterval that time while no
-	// catalog is known.
+	// catalogInterval is the time between two reads of the catalog, and firstCatalogInterval the time between two reads
+	// while no catalog is known.
 	catalogInterval      = 60 * clock.Second
 	firstCatalogInterval = 3 * clock.Second
 )
@@ -129,17 +129,17 @@
 }
 
 const (
-	// maxDeletions is the maximum number of deletions in flight.
-	maxDeletions = 3
+	// maxDeletionsInFlight is the maximum number of deletions in flight.
+	maxDeletionsInFlight = 3
 	// maxMachinesPerDeletion is the maximum number of machines that one deletion may name (PROTOCOL).
 	maxMachinesPerDeletion = 100
 )
 
-// deleteMachines deletes as many of the named machines as one deletion may name, or none while maxDeletions are in
-// flight. The others are left for a later reconciliation.
+// deleteMachines deletes as many of the named machines as one deletion may name, or none while maxDeletionsInFlight
+// deletions are in flight. The remaining machines are left for a later reconciliation.
 func (l *Leader) deleteMachines(names []string) {
 	sent := 0
-	if len(names) > 0 && l.inventory.deletionsInFlight < maxDeletions {
+	if len(names) > 0 && l.inventory.deletionsInFlight < maxDeletionsInFlight {
 		sent = min(len(names), maxMachinesPerDeletion)
 		l.inventory.deletionsInFlight++
 		l.emit(DeleteMachines{l.term, names[:sent]})
@@ -163,15 +163,16 @@
 	clear(l.inventory.discovered)
 	byFirstName := func(a, b wire.ProvisionRequest) int { return strings.Compare(byKind[a][0], byKind[b][0]) }
 	for _, kind := range slices.SortedFunc(maps.Keys(byKind), byFirstName) {
-		// A group is at most as large as that of a provision request: the record of a larger one might exceed the
-		// value size limit.
+		// A group of discovered machines is at most as large as the group of a provision request: the record of a
+		// larger group might exceed the value size limit.
 		for names := range slices.Chunk(byKind[kind], autoscaler.MaxMachinesPerRequest) {
 			l.adopt(kind, names)
 		}
 	}
 }
 
-// adopt records an instance group for discovered machines of one type and zone, all spot or all on-demand.
+// adopt records an instance group for discovered machines, which are of one type, in one zone, and either all spot or
+// all on-demand.
 func (l *Leader) adopt(kind wire.ProvisionRequest, names []string) {
 	l.inventory.requestSeq++
 	group := &instanceGroup{
--- a/internal/leader/reconcile_test.go
+++ b/internal/leader/reconcile_test.go
@@ -13,17 +13,17 @@
 	"swiftledge/wire"
 )
 
-// A report of an unknown machine may stem from a delayed message. The machine is not added to the inventory before the
-// cloud lists it or it has confirmed a holder's fencing token.
+// A holder's report of an unknown machine may stem from a delayed message. The machine counts as discovered only once
+// the cloud lists the machine, or the machine has confirmed its holder's fencing token.
 func TestUnconfirmedMachineIsNotDiscovered(t *testing.T) {
 	l := newLeader(t)
 	state := peer.MachineState{Name: "host-000900", Type: "small", Zone: "a"}
 	if l.machineReported(startTime, state); len(l.inventory.discovered) != 0 {
-		t.Error("machine without a confirmed token counts as discovered")
+		t.Error("unknown machine without a confirmed token counted as discovered")
 	}
 	state.TokenConfirmed = true
 	if l.machineReported(startTime, state); len(l.inventory.discovered) != 1 {
-		t.Error("machine with a confirmed token is not discovered")
+		t.Error("unknown machine with a confirmed token did not count as discovered")
 	}
 }
 
@@ -32,7 +32,7 @@
 	l := newLeader(t)
 	l.machineReported(startTime, peer.MachineState{Name: machineNames[0], Terminated: true})
 	if l.inventory.machines[machineNames[0]] != nil || !l.inventory.terminated[machineNames[0]] || l.inventory.machines[machineNames[1]] == nil {
-		t.Error("not exactly the deleted machine was removed from the inventory")
+		t.Error("machine reported as terminated was not removed from the inventory, or another machine was")
 	}
 }
 
@@ -45,48 +45,49 @@
 	l := &Leader{termState: termState{inventory: inventory{machines: map[string]*machine{"m": m}}}}
 	decision := autoscaler.Decision{Cordon: []string{"m"}}
 	if l.applyExclusions(decision, false); !m.cordoned || m.deprioritized {
-		t.Errorf("cordoned: %v, deprioritized: %v, want cordoned", m.cordoned, m.deprioritized)
+		t.Errorf("machine cordoned: %v, deprioritized: %v, want cordoned only", m.cordoned, m.deprioritized)
 	}
 	if l.applyExclusions(decision, true); m.cordoned || !m.deprioritized {
-		t.Errorf("cordoned: %v, deprioritized: %v during a cloud outage, want deprioritized", m.cordoned, m.deprioritized)
+		t.Errorf("machine cordoned: %v, deprioritized: %v during a cloud outage, want deprioritized only", m.cordoned, m.deprioritized)
 	}
 }
 
-// Capacity for services is provisioned before they are submitted: for as much as arrived lately within a machine's
-// boot time, and some for a class that must start sooner than a machine boots and of which no job has arrived yet.
+// Capacity for services is provisioned before the services are submitted: for as many as recently arrived within a
+// machine's boot time, and a limited reserve for a class whose jobs must start sooner than a machine boots and of which
+// no job has arrived yet.
 func TestCapacityIsReservedForServices(t *testing.T) {
 	l := newLeader(t)
 	l.setTypes([]wire.MachineType{{Name: "small", CPUs: 4, MemoryGB: 8, BootS: 30, ZoneNames: []string{"a"}}})
 	if l.unseenClassReserve() != nil {
-		t.Error("capacity reserved although no class must start soon")
+		t.Error("capacity was reserved although no class must start sooner than a machine boots")
 	}
 	cfg := *l.cfg
 	cfg.Facts.Objectives = []config.Objective{{Kind: "wait", Class: "web", WithinS: 20}, {Kind: "wait", Class: "batch",
 		WithinS: 4}, {Kind: "deadline", Class: "batch"}}
 	l.startSLO = New(&cfg, l.storeOK).startSLO
 	if l.unseenClassReserve() != nil {
-		t.Error("capacity reserved on a site without running tasks")
+		t.Error("capacity was reserved on a site without running tasks")
 	}
 	l.usage.Charge("red", fairshare.ResourceUsage{CPUs: 1000})
 	if reserve := l.unseenClassReserve(); reserve == nil || reserve.Tasks != unseenClassCPUs {
-		t.Errorf("reserve for a class without jobs: %+v", reserve)
+		t.Errorf("reserve %+v for a class without jobs, want one of unseenClassCPUs tasks", reserve)
 	}
 	service := testJob
 	service.Ref, service.Class, service.Shape, service.Tasks = "j-300000", "web", wire.ShapeService, 6
 	j := l.addJob(JobRecord{Spec: service, AcceptedAt: startTime}, 3)
 	if l.unseenClassReserve() != nil {
-		t.Error("capacity reserved for a class that has a job")
+		t.Error("capacity was reserved for an unseen class although a job of the class had arrived")
 	}
 	demands := &demandSet{byKey: map[demandKey]*autoscaler.Demand{}}
 	if l.addArrivalReserve(startTime, demands); len(demands.list) != 1 || demands.list[0].Tasks <= 6 {
-		t.Errorf("reserve after a service of 6 replicas has arrived: %+v, want more than 6 tasks", demands.list)
+		t.Errorf("reserve %+v after a service of 6 replicas arrived, want one demand of more than 6 tasks", demands.list)
 	}
 	total := 0
 	for _, demand := range l.capacityDemand(startTime) {
 		total += demand.Tasks
 	}
 	if total <= 6+testJob.Tasks {
-		t.Errorf("total demand of %d slots, want more than those of both jobs", total)
+		t.Errorf("total demand of %d tasks, want more than both jobs have", total)
 	}
 	// A service that is spread over zones needs capacity in each zone.
 	l.setTypes([]wire.MachineType{{Name: "small", CPUs: 4, MemoryGB: 8, BootS: 30, ZoneNames: []string{"a", "b", "c"}}})
@@ -95,11 +96,11 @@
 	l.addServiceDemand(startTime, demands, j, 6)
 	for _, demand := range demands.list {
 		if demand.Tasks != 2 || demand.Zone == "" {
-			t.Errorf("demand of %d slots in zone %q, want 2 in each of three zones", demand.Tasks, demand.Zone)
+			t.Errorf("demand of %d tasks in zone %q, want 2 in each of three zones", demand.Tasks, demand.Zone)
 		}
 	}
 	if len(demands.list) != 3 {
-		t.Errorf("%d demands, want one for each zone", len(demands.list))
+		t.Errorf("%d demands for the spread service, want one for each of three zones", len(demands.list))
 	}
 }
 
@@ -121,29 +122,29 @@
 		if c, ok := e.(CommitTxn); ok {
 			records++
 			if len(c.Txn.Writes[0].Value) > l.valueBytes {
-				t.Errorf("instance group record has %d bytes, which exceeds the maximum", len(c.Txn.Writes[0].Value))
+				t.Errorf("instance group record of %d bytes was written, which exceeds the maximum value size", len(c.Txn.Writes[0].Value))
 			}
 		}
 	}
 	if records < 2 {
-		t.Errorf("%d records for 200 machines, want several", records)
+		t.Errorf("%d instance group records for 200 machines, want several", records)
 	}
 	group := &instanceGroup{key: "fleet/old", keyVersion: 3, record: InstanceGroupRecord{Machines: discovered, Answered: true}}
 	l.inventory.terminated[discovered[0]] = true
 	l.effects = nil
 	if l.pruneInstanceGroup(startTime+clock.Minute, group); len(l.effects) > 0 {
-		t.Error("record that is too large was written")
+		t.Error("instance group record that exceeds the maximum value size was written")
 	}
 	for _, name := range discovered[:150] {
 		l.inventory.terminated[name] = true
 	}
 	if l.pruneInstanceGroup(startTime+2*clock.Minute, group); len(l.effects) != 1 || len(group.record.Machines) != 50 {
-		t.Errorf("record has %d machines and was written %d times, want 50 and once", len(group.record.Machines), len(l.effects))
+		t.Errorf("instance group record with %d machines, written %d times, want 50 machines and one write", len(group.record.Machines), len(l.effects))
 	}
 }
 
-// A provision request that a former leader recorded, and whose answer was lost with that leader, is repeated under
-// the same request ID, which returns the same machines: they may be up already and may have reported.
+// A provision request that a former leader recorded, and whose answer was lost with that leader, is repeated under the
+// same request ID. The cloud then returns the same machines, which may be up already and may have sent heartbeats.
 func TestUnansweredProvisionRequestIsRepeated(t *testing.T) {
 	l := newLeader(t)
 	request := wire.ProvisionRequest{RequestID: "r-3-1", Type: "small", Zone: "a", Spot: true, Count: 2}
@@ -159,16 +160,16 @@
 		}
 	}
 	if repeats != 1 {
-		t.Errorf("request of the former leader repeated %d times, want once", repeats)
+		t.Errorf("provision request of the former leader was sent %d times, want once", repeats)
 	}
-	// Its machines are in the inventory only once their record is stored.
+	// The machines of the request are in the inventory only once their record is stored.
 	l.Step(startTime, MachinesProvisioned{Term: 7, RequestID: request.RequestID, Machines: machineNames[:2]})
 	if l.inventory.machines[machineNames[0]] != nil {
-		t.Error("machine used before its record is stored")
+		t.Error("machine was added to the inventory before its record was stored")
 	}
 	l.Step(startTime, TxnCompleted{Term: 7, Tag: instanceGroupTag{InstanceGroupPrefix + request.RequestID}, Result: store.TxnResult{Committed: true, Revision: 9}})
 	if l.inventory.machines[machineNames[0]] == nil || l.inventory.machines[machineNames[1]] == nil {
-		t.Error("machines not in the inventory after their record is stored")
+		t.Error("machines were not in the inventory after their record was stored")
 	}
 }
 
@@ -199,7 +200,7 @@
 		want removalReason
 	}{{busy, removalNone}, {idle, removalUnlisted}, {silent, removalUnlisted}} {
 		if reason := l.removalReason(at, c.m, shardSilence{up: 2, silent: 2}); reason != c.want {
-			t.Errorf("%s: removal reason is %q, want %q", c.m.name, reason, c.want)
+			t.Errorf("%s: removal reason %q, want %q", c.m.name, reason, c.want)
 		}
 	}
 }
--- a/internal/leader/records.go
+++ b/internal/leader/records.go
@@ -46,5 +46,5 @@
 type InstanceGroupRecord struct {
 	Request  wire.ProvisionRequest `json:"rental"`
 	Machines []string              `json:"machines"`
-	Answered bool                  `json:"asked"` // whether the answer of the cloud is known
+	Answered bool                  `json:"asked"` // whether the cloud's answer to the request is known
 }
--- a/internal/leader/scaling.go
+++ b/internal/leader/scaling.go
@@ -14,8 +14,8 @@
 // minMachineLifetime is how long a new machine is kept regardless of demand: the cloud charges for at least a minute.
 const minMachineLifetime = 55 * clock.Second
 
-// planCapacity scales out to cover the demand, if mayScaleOut is set, and returns the names of the idle machines to
-// scale in.
+// planCapacity plans the machines for the demand. It requests new machines if mayScaleOut is set, and returns the names
+// of the idle machines to delete.
 func (l *Leader) planCapacity(now clock.Micros, mayScaleOut bool) []string {
 	demand := l.capacityDemand(now)
 	supply := l.machineSupply(now)
@@ -26,7 +26,7 @@
 	}
 	var options []autoscaler.Option
 	for option := range l.options() {
-		options = append(options, l.withExpectedDelay(option))
+		options = append(options, l.withExpectedBootDelay(option))
 	}
 	available := func(o *autoscaler.Option) bool { return now >= l.autoscaler.refusals[o.Key()].retryAt }
 	decision := autoscaler.Plan(autoscaler.Input{
@@ -75,8 +75,8 @@
 	return timeout
 }
 
-// pendingSupply describes the machines that unanswered provision requests may bring, and reports whether one of these
-// requests has been unanswered for so long that the cloud counts as unavailable.
+// pendingSupply describes the machines that unanswered provision requests may bring. It also reports whether one of
+// these requests has been unanswered for so long that the cloud counts as unavailable.
 func (l *Leader) pendingSupply(now clock.Micros) (supply []autoscaler.Machine, cloudUnavailable bool) {
 	for _, group := range l.inventory.groups {
 		if group.record.Answered {
@@ -106,7 +106,7 @@
 	}
 }
 
-// requestMachines records a provision request. It is sent to the cloud once the record is stored.
+// requestMachines records a provision request. The request is sent to the cloud once its record is stored.
 func (l *Leader) requestMachines(now clock.Micros, launch autoscaler.Launch) {
 	l.inventory.requestSeq++
 	id := fmt.Sprintf("r-%d-%d", l.term, l.inventory.requestSeq)
@@ -123,9 +123,10 @@
 // unansweredTimeout is how long a provision request may be unanswered before the cloud counts as unavailable.
 const unansweredTimeout = 10 * clock.Second
 
-// applyExclusions tells the shard holders which machines to exclude from their auctions. Cordoned machines are not
-// worth their price and get only services and jobs that have waited too long. Deprioritized machines only exceed the
-// demand and get work once the others have no free capacity.
+// applyExclusions orders the shard holders to exclude cordoned and deprioritized machines from their auctions, and to
+// include other machines again. Cordoned machines are not worth their price and get only services and jobs that have
+// waited too long. Deprioritized machines exceed the demand, and get tasks once the other machines have no free
+// capacity.
 //
 // While the cloud does not answer, nothing cheaper can be provisioned, so cordoned machines are only deprioritized.
 func (l *Leader) applyExclusions(decision autoscaler.Decision, cloudUnavailable bool) {
--- a/internal/leader/schedule.go
+++ b/internal/leader/schedule.go
@@ -31,8 +31,8 @@
 	if !l.scheduling.requested || !l.scheduling.urgent && now-l.scheduling.ranAt < batchDelay || !l.viewIsFresh(now) {
 		return
 	}
-	// Until the attempt records of every shard are read, a task that counts as waiting may already run under one of
-	// them, and the teams' usage is unknown.
+	// Until the attempt records of every shard are read, an unread record may name a running attempt of a task that
+	// counts as waiting, and the teams' usage is unknown.
 	if slices.ContainsFunc(l.shards.all, func(lease *shardLease) bool { return !lease.AttemptsRead }) {
 		return
 	}
@@ -48,7 +48,8 @@
 	l.preempt(now, queues)
 }
 
-// offerRound is the part of a scheduling pass that offers tasks to shards.
+// offerRound is the part of a scheduling pass that offers tasks to shards. An offer is a set of tasks of one job that a
+// shard's holder is to place on the shard's machines.
 type offerRound struct {
 	*Leader
 	now       clock.Micros
@@ -120,18 +121,18 @@
 	}
 }
 
-// isPlacedOneByOne reports whether a turn offers only one task of the job: each of its tasks changes where the next
-// may run, or is a probe.
+// isPlacedOneByOne reports whether a turn offers only one task of the job, because each of the job's tasks changes
+// where the next task may run, or because the job is suspect and the task is a probe.
 func (o *offerRound) isPlacedOneByOne(job *jobs.Job) bool {
 	return job.Spec.OneZone || job.Spec.Spread || job.Spec.IsService() || job.Failures.Suspect()
 }
 
-// mayOfferMore reports whether a machine may get more than the first task of a turn.
+// mayOfferMore reports whether another task may be offered on a machine after the first task of a turn.
 func (o *offerRound) mayOfferMore(m *machine, spec *wire.Job) bool {
 	return m.placementRank() > 0 || o.capacity.bound.allows(m, spec)
 }
 
-// offer adds a task to the offers to the shard of a machine, bound to a zone if one is given.
+// offer adds a task to the offers to the shard of a machine. Unless zone is "", the task is bound to that zone.
 func (o *offerRound) offer(job *jobs.Job, index int, m *machine, zone string) {
 	spec, lease := &job.Spec, m.shard
 	o.capacity.bound.reserve(m, spec)
--- a/internal/leader/scheduling_state.go
+++ b/internal/leader/scheduling_state.go
@@ -17,9 +17,9 @@
 	ranAt clock.Micros
 }
 
-// taskOutcomes counts, for the log, the tasks of this term that ended without a result, by cause.
+// taskOutcomes counts, for the log, the attempts of this term that ended without completing their task, by cause.
 type taskOutcomes struct {
 	failed        int // failures of tasks whose job is not suspect
 	failedSuspect int // failures of tasks whose job is suspect
-	preempted     int
+	preempted     int // tasks that were ordered to stop for other tasks
 }
--- a/internal/leader/service_test.go
+++ b/internal/leader/service_test.go
@@ -10,9 +10,9 @@
 	"swiftledge/wire"
 )
 
-// Attempt records can name two attempts of a replica, because those of a former grant are erased late. When one
-// attempt completes, the other may still run: the replica is not offered again and its running attempt is not stopped
-// before the holder reports that the last attempt has ended.
+// Attempt records can name two attempts of a replica, because the records of a former grant are erased late. When one
+// attempt completes, the other attempt may still run: the replica is not offered again and its running attempt is not
+// stopped before the holder reports that the last attempt has ended.
 func TestReplicaIsNotOfferedBeforeItsLastAttemptEnds(t *testing.T) {
 	page := peer.AttemptPage{Machines: machineNames[:1], Groups: []peer.AttemptGroup{{
 		Job: testJob.Ref, Team: "red", CPUs: 1, Attempts: []int{0, 1, 0, 0, 2, 0, 1, 3, 0}}}}
@@ -34,15 +34,15 @@
 		stops += len(o.Stop)
 	}
 	if n := countOffers(effects); n != 0 || stops != 0 || lease.tasks[replica] == nil {
-		t.Errorf("%d tasks offered, %d stopped, task in grant: %v, while another attempt may run", n, stops, lease.tasks[replica] != nil)
+		t.Errorf("%d tasks offered, %d stopped, replica in grant: %v, want 0, 0 and true while another attempt may run", n, stops, lease.tasks[replica] != nil)
 	}
 	if n := countOffers(reportEvents(peer.EventReleased)); n != 1 {
-		t.Errorf("%d tasks offered after the last attempt has ended, want the replica", n)
+		t.Errorf("%d tasks offered after the last attempt ended, want only the replica", n)
 	}
 }
 
-// A replica that ends as done runs again. Its agent is told to forget the ended attempt only after a higher fencing
-// token: otherwise a delayed copy of its command would start it in addition to the new attempt.
+// A replica that ends as done runs again. Its agent is ordered to forget the ended attempt only under a higher fencing
+// token: otherwise a delayed copy of the attempt's run command would start the old attempt in addition to the new one.
 func TestDoneReplicaRunsAgain(t *testing.T) {
 	page := peer.AttemptPage{Machines: machineNames[:1], Groups: []peer.AttemptGroup{{Job: testJob.Ref, Team: "red", CPUs: 1, Attempts: []int{0, 1, 0, 1, 2, 0}}}}
 	l := newGrantedLeader(t, map[string]peer.AttemptPage{"p": page})
@@ -59,14 +59,16 @@
 		persisted = persisted || len(o.Persisted) == 1 && o.Persisted[0] == replica
 	}
 	if !stopped || !persisted || j.Completed() != 0 {
-		t.Errorf("stopped: %v, persisted: %v, %d tasks completed, want the replica stopped, persisted and not completed", stopped, persisted, j.Completed())
+		t.Errorf("orders to stop the replica: %v, to treat its completion as persisted: %v, %d tasks completed, want both orders and no completed task",
+			stopped, persisted, j.Completed())
 	}
 	if n := countOffers(effects); n != 1 {
-		t.Errorf("%d tasks offered, want the replica again", n)
+		t.Errorf("%d tasks offered after the replica ended, want only the replica again", n)
 	}
 }
 
-// A machine is faulty if replicas of a service fail on it while another replica runs well elsewhere.
+// A machine is faulty, and drained, if replicas of a service fail on it while another replica runs well on another
+// machine.
 func TestMachineThatFailsReplicasIsDrained(t *testing.T) {
 	page := peer.AttemptPage{Machines: machineNames[:1], Groups: []peer.AttemptGroup{{Job: testJob.Ref, Team: "red", CPUs: 1, Attempts: []int{0, 1, 0}}}}
 	l := newGrantedLeader(t, map[string]peer.AttemptPage{"p": page})
@@ -82,6 +84,6 @@
 	}
 	l.taskFailed(startTime+2*jobs.StableAfter, j, peer.TaskEvent{Task: peer.Task{Job: testJob.Ref, Index: 1}, Machine: machineNames[1]}, &grantedTask{})
 	if !l.inventory.machines[machineNames[1]].draining {
-		t.Error("machine not drained after two failures while another replica runs")
+		t.Error("machine not drained after two failures while another replica was running")
 	}
 }
--- a/internal/leader/settings.go
+++ b/internal/leader/settings.go
@@ -8,10 +8,11 @@
 	self    string      // the name of this controller
 	storeOK func() bool // reports whether this controller reaches the store
 	teams   map[string]config.Team
-	// completionSLO maps a class to the number of seconds within which its jobs are expected to complete.
+	// completionSLO maps a job class to the number of seconds within which its jobs are expected to complete
+	// (service-level objective).
 	completionSLO map[string]float64
-	// startSLO maps a class of services, which never complete, to the number of seconds within which its tasks are
-	// expected to start.
+	// startSLO maps a job class of services, which never complete, to the number of seconds within which the class's
+	// tasks are expected to start.
 	startSLO map[string]float64
 }
 
@@ -22,7 +23,8 @@
 	return l
 }
 
-// newSettings indexes the teams by name and the objectives by class.
+// newSettings returns the settings of a configuration, with the teams indexed by name and the service-level objectives
+// by job class.
 func newSettings(cfg *config.Config, storeOK func() bool) settings {
 	s := settings{cfg: cfg, self: cfg.Name, storeOK: storeOK,
 		completionSLO: map[string]float64{}, startSLO: map[string]float64{}, teams: map[string]config.Team{}}
--- a/internal/leader/shard_assignment.go
+++ b/internal/leader/shard_assignment.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// controllerTimeout is how long a controller may send nothing before it counts as gone. controllerTimeoutViaStore
-	// is the same for a controller that is connected through the store.
+	// controllerTimeout is how long a controller may send nothing before it counts as disconnected.
+	// controllerTimeoutViaStore is the same for a controller that is reached only through the store.
 	controllerTimeout         = 4 * clock.Second
 	controllerTimeoutViaStore = 12 * clock.Second
 	// connectGrace is how long a new leader waits for the other controllers to connect, so that shards keep their
--- a/internal/leader/shard_assignment_test.go
+++ b/internal/leader/shard_assignment_test.go
@@ -12,9 +12,9 @@
 	"swiftledge/internal/shard"
 )
 
-// Shards stay with a controller that can answer their agents while the other controllers are linked only through the
+// Shards stay with a controller that can answer their agents while the other controllers are reached only through the
 // store: a grant through the store may take longer than an agent's lease lasts.
-func TestShardsDoNotMoveToControllerLinkedThroughStore(t *testing.T) {
+func TestShardsDoNotMoveToControllerReachedThroughStore(t *testing.T) {
 	moved := func(viaStore bool) bool {
 		l := newGrantedLeader(t, nil)
 		l.cfg.Facts.Quota.CPU, l.cfg.Facts.Workers.ReportS = 0.1, 3
@@ -29,15 +29,16 @@
 		return l.shards.all[0].Holder == "n1" || l.shards.all[1].Holder == "n1"
 	}
 	if moved(true) {
-		t.Error("shard moves to a controller linked through the store")
+		t.Error("shard moved to a controller that is reached only through the store")
 	}
 	if !moved(false) {
-		t.Error("no shard moves to a controller with a direct link")
+		t.Error("no shard moved to a controller with a direct link")
 	}
 }
 
-// A controller that is the only one left takes as many shards as it can answer all agents of, given the cost of a
-// heartbeat. With fewer shards, tasks end with leases that it could have renewed. With more, every answer is late.
+// A controller that is the only one left takes as many shards as it can serve, that is, answer all agents of, given the
+// cost of a heartbeat. If it takes fewer shards, tasks end because of agent leases that it could have renewed. If it
+// takes more, every answer is late.
 func TestLoneControllerTakesShardsItCanServe(t *testing.T) {
 	for _, c := range []struct {
 		cpu        float64
@@ -53,7 +54,7 @@
 			l.inventory.machines[fmt.Sprint("more", i)] = &machine{}
 		}
 		if n := l.controllerCapacity().MaxShards(len(l.shards.all)); n < c.minShards || n > c.maxShards {
-			t.Errorf("%g of a core and %d machines: %d of 6 shards, want %d to %d", c.cpu, c.machines, n, c.minShards, c.maxShards)
+			t.Errorf("%g of a core and %d machines: lone controller takes %d of 6 shards, want %d to %d", c.cpu, c.machines, n, c.minShards, c.maxShards)
 		}
 	}
 }
@@ -104,8 +105,9 @@
 }
 
 // A lone controller takes over the machines of lost controllers shard by shard, as fast as its processor share can
-// serve their agents. When it took over all at once, every answer was late, it lost its own lease, and users got no
-// answers for seconds. A controller with a large processor share takes over all at once.
+// serve their agents. When a controller took over all shards at once, every answer was late, the controller lost its
+// own lease, and users got no answers for seconds. Only a controller with a large processor share takes over all shards
+// at once.
 func TestShardsAreTakenOverOneByOne(t *testing.T) {
 	for _, c := range []struct {
 		cpu       float64
@@ -136,13 +138,13 @@
 			t.Errorf("%g of a core: %d shards taken over at once, want at most %d", c.cpu, maxAtOnce, c.maxShards)
 		}
 		if taken < 3 || lastTakeover > startTime+8*clock.Second {
-			t.Errorf("%g of a core: %d shards taken over, the last after %g s", c.cpu, taken, (lastTakeover - startTime).Seconds())
+			t.Errorf("%g of a core: %d shards taken over, the last at %g s, want at least 3, the last by 8 s", c.cpu, taken, (lastTakeover - startTime).Seconds())
 		}
 	}
 }
 
-// When a controller reconnects, the lone controller hands over all shards beyond its even share together: one after the
-// other, each would take an overloaded leader a second or more.
+// When another controller reconnects, the lone controller hands over all shards beyond its even share together. If it
+// handed them over one after the other, each would take an overloaded leader a second or more.
 func TestShardsMoveTogetherToReconnectedController(t *testing.T) {
 	l := newLeaderWithShards(t, 0.029, 500, []string{"n0", "n0", "n0", "n0", "n0", "n0"})
 	for _, lease := range l.shards.all {
@@ -153,9 +155,9 @@
 	l.shards.controllers["n0"].lastHeartbeat = reconnectedAt
 	l.Step(reconnectedAt, PeerConnected{Controller: "n1", Link: testLink("other")})
 	if n := countShardWrites(t, l.Step(reconnectedAt+assignment.MinConnectedTime/2, Tick{}), "n1"); n != 0 {
-		t.Errorf("%d shards move before the controller has been connected for long enough", n)
+		t.Errorf("%d shards moved before the controller had been connected for MinConnectedTime, want none", n)
 	}
 	if n := countShardWrites(t, l.Step(reconnectedAt+2*assignment.MinConnectedTime, Tick{}), "n1"); n < 2 || n > 3 {
-		t.Errorf("%d shards move, want two or three of six", n)
+		t.Errorf("%d of six shards moved to the reconnected controller, want two or three", n)
 	}
 }
--- a/internal/leader/shard_grants.go
+++ b/internal/leader/shard_grants.go
@@ -28,11 +28,12 @@
 // tokenBits is the number of low bits of a fencing token that initially count the tokens of a term.
 const tokenBits = 12
 
-// hasTokens reports whether this term may issue that many more fencing tokens. Every write of this term is conditional
-// on its leader key, so a later term is a later store revision than any at which such a write succeeded. The count may
-// therefore overflow its bits until it reaches the tokens of the revision after the last of these. Each transaction
-// that writes shard keys raises the bound by thousands of tokens, so a term does not run out of them.
-func (l *Leader) hasTokens(more int) bool {
+// canIssueTokens reports whether this term may issue the given number of further fencing tokens, which must stay below
+// the tokens of every later term. Every write of this term is conditional on the leader key of the term. The number of
+// a later term, a store revision, is therefore higher than the revision of every successful write of this term. The
+// count of tokens may overflow its bits until it reaches the tokens of the revision after the highest of these. Each
+// transaction that writes shard keys raises this bound by thousands of tokens, so a term does not run out of tokens.
+func (l *Leader) canIssueTokens(more int) bool {
 	first := uint64(l.term) << tokenBits
 	return first+l.shards.tokensIssued+uint64(more) < (max(uint64(l.term), l.highestRevision)+1)<<tokenBits
 }
@@ -45,7 +46,7 @@
 	tag := shardsTag{map[int]wire.FencingToken{}}
 	var conditions []wire.Condition
 	var writes []wire.Write
-	if !l.hasTokens(len(leases)) {
+	if !l.canIssueTokens(len(leases)) {
 		l.emit(Resign{"the term has no fencing token left that is lower than those of every later term"})
 		return
 	}
@@ -81,8 +82,8 @@
 			l.emit(LoadAttempts{l.term, id, token})
 			continue
 		}
-		// Only a write of this term whose answer was lost can have changed the key. It may be an earlier attempt of
-		// this one.
+		// Only a write of this term whose answer was lost can have changed the key, possibly an earlier attempt of the
+		// same write.
 		l.emit(ReadKey{l.term, shard.Key(id), tag})
 	}
 }
@@ -105,7 +106,7 @@
 		"tasks", len(lease.tasks))
 }
 
-// rebuildFromAttempts replaces the tasks that count as running in a shard by those that its attempt records name.
+// rebuildFromAttempts replaces the tasks in a shard's grant by those that the shard's attempt records name.
 func (l *Leader) rebuildFromAttempts(lease *shardLease, pages map[string]peer.AttemptPage) {
 	old := lease.tasks
 	lease.tasks = map[peer.Task]*grantedTask{}
@@ -128,7 +129,8 @@
 			}
 		}
 	}
-	// A task without an attempt record cannot have been started: the condition of the record's write would fail now.
+	// A task without an attempt record has not been started and cannot be: the write of its record by the former grant
+	// would now fail on its condition.
 	for t := range old {
 		if job := l.jobs.OfTask(t); job != nil && lease.tasks[t] == nil {
 			job.Requeue(t.Index)
@@ -136,8 +138,8 @@
 	}
 }
 
-// addFromAttempt adds the task of one attempt record to a shard. A task whose job is cancelled or unknown is ordered
-// to stop.
+// addFromAttempt adds the task of one attempt record to a shard's grant. old has the tasks of the shard's previous
+// grant. A task whose job is cancelled or unknown is ordered to stop.
 func (l *Leader) addFromAttempt(
 	lease *shardLease, group *peer.AttemptGroup, record peer.AttemptRecord, old map[peer.Task]*grantedTask,
 ) {
@@ -192,7 +194,7 @@
 	}
 }
 
-// releaseTask removes a task from a shard's grant and returns it, or nil if the grant does not have it.
+// releaseTask removes a task from a shard's grant and returns the task, or nil if the grant does not contain it.
 func (l *Leader) releaseTask(lease *shardLease, t peer.Task) *grantedTask {
 	task := lease.tasks[t]
 	if task != nil {
@@ -202,8 +204,8 @@
 	return task
 }
 
-// shardKeyRead handles the read of a shard's key after a write of it that was not reported as committed. The key has
-// the fencing token of that write if an attempt without an answer was applied.
+// shardKeyRead handles the read of a shard's key after a write of the key that was not reported as committed. The key
+// has the fencing token of that write if an attempt of the write was applied without an answer.
 func (l *Leader) shardKeyRead(tag shardsTag, m KeyRead) {
 	for _, id := range slices.Sorted(maps.Keys(tag.tokens)) {
 		lease, token := l.shards.all[id], tag.tokens[id]
--- a/internal/leader/shard_orders.go
+++ b/internal/leader/shard_orders.go
@@ -22,7 +22,7 @@
 	slices.SortFunc(lease.orders.Stop[from:], func(a, b peer.StopTask) int { return a.Index - b.Index })
 }
 
-// acknowledge tells the shard holder which completions are persisted.
+// acknowledge reports to the shard holder which completions are persisted: those for which stored returns true.
 func (lease *shardLease) acknowledge(stored func(peer.Task) bool) {
 	lease.unpersisted = slices.DeleteFunc(lease.unpersisted, func(t peer.Task) bool {
 		if stored(t) {
--- a/internal/leader/shard_table.go
+++ b/internal/leader/shard_table.go
@@ -25,7 +25,8 @@
 	lastHeartbeat clock.Micros
 }
 
-// recordHeartbeat records the health that a controller reports: whether it reaches its agents and the store.
+// recordHeartbeat records the health that a controller reports: whether agents contact the controller, and whether the
+// controller reaches the store.
 func (c *controller) recordHeartbeat(now clock.Micros, message *peer.ToLeader) {
 	c.lastHeartbeat = now
 	if message.NoAgentContact {
@@ -108,25 +109,28 @@
 type leaseState int
 
 const (
-	unassigned leaseState = iota // no holder in this term, or its holder needs a new grant
-	writing                      // its key is being written
-	reading                      // its attempt records are being read
-	granted
+	unassigned leaseState = iota // the shard has no holder in this term, or its holder needs a new grant
+	writing                      // the shard's key is being written
+	reading                      // the shard's attempt records are being read
+	granted                      // the shard is granted to its holder
 )
 
-// grantedTask is a task in a shard grant. It counts fully towards the usage of its team.
+// grantedTask is a task in a shard grant: the task was offered to the shard's holder, or an attempt record of the shard
+// names it, so the holder may run the task. The task leaves the grant when the holder reports that it has completed,
+// failed, found no machine, or is released, that is, on no machine of the shard. Until then the task counts fully
+// towards the usage of its team.
 type grantedTask struct {
 	team               string
 	cpus, gpus         float64
 	zone               string
 	running            bool
 	otherAttemptMayRun bool         // one of several attempts has ended, and another may still run
-	inherited          bool         // from the attempt records of an earlier grant
-	runningSince       clock.Micros // when it was first reported as running
+	inherited          bool         // known from the attempt records of an earlier grant
+	runningSince       clock.Micros // when the task was first reported as running
 	machine            string
-	assignedAt         clock.Micros // when it was assigned to its machine; 0 if unknown
-	imageCached        bool         // whether the machine was known to have its image cached at that time
-	stopReason         string       // why it was ordered to stop; "" if it was not
+	assignedAt         clock.Micros // when the task was assigned to its machine; 0 if unknown
+	imageCached        bool         // whether the machine had the task's image cached at that time, as far as known
+	stopReason         string       // why the task was ordered to stop; "" if it was not
 	stoppedAt          clock.Micros
 }
 
@@ -138,13 +142,15 @@
 // shardLease is the lease of one shard.
 type shardLease struct {
 	assignment.Shard
-	state        leaseState
-	token        wire.FencingToken
-	keyVersion   uint64
-	link         Link
-	tasks        map[peer.Task]*grantedTask
-	offerSeq     uint64
-	offerPending bool // an offer is not settled yet
+	state      leaseState
+	token      wire.FencingToken
+	keyVersion uint64
+	link       Link
+	tasks      map[peer.Task]*grantedTask
+	offerSeq   uint64
+	// offerPending is set while the latest offers are not settled: offers are settled once the holder has reported that
+	// it no longer writes attempt records for them. Until then the leader does not know which machines their tasks use.
+	offerPending bool
 	orders       peer.ShardOrders
 	unpersisted  []peer.Task // completed tasks whose completion is not stored yet
 }
--- a/internal/leader/state_log.go
+++ b/internal/leader/state_log.go
@@ -5,7 +5,7 @@
 // stateLogInterval is the time between two log lines that summarise the state.
 const stateLogInterval = 10 * clock.Second
 
-// stateSummary summarises queues and free capacity for the debug log.
+// stateSummary has the figures on queues, machines and teams that logState writes to the debug log.
 type stateSummary struct {
 	waiting, waitingAtLimit, replicas int
 	onDemand, idle, schedulable       int
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -66,7 +66,7 @@
 	return total.Value(), statuses
 }
 
-// status describes the holder of the shard, and how many of its tasks have not started.
+// status describes the shard for the operator status: its holder, and how many of its tasks have not started.
 func (lease *shardLease) status() peer.ShardStatus {
 	status := peer.ShardStatus{
 		Shard: lease.ID, Holder: lease.Holder, Granted: lease.state == granted, Tasks: len(lease.tasks),
--- a/internal/leader/store_writes.go
+++ b/internal/leader/store_writes.go
@@ -9,8 +9,8 @@
 	"swiftledge/wire"
 )
 
-// commit requests a transaction under the given conditions and the condition that the term lasts: a transaction of a
-// former leader fails however late it is applied.
+// commit requests a transaction under the given conditions and the condition that the term has not ended: a transaction
+// of a former leader fails however late it is applied.
 func (l *Leader) commit(priority store.Priority, tag TxnTag, conditions []wire.Condition, writes []wire.Write) {
 	conditions = append([]wire.Condition{{Key: Key, Version: uint64(l.term)}}, conditions...)
 	l.emit(CommitTxn{Term: l.term, Priority: priority, Txn: wire.Txn{Conditions: conditions, Writes: writes}, Tag: tag})
@@ -25,7 +25,7 @@
 	return wire.Write{Put: key, Value: raw}
 }
 
-// decode decodes a stored record. It logs a record that cannot be decoded, which stays as it is.
+// decode decodes a stored record. It logs a record that cannot be decoded, and leaves the record in the store as it is.
 func decode[T any](l *Leader, item wire.Item) (v T, ok bool) {
 	if err := json.Unmarshal(item.Value, &v); err != nil {
 		l.info("cannot decode stored record", "key", item.Key, "error", err)
--- a/internal/leader/task_events.go
+++ b/internal/leader/task_events.go
@@ -42,7 +42,8 @@
 	}
 }
 
-// taskEnded handles the end of an attempt of a batch task, or of a task whose job is no longer known.
+// taskEnded handles the end of an attempt of a batch task, or of a task whose job is no longer known. The task leaves
+// the shard's grant.
 func (l *Leader) taskEnded(now clock.Micros, lease *shardLease, job *jobs.Job, event peer.TaskEvent) {
 	task := l.releaseTask(lease, event.Task)
 	if task != nil && task.running && job != nil {
@@ -63,8 +64,8 @@
 	}
 }
 
-// replicaEnded handles the end of an attempt of a service task. A service task never completes for good, so it waits
-// to run again, but only once none of its attempts may still run.
+// replicaEnded handles the end of an attempt of a service task. A service task never completes for good, so the task
+// waits to run again, but only once none of its attempts may still run.
 func (l *Leader) replicaEnded(now clock.Micros, lease *shardLease, job *jobs.Job, event peer.TaskEvent) {
 	if task := lease.tasks[event.Task]; task != nil && task.otherAttemptMayRun && event.Kind == peer.EventCompleted {
 		task.otherAttemptMayRun = false
@@ -75,8 +76,8 @@
 		job.MarkStopped()
 	}
 	if event.Kind == peer.EventCompleted {
-		// The attempt stays listed until its machine has confirmed a higher fencing token, as a delayed copy of its
-		// run command would start it again.
+		// The agent keeps the attempt in its list until its machine has confirmed a higher fencing token, as a delayed
+		// copy of the attempt's run command would otherwise start the attempt again.
 		lease.orders.Stop = append(lease.orders.Stop, peer.StopTask{Task: event.Task})
 		lease.orders.Persisted = append(lease.orders.Persisted, event.Task)
 	}
--- a/internal/leader/trace.go
+++ b/internal/leader/trace.go
@@ -33,7 +33,7 @@
 	})
 }
 
-// traceStarted records how long a task took from its assignment to a machine until it ran.
+// traceStarted records how long a task took from its assignment to a machine until it was running.
 func (l *Leader) traceStarted(now clock.Micros, t peer.Task, task *grantedTask) {
 	if task.assignedAt == 0 {
 		return
@@ -52,8 +52,8 @@
 	})
 }
 
-// traceMigration records a migration that has ended: a span for all of it, one for the stop, up to the proof that the
-// task is gone from its machine, and one for the start.
+// traceMigration records a migration that has ended: a span for the whole migration, a span for the stop, up to the
+// proof that the task is gone from its machine, and a span for the start on the new machine.
 func (l *Leader) traceMigration(now clock.Micros, m rebalancer.Migration, outcome string) {
 	span := trace.Span{Job: m.Task.Job, Task: m.Task.String(), Name: "move", Begin: m.StartedAt, End: now}
 	span.Attributes = []trace.Attribute{
--- a/internal/leader/unconfirmed_machines.go
+++ b/internal/leader/unconfirmed_machines.go
@@ -10,9 +10,10 @@
 
 // A shard holder treats tasks on a machine that its grant does not list as ended, because a machine leaves the durable
 // inventory only after its end is proven. This requires that every machine that may run tasks is named by a stored
-// record. The condition fails in two cases. A leader of the version in production may break it: after a lost answer it
-// can take the record of a provision request as written although it was not. Such a record still lacks the cloud's
-// answer. The condition also fails while a record cannot be read.
+// inventory record. The requirement is not met in two cases. A leader of the version in production may break it: after
+// a lost answer, that leader can take the record of a provision request as written although the write was not applied.
+// Such a record still lacks the cloud's answer. The requirement is also not met while an inventory record cannot be
+// read.
 //
 // Therefore, while provision requests of former leaders lack a stored answer, machines that only attempt records name
 // are granted as well, drained. Their tasks count as running until the answer, or the heartbeats of the machines,
@@ -49,8 +50,8 @@
 	return machines
 }
 
-// settleFormerRequest records that the answer to a provision request of a former leader is stored. Once all these
-// answers are stored, the inventory names every machine that may run tasks, and any other machine has ended.
+// settleFormerRequest records that the answer to a provision request of a former leader is stored. Once the answers to
+// all such requests are stored, the inventory names every machine that may run tasks, and any other machine has ended.
 func (l *Leader) settleFormerRequest(now clock.Micros, group *instanceGroup) {
 	if !l.inventory.unansweredRequests[group.key] {
 		return
--- a/internal/leader/zones.go
+++ b/internal/leader/zones.go
@@ -6,24 +6,25 @@
 	"swiftledge/wire"
 )
 
-// jobZones is the number of tasks that a job has in each zone, which decides where more of them may run.
+// jobZones is the number of tasks that a job has in each zone, which decides in which zones further tasks may run.
 type jobZones struct {
 	job        *wire.Job
 	taskCounts map[string]int
 }
 
-// zonesOf counts the granted tasks of a job by zone, if they restrict where its other tasks may run.
+// zonesOf counts the tasks of a job that are in shard grants, by zone. The count stays empty for a job whose tasks do
+// not restrict each other's zones, one without OneZone and Spread.
 func (l *Leader) zonesOf(job *jobs.Job) jobZones {
 	zones := jobZones{&job.Spec, map[string]int{}}
 	if !zones.job.OneZone && !zones.job.Spread {
 		return zones
 	}
-	l.eachDispatched(job, func(_ peer.Task, task *grantedTask) { zones.taskCounts[task.zone]++ })
+	l.eachDispatchedTask(job, func(_ peer.Task, task *grantedTask) { zones.taskCounts[task.zone]++ })
 	return zones
 }
 
-// eachDispatched calls f for each of the job's tasks that is in a shard grant.
-func (l *Leader) eachDispatched(job *jobs.Job, f func(peer.Task, *grantedTask)) {
+// eachDispatchedTask calls f for each task of the job in each shard grant that contains the task.
+func (l *Leader) eachDispatchedTask(job *jobs.Job, f func(peer.Task, *grantedTask)) {
 	for index := range job.DispatchedTasks() {
 		for _, lease := range l.shards.all {
 			t := peer.Task{Job: job.Spec.Ref, Index: index}
