--- a/internal/leader/attempts.go
+++ b/internal/leader/attempts.go
@@ -39,7 +39,8 @@
 	}
 }
 
-// attemptEnded records that an attempt has ended. If its task is being migrated, the task may now start elsewhere.
+// attemptEnded records that an attempt has ended. If its task is being migrated, the task may now start on another
+// machine.
 func (l *Leader) attemptEnded(now clock.Micros, event peer.TaskEvent, task *grantedTask) {
 	if l.rebalancing == nil {
 		return
--- a/internal/leader/demand.go
+++ b/internal/leader/demand.go
@@ -18,8 +18,8 @@
 	zone    string // the zone of tasks that must be spread over zones; "" for other tasks
 }
 
-// demandSet collects the demands for capacity in order of precedence: those of services come first, as services cannot
-// wait and have few machines to choose from.
+// demandSet collects the demands for capacity in order of precedence: demands of services come first, as services
+// cannot wait and have few machines to choose from.
 type demandSet struct {
 	byKey map[demandKey]*autoscaler.Demand
 	list  []*autoscaler.Demand
--- a/internal/leader/emit.go
+++ b/internal/leader/emit.go
@@ -1,6 +1,6 @@
 package leader
 
-// emit adds an effect to those of the current step.
+// emit adds an effect to the effects of the current step.
 func (l *Leader) emit(e Effect) { l.effects = append(l.effects, e) }
 
 // info logs a line at info level.
--- a/internal/leader/failure_attribution_test.go
+++ b/internal/leader/failure_attribution_test.go
@@ -35,7 +35,7 @@
 		stopped = append(stopped, stop.Task.Index)
 	}
 	if !slices.Equal(stopped, []int{0, 1, 2}) {
-		t.Errorf("stopped tasks %v, want the three that are not running", stopped)
+		t.Errorf("stopped tasks %v, want 0, 1 and 2, which were not running", stopped)
 	}
 	if l.clearSuspicion(startTime+jobs.StableAfter-1, j); !j.Failures.Suspect() {
 		t.Error("suspicion of the job was cleared by a run shorter than StableAfter")
@@ -53,10 +53,10 @@
 		l.taskFailed(startTime, j, peer.TaskEvent{Task: peer.Task{Job: testJob.Ref, Index: 0}, Machine: machineNames[1]}, &grantedTask{})
 	}
 	if failTask(); l.inventory.machines[machineNames[1]].draining {
-		t.Error("machine drained before a task of the job has completed")
+		t.Error("machine drained after the first failure, before a task of the job had completed")
 	}
 	if failTask(); l.inventory.machines[machineNames[1]].draining {
-		t.Error("machine drained before a task of the job has completed")
+		t.Error("machine drained after the second failure, before a task of the job had completed")
 	}
 	if l.creditCompletion(startTime, j, peer.TaskEvent{
 		Task: peer.Task{Job: testJob.Ref, Index: 1}, Machine: machineNames[2],
--- a/internal/leader/fairshare/order.go
+++ b/internal/leader/fairshare/order.go
@@ -16,7 +16,7 @@
 	age   float64 // seconds since the job's submission
 }
 
-// compare orders jobs that can still complete in time before those that cannot, then by priority, then by slack, then
+// compare orders jobs that can still complete in time before jobs that cannot, then by priority, then by slack, then
 // by submission time.
 func (o jobOrder) compare(other jobOrder) int {
 	return cmp.Or(
--- a/internal/leader/fairshare/queue.go
+++ b/internal/leader/fairshare/queue.go
@@ -67,9 +67,9 @@
 }
 
 // next returns the job whose turn it is, and whether the turn covers a single task. The sort order alone would starve
-// the jobs that always sort last: the largest, those already late, and classes of low priority. Therefore a job that
-// has not started in time goes first with one task, and each class, as well as the jobs that have waited long, has a
-// minimum share of the team's usage.
+// the jobs that always sort last: the largest jobs, jobs already late, and classes of low priority. Therefore a job
+// that has not started in time goes first with one task, and each class, as well as the jobs that have waited long, has
+// a minimum share of the team's usage.
 func (q *TeamQueue) next() (next *entry, oneTaskOnly bool) {
 	q.entries = slices.DeleteFunc(q.entries, func(e *entry) bool { return e.exhausted || e.job.Waiting() == 0 })
 	for _, e := range q.entries {
@@ -118,8 +118,9 @@
 	}
 }
 
-// skip excludes a job that does not fit from this pass. If the team's limit is the reason, it also excludes all less
-// important jobs of the team: their smaller tasks would otherwise take all capacity that becomes free.
+// skip excludes from this pass a job whose next task does not fit. If the team's limit is the reason, skip also
+// excludes all less important jobs of the team: their smaller tasks would otherwise take all capacity that becomes
+// free.
 func (q *TeamQueue) skip(unfit *entry) {
 	unfit.exhausted = true
 	if q.Usage().FitsLimit(&unfit.job.Spec, q.team) {
--- a/internal/leader/fairshare/queue_test.go
+++ b/internal/leader/fairshare/queue_test.go
@@ -136,7 +136,7 @@
 	usage := NewUsage()
 	q := policy.Queues(PassTime{}, newTable(service, batch), usage)[0]
 	if !q.ServiceFits(&service.Spec, 7) || q.ServiceFits(&service.Spec, 8) || !q.ServiceFits(&batch.Spec, 8) {
-		t.Error("processors that services may use are not limited to exactly 8 of 10, or other jobs are limited")
+		t.Error("services were not limited to exactly 8 of the team's 10 processors, or a batch job was limited as well")
 	}
 	servicesOnly := policy.Queues(PassTime{}, newTable(service), usage)[0]
 	if !servicesOnly.ServiceFits(&service.Spec, 9) {
@@ -144,7 +144,7 @@
 	}
 }
 
-// A job counts as waiting for free capacity while its tasks wait and the team's limit permits them.
+// A job counts as waiting for free capacity while it has waiting tasks that its team's limit permits.
 func TestUnservedSince(t *testing.T) {
 	j := newJob("j-1", nil)
 	policy := Policy{Teams: map[string]config.Team{"red": {Name: "red", CPUsMax: 4}}}
--- a/internal/leader/free_capacity.go
+++ b/internal/leader/free_capacity.go
@@ -50,8 +50,8 @@
 	return reasons
 }
 
-// candidateKey identifies a list of machines as seen by one shape of task: all machines, or those that have an image
-// cached.
+// candidateKey identifies a list of machines as seen by one shape of task: all machines, or the machines that have an
+// image cached.
 type candidateKey struct {
 	shape    jobs.TaskShape
 	all      bool
@@ -120,8 +120,8 @@
 	return m.freeCPUs+1e-9 >= spec.CPUs && m.freeGPUs+1e-9 >= spec.GPUs && m.freeMemory+1e-9 >= spec.MemoryGB
 }
 
-// placementRank ranks machines by how late tasks are placed on them: 0 for machines in normal use, 1 for deprioritized
-// and 2 for cordoned ones.
+// placementRank returns the rank in which tasks are placed on the machine, lowest first: 0 for a machine in normal use,
+// 1 for a deprioritized machine and 2 for a cordoned machine.
 func (m *machine) placementRank() int {
 	switch {
 	case m.cordoned:
--- a/internal/leader/job_lifecycle.go
+++ b/internal/leader/job_lifecycle.go
@@ -55,8 +55,8 @@
 }
 
 // jobKeyDeleted cancels a job: a job's key is deleted only by an abort, or by the leader when it writes the job's final
-// state. While that write is in flight, its outcome shows which of the two deleted the key. A progress write in flight
-// must not hide an abort.
+// state. While that write is in flight, the outcome of the write shows whether the leader or an abort deleted the key.
+// A progress write in flight must not hide an abort.
 func (l *Leader) jobKeyDeleted(now clock.Micros, key string) {
 	if job := l.jobs.Get(strings.TrimPrefix(key, JobPrefix)); job != nil && !job.IsFinishing() {
 		l.cancelJob(now, job)
--- a/internal/leader/jobs/job_test.go
+++ b/internal/leader/jobs/job_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// A task in two grants waits again only once it has left both. A completed task never waits again.
+// A task in two shard grants waits again only once it has left both grants. A completed task never waits again.
 func TestRequeue(t *testing.T) {
 	j := addJob(NewTable(), "j-000001", 2)
 	j.MarkDispatched(0)
@@ -80,7 +80,7 @@
 	}
 	j.SetUnservedSince(clock.Second)
 	if j.IsUnserved(clock.Second+unservedLimit) || !j.IsUnserved(clock.Second+unservedLimit+1) {
-		t.Error("job did not become unserved exactly after the limit")
+		t.Error("job did not become unserved exactly after unservedLimit")
 	}
 }
 
@@ -180,6 +180,6 @@
 	}
 	j.MarkRunning()
 	if got := table.ChangedCounts(); len(got) != 1 || got[0].Running != 1 {
-		t.Errorf("changed counts %v, want one with one running task", got)
+		t.Errorf("changed counts %v after a task started running, want one with one running task", got)
 	}
 }
--- a/internal/leader/jobs/pages.go
+++ b/internal/leader/jobs/pages.go
@@ -18,7 +18,7 @@
 	writtenAt    clock.Micros
 }
 
-// NewProgressPages returns an empty set of pages for a term. Load adds the stored ones.
+// NewProgressPages returns an empty set of progress pages for a term. Load adds the stored pages.
 func NewProgressPages(term cluster.Term) *ProgressPages { return &ProgressPages{term: term} }
 
 // StoredPage is a progress page as an earlier leader stored it.
--- a/internal/leader/jobs/pages_test.go
+++ b/internal/leader/jobs/pages_test.go
@@ -114,7 +114,7 @@
 	}
 	for i, w := range first {
 		if again := pages.DueWrites(clock.Micros(2+i)*ProgressInterval, table, maxValueBytes); len(again) > 0 {
-			t.Fatalf("%s was written before all chunks of the old page were stored on other pages", again[0].Key)
+			t.Fatalf("page %s was written before all chunks of the old page were stored on other pages, want no write", again[0].Key)
 		}
 		pages.Committed(w, committed.Revision)
 	}
@@ -124,7 +124,7 @@
 	}
 	for j := range table.All() {
 		if !j.IsPersisted(0) || !j.IsPersisted(2) || j.IsPersisted(1) {
-			t.Errorf("tasks of %s counted as persisted are not exactly those that its stored page lists", j.Spec.Ref)
+			t.Errorf("tasks of job %s that counted as persisted were not exactly 0 and 2, as stored", j.Spec.Ref)
 		}
 	}
 }
--- a/internal/leader/jobs/table.go
+++ b/internal/leader/jobs/table.go
@@ -27,7 +27,7 @@
 	minRunTimeSamples = 5
 	// maxRunTimeSamples is the approximate number of run times over which the ratio of a class averages.
 	maxRunTimeSamples = 50
-	// minRunSeconds is the run time above which a run time is used for the ratio: shorter ones carry no information.
+	// minRunSeconds is the limit above which a run time is used for the ratio: shorter run times carry no information.
 	minRunSeconds = 1
 )
 
--- a/internal/leader/keys_test.go
+++ b/internal/leader/keys_test.go
@@ -31,7 +31,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			if got := c.key(newLeader(t)); got != c.want {
-				t.Errorf("key of the record is %s, want %s", got, c.want)
+				t.Errorf("record written under key %s, want %s", got, c.want)
 			}
 		})
 	}
@@ -47,7 +47,8 @@
 	return keys
 }
 
-// A leader of a site without machines writes these keys, in this order, before it provisions machines.
+// A leader of a site without machines writes the keys layout, block/000 and fleet/r-7-1, in this order, before it
+// provisions machines.
 func TestKeysOfANewSite(t *testing.T) {
 	l := newLeader(t)
 	l.Step(startTime, LeadershipLost{})
--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -86,8 +86,8 @@
 	return l
 }
 
-// A new leader offers no task before it has read the attempt records of every shard: a waiting task may run in a
-// shard whose records are not read yet.
+// A new leader offers no task before it has read the attempt records of every shard: a task that counts as waiting may
+// run in a shard whose records are not read yet.
 func TestNoTaskIsOfferedBeforeAllAttemptRecordsAreRead(t *testing.T) {
 	l := newLeader(t)
 	now := startTime
--- a/internal/leader/limits_test.go
+++ b/internal/leader/limits_test.go
@@ -48,7 +48,7 @@
 		}
 		// The next leader's key has a later revision than any write of this term.
 		if next := wire.FencingToken(revision+1) << tokenBits; token > next {
-			t.Fatalf("fencing token %d is higher than the first token of a later leader, %d", token, next)
+			t.Fatalf("leader issued fencing token %d, want at most the first token of a later leader, %d", token, next)
 		}
 		lastToken = token
 	}
--- a/internal/leader/load_bound.go
+++ b/internal/leader/load_bound.go
@@ -67,8 +67,8 @@
 }
 
 // allows reports whether one more task keeps the machine within the load bound. A machine that the autoscaler wants to
-// be empty never counts as within the bound: such a machine is for tasks that find no free capacity elsewhere, not for
-// spreading load.
+// be empty never counts as within the bound: such a machine is for tasks that find no free capacity on other machines,
+// not for spreading load.
 func (b *loadBound) allows(m *machine, spec *wire.Job) bool {
 	if b == nil {
 		return true
--- a/internal/leader/machines.go
+++ b/internal/leader/machines.go
@@ -106,7 +106,7 @@
 }
 
 // checkpointTasks stops the tasks of a machine that ends soon if they can save their progress. At a preemption notice
-// it also stops the replicas of services that find free capacity elsewhere.
+// it also stops the replicas of services that find free capacity on other machines.
 func (l *Leader) checkpointTasks(now clock.Micros, m *machine) {
 	lease := m.shard
 	var capacity *freeCapacity
@@ -119,8 +119,8 @@
 	slices.SortFunc(tasks, func(a, b peer.Task) int { return cmp.Or(strings.Compare(a.Job, b.Job), a.Index-b.Index) })
 	for _, t := range tasks {
 		task, job := lease.tasks[t], l.jobs.Get(t.Job)
-		// A replica moves at once if there is free capacity for it elsewhere. Otherwise it runs on this machine until
-		// the machine ends.
+		// A replica moves at once if there is free capacity for it on another machine. Otherwise it runs on this
+		// machine until the machine ends.
 		moves := false
 		if job.Spec.IsService() && m.state.PreemptionNotice {
 			if capacity == nil {
@@ -138,7 +138,8 @@
 	}
 }
 
-// drainMachine drains a machine: it gets no new tasks, and its tasks that can save a checkpoint do so and stop.
+// drainMachine drains a machine: the machine gets no new tasks, and its tasks that can save a checkpoint do so and
+// stop.
 func (l *Leader) drainMachine(now clock.Micros, m *machine, reason string) {
 	m.draining = true
 	lease := m.shard
--- a/internal/leader/proofs_test.go
+++ b/internal/leader/proofs_test.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// A task in the attempt records of two shards waits again only once it has left both. A completed task never waits
-// again.
+// A task in the attempt records of two shards waits again only once it has left both shard grants. A completed task
+// never waits again.
 func TestTaskWaitsWhenItHasLeftItsLastGrant(t *testing.T) {
 	l := newLeader(t)
 	for _, lease := range l.shards.all {
@@ -161,7 +161,8 @@
 	}
 }
 
-// A task's completion is acknowledged only once a write has stored it that no delayed copy of another write can revert.
+// A task's completion is acknowledged only once it is stored, by a write that no delayed copy of another write can
+// revert.
 func TestCompletionIsAcknowledgedOnlyOnceStored(t *testing.T) {
 	l := newGrantedLeader(t, attemptPagesFor(machineNames[0], 0, 1))
 	lease := l.shards.all[shard.ForMachine(machineNames[0], 2)]
--- a/internal/leader/rebalancing.go
+++ b/internal/leader/rebalancing.go
@@ -58,7 +58,8 @@
 	return m
 }
 
-// migrationTargets returns the machines to which tasks are migrating. The autoscaler does not delete them meanwhile.
+// migrationTargets returns the machines to which tasks are migrating. The autoscaler does not delete these machines
+// during the migrations.
 func (l *Leader) migrationTargets() map[string]bool {
 	if l.rebalancing == nil {
 		return nil
--- a/internal/leader/rebalancing_test.go
+++ b/internal/leader/rebalancing_test.go
@@ -92,7 +92,7 @@
 	if len(stops) != 1 || !stops[0].Checkpoint || stops[0].Job != checkpointJob.Ref {
 		t.Fatalf("stop orders %v, want one for a task of checkpointJob with time for a checkpoint", stops)
 	}
-	// The task is not started elsewhere before its old attempt has provably ended. Then it is offered to the shard of
+	// The task is not offered again before its old attempt has provably ended. Then the task is offered to the shard of
 	// the target machine.
 	migrated := taskID(stops[0].Task)
 	target := l.inventory.machines[l.rebalancing.InFlight()[0].To]
--- a/internal/leader/reconcile.go
+++ b/internal/leader/reconcile.go
@@ -21,7 +21,7 @@
 )
 
 // reconcileInventory reconciles the machines that the cloud has with the capacity that is needed: it provisions
-// machines, deletes idle ones, and removes those that serve no tasks any longer.
+// machines, deletes idle machines, and removes machines that serve no tasks any longer.
 func (l *Leader) reconcileInventory(now clock.Micros) {
 	if now-l.autoscaler.reconciledAt < reconcileInterval {
 		return
--- a/internal/leader/service_test.go
+++ b/internal/leader/service_test.go
@@ -80,7 +80,7 @@
 			Events: []peer.TaskEvent{{Task: peer.Task{Job: testJob.Ref, Index: 0}, Kind: peer.EventRunning, Machine: machineNames[0]}}}}}})
 	l.taskFailed(startTime+2*jobs.StableAfter, j, peer.TaskEvent{Task: peer.Task{Job: testJob.Ref, Index: 1}, Machine: machineNames[1]}, &grantedTask{})
 	if l.inventory.machines[machineNames[1]].draining {
-		t.Error("machine drained after a single failure")
+		t.Error("machine drained after a single failure of a replica on it")
 	}
 	l.taskFailed(startTime+2*jobs.StableAfter, j, peer.TaskEvent{Task: peer.Task{Job: testJob.Ref, Index: 1}, Machine: machineNames[1]}, &grantedTask{})
 	if !l.inventory.machines[machineNames[1]].draining {
--- a/internal/leader/shard_assignment_test.go
+++ b/internal/leader/shard_assignment_test.go
@@ -32,7 +32,7 @@
 		t.Error("shard moved to a controller that is reached only through the store")
 	}
 	if !moved(false) {
-		t.Error("no shard moved to a controller with a direct link")
+		t.Error("no shard moved to a controller with a direct link, want at least one")
 	}
 }
 
--- a/internal/leader/shard_grants.go
+++ b/internal/leader/shard_grants.go
@@ -178,7 +178,7 @@
 	}
 	machines = append(machines, l.grantUnconfirmed(lease, pages)...)
 	// A controller that connected before the term was loaded does not know the machine types yet. Stop orders are sent
-	// with the grant, so that the holder answers no heartbeat between the two.
+	// with the grant, so that the holder answers no heartbeat after the grant and before the stop orders.
 	grant := peer.ShardGrant{
 		Shard: lease.ID, FencingToken: lease.token, KeyVersion: lease.keyVersion, Pages: pages, Machines: machines,
 	}
--- a/internal/leader/shard_table.go
+++ b/internal/leader/shard_table.go
@@ -13,7 +13,7 @@
 // shards.
 type shardTable struct {
 	all          []*shardLease          // by shard ID
-	controllers  map[string]*controller // connected ones, by name
+	controllers  map[string]*controller // connected controllers, by name
 	tokensIssued uint64                 // number of fencing tokens issued in this term
 }
 
--- a/internal/leader/store_writes.go
+++ b/internal/leader/store_writes.go
@@ -41,7 +41,7 @@
 		return
 	}
 	if m.Result.Rejected {
-		// The limits of the store have fallen below those of the settings.
+		// The limits of the store have fallen below the limits in the settings.
 		l.valueBytes, l.txnOps = store.ReducedLimits(l.valueBytes, l.txnOps)
 	}
 	if m.Result.Committed {
