--- a/internal/controller/agent_client.go
+++ b/internal/controller/agent_client.go
@@ -61,8 +61,8 @@
 	return a
 }
 
-// acquire waits for a request slot. It returns false if the context ends first.
-func (a *agentClient) acquire(ctx context.Context) bool {
+// acquireRequestSlot waits for a request slot. It returns false if the context ends first.
+func (a *agentClient) acquireRequestSlot(ctx context.Context) bool {
 	select {
 	case a.requestSlots <- struct{}{}:
 		return true
@@ -71,15 +71,15 @@
 	}
 }
 
-func (a *agentClient) release() { <-a.requestSlots }
+func (a *agentClient) releaseRequestSlot() { <-a.requestSlots }
 
 // sendCommands sends commands to an agent and returns its answer. An error means that nothing was sent.
 func (a *agentClient) sendCommands(ctx context.Context, request shard.SendCommands) (shard.CommandsAnswered, error) {
 	answer := shard.CommandsAnswered{Request: request}
-	if !a.acquire(ctx) {
+	if !a.acquireRequestSlot(ctx) {
 		return answer, ctx.Err()
 	}
-	defer a.release()
+	defer a.releaseRequestSlot()
 	req, res := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(res)
@@ -104,10 +104,10 @@
 // inspect requests the status of an agent. An error means that nothing was sent.
 func (a *agentClient) inspect(ctx context.Context, request shard.InspectAgent) (shard.InspectionAnswered, error) {
 	answer := shard.InspectionAnswered{Request: request}
-	if !a.acquire(ctx) {
+	if !a.acquireRequestSlot(ctx) {
 		return answer, ctx.Err()
 	}
-	defer a.release()
+	defer a.releaseRequestSlot()
 	code, body, err := a.http.GetTimeout(nil, "http://"+request.Address+"/inspect", inspectionTimeout)
 	if err == nil && code == http.StatusOK {
 		answer.Status = decodeStatus(body, request.Machine)
--- a/internal/pausedetect/recorder.go
+++ b/internal/pausedetect/recorder.go
@@ -31,29 +31,29 @@
 
 // Recorder merges the reports of a pause by the actors of a process into one pause and keeps the last one.
 type Recorder struct {
-	open  *Pause // the pause being collected; nil without one
-	last  Pause
-	count int // pauses so far
+	openPause *Pause // the pause being collected; nil without one
+	last      Pause
+	count     int // pauses so far
 }
 
 // Add merges the report of one actor and returns whether it is the first of a pause.
 func (r *Recorder) Add(p Pause) (first bool) {
-	if r.open == nil {
-		r.open = &p
+	if r.openPause == nil {
+		r.openPause = &p
 		return true
 	}
-	r.open.Start, r.open.End = min(r.open.Start, p.Start), max(r.open.End, p.End)
-	r.open.Expired = append(r.open.Expired, p.Expired...)
+	r.openPause.Start, r.openPause.End = min(r.openPause.Start, p.Start), max(r.openPause.End, p.End)
+	r.openPause.Expired = append(r.openPause.Expired, p.Expired...)
 	return false
 }
 
 // Close ends the collection and returns the merged pause, or the zero Pause if no pause is being collected.
 func (r *Recorder) Close() Pause {
-	if r.open == nil {
+	if r.openPause == nil {
 		return Pause{}
 	}
-	slices.Sort(r.open.Expired)
-	r.last, r.open = *r.open, nil
+	slices.Sort(r.openPause.Expired)
+	r.last, r.openPause = *r.openPause, nil
 	r.count++
 	return r.last
 }
--- a/internal/shard/agent_contact.go
+++ b/internal/shard/agent_contact.go
@@ -16,17 +16,17 @@
 	heartbeatEpoch wire.AgentEpoch
 	heartbeatSeq   uint64
 
-	lastStatus   clock.Micros // when the last status arrived
-	lastReply    clock.Micros // when the last reply to a heartbeat was sent
-	lastOutdated clock.Micros // when the last outdated heartbeat arrived; see recordIfOutdated
+	lastStatus            clock.Micros // when the last status arrived
+	lastReply             clock.Micros // when the last reply to a heartbeat was sent
+	lastOutdatedHeartbeat clock.Micros // when the last outdated heartbeat arrived; see recordIfOutdated
 }
 
-// isNewer reports whether a status is newer than all earlier ones. An older one proves nothing.
+// isNewer reports whether a status is newer than all earlier statuses. An older status proves nothing.
 func (c *agentContact) isNewer(status *wire.Heartbeat) bool {
 	return isNewerThan(status, c.epoch, c.seq)
 }
 
-// record stores a status that is newer than all earlier ones.
+// record stores a status that is newer than all earlier statuses.
 func (c *agentContact) record(now clock.Micros, status *wire.Heartbeat) {
 	if status.AgentEpoch > c.epoch {
 		c.epochSince = now
@@ -34,19 +34,20 @@
 	c.epoch, c.seq, c.lastStatus = status.AgentEpoch, status.Seq, now
 }
 
-// recordIfOutdated reports whether a heartbeat is not newer than the last one, and records when an outdated one
-// arrived. Either it is a late copy, because an agent sends one heartbeat at a time: no agent waits for the reply,
-// and no lease is renewed. Or a restarted agent uses the machine's name, and its lease starts now. So an outdated
-// heartbeat postpones the time after which silence proves that the machine's attempts have ended.
+// recordIfOutdated reports whether a heartbeat is outdated, which means not newer than the newest heartbeat, and
+// records when an outdated heartbeat arrived. There are two explanations. The heartbeat may be a late copy, because an
+// agent sends one heartbeat at a time: then no agent waits for the reply, and no lease is renewed. Or a restarted agent
+// uses the machine's name, and the lease of the restarted agent starts now. So an outdated heartbeat postpones the time
+// after which silence proves that the machine's attempts have ended.
 func (c *agentContact) recordIfOutdated(now clock.Micros, heartbeat *wire.Heartbeat) bool {
 	if isNewerThan(heartbeat, c.heartbeatEpoch, c.heartbeatSeq) {
 		return false
 	}
-	c.lastOutdated = now
+	c.lastOutdatedHeartbeat = now
 	return true
 }
 
-// recordHeartbeat stores a heartbeat that is newer than the last one.
+// recordHeartbeat stores a heartbeat that is newer than all earlier heartbeats.
 func (c *agentContact) recordHeartbeat(heartbeat *wire.Heartbeat) {
 	c.heartbeatEpoch, c.heartbeatSeq = heartbeat.AgentEpoch, heartbeat.Seq
 }
@@ -58,7 +59,8 @@
 // maxUnansweredCommands is the number of consecutive unanswered requests after which a machine counts as unreachable.
 const maxUnansweredCommands = 2
 
-// commandChannel tracks whether commands reach an agent. Its heartbeats may arrive even when commands do not.
+// commandChannel tracks whether commands reach an agent. The agent's heartbeats may arrive even when commands do not
+// reach the agent.
 type commandChannel struct {
 	unanswered       int          // consecutive requests without an answer
 	unreachableSince clock.Micros // 0: commands reach the agent
@@ -66,8 +68,9 @@
 
 func (c *commandChannel) isUnreachable() bool { return c.unreachableSince > 0 }
 
-// markUnreachable marks a machine that commands, or replies to its heartbeats, do not reach. It gets no tasks until it
-// answers a command. Its tasks end when the agent's lease expires, which the next epoch that it reports proves.
+// markUnreachable marks a machine that commands, or replies to its heartbeats, do not reach. The machine gets no tasks
+// until its agent answers a command. The tasks on the machine end when the agent's lease expires. The next epoch that
+// the agent reports proves this expiry.
 func (h *Holder) markUnreachable(now clock.Micros, s *heldShard, m *machine) {
 	if !m.commands.isUnreachable() {
 		m.commands.unreachableSince = now
--- a/internal/shard/attempt_log.go
+++ b/internal/shard/attempt_log.go
@@ -22,18 +22,18 @@
 // limits returns the store's limits as currently known.
 func (p *Params) limits() storeLimits { return storeLimits{p.MaxValueBytes, p.MaxTxnOps} }
 
-// attemptPage is a page of attempt records, stored under one key. Pages of this lease are overwritten with their live
-// records followed by new ones, so that a placement cycle costs one put and no deletes. Pages of earlier leases, and
-// pages whose last write has an unknown outcome, are only ever deleted.
+// attemptPage is a page of attempt records, stored under one key. A page of this lease is overwritten with its live
+// records followed by new records, so that a placement cycle costs one put and no deletes. Pages of earlier leases, and
+// pages whose last write has an unknown outcome, are sealed: they are only ever deleted.
 type attemptPage struct {
 	key           string
 	version       uint64
-	fencingToken  wire.FencingToken // of the lease that placed the attempts
-	attempts      []*taskAttempt    // that are not proven to have ended
-	sealed        bool              // never overwritten
+	fencingToken  wire.FencingToken // of the lease under which the attempts were placed
+	attempts      []*taskAttempt    // attempts on the page that are not proven to have ended
+	sealed        bool              // never to be overwritten
 	compacting    bool              // being written to replace other pages
 	storedRecords int               // number of records in the stored value
-	replacedKeys  []string          // keys that may also hold its records
+	replacedKeys  []string          // keys of replaced pages, which may also hold records of this page
 	emptySince    clock.Micros
 }
 
@@ -49,7 +49,7 @@
 	a.page = nil
 }
 
-// addTo adds the page's records to a pager. It returns false if not all of them fit.
+// addTo adds the page's records to a pager. It returns false if the records do not all fit.
 func (p *attemptPage) addTo(pager *peer.AttemptPager) bool {
 	for _, a := range p.attempts {
 		if !pager.Add(a.group, a.task.Index, a.id, a.machine.name) {
@@ -70,10 +70,10 @@
 
 	pages        []*attemptPage // in the order in which they were added
 	pageCount    int            // pages created under the lease
-	writeSeq     int
-	pendingWrite *attemptWrite // the write in flight; nil without one
+	writeSeq     int            // sequence number of the last write
+	pendingWrite *attemptWrite  // the write in flight; nil if there is none
 
-	compaction     *attemptPage // the page being written to replace others; nil without one
+	compaction     *attemptPage // the page being written to replace other pages; nil if there is none
 	lastCompaction clock.Micros
 
 	pendingDeletions []string // keys still to be deleted
@@ -87,7 +87,8 @@
 	attempts []*taskAttempt
 }
 
-// newPage returns a new page of this lease for records under its own or an earlier token.
+// newPage returns a new page of this lease. The records on the page are under the given token, which is the token of
+// this lease or of an earlier lease.
 func (l *attemptLog) newPage(token wire.FencingToken) *attemptPage {
 	l.pageCount++
 	key := AttemptPrefix(l.shard) + strconv.FormatUint(uint64(l.fencingToken), 10) + "-" + strconv.Itoa(l.pageCount)
@@ -107,8 +108,8 @@
 	write := l.pendingWrite
 	l.pendingWrite = nil
 	for _, p := range write.pages {
-		// Without the new version, no condition would protect the next write of the page. Its value, from before or
-		// after this write, covers every attempt that may run.
+		// If the new version is unknown, no condition can protect the next write of the page, so the page is sealed. The
+		// stored value of the page, whether from before or after this write, covers every attempt that may run.
 		if result.Revision > 0 {
 			p.version = result.Revision
 		} else if !result.NeverExecuted {
@@ -136,7 +137,7 @@
 	})
 }
 
-// nextDeletion returns the next batch of keys to delete. It returns false if none is due.
+// nextDeletion returns the next batch of keys to delete. It returns false if no deletion is due.
 func (l *attemptLog) nextDeletion(now clock.Micros, limits storeLimits) (effect DeletePages, ok bool) {
 	count := len(l.pendingDeletions)
 	if count == 0 || count < limits.txnOps && now-l.lastDeletion <= deletionInterval {
--- a/internal/shard/attempt_log_test.go
+++ b/internal/shard/attempt_log_test.go
@@ -56,15 +56,15 @@
 	}
 	first := place(1, "j-000007", 60)
 	if len(first.Pages) != 1 || first.Pages[0].Version != 0 {
-		t.Fatalf("first cycle writes %d pages, want one new page", len(first.Pages))
+		t.Fatalf("first cycle wrote %d pages, want one new page", len(first.Pages))
 	}
 	h.Step(now, first.Result(store.TxnResult{Committed: true, Revision: 33}))
 	second := place(2, "j-000008", 20)
 	if len(second.Pages) != 1 || second.Pages[0].Key != first.Pages[0].Key || second.Pages[0].Version != 33 {
-		t.Fatalf("second cycle writes %+v, want the page of the first cycle on condition of its version", second.Pages)
+		t.Fatalf("second cycle wrote %+v, want the page of the first cycle on condition of version 33", second.Pages)
 	}
 	if n := countRecords(t, second.Pages[0].Page); n != 80 {
-		t.Errorf("the page has %d records, want 80", n)
+		t.Errorf("page written by the second cycle has %d records, want 80", n)
 	}
 	txn, err := second.Txn()
 	if err != nil || len(txn.Writes) != 1 || len(txn.Writes[0].Value) > h.params.MaxValueBytes {
@@ -73,12 +73,12 @@
 	// No answer: a copy of the write may still be executed, so the page must not be overwritten.
 	h.Step(now, second.Result(store.TxnResult{Ambiguous: true}))
 	if third := place(3, "j-000009", 5); third.Pages[0].Key == second.Pages[0].Key {
-		t.Error("third cycle overwrites a page whose last write has an unknown outcome")
+		t.Error("third cycle overwrote a page whose last write has an unknown outcome")
 	}
 }
 
-// Full pages must not take the place of new pages in a transaction. If they filled it, nothing could be launched
-// until a task ended.
+// Full pages must not take the place of new pages in a transaction. If full pages filled the transaction, nothing could
+// be launched until a task ended.
 func TestFullPagesDoNotBlockLaunches(t *testing.T) {
 	h := newTestHolder(t)
 	h.Step(now, fromLeader(peer.FromLeader{Term: testTerm,
@@ -96,7 +96,7 @@
 			h.Step(now, write.Result(store.TxnResult{Committed: true, Revision: 30 + seq}))
 		}
 		if launched != 250 {
-			t.Fatalf("cycle %d launches %d of 250 tasks, with %d pages in use", seq, launched, len(h.shards[0].log.pages))
+			t.Fatalf("cycle %d launched %d of 250 tasks, with %d pages in use", seq, launched, len(h.shards[0].log.pages))
 		}
 	}
 }
@@ -126,8 +126,8 @@
 	return h, tasks
 }
 
-// A long-running replica must not keep a page full of records of ended attempts. These would count in full at each
-// failover and be sent with each grant.
+// A long-running replica must not keep a page full of records of ended attempts. These records would count in full at
+// each failover and be sent with each grant.
 func TestPagesOfRunningTasksAreCompacted(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -143,13 +143,13 @@
 			txn, err := compaction.Txn()
 			if err != nil || len(txn.Writes) != 3 || txn.Conditions[0] != (wire.Condition{Key: Key(0), Version: 8}) ||
 				txn.Conditions[1] != (wire.Condition{Key: compaction.Put.Key}) {
-				t.Fatalf("compaction transaction %+v, error %v", txn, err)
+				t.Fatalf("compaction transaction %+v, error %v; want one put and two deletions on condition of the shard's key and the new page", txn, err)
 			}
 			page := &compaction.Put.Page
 			records, err := page.Records(&page.Groups[0])
 			if err != nil || len(records) != 2 ||
 				records[0].Attempt != tasks[0].Attempt || records[1].Attempt != tasks[1].Attempt {
-				t.Fatalf("the new page has %+v, want the running attempts", records)
+				t.Fatalf("page written by the compaction has records %+v, want those of the two running attempts", records)
 			}
 			h.Step(afterUpdateIntervals(12), compaction.Result(c.outcome))
 			// Both attempts end: every page that may hold their records is deleted.
@@ -167,7 +167,7 @@
 				h.Step(afterUpdateIntervals(20+10*i), renewal(h, 60))
 			}
 			if !keys[compaction.Put.Key] || len(keys) != c.deleted {
-				t.Errorf("deleted %v, want %d keys", keys, c.deleted)
+				t.Errorf("deleted keys %v, want %d keys including that of the new page", keys, c.deleted)
 			}
 		})
 	}
@@ -185,13 +185,13 @@
 		}
 		h.maintainLog(afterUpdateIntervals(1), h.shards[0])
 		if (l.compaction == nil) != writing {
-			t.Errorf("write in flight %v: compacting %v", writing, l.compaction != nil)
+			t.Errorf("write in flight %v: page compacted %v, want compacted only without a write", writing, l.compaction != nil)
 		}
 	}
 }
 
-// When the store rejects a transaction for its size, the next ones are smaller. Repeating the same size would fail
-// forever.
+// When the store rejects a transaction for its size, the next transactions are smaller. Transactions of the same size
+// would fail forever.
 func TestRejectedWriteReducesLimits(t *testing.T) {
 	h := newTestHolder(t)
 	h.Step(now, heartbeat("m1", 1, testToken))
@@ -225,21 +225,21 @@
 	} {
 		got := write.Result(c.result)
 		if got.Committed != c.committed || got.Fenced != c.fenced || got.NeverExecuted || got.Revision != 0 {
-			t.Errorf("%s: wrong result %+v", c.name, got)
+			t.Errorf("%s: result %+v, want the case's Committed and Fenced, no NeverExecuted and no Revision", c.name, got)
 		}
 	}
 }
 
-// The number of attempt IDs under a lease is limited by their bits. One more would be an ID of the next token. A
-// holder that runs out of IDs places no more tasks and requests a new grant.
+// The bits of the attempt count in an attempt ID limit the number of IDs under a lease. One more ID would belong to the
+// next token. A holder that runs out of IDs places no more tasks and requests a new grant.
 func TestExhaustedAttemptIDsRequestRegrant(t *testing.T) {
 	for _, c := range []struct {
 		count                   uint64
 		wantPlaced, wantRegrant bool
 	}{
 		{0, true, false},
-		{1<<peer.AttemptCountBits - attemptReserve - 1, true, true},
-		{1<<peer.AttemptCountBits - attemptReserve, false, true},
+		{1<<peer.AttemptCountBits - attemptIDReserve - 1, true, true},
+		{1<<peer.AttemptCountBits - attemptIDReserve, false, true},
 	} {
 		h := newTestHolder(t)
 		h.Step(now, heartbeat("m1", 1, testToken))
@@ -255,10 +255,10 @@
 		}
 		regrant := requestsRegrant(h.Step(now, Tick{}))
 		if (placed > 0) != c.wantPlaced || regrant != c.wantRegrant {
-			t.Errorf("%d attempt IDs issued: %d tasks placed, new grant requested: %v", c.count, placed, regrant)
+			t.Errorf("%d attempt IDs issued: %d tasks placed, new grant requested %v, want what the case states", c.count, placed, regrant)
 		}
 		if attempts.issuedIDs >= 1<<peer.AttemptCountBits {
-			t.Errorf("attempt count %d does not fit into its bits of an attempt ID", attempts.issuedIDs)
+			t.Errorf("%d attempt IDs issued, more than the bits of the attempt count allow", attempts.issuedIDs)
 		}
 	}
 }
@@ -281,7 +281,7 @@
 		l.dropEmptyPages(now + c.after)
 		deletion, _ := l.nextDeletion(now+c.after, storeLimits{valueBytes: 4000, txnOps: 8})
 		if len(deletion.Keys) != c.want {
-			t.Errorf("%s: deletes %v, want %d keys", c.name, deletion.Keys, c.want)
+			t.Errorf("%s: deleted keys %v, want %d keys", c.name, deletion.Keys, c.want)
 		}
 	}
 }
--- a/internal/shard/attempt_writer.go
+++ b/internal/shard/attempt_writer.go
@@ -17,11 +17,11 @@
 	reusable []*attemptPage // emptiest first
 	write    *attemptWrite
 	puts     []PageWrite
-	pager    *peer.AttemptPager // of the write's last page; nil if no page is open
+	pager    *peer.AttemptPager // pager of the open page, which is the write's last page; nil if no page is open
 	added    int                // new records on the open page
 }
 
-// newWriter returns a writer for the next write. Nothing may be added to it while another write is in flight.
+// newWriter returns a writer for the next write. Nothing may be added to the writer while another write is in flight.
 func (l *attemptLog) newWriter(limits storeLimits) *attemptWriter {
 	w := &attemptWriter{log: l, limits: limits, write: &attemptWrite{seq: l.writeSeq + 1}}
 	for _, p := range l.pages {
@@ -55,7 +55,7 @@
 // openPage returns the page that records are being added to.
 func (w *attemptWriter) openPage() *attemptPage { return w.write.pages[len(w.write.pages)-1] }
 
-// handleFullPage closes the open page, or takes it out of the write if no new record fitted on it.
+// handleFullPage closes the open page, or takes the page out of the write if no new record fitted on it.
 func (w *attemptWriter) handleFullPage() {
 	if w.added > 0 {
 		w.closePage()
@@ -67,7 +67,7 @@
 	w.write.pages = w.write.pages[:len(w.write.pages)-1]
 }
 
-// nextPage opens the next page, with the records that it already has.
+// nextPage opens the next page, which keeps the records that are already on it.
 func (w *attemptWriter) nextPage() {
 	w.added = 0
 	w.pager = w.newPager()
--- a/internal/shard/attempts.go
+++ b/internal/shard/attempts.go
@@ -12,7 +12,7 @@
 type attemptState int
 
 const (
-	attemptRecording attemptState = iota // its record is being written; not launched yet
+	attemptRecording attemptState = iota // the attempt's record is being written; not launched yet
 	attemptLaunched                      // a run command may have been sent
 	attemptConfirmed                     // a status under this lease's fencing token has listed it
 	attemptExited
@@ -34,7 +34,7 @@
 	notEnded attemptEnd = iota
 	endCompleted
 	endFailed
-	endReleased // did not finish by itself: its task is returned to the leader
+	endReleased // did not finish by itself: its task is returned to the leader; see peer.EventReleased
 )
 
 // endForCause maps the cause of an exit to the attempt's end. An unrecognized cause is not a failure.
@@ -73,12 +73,12 @@
 	state           attemptState
 	inherited       bool // launched under an earlier lease
 	running         bool
-	startedAt       clock.Micros
+	startedAt       clock.Micros // when the attempt was first seen running
 	launch          attemptLaunch
 	stop            stopMode
 	stopRequestedAt clock.Micros
 	end             attemptEnd
-	// endReported: the end has been reported to the leader. endPersisted: the outcome that it proves is stored.
+	// endReported: the end has been reported to the leader. endPersisted: the outcome that the end proves is stored.
 	endReported  bool
 	endPersisted bool
 }
@@ -88,7 +88,7 @@
 	launchedAt    clock.Micros    // 0: launched under an earlier lease
 	agentEpoch    wire.AgentEpoch // the epoch that the run command is for
 	sentInRequest bool            // a run command under this token went out by SendCommands; a copy may arrive late
-	unanswered    int             // such commands without an answer; they may still be executed
+	unanswered    int             // run commands sent by SendCommands without an answer; they may still be executed
 }
 
 // requestStop marks an attempt to be stopped and returns whether to send its agent a kill command now.
@@ -102,27 +102,27 @@
 	}
 	a.stop = mode
 	if a.state == attemptExited {
-		return false // it must stay listed, so that a late copy of its run command has no effect
+		return false // the attempt must stay listed, so that a late copy of its run command has no effect
 	}
 	a.stopRequestedAt = now
 	return a.state != attemptRecording
 }
 
 // canForget reports whether an agent may forget an exited attempt. Once forgotten, a late copy of the run command
-// would start the attempt again. A completed task then exits at once because its result is kept, which is harmless
-// unless its job was cancelled. Any other attempt stays listed until the agent has confirmed a token higher than the
-// command's, and so refuses the command.
+// would start the attempt again. If the attempt had completed, it then exits at once because its result is kept, which
+// is harmless unless its job was cancelled. Any other attempt stays listed until the agent has confirmed a token higher
+// than that of the run command, and so refuses the command.
 func (a *taskAttempt) canForget() bool {
 	harmlessIfRepeated := a.end == endCompleted && a.stop == keepRunning
 	return a.endPersisted && a.launch.unanswered == 0 && (!a.launch.sentInRequest || harmlessIfRepeated)
 }
 
-// isRetained reports whether an attempt has ended but must stay listed by its agent.
+// isRetained reports whether an attempt is retained: it has ended but must stay listed by its agent; see canForget.
 func (a *taskAttempt) isRetained() bool {
 	return a.state == attemptExited && a.endPersisted && !a.canForget()
 }
 
-// persistEnd marks the attempt's end as stored and releases its record, which is no longer needed.
+// persistEnd marks the attempt's end as stored and removes the attempt's record, which is no longer needed.
 func (a *taskAttempt) persistEnd() {
 	a.endPersisted = true
 	a.releaseRecord()
@@ -135,28 +135,29 @@
 	}
 }
 
-// maxAttempts is the number of attempts at which a lease places no more. The attempt IDs then left under its fencing
-// token are more than one placement cycle can record in a transaction. An ID past them would belong to another token.
-const maxAttempts = 1<<peer.AttemptCountBits - attemptReserve
+// maxAttemptIDs is the number of issued attempt IDs at which no more tasks are placed under a lease. The attempt IDs
+// then left under the lease's fencing token are more than one placement cycle can record in a transaction. The next ID
+// after them would belong to another token.
+const maxAttemptIDs = 1<<peer.AttemptCountBits - attemptIDReserve
 
-// attemptReserve is the number of attempt IDs left under a lease when a new lease is requested.
-const attemptReserve = 1 << 14
+// attemptIDReserve is the number of attempt IDs left under a lease when a new lease is requested.
+const attemptIDReserve = 1 << 14
 
 // attemptTable indexes the attempts of a shard by task.
 type attemptTable struct {
 	issuedIDs uint64 // attempt IDs issued under the lease
 	byTask    map[peer.Task][]*taskAttempt
-	// unreported counts, by task, the attempts whose end has not been reported to the leader. A task may have a stale
-	// record beside a live attempt, so only the last end returns the task to the leader.
-	unreported map[peer.Task]int
+	// unreportedEnds counts, by task, the attempts whose end has not been reported to the leader. A task may have a
+	// stale record beside a live attempt, so only the end of the last attempt returns the task to the leader.
+	unreportedEnds map[peer.Task]int
 }
 
 // isExhausted reports whether the lease has too few attempt IDs left for a placement cycle.
-func (t *attemptTable) isExhausted() bool { return t.issuedIDs >= maxAttempts }
+func (t *attemptTable) isExhausted() bool { return t.issuedIDs >= maxAttemptIDs }
 
 func (t *attemptTable) add(a *taskAttempt) {
 	t.byTask[a.task] = append(t.byTask[a.task], a)
-	t.unreported[a.task]++
+	t.unreportedEnds[a.task]++
 }
 
 func (t *attemptTable) remove(a *taskAttempt) {
@@ -170,10 +171,10 @@
 
 // recordReportedEnd counts a reported end of an attempt and returns whether it was the task's last attempt.
 func (t *attemptTable) recordReportedEnd(task peer.Task) (last bool) {
-	t.unreported[task]--
-	if t.unreported[task] != 0 {
+	t.unreportedEnds[task]--
+	if t.unreportedEnds[task] != 0 {
 		return false
 	}
-	delete(t.unreported, task)
+	delete(t.unreportedEnds, task)
 	return true
 }
--- a/internal/shard/attempts_test.go
+++ b/internal/shard/attempts_test.go
@@ -13,14 +13,14 @@
 func TestTaskReleasedOnlyWithLastAttempt(t *testing.T) {
 	h := newTestHolder(t)
 	if kinds := eventsOf(h.Step(afterUpdateIntervals(1), heartbeat("m1", 1, testToken))); len(kinds) != 0 {
-		t.Errorf("events %v when a stale attempt ends beside a live one, want none", kinds)
+		t.Errorf("events %v after a stale attempt ended beside a live one, want none", kinds)
 	}
 	kinds := eventsOf(h.Step(afterUpdateIntervals(2), heartbeat("m2", 1, testToken, running(2))))
 	if len(kinds) != 1 || kinds[0] != peer.EventRunning {
-		t.Errorf("events %v, want running", kinds)
+		t.Errorf("events %v after the live attempt was listed, want running", kinds)
 	}
 	if kinds := eventsOf(h.Step(afterUpdateIntervals(3), heartbeat("m2", 2, testToken))); len(kinds) != 0 {
-		t.Errorf("events %v, want none: a confirmed attempt cannot disappear within an epoch", kinds)
+		t.Errorf("events %v after a confirmed attempt was no longer listed in its epoch, want none", kinds)
 	}
 	kinds = eventsOf(h.Step(afterUpdateIntervals(4), heartbeat("m2", 3, testToken).inEpoch(2)))
 	if len(kinds) != 1 || kinds[0] != peer.EventReleased {
@@ -34,11 +34,11 @@
 	h := newTestHolder(t)
 	kinds := eventsOf(h.Step(afterUpdateIntervals(1), heartbeat("m1", 1, testToken, exitedWith(1, wire.ExitDone))))
 	if !slices.Equal(kinds, []peer.EventKind{peer.EventAttemptRemains, peer.EventCompleted}) {
-		t.Errorf("events %v when one of two attempts completed", kinds)
+		t.Errorf("events %v after one of two attempts completed, want attempt remains, then completed", kinds)
 	}
 	kinds = eventsOf(h.Step(afterUpdateIntervals(2), heartbeat("m2", 1, testToken, exitedWith(2, wire.ExitDone))))
 	if !slices.Equal(kinds, []peer.EventKind{peer.EventCompleted}) {
-		t.Errorf("events %v when the last attempt completed", kinds)
+		t.Errorf("events %v after the last attempt completed, want completed only", kinds)
 	}
 }
 
@@ -50,7 +50,7 @@
 	first := eventsOf(h.Step(afterUpdateIntervals(1), heartbeat("m2", 1, testToken, exitedWith(2, wire.ExitStopped))))
 	again := eventsOf(h.Step(afterUpdateIntervals(2), heartbeat("m2", 2, testToken, exitedWith(2, wire.ExitStopped))))
 	if !slices.Equal(first, []peer.EventKind{peer.EventReleased}) || len(again) != 0 {
-		t.Errorf("events %v, then %v, want released, then none", first, again)
+		t.Errorf("events %v at the first listing and %v at the second, want released, then none", first, again)
 	}
 }
 
@@ -62,7 +62,7 @@
 	h.Step(afterUpdateIntervals(1), heartbeat("m2", 1, testToken, exitedWith(2, wire.ExitStopped)))
 	s.addAttempt(newAttempt(s.machines["m1"], task, 1, attemptConfirmed))
 	if kinds := eventsOf(h.Step(afterUpdateIntervals(2), heartbeat("m2", 2, testToken))); len(kinds) != 0 {
-		t.Errorf("events %v when the former attempt is forgotten, want none", kinds)
+		t.Errorf("events %v after the former attempt was forgotten, want none", kinds)
 	}
 }
 
@@ -74,7 +74,7 @@
 	h.Step(afterUpdateIntervals(1), heartbeat("m2", 1, testToken, exitedWith(2, wire.ExitStopped)))
 	commands := replyOf(t, h.Step(afterUpdateIntervals(2), heartbeat("m2", 2, testToken, running(2)))).Body.Commands
 	if len(commands) != 1 || commands[0].Verb != wire.VerbKill || *commands[0].GraceS != 0 {
-		t.Errorf("commands %v, want an immediate kill", commands)
+		t.Errorf("commands %v for the attempt that runs again, want an immediate kill", commands)
 	}
 }
 
@@ -96,7 +96,7 @@
 		{"stopped, launched by a reply, which cannot arrive late", taskAttempt{endPersisted: true}, true},
 	} {
 		if got := c.attempt.canForget(); got != c.want {
-			t.Errorf("%s: canForget returned %v", c.name, got)
+			t.Errorf("%s: canForget returned %v, want the opposite", c.name, got)
 		}
 	}
 }
@@ -108,20 +108,20 @@
 	effects := h.Step(afterUpdateIntervals(1), heartbeat("m2", 1, testToken, exit))
 	want := []peer.EventKind{peer.EventAttemptRemains, peer.EventCompleted}
 	if kinds := eventsOf(effects); !slices.Equal(kinds, want) {
-		t.Errorf("events %v, want the completion and the remaining attempt", kinds)
+		t.Errorf("events %v after one of two attempts completed, want attempt remains, then completed", kinds)
 	}
 	if reply := replyOf(t, effects); len(reply.Body.Commands) != 0 {
-		t.Errorf("commands %v before the completion is stored", reply.Body.Commands)
+		t.Errorf("commands %v before the completion was stored, want none", reply.Body.Commands)
 	}
 	h.Step(now, orders(peer.ShardOrders{Persisted: []peer.Task{task}}))
 	commands := replyOf(t, h.Step(now, heartbeat("m2", 2, testToken, exit))).Body.Commands
 	if len(commands) != 1 || commands[0].Verb != wire.VerbForget {
-		t.Errorf("commands %v, want forget", commands)
+		t.Errorf("commands %v after the completion was stored, want forget", commands)
 	}
 }
 
-// An end with an unrecognized cause is not a failure: its task is returned to the leader. A failure is reported once,
-// however often it is listed, and never for an attempt that this holder has no record of.
+// The end of an attempt with an unrecognized cause is not a failure: the task is returned to the leader. A failure is
+// reported once, however often the failed attempt is listed, and never for an attempt that this holder has no record of.
 func TestFailureReportedOnceForKnownCauses(t *testing.T) {
 	h := newTestHolder(t)
 	failed := exitedWith(2, wire.ExitError)
@@ -139,6 +139,6 @@
 		}
 	}
 	if count != 1 {
-		t.Errorf("%d failures reported, want one: %v", count, kinds)
+		t.Errorf("%d failures reported, want one; events %v", count, kinds)
 	}
 }
--- a/internal/shard/builders_test.go
+++ b/internal/shard/builders_test.go
@@ -30,7 +30,8 @@
 		AgentLease: 20 * clock.Second, HeartbeatInterval: 3 * clock.Second, MaxValueBytes: 4000, MaxTxnOps: 8}
 }
 
-// newTestHolder returns a holder of one shard with two attempt records of task: attempt 1 on m1 and attempt 2 on m2.
+// newTestHolder returns a holder of one shard with two attempt records of the same task: attempt 1 on m1 and attempt 2
+// on m2.
 func newTestHolder(t *testing.T) *Holder {
 	t.Helper()
 	auction := placement.Params{DecayRate: 0.001, Eta: 0.05, Epsilon: 0.01, LoadOffset: 0.5}
@@ -157,7 +158,7 @@
 	t.Helper()
 	found := effectsOf[T](effects)
 	if len(found) == 0 {
-		t.Fatalf("no %T among the effects", *new(T))
+		t.Fatalf("no effect of type %T, want at least one", *new(T))
 	}
 	return found[0]
 }
@@ -185,7 +186,7 @@
 	return kinds
 }
 
-// countReleased counts how often a task of offeredTask's job was returned to the leader.
+// countReleased counts how often a task of offeredTask's job was released, that is, returned to the leader.
 func countReleased(effects []Effect) (count int) {
 	for _, update := range updatesOf(effects) {
 		for _, event := range update.Events {
@@ -197,7 +198,7 @@
 	return count
 }
 
-// requestsRegrant reports whether a new grant is requested from the leader.
+// requestsRegrant reports whether one of the effects requests a new grant from the leader.
 func requestsRegrant(effects []Effect) bool {
 	for _, update := range updatesOf(effects) {
 		if update.NeedsRegrant {
--- a/internal/shard/commands.go
+++ b/internal/shard/commands.go
@@ -7,8 +7,8 @@
 	"swiftledge/wire"
 )
 
-// maxCommandsPerMessage limits the commands in one message to an agent. At about 100 bytes each they stay below the
-// protocol's limit of 64 KiB for a body and for a line of a reply.
+// maxCommandsPerMessage limits the commands in one message to an agent. At about 100 bytes for each command, a message
+// stays below the protocol's limit of 64 KiB for a body and for a line of a reply.
 const maxCommandsPerMessage = 500
 
 func (a *taskAttempt) killCommand() wire.Command {
@@ -27,8 +27,8 @@
 	return wire.Command{Verb: wire.VerbForget, Task: t.Task, Attempt: t.Attempt}
 }
 
-// cleanUpCommand returns the command for a listed task without an attempt record. Its end was proven and stored, so
-// the agent only has to remove what is left of it.
+// cleanUpCommand returns the command for a listed attempt without an attempt record. The end of the attempt was proven
+// and stored, so the agent only has to remove what is left of the attempt.
 func cleanUpCommand(t *wire.TaskStatus) wire.Command {
 	if t.State == wire.TaskExited {
 		return forgetCommand(t)
@@ -37,7 +37,7 @@
 	return wire.Command{Verb: wire.VerbKill, Task: t.Task, Attempt: t.Attempt, GraceS: &grace}
 }
 
-// gracePeriod returns the seconds that a task gets to write a checkpoint, somewhat more than it says it needs.
+// gracePeriod returns the seconds that a task gets to write a checkpoint, somewhat more than its job declares to need.
 func gracePeriod(checkpointS float64) float64 {
 	const factor, extraS = 1.5, 2
 	return checkpointS*factor + extraS
@@ -81,7 +81,7 @@
 // token.
 func (h *Holder) sendCommands(s *heldShard, m *machine, commands []wire.Command) {
 	if !m.acceptsCommands() {
-		return // the reply to the next heartbeat carries them
+		return // the reply to the next heartbeat carries the commands
 	}
 	for {
 		batch := commands[:min(len(commands), maxCommandsPerMessage)]
@@ -101,7 +101,7 @@
 		return
 	}
 	if len(batch.Commands) == 0 {
-		m.fence.pending = false
+		m.fence.requestPending = false
 	}
 	if m.terminated {
 		return
@@ -111,7 +111,7 @@
 		return
 	}
 	if answer.Code == statusOK || answer.Code == statusConflict || answer.Code == NotSent {
-		// Answered or never sent: this copy has been executed or never will be.
+		// Answered or never sent: this copy of the commands has been executed or never will be.
 		m.settleRunCommands(batch.Commands)
 	}
 	if answer.Status == nil {
--- a/internal/shard/commands_test.go
+++ b/internal/shard/commands_test.go
@@ -18,7 +18,7 @@
 		t.Fatal(err)
 	}
 	if len(raw) > maxMessageBytes {
-		t.Errorf("message of %d bytes exceeds the protocol's limit", len(raw))
+		t.Errorf("message of %d bytes, want at most the protocol's limit", len(raw))
 	}
 }
 
@@ -47,9 +47,9 @@
 		killed += len(sent.Body.Commands)
 	}
 	if killed < len(stop) {
-		t.Errorf("%d of %d tasks killed", killed, len(stop))
+		t.Errorf("kill commands sent for %d of %d tasks, want all of them", killed, len(stop))
 	}
-	// Run commands without visible effect are repeated in the reply, after the kill commands.
+	// Run commands whose effect no status has shown are repeated in the reply, after the kill commands.
 	for i := range 2 * maxCommandsPerMessage {
 		m.attempts[i+1].state = attemptLaunched
 	}
--- a/internal/shard/compaction.go
+++ b/internal/shard/compaction.go
@@ -16,7 +16,7 @@
 )
 
 // compact merges pages of one lease, this or an earlier one, whose stored records are mostly stale into one new page.
-// It does not block placement cycles, because they no longer write to the merged pages.
+// The compaction does not block placement cycles, because they no longer write to the merged pages.
 func (l *attemptLog) compact(now clock.Micros, limits storeLimits) (effect CompactPages, ok bool) {
 	if l.compaction != nil || now-l.lastCompaction < compactionInterval {
 		return CompactPages{}, false
@@ -68,7 +68,7 @@
 }
 
 // mergePages adds pages of the same lease as the first one to a pager, as many as fit into it and into a transaction.
-// It returns these pages and all keys that hold their records.
+// It returns the pages that it added and all keys that hold records of these pages.
 func mergePages(
 	pages []*attemptPage, pager *peer.AttemptPager, limits storeLimits,
 ) (merged []*attemptPage, keys []string) {
@@ -77,7 +77,7 @@
 			continue
 		}
 		if !p.addTo(pager) {
-			break // the pager may have some of its records: harmless, because the records are an upper bound
+			break // the pager may have some of the page's records: harmless, because the records are an upper bound
 		}
 		merged = append(merged, p)
 		keys = append(append(keys, p.key), p.replacedKeys...)
@@ -92,7 +92,8 @@
 		return
 	}
 	l.compaction, page.compacting = nil, false
-	// Unless the new page is known to be stored and the others deleted, all of their keys are deleted later.
+	// Unless the new page is known to be stored and the replaced pages to be deleted, all of these keys are deleted
+	// together, once the new page is empty.
 	if result.Committed {
 		page.replacedKeys = nil
 	}
--- a/internal/shard/fencing.go
+++ b/internal/shard/fencing.go
@@ -14,12 +14,12 @@
 	maxFencesPerGrant = 24
 )
 
-// tokenFence tracks whether a machine has confirmed the fencing token of this lease. An agent obeys no token older
-// than the newest that it has seen.
+// tokenFence tracks whether a machine has confirmed the fencing token of this lease. An agent obeys no command under a
+// token that is older than the newest token that the agent has seen.
 type tokenFence struct {
-	confirmed   bool         // the agent's status has shown the token
-	lastRequest clock.Micros // when the token was last sent, or sending it was last postponed
-	pending     bool         // the last request has no answer yet
+	confirmed      bool         // the agent's status has shown the token
+	lastRequest    clock.Micros // when the token was last sent, or sending it was last postponed
+	requestPending bool         // the last request has no answer yet
 }
 
 // fenceRetryInterval returns fenceInterval, or twice as long under overload, when most heartbeats have arrived and
@@ -35,17 +35,17 @@
 // the other controllers may keep answering the machine's heartbeats until its shard lease expires, but redirects the
 // agent as soon as the agent reports the newer token.
 //
-// Each machine has at most one such request in flight. Commands to unreachable machines take seconds to fail, and
-// thousands of them in the queue would delay the commands to all other machines.
+// Each machine has at most one request with the token in flight. Commands to unreachable machines take seconds to fail,
+// and thousands of such commands in the queue would delay the commands to all other machines.
 func (h *Holder) fence(now clock.Micros, s *heldShard, m *machine) {
 	if m.info.address == "" || m.terminated {
 		return
 	}
 	m.fence.lastRequest = now
-	if m.fence.pending {
+	if m.fence.requestPending {
 		return
 	}
-	m.fence.pending = true
+	m.fence.requestPending = true
 	if m.agent.epoch > 0 {
 		h.sendToken(s, m)
 		return
@@ -69,7 +69,7 @@
 	}
 }
 
-// fenceIfOverdue resends the token to a machine that has not confirmed it or that commands do not reach.
+// fenceIfOverdue resends the token to a machine that has not confirmed the token or that commands do not reach.
 func (h *Holder) fenceIfOverdue(now clock.Micros, s *heldShard, m *machine) {
 	unconfirmed := !m.fence.confirmed && !m.leaseExpired && m.fence.lastRequest > 0
 	if (unconfirmed || m.commands.isUnreachable()) && now-m.fence.lastRequest > h.fenceRetryInterval(now) {
@@ -83,7 +83,7 @@
 	if m == nil {
 		return
 	}
-	m.fence.pending = false
+	m.fence.requestPending = false
 	if answer.Status == nil || m.terminated || m.fence.confirmed {
 		return
 	}
--- a/internal/shard/fencing_test.go
+++ b/internal/shard/fencing_test.go
@@ -25,11 +25,11 @@
 	}
 	h.Step(now, answered(heartbeat("m1", 2, testToken, running(1))))
 	if !h.shards[0].machines["m1"].fence.confirmed {
-		t.Error("m1 does not count as fenced although it confirmed the token")
+		t.Error("m1 not counted as fenced although its agent confirmed the token")
 	}
 	h.Step(now, inspected("m2", heartbeat("m2", 1, testToken+1).Heartbeat))
 	if h.shards[0] != nil {
-		t.Error("keeps a shard whose machine shows a newer token")
+		t.Error("shard kept although the agent of m2 reported a newer token")
 	}
 }
 
@@ -48,11 +48,11 @@
 		return count
 	}
 	if n := inspections() + inspections(); n != 0 {
-		t.Errorf("%d more inspections while the first has no answer", n)
+		t.Errorf("%d more inspections of m1 while the first had no answer, want none", n)
 	}
 	h.Step(stepTime, inspected("m1", nil))
 	if n := inspections(); n != 1 {
-		t.Errorf("%d inspections after the first failed, want one", n)
+		t.Errorf("%d inspections of m1 after the first failed, want one", n)
 	}
 }
 
@@ -71,13 +71,13 @@
 		grant := peer.ShardGrant{Shard: 0, FencingToken: testToken + 1, KeyVersion: 8, Machines: inventory}
 		effects := h.Step(stepTime, fromLeader(peer.FromLeader{Term: testTerm, Grants: []peer.ShardGrant{grant}}))
 		if n := countAgentRequests(effects); (n == 0) != overloaded {
-			t.Errorf("overloaded %v: %d requests to agents", overloaded, n)
+			t.Errorf("overloaded %v: grant caused %d requests to agents, want none only under overload", overloaded, n)
 		}
 	}
 }
 
-// A copy of a run command may arrive late. So a stopped attempt that it started stays listed until the machine has
-// confirmed a higher token, under which the agent refuses the copy.
+// A copy of a run command may arrive late. So a stopped attempt that the command started stays listed until the machine
+// has confirmed a higher token, under which the agent refuses the copy.
 func TestStoppedTaskRetainedUntilRunCommandIsFenced(t *testing.T) {
 	h := newTestHolder(t)
 	h.Step(now, heartbeat("m1", 1, testToken))
@@ -87,14 +87,14 @@
 	s.addAttempt(a)
 	exit := wire.TaskStatus{Task: TaskName(a.task), Attempt: a.id, State: wire.TaskExited, Cause: wire.ExitStopped}
 	if commands := replyOf(t, h.Step(now, heartbeat("m1", 2, testToken, exit))).Body.Commands; len(commands) != 0 {
-		t.Errorf("commands %v while the agent would obey a copy of the run command, want none", commands)
+		t.Errorf("commands %v under the token of the run command, a copy of which may still arrive, want none", commands)
 	}
 	h.Step(now, fromLeader(peer.FromLeader{Term: testTerm, Grants: []peer.ShardGrant{
 		{Shard: 0, FencingToken: 60, KeyVersion: 8, Machines: testInventory[:1]}}}))
 	h.Step(now, renewal(h, 60))
 	commands := replyOf(t, h.Step(now, heartbeat("m1", 3, 60, exit))).Body.Commands
 	if len(commands) != 1 || commands[0].Verb != wire.VerbForget {
-		t.Errorf("commands %v under the higher token, want forget", commands)
+		t.Errorf("commands %v after the agent confirmed the higher token, want forget", commands)
 	}
 }
 
@@ -117,7 +117,7 @@
 		}
 	}
 	if requests != 1 || h.shards[0] == nil {
-		t.Errorf("regrant requested %d times, want once, with the shard kept until the new grant", requests)
+		t.Errorf("new grant requested %d times, want once, with the shard kept until the new grant", requests)
 	}
 }
 
@@ -129,10 +129,10 @@
 	reply := replyOf(t, h.Step(now, heartbeat("m1", 1, testToken-9, running(1))))
 	commands := reply.Body.Commands
 	if len(commands) != 1 || commands[0].Verb != wire.VerbKill || commands[0].Attempt != 1 {
-		t.Errorf("status %d with commands %+v, want the task killed", reply.Status, commands)
+		t.Errorf("reply had status %d and commands %+v, want one kill of attempt 1", reply.Status, commands)
 	}
 	if len(h.shards[0].machines["m1"].attempts) != 1 {
-		t.Error("attempt removed before the machine has confirmed the token")
+		t.Error("attempt removed before the machine confirmed the token")
 	}
 }
 
@@ -143,13 +143,13 @@
 	h := newTestHolder(t)
 	h.Step(afterUpdateIntervals(1), heartbeat("m2", 1, testToken, running(2)))
 	if kinds := eventsOf(h.Step(afterUpdateIntervals(2), heartbeat("m2", 2, testToken))); len(kinds) != 0 {
-		t.Errorf("events %v, want none: a late copy of the run command may start the task again", kinds)
+		t.Errorf("events %v after a confirmed task was no longer listed, want none until a higher token is confirmed", kinds)
 	}
 	if requestsRegrant(h.Step(now+h.params.AgentLease/2, Tick{})) {
-		t.Error("higher token requested earlier than an agent lease after the last grant")
+		t.Error("higher token requested within an agent lease after the last grant, want it later")
 	}
 	if !requestsRegrant(h.Step(now+h.params.AgentLease+clock.Second, Tick{})) {
-		t.Error("no higher token requested")
+		t.Error("no higher token requested later than an agent lease after the last grant, want a request")
 	}
 }
 
@@ -170,15 +170,15 @@
 	h.Step(afterUpdateIntervals(2), orders(peer.ShardOrders{Stop: []peer.StopTask{{Task: offeredTask}}}))
 	h.Step(afterUpdateIntervals(3), heartbeat(m.name, 2, testToken, others...))
 	if requestsRegrant(h.Step(now+h.params.AgentLease+clock.Second, Tick{})) {
-		t.Error("higher token requested while the answer may still arrive")
+		t.Error("higher token requested while the answer to the run command could still arrive")
 	}
 	stepTime := now + h.params.AgentLease + 2*clock.Second
 	h.Step(stepTime-clock.Second, renewal(h, testToken))
 	h.Step(stepTime, heartbeat(m.name, 3, testToken, others...))
 	if len(s.attempts.byTask[offeredTask]) != 1 {
-		t.Fatal("attempt removed while its run command may still be executed")
+		t.Fatal("attempt removed although its run command could still be executed")
 	}
 	if !requestsRegrant(h.Step(stepTime+clock.Second, Tick{})) {
-		t.Error("no higher token requested")
+		t.Error("no higher token requested for the stopped attempt with an unanswered run command")
 	}
 }
--- a/internal/shard/heartbeat.go
+++ b/internal/shard/heartbeat.go
@@ -44,8 +44,8 @@
 	return HeartbeatReply{Status: statusOK, Body: body}
 }
 
-// redirect returns a reply that names the holder of the agent's shard, or no holder if the only known one is this
-// controller.
+// redirect returns a reply that names the holder of the agent's shard. The reply names no holder if this controller is
+// the only known holder.
 func (h *Holder) redirect(shard int) HeartbeatReply {
 	holder := h.holders[shard]
 	if holder == h.params.Controller {
@@ -55,14 +55,14 @@
 }
 
 // agentLostLease reports whether an agent's lease expired although its heartbeats were answered, which shows that the
-// replies do not reach it.
+// replies do not reach the agent.
 func (h *Holder) agentLostLease(now clock.Micros, m *machine, heartbeat *wire.Heartbeat) bool {
 	newEpoch := m.agent.epoch > 0 && heartbeat.AgentEpoch > m.agent.epoch
 	answeredRecently := m.agent.lastReply > 0 && now-m.agent.lastReply < h.params.AgentLease
 	return newEpoch && answeredRecently && m.fence.confirmed
 }
 
-// recordStatus stores what a status newer than all earlier ones says about the machine itself.
+// recordStatus stores what a status that is newer than all earlier statuses says about the machine itself.
 func (h *Holder) recordStatus(now clock.Micros, s *heldShard, m *machine, status *wire.Heartbeat) {
 	info := infoFrom(status)
 	sameInfo := m.info.typeName == info.typeName && m.info.preemptionNotice == info.preemptionNotice
--- a/internal/shard/heartbeat_test.go
+++ b/internal/shard/heartbeat_test.go
@@ -10,13 +10,13 @@
 func TestRepliesOnlyUnderValidLease(t *testing.T) {
 	h := newTestHolder(t)
 	if reply := replyOf(t, h.Step(secondsLater(25), heartbeat("m1", 1, testToken))); reply.Status == statusOK {
-		t.Error("answers 200 under an expired lease")
+		t.Error("heartbeat answered with 200 under an expired shard lease")
 	}
 	if reply := replyOf(t, h.Step(now, heartbeat("m1", 2, testToken+1))); reply.Status == statusOK {
-		t.Error("answers 200 to an agent that has seen a newer token")
+		t.Error("heartbeat of an agent that has seen a newer token answered with 200")
 	}
 	if h.shards[0] != nil {
-		t.Error("keeps a shard that a newer holder has been granted")
+		t.Error("shard kept although an agent reported the newer token of another holder")
 	}
 }
 
@@ -32,9 +32,9 @@
 		}
 	}
 	if m.agent.lastStatus != now || m.agent.lastReply != now {
-		t.Error("copies count as statuses or as answered heartbeats")
+		t.Error("copies of heartbeats counted as statuses or as answered heartbeats")
 	}
-	// A heartbeat overtaken by the newer answer to a command is not a copy: the agent waits for the reply.
+	// A heartbeat that was overtaken by a newer answer to a command is not a copy: the agent waits for the reply.
 	h.Step(stepTime, answered(heartbeat("m1", 7, testToken)))
 	if reply := replyOf(t, h.Step(stepTime, heartbeat("m1", 6, testToken))); reply.Status != statusOK {
 		t.Errorf("status %d for a heartbeat overtaken by an answer, want 200", reply.Status)
@@ -56,13 +56,13 @@
 		})
 	}
 	if few, many := cost(10), cost(2000); many > few+1 {
-		t.Errorf("%.0f allocations per heartbeat with 2000 machines, %.0f with 10", many, few)
+		t.Errorf("%.0f allocations per heartbeat with 2000 machines, want at most one more than the %.0f with 10", many, few)
 	}
 }
 
-// After an agent's lease expired between two holders, the new holder knows its new epoch only from answers to
-// commands. The epoch has a full lease from its start. Missing heartbeats must not prove the end of its tasks before
-// that lease expires.
+// An agent's lease expired while its shard passed to a new holder, which knows the agent's new epoch only from answers
+// to commands. The new epoch has a full lease from its start. Missing heartbeats must not prove the end of its tasks
+// before that lease expires.
 func TestNewEpochStartsFullAgentLease(t *testing.T) {
 	h := newTestHolder(t)
 	answer := answered(heartbeat("m2", 1, testToken).inEpoch(2))
@@ -74,15 +74,16 @@
 	a.launch.agentEpoch = 2
 	s.addAttempt(a)
 	if h.Step(secondsLater(54), Tick{}); len(m.attempts) != 1 {
-		t.Error("attempt removed while the lease of the new epoch may be valid")
+		t.Error("attempt removed while the agent lease of the new epoch could be valid")
 	}
 	if h.Step(secondsLater(57), Tick{}); len(m.attempts) != 0 {
-		t.Error("attempt kept after a whole lease without heartbeats")
+		t.Error("attempt kept after a whole agent lease without heartbeats")
 	}
 }
 
-// A restarted agent sends heartbeats that look older than its last known one. Its lease starts with them, and it
-// obeys late commands of the former epoch, so the lack of newer heartbeats does not prove that its tasks have ended.
+// A restarted agent sends heartbeats that look older than the newest heartbeat of its predecessor. The lease of the
+// restarted agent starts with these heartbeats, and the agent obeys late commands of the former epoch. So the lack of
+// newer heartbeats does not prove that the tasks have ended.
 func TestOutdatedHeartbeatExtendsAgentLease(t *testing.T) {
 	h := newTestHolder(t)
 	h.Step(now, heartbeat("m2", 9, testToken, running(2)))
@@ -90,39 +91,39 @@
 	h.Step(end-clock.Second, heartbeat("m2", 1, 0)) // also counts under an expired shard lease
 	h.Step(end, Tick{})
 	if len(h.shards[0].machines["m2"].attempts) != 1 {
-		t.Error("attempt removed while its agent sends heartbeats")
+		t.Error("attempt removed although its agent sent a heartbeat within an agent lease")
 	}
 	h.Step(end+h.params.AgentLease.PlusDrift()+clock.Second, Tick{})
 	if len(h.shards[0].machines["m2"].attempts) != 0 {
-		t.Error("attempt kept although a lease has passed since the last heartbeat")
+		t.Error("attempt kept although an agent lease had passed since the last heartbeat")
 	}
 }
 
-// A machine whose heartbeats arrive but which commands do not reach gets no tasks until it answers a command.
+// A machine whose heartbeats arrive but which commands do not reach gets no tasks until its agent answers a command.
 func TestUnreachableMachineGetsNoTasksUntilItAnswers(t *testing.T) {
 	h := newTestHolder(t)
 	h.Step(now, heartbeat("m1", 1, testToken))
 	if !m1IsSchedulable(h, now) {
-		t.Fatal("not schedulable after it confirmed the token")
+		t.Fatal("m1 not schedulable after its agent confirmed the token")
 	}
 	for range maxUnansweredCommands {
 		h.Step(now, CommandsAnswered{Request: requestTo("m1")})
 	}
 	h.Step(now, heartbeat("m1", 2, testToken))
 	if m1IsSchedulable(h, now) {
-		t.Error("schedulable although its commands are unanswered")
+		t.Error("m1 schedulable although commands to its agent got no answer")
 	}
 	if h.Step(now, answered(heartbeat("m1", 3, testToken))); !m1IsSchedulable(h, now) {
-		t.Error("not schedulable after it answered a command")
+		t.Error("m1 not schedulable after its agent answered a command")
 	}
-	// Its lease expires although its heartbeats are answered.
+	// The agent's lease expires although its heartbeats are answered.
 	if h.Step(now, heartbeat("m1", 4, testToken).inEpoch(2)); m1IsSchedulable(h, now) {
-		t.Error("schedulable although the replies do not renew its lease")
+		t.Error("m1 schedulable although its agent's lease expired despite replies to its heartbeats")
 	}
 }
 
-// A machine whose heartbeats do not arrive loses its lease even if it answers commands, so it gets no tasks in that
-// state.
+// An agent whose heartbeats do not arrive loses its lease even if it answers commands, so its machine gets no tasks in
+// that state.
 func TestMachineWithoutHeartbeatsGetsNoTasks(t *testing.T) {
 	h := newTestHolder(t)
 	h.Step(now, heartbeat("m1", 1, testToken))
@@ -132,9 +133,9 @@
 		h.Step(secondsLater(s), answered(heartbeat("m1", seq, testToken)))
 	}
 	if m1IsSchedulable(h, secondsLater(12)) {
-		t.Error("schedulable although no heartbeat has arrived for four intervals")
+		t.Error("m1 schedulable although no heartbeat had arrived for four intervals")
 	}
 	if h.Step(secondsLater(12), heartbeat("m1", seq+1, testToken)); !m1IsSchedulable(h, secondsLater(12)) {
-		t.Error("not schedulable although it sends heartbeats again")
+		t.Error("m1 not schedulable although its agent sent a heartbeat again")
 	}
 }
--- a/internal/shard/held_shard.go
+++ b/internal/shard/held_shard.go
@@ -16,7 +16,7 @@
 	keyVersion       uint64 // version of the shard's store key, a condition of all writes for the shard
 	grantedAt        clock.Micros
 	expiresAt        clock.Micros
-	regrantRequested bool
+	regrantRequested bool // a new grant, with a higher fencing token, was requested from the leader
 	needsHigherToken bool // some attempts can only be settled by a higher fencing token
 }
 
@@ -41,7 +41,7 @@
 		id:       id,
 		lease:    lease,
 		machines: map[string]*machine{},
-		attempts: attemptTable{byTask: map[peer.Task][]*taskAttempt{}, unreported: map[peer.Task]int{}},
+		attempts: attemptTable{byTask: map[peer.Task][]*taskAttempt{}, unreportedEnds: map[peer.Task]int{}},
 		log:      attemptLog{shard: id, fencingToken: lease.fencingToken, keyVersion: lease.keyVersion},
 	}
 }
@@ -87,7 +87,8 @@
 	s.markChanged(a.machine)
 }
 
-// removeAttempt removes an attempt that is proven to have ended on its machine, and releases its task.
+// removeAttempt removes an attempt that is proven to have ended on its machine. If its end has not been reported and no
+// other attempt of the task remains, the task is returned to the leader.
 func (s *heldShard) removeAttempt(a *taskAttempt) {
 	s.reportEnd(a, peer.TaskEvent{Task: a.task, Kind: peer.EventReleased, Machine: a.machine.name})
 	a.releaseRecord()
@@ -96,8 +97,8 @@
 	s.markChanged(a.machine)
 }
 
-// reportEnd reports the end of an attempt to the leader, once. Only the end of its last attempt returns a task to the
-// leader.
+// reportEnd reports the end of an attempt to the leader, once. Only the end of the last attempt of a task returns the
+// task to the leader.
 func (s *heldShard) reportEnd(a *taskAttempt, end peer.TaskEvent) {
 	if a.endReported {
 		return
--- a/internal/shard/holder.go
+++ b/internal/shard/holder.go
@@ -6,9 +6,10 @@
 // record of each attempt to the store before it sends the run command. It takes a Message and the current time and
 // returns Effects, which the caller carries out in order.
 //
-// The package does no I/O and starts no goroutines. It never returns a task to the leader while an attempt of the task
-// may still run. An attempt is proven to have ended by its agent's status, by the expiry of the agent's lease, or by a
-// higher fencing token.
+// The package does no I/O and starts no goroutines. To return a task to the leader, or to release it, is to report that
+// the task is on no machine of the shard, so that the leader can dispatch it again. This is never done while an attempt
+// of the task may still run. An attempt is proven to have ended by its agent's status, by the expiry of the agent's
+// lease, or by a higher fencing token.
 package shard
 
 import (
@@ -57,11 +58,11 @@
 	shards          map[int]*heldShard
 	holders         []string // by shard: the controller that holds it
 	machineTypes    map[string]wire.MachineType
-	visits          *placement.VisitHistory
-	fetchRates      *load.FetchRates // as measured on this controller's machines
-	lastStatus      clock.Micros     // when the last status of any agent arrived
-	storeOK         func() bool
-	effects         []Effect
+	visits          *placement.VisitHistory // the machines to which tasks of each image were assigned
+	fetchRates      *load.FetchRates        // as measured on this controller's machines
+	lastStatus      clock.Micros            // when the last status of any agent arrived
+	storeOK         func() bool             // reports whether the store is available to this controller
+	effects         []Effect                // of the current Step
 }
 
 // New returns a Holder without shards. The result of storeOK is reported to the leader, which uses it to tell whether
--- a/internal/shard/keys.go
+++ b/internal/shard/keys.go
@@ -22,13 +22,13 @@
 }
 
 // Key returns the store key that records the holder of a shard.
-func Key(shard int) string { return KeyPrefix + paddedNumber(shard) }
+func Key(shard int) string { return KeyPrefix + paddedShardNumber(shard) }
 
 // AttemptPrefix returns the prefix of the store keys of a shard's attempt pages.
-func AttemptPrefix(shard int) string { return attemptsPrefix + paddedNumber(shard) + "/" }
+func AttemptPrefix(shard int) string { return attemptsPrefix + paddedShardNumber(shard) + "/" }
 
 // TaskName returns the name of a task in the protocol with the agents.
 func TaskName(task peer.Task) string { return task.Job + "/" + strconv.Itoa(task.Index) }
 
-// paddedNumber returns the number of a shard with three digits.
-func paddedNumber(shard int) string { return fmt.Sprintf("%03d", shard%1000) }
+// paddedShardNumber returns the number of a shard with three digits.
+func paddedShardNumber(shard int) string { return fmt.Sprintf("%03d", shard%1000) }
--- a/internal/shard/launch_test.go
+++ b/internal/shard/launch_test.go
@@ -82,16 +82,16 @@
 			// A later step sends the batched updates to the leader.
 			before = append(before, h.Step(stepTime+updateInterval, Tick{})...)
 			if n := countRunCommands(before); n != 0 || countReleased(before) != 0 {
-				t.Errorf("%d run commands and events %v before the write has ended", n, eventsOf(before))
+				t.Errorf("%d run commands and events %v before the write ended, want no run command and no released task", n, eventsOf(before))
 			}
 			after := h.Step(stepTime+updateInterval, write.Result(c.outcome))
 			after = append(after, h.Step(stepTime+2*updateInterval, Tick{})...)
 			released := countReleased(after)
 			if dropped := h.shards[0] == nil; dropped != c.dropped {
-				t.Errorf("shard dropped: %v", dropped)
+				t.Errorf("shard dropped: %v, want the opposite", dropped)
 			}
 			if n := countRunCommands(after); (n == 1) != c.launched || !c.dropped && (released == 1) == c.launched {
-				t.Errorf("%d run commands, task released %d times, want launched %v", n, released, c.launched)
+				t.Errorf("%d run commands sent, task returned to the leader %d times, want launched %v, and returned only if not launched", n, released, c.launched)
 			}
 		})
 	}
@@ -108,19 +108,19 @@
 	m := s.machines["m1"]
 	h.tickMachine(h.agentLeaseEnd(s, m)+1, s, m)
 	if attempts := s.attempts.byTask[offeredTask]; !m.leaseExpired || len(attempts) != 1 {
-		t.Errorf("lease expired %v, %d attempts, want the attempt that is being recorded", m.leaseExpired, len(attempts))
+		t.Errorf("agent lease expired: %v, %d attempts left, want an expired lease and the attempt being recorded", m.leaseExpired, len(attempts))
 	}
 	h = newTestHolder(t)
 	h.Step(now, heartbeat("m1", 1, testToken))
 	offerTask(h, afterUpdateIntervals(1))
 	h.Step(afterUpdateIntervals(1), orders(peer.ShardOrders{Terminated: []string{"m1"}}))
 	if len(h.shards[0].attempts.byTask[offeredTask]) != 1 {
-		t.Error("task released while its attempt record is being written")
+		t.Error("task returned to the leader while its attempt record was being written")
 	}
 }
 
-// A machine whose agent lease has expired by the time the attempt record is written gets no run command, because its
-// next epoch would refuse it. The task is returned to the leader.
+// A machine whose agent lease has expired by the time the attempt record is written gets no run command, because the
+// agent would refuse the command in its next epoch. The task is returned to the leader.
 func TestNoLaunchAfterAgentLeaseExpiry(t *testing.T) {
 	h := newTestHolder(t)
 	h.Step(now, heartbeat("m1", 1, testToken))
@@ -129,17 +129,17 @@
 	effects := h.Step(afterUpdateIntervals(2), write.Result(store.TxnResult{Committed: true, Revision: 8}))
 	effects = append(effects, h.Step(afterUpdateIntervals(3), Tick{})...)
 	if countRunCommands(effects) != 0 || countReleased(effects) != 1 {
-		t.Errorf("%d run commands, task released %d times, want 0 and 1", countRunCommands(effects), countReleased(effects))
+		t.Errorf("%d run commands sent, task returned to the leader %d times, want 0 and 1", countRunCommands(effects), countReleased(effects))
 	}
 }
 
-// A run command that is sent in a request carries the agent epoch that it is for.
+// A request with a run command carries the agent epoch for which the attempt was placed.
 func TestRunCommandCarriesAgentEpoch(t *testing.T) {
 	h := newTestHolder(t)
 	h.Step(now, heartbeat("m1", 1, testToken).inEpoch(3))
 	for _, sent := range effectsOf[SendCommands](launchTask(t, h, afterUpdateIntervals(1))) {
 		if sent.Machine == "m1" && sent.Body.AgentEpoch != 3 {
-			t.Errorf("command for epoch %d, want 3", sent.Body.AgentEpoch)
+			t.Errorf("run command sent for agent epoch %d, want 3", sent.Body.AgentEpoch)
 		}
 	}
 }
@@ -171,7 +171,7 @@
 			h.overload.lastLateTick = stepTime
 		}
 		if n := countAgentRequests(launchTask(t, h, stepTime)); n != c.want {
-			t.Errorf("%s: %d requests to agents, want %d", c.name, n, c.want)
+			t.Errorf("%s: launch caused %d requests to agents, want %d", c.name, n, c.want)
 		}
 		runCommands := 0
 		for _, command := range replyOf(t, h.Step(stepTime, heartbeat("m1", 3, testToken, running(1)))).Body.Commands {
@@ -180,7 +180,7 @@
 			}
 		}
 		if runCommands != 1 {
-			t.Errorf("%s: the next reply carries %d run commands, want 1", c.name, runCommands)
+			t.Errorf("%s: next reply carried %d run commands, want 1", c.name, runCommands)
 		}
 	}
 }
--- a/internal/shard/leader_link.go
+++ b/internal/shard/leader_link.go
@@ -13,7 +13,7 @@
 	maxPendingRenewals = 16
 
 	// updateInterval is how long changes are batched before they are sent to the leader, so that many heartbeats cost
-	// it one message. Urgent updates, which the leader waits for, are sent at once.
+	// the leader one message. Urgent updates, which the leader waits for, are sent at once.
 	updateInterval = 150 * clock.Millisecond
 	// updateIntervalViaStore replaces updateInterval on a link through the store, whose messages take seconds.
 	updateIntervalViaStore = clock.Second
@@ -23,11 +23,11 @@
 type leaderLink struct {
 	term        cluster.Term
 	connected   bool
-	viaStore    bool
+	viaStore    bool                    // messages are carried in frames through the store
 	renewSeq    uint64                  // number of the last renewal request
 	renewSentAt map[uint64]clock.Micros // when each renewal request was sent, by its number
-	lastRenewal clock.Micros
-	lastUpdate  clock.Micros
+	lastRenewal clock.Micros            // when the last renewal request was sent
+	lastUpdate  clock.Micros            // when the last update was sent
 }
 
 func (l *leaderLink) disconnect(term cluster.Term) {
@@ -92,7 +92,7 @@
 	agents := 0
 	for _, s := range h.shards {
 		if now-s.lease.grantedAt < timeout+clock.Second {
-			return false // its agents may not have been redirected here yet
+			return false // the shard's agents may not have been redirected to this controller yet
 		}
 		for _, m := range s.machineOrder {
 			if m.mayHaveAgent() && !m.terminated && !m.leaseExpired {
--- a/internal/shard/leader_messages.go
+++ b/internal/shard/leader_messages.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// updateHolders stores which controller holds each shard. It drops the shards that another controller holds now, and
-// their agents are redirected from then on.
+// updateHolders stores which controller holds each shard. It drops the shards that another controller holds now. The
+// agents of the dropped shards are redirected from then on.
 func (h *Holder) updateHolders(holders []string) {
 	h.holders = holders
 	for id, name := range holders {
@@ -44,8 +44,8 @@
 	}
 }
 
-// renewLeases extends the leases named by the answer to a renewal request. They run from when the request was sent,
-// not from when the answer arrived.
+// renewLeases extends the leases named by the answer to a renewal request. The leases run from when the request was
+// sent, not from when the answer arrived.
 func (h *Holder) renewLeases(seq uint64, tokens map[int]wire.FencingToken) {
 	sentAt, ok := h.leader.renewSentAt[seq]
 	if !ok || seq == 0 {
--- a/internal/shard/leader_updates.go
+++ b/internal/shard/leader_updates.go
@@ -12,13 +12,14 @@
 	events           []peer.TaskEvent
 	machines         []*machine // machines whose state changed
 	receivedOfferSeq uint64     // sequence number of the last offers received from the leader
-	settledOfferSeq  uint64     // sequence number of the last offers whose attempt records are no longer being written
-	urgent           bool       // the leader waits for this update
+	settledOfferSeq  uint64     // sequence number of the last settled offers; see settleOffers
+	urgent           bool       // the leader waits for this update, so it is sent at once
 }
 
 func (u *pendingUpdate) addEvent(event peer.TaskEvent) { u.events = append(u.events, event) }
 
-// settleOffers marks all offers received so far as settled, which the leader waits for.
+// settleOffers marks all offers received so far as settled. An offer is settled once no attempt record of its tasks is
+// being written any more. Until then, the leader makes no further offer for the shard's free capacity.
 func (u *pendingUpdate) settleOffers() { u.settledOfferSeq, u.urgent = u.receivedOfferSeq, true }
 
 func (u *pendingUpdate) isEmpty() bool { return len(u.events)+len(u.machines) == 0 }
--- a/internal/shard/lease.go
+++ b/internal/shard/lease.go
@@ -8,7 +8,7 @@
 	"swiftledge/internal/peer"
 )
 
-// acceptGrant starts a new lease of a shard. Only its attempt records say which attempts may run there.
+// acceptGrant starts a new lease of a shard. Only the attempt records in the grant say which attempts may run there.
 func (h *Holder) acceptGrant(now clock.Micros, grant peer.ShardGrant) {
 	earlier := h.shards[grant.Shard]
 	if earlier != nil && earlier.lease.fencingToken >= grant.FencingToken {
@@ -46,8 +46,8 @@
 	for _, key := range slices.Sorted(maps.Keys(pages)) {
 		for _, a := range s.loadPage(key, pages[key]) {
 			if !a.machine.inInventory || a.machine.terminated {
-				// A machine leaves the inventory only some time after its end is proven. A new leader may
-				// therefore still list a machine that its predecessor has deleted.
+				// A machine leaves the inventory only some time after its end is proven. A new leader may therefore
+				// still list a machine that the former leader has deleted.
 				ended = append(ended, a)
 			}
 		}
@@ -57,7 +57,7 @@
 	}
 }
 
-// loadPage adds the attempts recorded on a page and returns those that were not known yet.
+// loadPage adds the attempts recorded on a page and returns the attempts that were not known yet.
 func (s *heldShard) loadPage(key string, source peer.AttemptPage) (added []*taskAttempt) {
 	page := &attemptPage{key: key, sealed: true, fencingToken: source.FencingToken}
 	for i := range source.Groups {
--- a/internal/shard/lease_test.go
+++ b/internal/shard/lease_test.go
@@ -7,8 +7,8 @@
 	"swiftledge/wire"
 )
 
-// The inventory of a new leader may still list a machine that its predecessor has deleted, with attempt records on
-// it. The holder knows that these attempts have ended and reports it to the leader.
+// The inventory of a new leader may still list a machine that the former leader has deleted, and there may be attempt
+// records for the machine. The holder knows that these attempts have ended and reports this to the new leader.
 func TestAttemptsOnDeletedMachineReleasedAtGrant(t *testing.T) {
 	h := newTestHolder(t)
 	h.Step(now, orders(peer.ShardOrders{Terminated: []string{"m1"}}))
@@ -19,7 +19,7 @@
 		{Shard: 0, FencingToken: 60, KeyVersion: 8, Machines: testInventory,
 			Pages: map[string]peer.AttemptPage{"run/000/1-1": page}}}}))
 	if kinds := eventsOf(effects); len(kinds) != 1 || kinds[0] != peer.EventReleased {
-		t.Errorf("events %v, want released", kinds)
+		t.Errorf("events %v after a grant with a record on a deleted machine, want released", kinds)
 	}
 	reported := false
 	for _, update := range updatesOf(effects) {
@@ -28,11 +28,11 @@
 		}
 	}
 	if !reported {
-		t.Error("the update to the leader does not report m1 as terminated")
+		t.Error("m1 not reported to the leader as terminated")
 	}
 }
 
-// A repeated or older grant does not start a new lease, which would reuse attempt IDs.
+// A repeated or older grant does not start a new lease, because the new lease would reuse attempt IDs.
 func TestRepeatedGrantIsIgnored(t *testing.T) {
 	h := newTestHolder(t)
 	s := h.shards[0]
@@ -40,7 +40,7 @@
 		grant := peer.ShardGrant{Shard: 0, FencingToken: token, KeyVersion: 7}
 		h.Step(now, fromLeader(peer.FromLeader{Term: testTerm, Grants: []peer.ShardGrant{grant}}))
 		if h.shards[0] != s {
-			t.Errorf("grant under token %d starts a new lease after token %d", token, testToken)
+			t.Errorf("grant under token %d started a new lease after token %d", token, testToken)
 		}
 	}
 }
@@ -60,7 +60,7 @@
 		h := newTestHolder(t)
 		h.Step(now, fromLeader(message))
 		if s := h.shards[0]; s == nil || s.lease.fencingToken != testToken || s.machines["m1"].terminated {
-			t.Errorf("%s: message applied", name)
+			t.Errorf("%s: message applied, want it ignored", name)
 		}
 	}
 	h := newTestHolder(t)
@@ -68,6 +68,6 @@
 	h.Step(secondsLater(2), Tick{})
 	h.Step(secondsLater(2), renewal(h, testToken-1))
 	if h.shards[0].lease.expiresAt != expiresAt {
-		t.Error("the renewal of an older lease extends this one")
+		t.Error("renewal of an older shard lease extended the current lease")
 	}
 }
--- a/internal/shard/machine.go
+++ b/internal/shard/machine.go
@@ -25,17 +25,17 @@
 
 	inInventory  bool
 	draining     bool
-	excluded     bool // the leader has excluded it from scheduling
+	excluded     bool // the leader has excluded the machine from scheduling
 	terminated   bool // the machine is deleted
-	leaseExpired bool // its agent's lease has expired, so nothing runs here
+	leaseExpired bool // the agent's lease has expired, so nothing runs on the machine
 	silent       bool // as last determined and reported to the leader; see Holder.isSilent
 
-	changed             bool // its state is queued for the leader
-	reportedSchedulable bool
+	changed             bool // the machine's state is queued for the leader
+	reportedSchedulable bool // whether the machine was last reported to the leader as schedulable
 
 	attempts            []*taskAttempt // in the order in which they were added
-	failedJobs          []string
-	contradictionLogged bool
+	failedJobs          []string       // jobs of which a task failed on the machine
+	contradictionLogged bool           // see Holder.logContradiction
 	images              *placement.ImageCache
 	freeCapacity        *placement.Machine // cached; nil after a change
 }
@@ -57,8 +57,8 @@
 	}
 }
 
-// inherit copies what is known about the machine and its agent from an earlier lease of its shard. The attempts on it
-// are read again from the attempt records, and it must confirm the new token.
+// inherit copies what is known about the machine and its agent from an earlier lease of its shard. The attempts on the
+// machine are read again from the attempt records, and the machine must confirm the new token.
 func (m *machine) inherit(earlier *machine) {
 	m.info, m.agent, m.commands = earlier.info, earlier.agent, earlier.commands
 	m.terminated = earlier.terminated
@@ -96,7 +96,7 @@
 	}
 }
 
-// retainedAttempts counts the attempts that have ended but must stay listed by the agent.
+// retainedAttempts counts the machine's retained attempts: those that have ended but must stay listed by the agent.
 func (m *machine) retainedAttempts() (count int) {
 	for _, a := range m.attempts {
 		if a.isRetained() {
@@ -107,7 +107,7 @@
 }
 
 // isSchedulable reports whether a machine can be given tasks now, unless the leader has excluded it. Answers to
-// commands alone are not enough: while no heartbeat of the agent arrives, its lease expires regardless.
+// commands alone are not enough: while no heartbeat of the agent arrives, the agent's lease expires regardless.
 func (h *Holder) isSchedulable(now clock.Micros, s *heldShard, m *machine) bool {
 	const missedHeartbeats = 3
 	timeout := missedHeartbeats * h.params.HeartbeatInterval
--- a/internal/shard/messages.go
+++ b/internal/shard/messages.go
@@ -16,7 +16,7 @@
 	// LeaderConnected reports that the link to the leader of a term is up.
 	LeaderConnected struct {
 		Term     cluster.Term
-		ViaStore bool // the link runs through the store: its messages take seconds
+		ViaStore bool // messages are carried in frames through the store, which takes seconds
 	}
 	// LeaderDisconnected reports that the link to the leader of a term is down.
 	LeaderDisconnected struct{ Term cluster.Term }
@@ -28,7 +28,7 @@
 		Heartbeat *wire.Heartbeat
 	}
 	// CommandsAnswered is the result of SendCommands. Code is the HTTP status, 0 without an answer, or NotSent.
-	// Status is the agent's status after the commands, or nil if the answer has none.
+	// Status is the agent's status after the commands, or nil if the answer contains no status.
 	CommandsAnswered struct {
 		Request SendCommands
 		Code    int
--- a/internal/shard/pause_test.go
+++ b/internal/shard/pause_test.go
@@ -10,8 +10,8 @@
 	"swiftledge/wire"
 )
 
-// After a pause, the heartbeats that agents sent during it are still queued. The controller must neither report lost
-// agent contact nor silent machines because of heartbeats that it could not read, and it reports which leases
+// After a pause, the heartbeats that agents sent during the pause are still queued. The controller must report neither
+// lost agent contact nor silent machines because of heartbeats that it could not read, and it reports which leases
 // expired.
 func TestSilenceCountedFromEndOfPause(t *testing.T) {
 	h, s := newHolderBeforePause()
@@ -20,23 +20,23 @@
 	resumed := pauseStart + 12*clock.Second
 	effects := h.Step(resumed, Tick{})
 	if h.hasLostAgentContact(resumed) {
-		t.Error("lost contact reported because of heartbeats not read yet")
+		t.Error("agent contact counted as lost because of heartbeats not read yet")
 	}
 	for _, m := range s.machineOrder {
 		if m.silent {
-			t.Errorf("%s counts as silent right after the pause", m.name)
+			t.Errorf("%s counted as silent right after the pause", m.name)
 		}
 	}
 	p := firstEffect[PauseDetected](t, effects).Pause
 	if p.Length() != 12*clock.Second || !slices.Equal(p.Expired, []string{"grant of block 0"}) {
-		t.Errorf("pause %+v, want 12 s with one expired grant", p)
+		t.Errorf("reported pause %+v, want a length of 12 s and one expired grant", p)
 	}
 	silentFor := 3 * h.params.HeartbeatInterval
 	for stepTime := resumed; stepTime <= resumed+silentFor; stepTime += pausedetect.Threshold / 4 {
 		h.Step(stepTime, Tick{})
 	}
 	if !h.hasLostAgentContact(resumed + silentFor) {
-		t.Error("silence after the pause is not counted")
+		t.Error("agent contact not counted as lost although all agents were silent after the pause")
 	}
 }
 
--- a/internal/shard/placement_cycle.go
+++ b/internal/shard/placement_cycle.go
@@ -17,9 +17,9 @@
 	avoidFailed  = 2 // a replica of the service failed there
 )
 
-// placeOffers places offered tasks by auction and writes the attempt records of the placed tasks. Only one write is
-// in flight at a time. Tasks that arrive in the meantime accumulate at the leader, so the store's limits determine
-// the length of a placement cycle.
+// placeOffers runs one placement cycle: it places offered tasks by auction and writes the attempt records of the placed
+// tasks. Only one write is in flight at a time. Tasks that arrive in the meantime accumulate at the leader, so the
+// store's limits determine the length of a placement cycle.
 func (h *Holder) placeOffers(now clock.Micros, s *heldShard, offers []peer.TaskOffer) {
 	params := h.auctionParams(offers)
 	var machines []*placement.Machine
@@ -62,7 +62,7 @@
 	return params
 }
 
-// meanLoad returns the mean load that the leader sends with its offers. It returns 0 if no offer has a valid one.
+// meanLoad returns the mean load that the leader sends with its offers. It returns 0 if no offer has a valid mean load.
 func meanLoad(offers []peer.TaskOffer) (mean float64) {
 	for i := range offers {
 		if load := offers[i].Job.FleetLoad; load > 0 && load <= 1 {
@@ -142,8 +142,8 @@
 	}
 }
 
-// recordMatches starts the write of an attempt record for each match and returns the tasks that it covers. Tasks that
-// do not fit into one transaction are left to a later cycle.
+// recordMatches starts one write of attempt records for the matches and returns the tasks whose records are in this
+// write. Tasks that do not fit into one transaction are left to a later cycle.
 func (h *Holder) recordMatches(
 	s *heldShard, matches []placement.Match, recordGroups map[*placement.Group]*peer.AttemptGroup,
 ) map[peer.Task]bool {
@@ -173,8 +173,8 @@
 	return recorded
 }
 
-// shardAfterWrite returns the shard for which a write of attempt pages has ended, or nil if its lease is no longer
-// held. It drops the shard if the write was fenced.
+// shardAfterWrite returns the shard for which a write of attempt pages has ended, or nil if the lease of the write is
+// no longer held. It drops the shard if the write was fenced, that is, if another controller holds the shard.
 func (h *Holder) shardAfterWrite(id int, token wire.FencingToken, fenced bool) *heldShard {
 	s := h.shardWithToken(id, token)
 	if s != nil && fenced {
@@ -219,7 +219,7 @@
 }
 
 // launch marks an attempt as launched and returns whether to send its run command now. Otherwise the reply to the next
-// heartbeat carries it.
+// heartbeat carries the command.
 func (h *Holder) launch(now clock.Micros, a *taskAttempt) (send bool) {
 	a.state, a.launch.launchedAt = attemptLaunched, now
 	if h.defersToReply(now, a.machine) {
--- a/internal/shard/placement_cycle_test.go
+++ b/internal/shard/placement_cycle_test.go
@@ -9,8 +9,8 @@
 	"swiftledge/wire"
 )
 
-// A replica is placed on a machine without a replica of its service. If there is none, it is placed on a machine that
-// runs one and not on a machine where one failed.
+// A replica is placed on a machine without a replica of its service. If there is no such machine, the replica is placed
+// on a machine that runs a replica, not on a machine where a replica failed.
 func TestReplicasSpreadOverMachines(t *testing.T) {
 	h := newTestHolder(t)
 	h.Step(now, heartbeat("m1", 1, testToken, exitedWith(1, wire.ExitError)))
@@ -26,7 +26,7 @@
 		return ""
 	}
 	if m := place(1, 4); m != "m2" {
-		t.Errorf("replica placed on %q, want m2, because one failed on m1", m)
+		t.Errorf("replica placed on %q, want m2, because a replica failed on m1", m)
 	}
 	h.Step(now, orders(peer.ShardOrders{Added: []string{"m3"}}))
 	h.Step(now, heartbeat("m3", 1, testToken))
@@ -41,20 +41,21 @@
 		{0.4, 0.4}, {0, 0}, {-1, 0}, {1.5, 0}, {math.NaN(), 0}, {math.Inf(1), 0},
 	} {
 		if got := meanLoad([]peer.TaskOffer{{Job: wire.Job{FleetLoad: c.sent}}, {}}); got != c.want {
-			t.Errorf("leader sends %g: mean load %g, want %g", c.sent, got, c.want)
+			t.Errorf("leader sent mean load %g: holder used %g, want %g", c.sent, got, c.want)
 		}
 	}
 }
 
-// A machine gets no task before it has confirmed the token. Until then it would also obey a former holder's commands.
+// A machine gets no task before its agent has confirmed the token. Until then the agent would also obey a former
+// holder's commands.
 func TestNoTasksBeforeTokenIsConfirmed(t *testing.T) {
 	h := newTestHolder(t)
 	h.Step(now, heartbeat("m1", 1, testToken-1))
 	if m1IsSchedulable(h, now) {
-		t.Error("schedulable under an older token")
+		t.Error("m1 schedulable although its agent has confirmed only an older token")
 	}
 	h.Step(now, heartbeat("m1", 2, testToken))
 	if !m1IsSchedulable(h, now) {
-		t.Error("not schedulable although it has confirmed the token")
+		t.Error("m1 not schedulable although its agent has confirmed the token")
 	}
 }
--- a/internal/shard/reconciliation.go
+++ b/internal/shard/reconciliation.go
@@ -39,7 +39,7 @@
 	h.recordStatus(now, s, m, status)
 	if status.FencingToken != s.lease.fencingToken {
 		// Not fenced yet: the agent may still execute a former holder's commands, so the status proves nothing. But the
-		// reply renews the agent's lease, so it carries kill commands for the attempts that are to be stopped.
+		// reply renews the agent's lease, so the reply carries kill commands for the attempts that are to be stopped.
 		return m.killCommands(status)
 	}
 	if !m.fence.confirmed {
@@ -64,8 +64,8 @@
 	return commands
 }
 
-// reconcileListed applies the tasks that the status lists. If the status contradicts itself about an attempt, it
-// proves nothing, and the attempt counts as running.
+// reconcileListed applies the tasks that the status lists. If the status contradicts itself about an attempt, the
+// status proves nothing about the attempt, which counts as running.
 func (r *reconciliation) reconcileListed() {
 	next := 0
 	for i := range r.status.Tasks {
@@ -107,8 +107,8 @@
 	return -1
 }
 
-// contradiction returns why a status contradicts the end of an attempt that it lists at an index, or "" if it does
-// not. It checks only ends that have not been applied yet, not active tasks.
+// contradiction returns why a status contradicts the end of an attempt that it lists at an index, or "" if there is no
+// contradiction. It checks only ends that have not been applied yet, not active tasks.
 func contradiction(tasks []wire.TaskStatus, index int, a *taskAttempt) string {
 	t := &tasks[index]
 	if t.State != wire.TaskExited || a.state == attemptExited {
@@ -155,8 +155,8 @@
 	}
 }
 
-// applyEnd reports an attempt's end to the leader. A completion has yet to be stored by the leader. Any other end
-// needs no storing.
+// applyEnd reports an attempt's end to the leader. The leader has yet to store a completion. Any other end need not be
+// stored.
 func (r *reconciliation) applyEnd(a *taskAttempt, end attemptEnd) {
 	a.end = end
 	event := peer.TaskEvent{Task: a.task, Machine: r.machine.name, Kind: end.eventKind()}
@@ -179,8 +179,8 @@
 		r.shard.markChanged(r.machine)
 	}
 	if a.endReported {
-		// Its end was reported, so its task may run elsewhere. A late copy of its run command has reached an agent
-		// that was restarted.
+		// The attempt's end was reported, so its task may run elsewhere. A late copy of the run command has reached an
+		// agent that was restarted.
 		a.stop = stopImmediately
 	}
 	if t.State == wire.TaskRunning && !a.running {
@@ -226,9 +226,9 @@
 }
 
 // needsHigherToken reports whether only a higher token can settle an unlisted attempt. There are two cases. The
-// attempt was confirmed, so its agent was restarted, and a late copy of the run command may start it again. Or the
-// attempt was to be stopped more than an agent lease ago and its run command is still unanswered: the command is not
-// sent again, but may still be executed at any time.
+// attempt was confirmed, so its agent was restarted, and a late copy of the run command may start the attempt again. Or
+// the attempt was to be stopped more than an agent lease ago and its run command is still unanswered: the command is
+// not sent again, but may still be executed at any time.
 func (r *reconciliation) needsHigherToken(a *taskAttempt) bool {
 	if a.launch.agentEpoch != r.machine.agent.epoch {
 		return false
@@ -250,8 +250,8 @@
 	case a.state == attemptConfirmed:
 		return false // an agent never drops a task by itself within an epoch; see needsHigherToken
 	case a.state == attemptLaunched && (a.stop == keepRunning || r.source != fromHeartbeat):
-		// No run command sent in a request is in flight. One in the reply to a heartbeat is executed or dropped
-		// before the agent's next heartbeat.
+		// No run command sent in a request is in flight. A run command in the reply to a heartbeat is executed or
+		// dropped before the agent's next heartbeat.
 		return false
 	}
 	return true
--- a/internal/shard/reconciliation_test.go
+++ b/internal/shard/reconciliation_test.go
@@ -15,31 +15,31 @@
 	h := newTestHolder(t)
 	effects := h.Step(now, heartbeat("m1", 1, testToken-1))
 	if kinds := eventsOf(effects); len(kinds) != 0 {
-		t.Errorf("events %v from a heartbeat under an older token", kinds)
+		t.Errorf("events %v after a heartbeat under an older token, want none", kinds)
 	}
-	// Its removal would cause no event, because the task has another attempt.
+	// The removal of the attempt would cause no event, because the task has another attempt.
 	if len(h.shards[0].machines["m1"].attempts) != 1 {
 		t.Error("attempt removed by a heartbeat under an older token")
 	}
 	if reply := replyOf(t, effects); reply.Status != statusOK || reply.Body.FencingToken != testToken {
-		t.Errorf("reply %+v, want 200 with the new token", reply)
+		t.Errorf("reply %+v to a heartbeat under an older token, want 200 with the new token", reply)
 	}
 }
 
-// A heartbeat that was sent before the answer to a command but arrives after it is outdated. Its status must not be
-// applied over the newer one.
+// A heartbeat that was sent before the answer to a command but arrives after this answer is outdated. The status in the
+// heartbeat must not be applied over the newer status in the answer.
 func TestOutdatedStatusIsIgnored(t *testing.T) {
 	h := newTestHolder(t)
 	h.Step(now, heartbeat("m1", 1, testToken, running(1)))
 	h.Step(now, answered(heartbeat("m1", 3, testToken, exitedWith(1, wire.ExitDone))))
 	h.Step(now, heartbeat("m1", 2, testToken, running(1)))
 	if a := h.shards[0].machines["m1"].attempt(1); a == nil || a.state != attemptExited {
-		t.Error("an older status makes an exited attempt run again")
+		t.Error("exited attempt counted as running after an older status")
 	}
 }
 
-// A run command without an answer may be delayed and executed later. Until it is answered, a status that does not
-// list its attempt does not prove that the attempt has ended, even if it is to be stopped.
+// A run command without an answer may be delayed and executed later. Until the command is answered, a status that does
+// not list its attempt does not prove that the attempt has ended, even if the attempt is to be stopped.
 func TestUnlistedAttemptKeptWhileRunCommandUnanswered(t *testing.T) {
 	h := newTestHolder(t)
 	h.Step(now, heartbeat("m1", 1, testToken))
@@ -51,18 +51,18 @@
 	request := requestTo("m1", a.runCommand())
 	h.Step(now, CommandsAnswered{Request: request})
 	if h.Step(now+clock.Second, heartbeat("m1", 2, testToken)); m.attempt(a.id) == nil {
-		t.Error("attempt removed while its run command may still be executed")
+		t.Error("attempt removed although its run command could still be executed")
 	}
 	// A late answer settles the run command, as a new epoch would.
 	status := heartbeat("m1", 3, testToken).Heartbeat
 	h.Step(secondsLater(2), CommandsAnswered{Request: request, Code: statusConflict, Status: status})
 	if h.Step(secondsLater(3), heartbeat("m1", 4, testToken)); m.attempt(a.id) != nil {
-		t.Error("attempt kept although its run command was refused and no status lists it")
+		t.Error("attempt kept although its run command was refused and the status did not list the attempt")
 	}
 }
 
 // A run command in the reply to a heartbeat is executed or dropped before the agent's next heartbeat. The answer to a
-// request may overtake the reply, so it does not prove that the command was dropped.
+// request may overtake the reply, so the answer does not prove that the command was dropped.
 func TestUnlistedLaunchKeptAfterCommandAnswer(t *testing.T) {
 	h := newTestHolder(t)
 	h.Step(now, heartbeat("m1", 1, testToken))
@@ -72,29 +72,30 @@
 	a.stop = stopImmediately
 	s.addAttempt(a)
 	if h.Step(now, answered(heartbeat("m1", 2, testToken))); m.attempt(a.id) == nil {
-		t.Error("attempt removed by the answer to a request")
+		t.Error("attempt removed after the answer to a request, want it kept until the next heartbeat")
 	}
 	if h.Step(now, heartbeat("m1", 3, testToken)); m.attempt(a.id) != nil {
-		t.Error("attempt kept although the agent's next heartbeat does not list it")
+		t.Error("attempt kept although the agent's next heartbeat did not list it")
 	}
 }
 
 // After an agent's lease has expired, for example because all controllers were down for longer, the first heartbeat
-// of the next epoch proves that all attempts of the former epoch have ended, whatever its statuses listed.
+// of the next epoch proves that all attempts of the former epoch have ended, whatever the statuses of the former epoch
+// listed.
 func TestNewEpochEndsAttemptsOfEarlierEpochs(t *testing.T) {
 	h := newTestHolder(t)
 	h.Step(now, heartbeat("m1", 1, testToken, running(1)))
 	m := h.shards[0].machines["m1"]
 	if h.Step(now+clock.Second, heartbeat("m1", 2, testToken)); m.attempt(1) == nil {
-		t.Error("attempt removed within its epoch")
+		t.Error("attempt removed within its agent epoch")
 	}
 	if h.Step(secondsLater(2), heartbeat("m1", 3, testToken).inEpoch(2)); m.attempt(1) != nil {
-		t.Error("attempt kept although its epoch has ended")
+		t.Error("attempt kept although its agent epoch had ended")
 	}
 }
 
-// A status that contradicts itself does not prove the end of an attempt, which counts as running. The contradiction is
-// logged once.
+// A status that contradicts itself about an attempt does not prove the end of the attempt, which counts as running. The
+// contradiction is logged once.
 func TestContradictoryStatusEndsNoAttempt(t *testing.T) {
 	other := exitedWith(2, wire.ExitDone)
 	other.Task = "j-000009/1"
@@ -111,12 +112,12 @@
 			logged := len(effectsOf[Log](effects))
 			isRunning := func(kind peer.EventKind) bool { return kind == peer.EventRunning }
 			if kinds := slices.DeleteFunc(eventsOf(effects), isRunning); len(kinds) != 0 || logged != 1 {
-				t.Errorf("events %v, logged %d times, want no end, logged once", kinds, logged)
+				t.Errorf("contradictory status caused events %v and was logged %d times, want no end, logged once", kinds, logged)
 			}
 			// Without the contradiction, the end is accepted.
 			kinds := eventsOf(h.Step(afterUpdateIntervals(3), heartbeat("m2", 3, testToken, exitedWith(2, wire.ExitDone))))
 			if !slices.Contains(kinds, peer.EventCompleted) {
-				t.Errorf("events %v after a consistent status, want completed", kinds)
+				t.Errorf("events %v after a consistent status, want completed among them", kinds)
 			}
 		})
 	}
--- a/internal/shard/spans.go
+++ b/internal/shard/spans.go
@@ -8,8 +8,8 @@
 	"swiftledge/wire"
 )
 
-// recordSpans records the spans of an exited attempt as this controller observed it. They begin at its launch or, if
-// it was launched under an earlier lease, when this controller first saw it run.
+// recordSpans records the spans of an exited attempt as this controller observed the attempt. The spans begin at the
+// launch of the attempt or, if it was launched under an earlier lease, when this controller first saw it run.
 func (h *Holder) recordSpans(now clock.Micros, a *taskAttempt, t *wire.TaskStatus) {
 	if !h.params.TracingEnabled {
 		return
--- a/internal/shard/spans_test.go
+++ b/internal/shard/spans_test.go
@@ -6,8 +6,8 @@
 	"swiftledge/wire"
 )
 
-// An attempt launched under an earlier lease also gets a span. The controller that took over the shard records how it
-// ended.
+// An attempt launched under an earlier lease also gets a span. The controller that took over the shard records how the
+// attempt ended.
 func TestInheritedAttemptIsTraced(t *testing.T) {
 	h := newTestHolder(t)
 	h.params.TracingEnabled = true
@@ -17,9 +17,9 @@
 			continue
 		}
 		if e.Span.Begin != now || e.Span.End != afterUpdateIntervals(4) || e.Span.Job != task.Job {
-			t.Errorf("unexpected run span %+v", e.Span)
+			t.Errorf("run span %+v, want one of the task's job from the first status to the exit", e.Span)
 		}
 		return
 	}
-	t.Error("no run span recorded")
+	t.Error("no run span recorded for the inherited attempt")
 }
--- a/internal/shard/tick.go
+++ b/internal/shard/tick.go
@@ -7,11 +7,11 @@
 )
 
 const (
-	// minRetainedLimit is the minimum number of retained attempts in a shard before a higher token is requested. Agents
-	// must keep listing retained attempts although they have ended.
+	// minRetainedLimit is the minimum number of retained attempts in a shard before a higher token is requested. A
+	// retained attempt has ended, but its agent must keep listing it.
 	minRetainedLimit = 100
-	// machinesPerRetainedAttempt raises that limit in a large shard to one retained attempt per this many machines,
-	// because a new grant costs a message about each machine.
+	// machinesPerRetainedAttempt raises minRetainedLimit in a large shard to one retained attempt per this many
+	// machines, because a new grant costs a message about each machine.
 	machinesPerRetainedAttempt = 4
 )
 
@@ -96,12 +96,12 @@
 }
 
 // isSilent reports whether a machine that is known to exist has sent no status, or has been unreachable for commands,
-// for longer than the timeout. A machine that is only listed in the inventory may not have booted yet; the leader
-// knows which machines have.
+// for longer than the timeout. A machine that is only listed in the inventory may not have booted yet. The leader knows
+// which machines have booted.
 func (h *Holder) isSilent(now clock.Micros, s *heldShard, m *machine) bool {
 	timeout := h.params.AgentLease * 11 / 20
 	if m.info.preemptionNotice {
-		timeout = min(timeout, h.params.HeartbeatInterval*5/2) // its end was announced, so less evidence is needed
+		timeout = min(timeout, h.params.HeartbeatInterval*5/2) // the machine's end was announced: less evidence suffices
 	}
 	since := h.pauseDetector.ExcludePause(max(m.agent.lastStatus, s.lease.grantedAt))
 	noStatus := (m.mayHaveAgent() || m.inInventory) && now-since > timeout
@@ -109,10 +109,10 @@
 }
 
 // agentLeaseEnd returns when the tasks of a silent machine are proven to have ended: one agent lease after the last
-// shard lease under which its heartbeats could be answered. An epoch has a full agent lease from its start, even if
-// none of its heartbeats was ever answered and its tasks were launched by commands sent from here.
+// shard lease under which its heartbeats could be answered. An agent epoch has a full agent lease from its start, even
+// if no heartbeat of the epoch was ever answered and its tasks were launched by commands that this controller sent.
 func (h *Holder) agentLeaseEnd(s *heldShard, m *machine) clock.Micros {
 	lastGrantEnd := s.lease.grantedAt + h.params.LongestGrant.PlusDrift()
-	lastRenewal := max(m.agent.lastReply, m.agent.epochSince, m.agent.lastOutdated, lastGrantEnd)
+	lastRenewal := max(m.agent.lastReply, m.agent.epochSince, m.agent.lastOutdatedHeartbeat, lastGrantEnd)
 	return lastRenewal + h.params.AgentLease.PlusDrift() + clock.Second
 }
