--- a/internal/controller/agent_client.go
+++ b/internal/controller/agent_client.go
@@ -37,7 +37,7 @@
 	return max(minAgentRequests, cfg.MaxCommandConnections()/4)
 }
 
-// agentClient sends requests to agents, so that the controller does not have to wait for their heartbeats.
+// agentClient sends requests to agents, so that the controller does not have to wait for the agents' heartbeats.
 type agentClient struct {
 	http        *fasthttp.Client
 	connections connectionCounter
@@ -115,7 +115,8 @@
 	return answer, nil
 }
 
-// decodeStatus decodes an agent status in a response body. It returns nil if it is invalid or of another machine.
+// decodeStatus decodes an agent status in a response body. It returns nil if the status is invalid or of another
+// machine.
 func decodeStatus(body []byte, machine string) *wire.Heartbeat {
 	var heartbeat wire.Heartbeat
 	if json.Unmarshal(body, &heartbeat) != nil || heartbeat.Machine != machine {
--- a/internal/controller/agent_connections_test.go
+++ b/internal/controller/agent_connections_test.go
@@ -8,7 +8,7 @@
 )
 
 // Closing a connection must decrement the counter, which would otherwise grow until no connection is kept open. A
-// second Close must not decrement it again.
+// second Close must not decrement the counter again.
 func TestConnectionCounterCountsOpenConnections(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -37,7 +37,7 @@
 	}
 	get(false)
 	if open := connections.count(); open != 1 {
-		t.Errorf("%d connections open, want 1: the keep-alive connection", open)
+		t.Errorf("%d connections open after a request with keep-alive, want 1", open)
 	}
 	get(true)
 	if open := connections.count(); open != 0 {
--- a/internal/controller/cloud_effects.go
+++ b/internal/controller/cloud_effects.go
@@ -18,7 +18,7 @@
 	cloudQueueSize = 64
 )
 
-// cloudWorker performs the leader's requests to the cloud and sends the answers to the leader as messages.
+// cloudWorker performs the leader's requests to the cloud and sends the cloud's answers to the leader as messages.
 type cloudWorker struct {
 	client *cloud.Client
 	leader mailbox[leader.Message]
@@ -45,7 +45,8 @@
 	}
 }
 
-// run performs queued requests one at a time until the context ends. Several calls may run concurrently.
+// run performs queued requests one at a time until the context ends. Several goroutines may call run, to perform
+// several requests concurrently.
 func (w *cloudWorker) run(ctx context.Context) {
 	for {
 		select {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -153,7 +153,7 @@
 }
 
 // startServices starts the services whose answers the actors and the API wait for. The returned function stops the
-// services and waits for their end. It must be called after the last request to them.
+// services and waits for their end. It must be called after the last request to the services.
 func (c *Controller) startServices(ctx context.Context) (stop func()) {
 	ctx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	var services sync.WaitGroup
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -39,8 +39,8 @@
 	return nil
 }
 
-// startStubStore starts a store that has no keys, commits every transaction and grants every lease. It answers watches
-// when closing is closed. It returns the address of the store.
+// startStubStore starts a store that has no keys, commits every transaction and grants every lease. The store answers
+// watches once closing is closed. startStubStore returns the address of the store.
 func startStubStore(t *testing.T, closing <-chan struct{}) string {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -95,8 +95,8 @@
 	return stacks
 }
 
-// Serve returns when its context ends. By then all goroutines that it started have ended, including that of an open
-// connection, and its addresses are free again.
+// Serve returns when its context ends. By then all goroutines that Serve started have ended, including the goroutine of
+// an open connection, and the controller's addresses are free again.
 func TestServeStopsWhenContextEnds(t *testing.T) {
 	closing := make(chan struct{})
 	cfg := singleControllerConfig(t, startStubStore(t, closing))
@@ -112,7 +112,7 @@
 	}
 	status, err := peer.FetchStatus(cfg.PeerAddress)
 	if err != nil || status.Leader != "n0" {
-		t.Errorf("leader %q, error %v; want n0 itself", status.Leader, err)
+		t.Errorf("status of n0 names leader %q, error %v; want n0 itself", status.Leader, err)
 	}
 	idleConn, err := net.Dial("tcp4", cfg.PeerAddress)
 	if err != nil {
@@ -131,7 +131,7 @@
 	for _, address := range []string{cfg.PeerAddress, cfg.ListenAddress} {
 		listener, err := netio.Listen(address)
 		if err != nil {
-			t.Errorf("address is still in use after Serve returned: %v", err)
+			t.Errorf("address still in use after Serve returned: %v", err)
 			continue
 		}
 		listener.Close()
--- a/internal/controller/elector.go
+++ b/internal/controller/elector.go
@@ -21,7 +21,7 @@
 // electionStep carries a message for the election.Elector.
 type electionStep struct{ message election.Message }
 
-// leadingTermQuery requests the term that this controller leads. The reply is 0 if it does not lead.
+// leadingTermQuery requests the term that this controller leads. The reply is 0 if this controller does not lead.
 type leadingTermQuery struct{ reply chan<- cluster.Term }
 
 func (electionStep) electorMessage()     {}
@@ -67,7 +67,7 @@
 	// leaderKeyRetry is the delay before the leader key is read again after a failure.
 	leaderKeyRetry = 200 * time.Millisecond
 	// leaderWatchRetry is the minimum delay after a failed watch of the leader key. A random part of
-	// leaderWatchJitter is added to it.
+	// leaderWatchJitter is added to this delay.
 	leaderWatchRetry  = 100 * time.Millisecond
 	leaderWatchJitter = 200 * time.Millisecond
 	// leaderWatchTime is how long the store holds a watch of the leader key open.
--- a/internal/controller/follower.go
+++ b/internal/controller/follower.go
@@ -19,17 +19,17 @@
 
 const (
 	// leaderDialRetry is the minimum delay before the leader is dialed again. A random part of leaderDialJitter is
-	// added to it.
+	// added to this delay.
 	leaderDialRetry  = 200 * time.Millisecond
 	leaderDialJitter = 100 * time.Millisecond
-	// dialFailuresBeforeStore is the number of consecutive failed dials after which the follower uses the store
-	// transport.
+	// dialFailuresBeforeStore is the number of consecutive failed dials after which the follower links the holder to the
+	// leader through the store.
 	dialFailuresBeforeStore = 4
-	// directProbeInterval is how often a follower that is linked through the store tries to connect to the leader
+	// directDialInterval is how often a follower that is linked through the store tries to connect to the leader
 	// directly.
-	directProbeInterval = 3 * time.Second
-	// directProbeTimeout bounds one such connection attempt.
-	directProbeTimeout = time.Second
+	directDialInterval = 3 * time.Second
+	// directDialTimeout bounds one attempt to connect to the leader directly.
+	directDialTimeout = time.Second
 )
 
 // follower maintains the link from the holder to the leader.
@@ -97,7 +97,8 @@
 	return "", false
 }
 
-// followThroughStore links the holder to the leader through the store until the leader is reachable directly.
+// followThroughStore links the holder to the leader through the store, because no direct connection can be made:
+// messages are carried in frames in the store. The link lasts until the leader is reachable directly.
 func (f *follower) followThroughStore(ctx context.Context, hello peer.Hello, name, address string) {
 	link, err := f.storeTransport.Dial(ctx, name, hello)
 	if err != nil {
@@ -105,20 +106,21 @@
 		return
 	}
 	f.log.Info("linked to the leader through the store", "leader", name)
-	probeCtx, stopProbe := context.WithCancel(ctx)
-	defer stopProbe()
+	dialCtx, stopDialing := context.WithCancel(ctx)
+	defer stopDialing()
 	f.background.Go(func() {
-		if waitUntilReachable(probeCtx, address) {
+		if waitUntilReachable(dialCtx, address) {
 			link.Close()
 		}
 	})
 	f.serve(ctx, hello.Term, link)
 }
 
-// waitUntilReachable tries to connect to an address until that succeeds. It returns false if the context ends first.
+// waitUntilReachable tries to connect to an address until an attempt succeeds. It returns false if the context ends
+// first.
 func waitUntilReachable(ctx context.Context, address string) bool {
-	for sleep(ctx, directProbeInterval) {
-		if conn, err := netio.Dial(address, directProbeTimeout); err == nil {
+	for sleep(ctx, directDialInterval) {
+		if conn, err := netio.Dial(address, directDialTimeout); err == nil {
 			conn.Close()
 			return true
 		}
--- a/internal/controller/holder.go
+++ b/internal/controller/holder.go
@@ -36,13 +36,13 @@
 
 func (m leaderLinkDown) apply(current leaderLink) (leaderLink, shard.Message) {
 	if current != m.link {
-		return current, nil // another link has replaced it
+		return current, nil // another link has replaced the link that ended
 	}
 	return nil, m.LeaderDisconnected
 }
 
-// runHolder runs the holder's actor until the context ends. It also stores the link to the leader, because a change of
-// the link must take effect between two messages.
+// runHolder runs the holder's actor until the context ends. The actor also keeps the link to the leader, because a
+// change of the link must take effect between two messages.
 func (c *Controller) runHolder(ctx context.Context) {
 	holder := shard.FromConfig(c.cfg, c.storeHealth.available)
 	var link leaderLink
--- a/internal/controller/holder_effects.go
+++ b/internal/controller/holder_effects.go
@@ -74,7 +74,7 @@
 }
 
 // commitPages commits a transaction on pages of attempt records. The result of a failed transaction tells whether the
-// store may have executed it. It returns false if the transaction cannot be encoded.
+// store may have executed the transaction. commitPages returns false if the transaction cannot be encoded.
 func (c *Controller) commitPages(
 	ctx context.Context, priority store.Priority, makeTxn func() (wire.Txn, error),
 ) (store.TxnResult, bool) {
@@ -92,8 +92,8 @@
 	return result, true
 }
 
-// deletePages deletes obsolete attempt records. Records that remain after a failure count as upper bounds until the
-// shard is granted again.
+// deletePages deletes obsolete attempt records. After a failure, the remaining records are an upper bound of the
+// attempts that may run, until the shard is granted again.
 func (c *Controller) deletePages(ctx context.Context, request shard.DeletePages) {
 	if _, err := c.store.TryCommit(ctx, store.PriorityBackground, request.Txn()); err != nil {
 		c.log.Debug("cannot delete attempt records", "error", err)
--- a/internal/controller/mailbox.go
+++ b/internal/controller/mailbox.go
@@ -9,9 +9,9 @@
 // minMailboxSize is the minimum capacity of an actor's mailbox. Senders block while the mailbox is full.
 const minMailboxSize = 4096
 
-// mailboxSize returns the capacity of the mailbox of an actor that handles the agents' heartbeats. It has capacity for
-// a message of each connection, so that the actors, which also send messages to each other, never block each other
-// because heartbeats fill the mailbox.
+// mailboxSize returns the capacity of the mailbox of an actor that handles the agents' heartbeats. The mailbox has
+// space for a message of each connection, so that the actors, which also send messages to each other, never block each
+// other because heartbeats fill the mailbox.
 func mailboxSize(cfg *config.Config) int { return max(minMailboxSize, 2*cfg.Facts.Quota.MaxSockets) }
 
 // mailbox is a queue of messages to an actor. Blocked senders and receivers of replies return when the actor has ended.
--- a/internal/controller/pause_log.go
+++ b/internal/controller/pause_log.go
@@ -33,7 +33,7 @@
 // pauseLogMailboxSize is the capacity of the pause log's mailbox.
 const pauseLogMailboxSize = 16
 
-// pauseLog is the actor that records the pauses of this process and logs each of them once.
+// pauseLog is the actor that records the pauses of this process and logs each pause once.
 type pauseLog struct {
 	log     *slog.Logger
 	clock   clock.Steady
--- a/internal/controller/peer_listener.go
+++ b/internal/controller/peer_listener.go
@@ -40,7 +40,7 @@
 	return l
 }
 
-// run accepts connections until the context ends. Then it closes them and the listener.
+// run accepts connections until the context ends. Then it closes the connections and the listener.
 func (l *peerListener) run(ctx context.Context, listener net.Listener) {
 	var connections sync.WaitGroup
 	defer connections.Wait()
--- a/internal/controller/state_loader.go
+++ b/internal/controller/state_loader.go
@@ -55,9 +55,9 @@
 }
 
 // readState reads all keys that a new leader needs. It returns the revision from which to watch the jobs. The lists are
-// requested concurrently: an overloaded controller that requested them in sequence would wait for each answer in turn,
-// in total longer than its lease lasts. The order of the lists does not matter, because during the term only users
-// change jobs, and transactions on all other keys have a condition on the leader key.
+// requested concurrently: an overloaded controller that requested the lists in sequence would wait for each answer in
+// turn, in total longer than the leader's lease lasts. The order of the lists does not matter, because during the term
+// only users change jobs, and transactions on all other keys have a condition on the leader key.
 func (l *stateLoader) readState(ctx context.Context) ([]wire.Item, uint64, error) {
 	prefixes := []string{
 		leader.JobPrefix, leader.LayoutKey, leader.CatalogKey,
@@ -110,8 +110,8 @@
 	}
 }
 
-// loadAttempts reads the attempt records of a shard. It retries for as long as records cannot be decoded: without them
-// the running tasks are unknown, so the shard must not be granted.
+// loadAttempts reads the attempt records of a shard. It retries for as long as records cannot be decoded: without these
+// records the running tasks are unknown, so the shard must not be granted.
 func (l *stateLoader) loadAttempts(ctx context.Context, request leader.LoadAttempts) {
 	logged := false
 	for try := 0; ; try++ {
--- a/internal/controller/state_loader_test.go
+++ b/internal/controller/state_loader_test.go
@@ -12,8 +12,9 @@
 	"swiftledge/internal/store"
 )
 
-// A new leader must request all lists concurrently: an overloaded controller received each answer a second late, and
-// six in sequence took longer than its lease lasts. Here the store answers no list before all of them are requested.
+// A new leader must request all lists concurrently: an overloaded controller received each answer a second late, and six
+// answers in sequence took longer than the leader's lease lasts. Here the store answers no list before all lists are
+// requested.
 func TestStateLoaderListsConcurrently(t *testing.T) {
 	const lists = 6
 	var requested sync.WaitGroup
@@ -51,9 +52,9 @@
 		t.Fatal(err)
 	}
 	if len(items) != lists || items[0].Key != leader.JobPrefix+"x" {
-		t.Errorf("read items %v, want one of each list, jobs first", items)
+		t.Errorf("read items %v, want one item of each list, that of the jobs first", items)
 	}
 	if revision != 7 {
-		t.Errorf("jobs are watched from revision %d, want 7, the revision of their list", revision)
+		t.Errorf("readState returned revision %d, want 7, the revision of the list of jobs", revision)
 	}
 }
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -11,7 +11,7 @@
 const statusTimeout = 3 * time.Second
 
 // status returns the controller's status for operators: the status from the leader's actor, the leader that this
-// controller follows, and the process pauses. If the actor is too busy, its part is missing.
+// controller follows, and the process pauses. If the leader's actor is too busy, its part of the status is missing.
 func (c *Controller) status() peer.Status {
 	status := c.leaderStatus()
 	status.Pauses, status.LastPause = c.pauses.status()
--- a/internal/controller/store_budget.go
+++ b/internal/controller/store_budget.go
@@ -2,8 +2,8 @@
 
 import "swiftledge/internal/store"
 
-// Shares of the store's limits that one controller may use. Their sum over all controllers exceeds 1, because bursts
-// rarely coincide; see store.Budget. The leader writes most.
+// Shares of the store's limits that one controller may use. The sum of the shares of all controllers exceeds 1, because
+// bursts rarely coincide; see store.Budget. The leader writes most.
 const (
 	singleControllerShare = 0.95
 	leaderShare           = 0.5
--- a/internal/controller/ticker.go
+++ b/internal/controller/ticker.go
@@ -14,7 +14,7 @@
 const tickInterval = 250 * time.Millisecond
 
 // tick sends ticks to the actors until the context ends. It skips an actor whose mailbox is full, because every message
-// that the actor handles advances its time, too.
+// that the actor handles advances the actor's time, too.
 func (c *Controller) tick(ctx context.Context) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
