--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -30,12 +30,12 @@
 // Duration returns the duration as a time.Duration.
 func (m Micros) Duration() time.Duration { return time.Duration(m) * time.Microsecond }
 
-// PlusDrift returns the duration plus the drift allowance. When that much time has passed on this process's clock, at
-// least m has passed on any other.
+// PlusDrift returns the duration plus the drift allowance. When the returned duration has passed on this process's
+// clock, at least m has passed on any other clock.
 func (m Micros) PlusDrift() Micros { return m + m/driftPart + driftMargin }
 
-// MinusDrift returns the duration minus the drift allowance. Until that much time has passed on this process's clock,
-// less than m has passed on any other, so whatever another clock ends after m is still valid.
+// MinusDrift returns the duration minus the drift allowance. Until the returned duration has passed on this process's
+// clock, less than m has passed on any other clock. So a lease that another process ends after m is still valid.
 func (m Micros) MinusDrift() Micros { return m - m/driftPart - driftMargin }
 
 // Steady is a monotonic clock that counts from its start and is never set.
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -1,8 +1,8 @@
 // Package cluster defines the identifiers that all parts of a controller share.
 package cluster
 
-// Term identifies a period of leadership. It is the version of the leader key that the leader created, so later terms
-// are higher. 0 means no term.
+// Term identifies a period of leadership. The term is the version of the leader key that the leader created, so a later
+// term is a higher number. 0 means no term.
 type Term uint64
 
 // Incarnation identifies one run of a controller's process, so that a process does not mistake anything from before
--- a/internal/election/elector.go
+++ b/internal/election/elector.go
@@ -1,5 +1,5 @@
 // Package election elects the leader among the controllers. The leader is the controller that created the leader
-// key in the store, for as long as the key exists. The key is attached to a store lease, with which it expires.
+// key in the store, for as long as the key exists. The key is attached to a store lease and expires with this lease.
 //
 // An Elector runs the election for one controller. It owns the observed state of the leader key, the lease and the
 // controller's own term. It takes answers of the store and ticks as messages, and returns requests to the store and
@@ -38,11 +38,11 @@
 	lease            uint64       // 0: no lease is held
 	leaseRequestedAt clock.Micros // when the lease was requested or last renewed
 	requestingLease  bool
-	renewAt          clock.Micros
+	renewAt          clock.Micros // when the next renewal is due
 
 	campaigning              bool
 	campaignUnanswered       bool // a campaign under the current lease got no answer
-	formerCampaignUnanswered bool // the same under an earlier lease, to which the leader key may be attached
+	formerCampaignUnanswered bool // a campaign under an earlier lease got no answer; the key may be attached to that lease
 	campaignRetryAt          clock.Micros
 
 	term          cluster.Term // this controller's own term; 0: it does not lead
@@ -95,7 +95,7 @@
 	if e.term > 0 && cluster.Term(m.Version) != e.term {
 		e.loseLeadership() // the key was deleted with its lease, or another controller created it
 	}
-	// The key was created by a campaign of this controller whose answer was lost.
+	// Under this condition, a campaign of this controller has created the key, and the answer was lost.
 	if e.term == 0 && m.Version > 0 && m.Record == e.self && e.lease > 0 {
 		if !e.formerCampaignUnanswered {
 			e.acquireLeadership(now, cluster.Term(m.Version))
@@ -207,7 +207,7 @@
 	e.emit(ReadLeaderKey{})
 }
 
-// revokeLease revokes the lease. A campaign under it that got no answer may be executed for as long as the lease
+// revokeLease revokes the lease. A campaign under the lease that got no answer may be executed for as long as the lease
 // lasts, even after later campaigns.
 func (e *Elector) revokeLease() {
 	e.emit(RevokeLease{Lease: e.lease})
@@ -215,7 +215,8 @@
 	e.forgetLease()
 }
 
-// forgetLease clears the lease and its campaign state. Keys attached to the lease end with it in the store.
+// forgetLease clears the lease and its campaign state. The store deletes the keys attached to a lease when the lease
+// ends.
 func (e *Elector) forgetLease() { e.lease, e.campaignUnanswered = 0, false }
 
 // renewLease renews the lease when a renewal is due. Renewals may overlap: a late answer must not delay the next
@@ -242,7 +243,7 @@
 		return
 	}
 	if e.lease > 0 {
-		e.revokeLease() // too old to start a term with
+		e.revokeLease() // the lease is too old to start a term with
 	}
 	e.requestingLease = true
 	e.emit(RequestLease{TTL: e.ttl})
--- a/internal/election/elector_test.go
+++ b/internal/election/elector_test.go
@@ -20,8 +20,9 @@
 }
 
 // A process that restarts within a fraction of a second, and whose own campaign got no answer, may observe the leader
-// key that its former incarnation created. That term does not belong to the new incarnation, whose leader knows nothing
-// about it. A term from the new incarnation's own campaign, if it was executed after all, does.
+// key that its former incarnation created. The term of that key does not belong to the new incarnation, whose leader
+// knows nothing about the term. If the new incarnation's own campaign was executed after all, the new incarnation does
+// acquire the term of this campaign.
 func TestTermOfFormerIncarnationIsNotAcquired(t *testing.T) {
 	self := Record{Controller: "n0", Incarnation: 2}
 	e := New(self, 3*clock.Second)
@@ -29,13 +30,13 @@
 	e.Step(1000, LeaseGranted{Lease: 9, SentAt: 500})
 	e.Step(2000, CampaignResult{Lease: 9, Err: store.ErrOutcomeUnknown})
 	if got := acquiredTerm(e.Step(3000, LeaderKeyObserved{Version: 6, Record: Record{Controller: "n0", Incarnation: 1}, Revision: 6})); got != 0 {
-		t.Errorf("acquired term %d of a former incarnation", got)
+		t.Errorf("acquired term %d of a former incarnation, want no term", got)
 	}
 	if e.Term() != 0 {
-		t.Error("leads after observing the key of a former incarnation")
+		t.Error("controller leads after it observed the key of a former incarnation")
 	}
 	if got := acquiredTerm(e.Step(4000, LeaderKeyObserved{Version: 8, Record: self, Revision: 8})); got != 8 {
-		t.Errorf("acquired term %d, want 8 from its own unanswered campaign", got)
+		t.Errorf("acquired term %d, want 8 from the incarnation's own unanswered campaign", got)
 	}
 }
 
@@ -54,8 +55,8 @@
 	}
 }
 
-// A campaign without an answer may be executed after its lease was replaced by another one. The key is then attached
-// to a lease that is not renewed, so it must not start a term that renewals of the new lease extend.
+// A campaign without an answer may be executed after its lease was replaced by another lease. The leader key is then
+// attached to a lease that is not renewed, so the key must not start a term that renewals of the new lease extend.
 func TestLateCampaignUnderEarlierLeaseStartsNoTerm(t *testing.T) {
 	self := Record{Controller: "n0", Incarnation: 1}
 	e := New(self, 3*clock.Second)
@@ -67,16 +68,16 @@
 	e.Step(2010*clock.Millisecond, LeaseGranted{Lease: 10, SentAt: 2 * clock.Second})
 	effects := e.Step(2020*clock.Millisecond, LeaderKeyObserved{Version: 6, Record: self, Revision: 6})
 	if got := acquiredTerm(effects); got != 0 {
-		t.Errorf("acquired term %d, which ends with lease 9", got)
+		t.Errorf("acquired term %d, want none, because its key may be attached to lease 9", got)
 	}
 	if !slices.Contains(effects, Effect(RevokeLease{Lease: 10})) {
-		t.Error("does not revoke the lease that the key may be attached to")
+		t.Error("lease 10 not revoked although the leader key could be attached to it")
 	}
 	// The key was deleted. A new campaign that is answered starts a term.
 	e.Step(4*clock.Second, LeaderKeyObserved{Revision: 7})
 	e.Step(4010*clock.Millisecond, LeaseGranted{Lease: 11, SentAt: 4 * clock.Second})
 	if got := acquiredTerm(e.Step(4020*clock.Millisecond, CampaignResult{Lease: 11, Result: store.TxnResult{Committed: true, Revision: 8}})); got != 8 {
-		t.Errorf("acquired term %d, want 8", got)
+		t.Errorf("acquired term %d from the new campaign, want 8", got)
 	}
 }
 
@@ -87,10 +88,10 @@
 	e.Step(1000, LeaseGranted{Lease: 9, SentAt: 500})
 	e.Step(2000, CampaignResult{Lease: 9, Result: store.TxnResult{Committed: true, Revision: 6}})
 	if e.Step(3000, LeaderKeyObserved{Revision: 5}); e.Term() != 6 {
-		t.Error("leadership lost because of an observation from before the term")
+		t.Error("leadership lost because of an observation from before the term, want it kept")
 	}
 	if e.Step(4000, LeaderKeyObserved{Revision: 7}); e.Term() != 0 {
-		t.Error("still leads after its key was deleted")
+		t.Error("controller still leads after its key was deleted")
 	}
 }
 
@@ -120,7 +121,7 @@
 		}
 		collectRenewals(now, e.Step(now, Tick{}))
 		if e.Term() != 6 {
-			t.Fatalf("leadership lost after %g s", now.Seconds())
+			t.Fatalf("leadership lost after %g s, want it kept by overlapping renewals", now.Seconds())
 		}
 	}
 }
--- a/internal/election/messages.go
+++ b/internal/election/messages.go
@@ -39,7 +39,7 @@
 	Err    error
 }
 
-// Resign ends this controller's term early if it is the given one.
+// Resign ends the controller's leadership early if the controller leads Term.
 type Resign struct{ Term cluster.Term }
 
 // Tick is sent periodically, for work that depends on time.
@@ -78,7 +78,7 @@
 // AcquireLeadership starts a term of this controller.
 type AcquireLeadership struct {
 	Term      cluster.Term
-	ExpiresAt clock.Micros // the leader may act until then, unless the time is extended
+	ExpiresAt clock.Micros // the leader may act until then, or longer after an ExtendLeadership
 }
 
 // ExtendLeadership extends the time until which the leader may act.
--- a/internal/pausedetect/detector.go
+++ b/internal/pausedetect/detector.go
@@ -6,8 +6,8 @@
 
 import "swiftledge/internal/clock"
 
-// Threshold is the time between two messages of an actor from which on it counts as paused. Without a pause, the actor
-// gets several Ticks per second.
+// Threshold is the time between two messages of an actor from which on the actor counts as paused. Without a pause, the
+// actor gets several Ticks per second.
 const Threshold = 2 * clock.Second
 
 // Detector detects pauses of one actor. The zero value is ready for the first message.
@@ -27,6 +27,6 @@
 	return pauseStart, true
 }
 
-// ExcludePause returns the time from which silence since a given time is to be counted. This is not before the end of
-// the last pause, because messages that were sent during a pause are read only after it.
+// ExcludePause returns the time from which silence since a given time is to be counted. The returned time is not before
+// the end of the last pause, because messages that were sent during a pause are read only after the pause.
 func (d *Detector) ExcludePause(since clock.Micros) clock.Micros { return max(since, d.lastPauseEnd) }
--- a/internal/pausedetect/detector_test.go
+++ b/internal/pausedetect/detector_test.go
@@ -16,7 +16,7 @@
 	}
 	detectedStart, paused := d.Observe(20 * clock.Second)
 	if !paused || detectedStart != pauseStart {
-		t.Errorf("paused %v from %v, want true from %v", paused, detectedStart, pauseStart)
+		t.Errorf("pause detected: %v, from %v; want true, from %v", paused, detectedStart, pauseStart)
 	}
 	for since, want := range map[clock.Micros]clock.Micros{
 		8 * clock.Second:  20 * clock.Second, // counted from the end of the pause
--- a/internal/pausedetect/recorder.go
+++ b/internal/pausedetect/recorder.go
@@ -29,14 +29,14 @@
 	return strings.Join(expired, ", ")
 }
 
-// Recorder merges the reports of a pause by the actors of a process into one pause and keeps the last one.
+// Recorder merges the reports of a pause by the actors of a process into one pause and keeps the last merged pause.
 type Recorder struct {
 	openPause *Pause // the pause being collected; nil without one
 	last      Pause
 	count     int // pauses so far
 }
 
-// Add merges the report of one actor and returns whether it is the first of a pause.
+// Add merges the report of one actor into the pause being collected. It returns whether the report starts a new pause.
 func (r *Recorder) Add(p Pause) (first bool) {
 	if r.openPause == nil {
 		r.openPause = &p
--- a/internal/peer/attempt_page.go
+++ b/internal/peer/attempt_page.go
@@ -30,8 +30,8 @@
 // numbersPerRecord is the number of elements of AttemptGroup.Attempts that encode one record.
 const numbersPerRecord = 3
 
-// AttemptGroup holds the attempt records of one job. It includes the resources of the job's tasks, so that they are
-// accounted for in full even when the job is no longer known.
+// AttemptGroup holds the attempt records of one job. The group includes the resources of the job's tasks, so that these
+// resources are accounted for in full even when the job is no longer known.
 type AttemptGroup struct {
 	_msgpack    struct{} `msgpack:",as_array"`
 	Job         string   `json:"j"`
--- a/internal/peer/attempt_pager_test.go
+++ b/internal/peer/attempt_pager_test.go
@@ -23,10 +23,10 @@
 	}
 	page := pager.Page()
 	if raw, err := json.Marshal(page); err != nil || len(raw) > maxBytes {
-		t.Errorf("page takes %d bytes, error %v; want at most maxBytes", len(raw), err)
+		t.Errorf("JSON of the page takes %d bytes, error %v; want at most maxBytes", len(raw), err)
 	}
 	if pager.Len() != len(want) || len(want) < 20 || page.Prefix != "host-0000" || page.FencingToken != token {
-		t.Errorf("pager has %d of %d records, page %+v", pager.Len(), len(want), page)
+		t.Errorf("pager has %d of %d added records and page %+v, want all of at least 20 records, prefix host-0000 and the token", pager.Len(), len(want), page)
 	}
 	if got, err := page.Records(&page.Groups[0]); err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("decoded records %+v, error %v; want %+v", got, err, want)
--- a/internal/peer/frame.go
+++ b/internal/peer/frame.go
@@ -25,8 +25,8 @@
 	Watch(ctx context.Context, prefix string, after uint64, blockFor clock.Micros) (wire.WatchResponse, error)
 }
 
-// frame is the value of a store key: one chunk of the byte stream of a connection. The sender overwrites it with the
-// next frame after the other side has acknowledged it.
+// frame is the value of a store key: one chunk of the byte stream of a connection. The sender overwrites a frame with
+// the next frame after the other side has acknowledged the chunk.
 type frame struct {
 	Connection   uint64 `json:"c"` // ID chosen by the side that opened the connection
 	FromOpener   bool   `json:"o,omitempty"`
@@ -37,7 +37,7 @@
 }
 
 // opensConnection reports whether the frame is the first of a connection. Any other frame of an unknown connection is
-// left over from an earlier one.
+// left over from an earlier connection.
 func (f *frame) opensConnection() bool {
 	return f.FromOpener && f.Sequence == 1 && f.Acknowledged == 0 && !f.End
 }
@@ -75,7 +75,7 @@
 	return true
 }
 
-// readVersion reads the version of the key, which is 0 if the key does not exist. It returns whether that succeeded.
+// readVersion reads the version of the key, which is 0 if the key does not exist. It returns false if the read failed.
 func (w *frameWriter) readVersion(ctx context.Context) bool {
 	item, err := w.store.Get(ctx, store.PriorityAttempts, w.key)
 	if err != nil && !errors.Is(err, store.ErrNotFound) {
--- a/internal/peer/frame_test.go
+++ b/internal/peer/frame_test.go
@@ -8,7 +8,7 @@
 )
 
 // Frames must be readable by both versions during an upgrade: testdata/frame.json is a frame that the version in
-// production (deploy/service.toml) wrote, and productionFrame is the type that it decodes frames into.
+// production (deploy/service.toml) wrote, and productionFrame is the type that this version decodes frames into.
 func TestFrameCompatibleAcrossVersions(t *testing.T) {
 	type productionFrame struct {
 		Connection   uint64 `json:"c"`
@@ -28,13 +28,13 @@
 	}
 	want := frame{Connection: 77, FromOpener: true, Sequence: 3, Acknowledged: 2, Data: []byte("abc"), End: true}
 	if !reflect.DeepEqual(current, want) {
-		t.Errorf("frame of the production version is decoded as %+v", current)
+		t.Errorf("decoded frame of the production version is %+v, want the fields of testdata/frame.json", current)
 	}
 	if raw, err = json.Marshal(current); err != nil {
 		t.Fatal(err)
 	}
 	var decoded productionFrame
 	if err := json.Unmarshal(raw, &decoded); err != nil || !reflect.DeepEqual(decoded, productionFrame(current)) {
-		t.Errorf("the production version decodes our frame as %+v, error %v", decoded, err)
+		t.Errorf("production version decoded our frame as %+v, error %v; want the fields of our frame", decoded, err)
 	}
 }
--- a/internal/peer/from_leader.go
+++ b/internal/peer/from_leader.go
@@ -15,7 +15,7 @@
 	FencingTokens map[int]wire.FencingToken // of the renewed shard leases, by shard
 	Grants        []ShardGrant
 	Orders        []ShardOrders
-	Holders       []string // by shard: the controller that answers heartbeats of its machines
+	Holders       []string // by shard: the controller that answers the heartbeats of the shard's machines
 	TaskCounts    []TaskCount
 	Types         []wire.MachineType
 	StoreOK       bool // with RenewedSeq: the store is available to the leader
@@ -43,14 +43,14 @@
 	Shard        int
 	FencingToken wire.FencingToken
 	Offers       []TaskOffer
-	OfferSeq     uint64 // sequence number of the offers, if any; the holder returns it in SettledOfferSeq
+	OfferSeq     uint64 // sequence number of the offers, if any; see ShardUpdate.SettledOfferSeq
 	Stop         []StopTask
-	Persisted    []Task   // tasks whose completion is persisted: the holder may forget them
+	Persisted    []Task   // tasks whose completion is stored: the holder may forget their attempts
 	Added        []string // machines that were added to the inventory
-	Drain        []string // machines to drain
+	Drain        []string // machines to drain: no more tasks are placed on them
 	Terminated   []string // machines that are proven to be terminated
-	Exclude      []string // machines to exclude from scheduling
-	Include      []string // machines to include in scheduling again
+	Exclude      []string // machines to exclude from scheduling: no tasks are placed on them until they are included
+	Include      []string // excluded machines that are included in scheduling again: tasks may be placed on them
 }
 
 // TaskOffer offers tasks of one job to the holder of a shard.
--- a/internal/peer/handshake.go
+++ b/internal/peer/handshake.go
@@ -30,7 +30,7 @@
 
 // LinkError reports that a link to a leader could not be established.
 type LinkError struct {
-	Leader string // its address, or its name if the link uses the store transport
+	Leader string // the leader's address, or the leader's name if the link uses the store transport
 	Term   cluster.Term
 	Err    error
 }
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -10,7 +10,7 @@
 )
 
 // sendBacklog is the number of messages that may be queued for a peer. In a cluster of thousands of machines, fewer
-// messages than that are sent within writeTimeout.
+// messages than sendBacklog are sent within writeTimeout.
 const sendBacklog = 1024
 
 // HolderLink is the leader's end of a link to a holder.
@@ -94,8 +94,8 @@
 	}
 }
 
-// receive calls handle for every message until the link is closed. It returns after the goroutine that writes has
-// ended.
+// receive calls handle for every message until the link is closed. It returns after the goroutine that writes to the
+// connection has ended.
 func (e *endpoint[Out, In]) receive(handle func(*In)) {
 	defer e.writer.Wait()
 	defer e.Close()
--- a/internal/peer/link_test.go
+++ b/internal/peer/link_test.go
@@ -12,14 +12,15 @@
 // leaderTerm is the term that the servers in these tests lead.
 const leaderTerm cluster.Term = 7
 
-// linkEvents holds the calls of a Server's callbacks.
+// linkEvents has a channel for each callback of a Server. Each invocation of the callback sends on its channel.
 type linkEvents struct {
 	connected    chan *HolderLink
 	received     chan ToLeader
 	disconnected chan *HolderLink
 }
 
-// serveLeader starts a leader on loopback. It returns its address and the calls of its callbacks.
+// serveLeader starts a Server that leads leaderTerm on the loopback interface. It returns the server's address and the
+// channels on which the invocations of the server's callbacks are sent.
 func serveLeader(t *testing.T) (string, linkEvents) {
 	t.Helper()
 	events := linkEvents{make(chan *HolderLink, 1), make(chan ToLeader, 1), make(chan *HolderLink, 1)}
@@ -56,11 +57,11 @@
 		t.Fatal(err)
 	}
 	if link.Peer.Controller != "c0" || link.Peer.Incarnation != 3 || link.ViaStore() {
-		t.Errorf("holder is linked to %+v, want c0 over TCP", link.Peer)
+		t.Errorf("holder was linked to %+v, want incarnation 3 of c0 over TCP", link.Peer)
 	}
 	holder := <-events.connected
 	if holder.Peer.Controller != "c1" || holder.Peer.Incarnation != 4 {
-		t.Errorf("leader is linked to %+v, want c1", holder.Peer)
+		t.Errorf("leader was linked to %+v, want incarnation 4 of c1", holder.Peer)
 	}
 	link.Send(&ToLeader{Term: leaderTerm, RenewSeq: 5})
 	if message := <-events.received; message.RenewSeq != 5 {
@@ -74,7 +75,7 @@
 		link.Close() // ends Receive
 	})
 	if closed := <-events.disconnected; closed != holder {
-		t.Error("a link other than the holder's was reported as closed")
+		t.Error("Disconnected was called for another link than Connected")
 	}
 }
 
@@ -89,7 +90,7 @@
 	}
 	link.writer.Wait()
 	if err := linkEnd.SetDeadline(time.Time{}); err == nil {
-		t.Error("connection is still open after the link was closed")
+		t.Error("connection still open after its link was closed")
 	}
 }
 
@@ -107,7 +108,7 @@
 	_, err := Dial(address, Hello{Controller: "c1", Term: leaderTerm + 1})
 	var linkError *LinkError
 	if !errors.Is(err, ErrNotLeading) || !errors.As(err, &linkError) || linkError.Leader != address || linkError.Term != 8 {
-		t.Errorf("dial for a term that the controller does not lead: %v", err)
+		t.Errorf("dial for term 8, which the controller does not lead: error %v, want ErrNotLeading in a LinkError", err)
 	}
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -116,7 +117,7 @@
 	listener.Close()
 	_, err = Dial(listener.Addr().String(), Hello{Controller: "c1", Term: leaderTerm})
 	if err == nil || errors.Is(err, ErrNotLeading) || !errors.As(err, &linkError) {
-		t.Errorf("dial of a closed port: %v", err)
+		t.Errorf("dial of a closed port: error %v, want a LinkError other than ErrNotLeading", err)
 	}
 }
 
@@ -124,11 +125,12 @@
 	address, _ := serveLeader(t)
 	status, err := FetchStatus(address)
 	if err != nil || status.Controller != "c0" || status.Term != leaderTerm {
-		t.Errorf("fetched status %+v, error %v; want that of c0", status, err)
+		t.Errorf("fetched status %+v, error %v; want the status of c0 as leader of leaderTerm", status, err)
 	}
 }
 
-// A controller whose version does not support status requests refuses one like a request for a link.
+// A controller whose version does not support status requests takes a status request for a request for a link and
+// refuses it. FetchStatus reports this as ErrStatusUnsupported.
 func TestFetchStatusOfOldVersion(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,5 +1,6 @@
-// Package peer implements the protocol between controllers: msgpack messages over plain TCP, or in frames through the
-// store while two controllers cannot reach each other.
+// Package peer implements the protocol between controllers: msgpack messages over plain TCP. While two controllers
+// cannot reach each other directly, they are linked through the store: the messages are carried in frames, which are
+// values in the store.
 //
 // Shard holders dial the leader, which accepts links through a Server. A link carries FromLeader messages in one
 // direction and ToLeader messages in the other. A broken link is never resumed: the leader grants the shards again,
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -10,7 +10,8 @@
 )
 
 // Server serves connections from other controllers and from operators. A shard holder gets a link if this controller
-// leads the requested term, and an operator gets the controller's status. The functions are called concurrently.
+// leads the requested term, and an operator gets the controller's status. The functions are called concurrently for
+// different connections.
 type Server struct {
 	Controller  string
 	Incarnation cluster.Incarnation
--- a/internal/peer/status.go
+++ b/internal/peer/status.go
@@ -35,13 +35,14 @@
 	Expired []string     `msgpack:"expired" json:"expired"` // what expired during the pause, such as shard leases
 }
 
-// SuspectStatus describes a suspect job: its tasks fail on every machine.
+// SuspectStatus describes a suspect job: its tasks failed on several machines. Of such a job, single tasks are started
+// as probes, which show whether its tasks still fail.
 type SuspectStatus struct {
 	Job        string  `msgpack:"job" json:"job"`
 	Team       string  `msgpack:"team" json:"team"`
-	Machines   int     `msgpack:"machines" json:"failed_on_machines"`
-	Probes     int     `msgpack:"probes" json:"probes"` // tasks launched since the job became suspect
-	NextProbeS float64 `msgpack:"next_s" json:"next_probe_s"`
+	Machines   int     `msgpack:"machines" json:"failed_on_machines"` // number of machines on which its tasks failed
+	Probes     int     `msgpack:"probes" json:"probes"`               // number of probes since the job became suspect
+	NextProbeS float64 `msgpack:"next_s" json:"next_probe_s"`         // seconds until the next probe may start
 }
 
 // ShardStatus describes a shard and its machines.
@@ -73,10 +74,10 @@
 // TeamStatus describes the resource usage and the waiting tasks of a team.
 type TeamStatus struct {
 	Team           string  `msgpack:"team" json:"team"`
-	CPUs           float64 `msgpack:"cpus" json:"cpus_held"`
-	Limit          float64 `msgpack:"limit" json:"cpus_limit"`
-	Waiting        int     `msgpack:"waiting" json:"waiting"`
-	WaitingAtLimit int     `msgpack:"at_limit" json:"waiting_at_limit"` // waiting tasks that the team's limit blocks
+	CPUs           float64 `msgpack:"cpus" json:"cpus_held"`            // CPUs that the team uses
+	Limit          float64 `msgpack:"limit" json:"cpus_limit"`          // limit of the team's CPUs; 0: none
+	Waiting        int     `msgpack:"waiting" json:"waiting"`           // waiting tasks of the team
+	WaitingAtLimit int     `msgpack:"at_limit" json:"waiting_at_limit"` // those that would exceed the team's limit
 }
 
 // MigrationStatus describes a migration in flight.
@@ -95,15 +96,15 @@
 type RefusalStatus struct {
 	Machine string `msgpack:"machine" json:"machine,omitempty"`
 	Reason  string `msgpack:"reason" json:"reason"`
-	Task    string `msgpack:"task" json:"task,omitempty"` // example of the affected tasks
-	Tasks   int    `msgpack:"tasks" json:"tasks"`
+	Task    string `msgpack:"task" json:"task,omitempty"` // an example of the tasks that were not migrated
+	Tasks   int    `msgpack:"tasks" json:"tasks"`         // number of tasks that were not migrated
 }
 
 // MigrationOutcomes counts migrations by outcome.
 type MigrationOutcomes struct {
-	Begun     int `msgpack:"begun" json:"begun"`
-	Arrived   int `msgpack:"arrived" json:"arrived"`
-	Elsewhere int `msgpack:"elsewhere" json:"elsewhere"`
-	Cancelled int `msgpack:"cancelled" json:"cancelled"`
-	GivenUp   int `msgpack:"given_up" json:"given_up"`
+	Begun     int `msgpack:"begun" json:"begun"`         // migrations that were started
+	Arrived   int `msgpack:"arrived" json:"arrived"`     // the task runs on the target machine
+	Elsewhere int `msgpack:"elsewhere" json:"elsewhere"` // the task runs on another machine
+	Cancelled int `msgpack:"cancelled" json:"cancelled"` // the task or its job ended, or the job was cancelled
+	GivenUp   int `msgpack:"given_up" json:"given_up"`   // the migration timed out
 }
--- a/internal/peer/status_request.go
+++ b/internal/peer/status_request.go
@@ -24,7 +24,7 @@
 // StatusError reports a failed request for the status of a controller.
 type StatusError struct {
 	Address    string
-	Controller string // its name from the answer; "" without an answer
+	Controller string // the controller's name from its answer; "" without an answer
 	Err        error
 }
 
--- a/internal/peer/store_connection.go
+++ b/internal/peer/store_connection.go
@@ -12,14 +12,14 @@
 const (
 	// chunkBytes is the maximum size of one read from the local connection.
 	chunkBytes = 4096
-	// localBacklog and remoteBacklog are the numbers of chunks that may be queued between the local connection and the
-	// goroutine of run: those read from the connection, and those to be written to it.
+	// localBacklog is the number of chunks that may be queued after they were read from the local connection.
+	// remoteBacklog is the number of chunks from the other side that may be queued for writing to the local connection.
 	localBacklog  = 16
 	remoteBacklog = 64
 	// resendAfterIntervals is the number of frame intervals after which an unacknowledged frame is written again.
 	resendAfterIntervals = 3
-	// maxEndWrites is the maximum number of tries to write the end of a connection. Without the end, the other side
-	// would detect the closed connection only after storeTimeout.
+	// maxEndWrites is the maximum number of tries to write the frame that ends a connection. Without this frame, the
+	// other side would detect the closed connection only after storeTimeout.
 	maxEndWrites = 8
 	// maxEndBackoffDoublings bounds the growth of the backoff between these tries.
 	maxEndBackoffDoublings = 2
@@ -27,10 +27,11 @@
 	ticksPerInterval = 4
 )
 
-// storeConnection is one connection whose bytes are carried in frames. The goroutine of run owns its state.
+// storeConnection is one connection whose bytes are carried in frames. The user of the connection reads and writes
+// these bytes on the local connection, a pipe. The goroutine of run owns the state of the storeConnection.
 type storeConnection struct {
 	transport *StoreTransport
-	conn      net.Conn // our end of the pipe; the user of the connection has the other end
+	conn      net.Conn // this side's end of the local connection; the user has the other end
 	remote    string   // name of the other controller
 	id        uint64   // chosen by the side that opened the connection
 	incoming  chan frame
--- a/internal/peer/store_transport.go
+++ b/internal/peer/store_transport.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	// FrameInterval is the usual minimum time between two frames of a connection, since each costs a write to the store.
+	// FrameInterval is the usual minimum time between two frames of a connection. Each frame costs a write to the store.
 	FrameInterval = time.Second
 	// frameOverheadBytes is an upper bound for the JSON size of a frame without its data.
 	frameOverheadBytes = 200
@@ -28,7 +28,7 @@
 )
 
 // StoreTransport carries connections between controllers through the store while they cannot reach each other
-// directly. It is slow and costs writes, but without it the machines of all followers would be idle.
+// directly. The transport is slow and costs writes, but without it the machines of all followers would be idle.
 type StoreTransport struct {
 	controller   string // this controller's name
 	store        FrameStore
@@ -85,7 +85,7 @@
 	return openLink(conn, leader, hello, TransportStore)
 }
 
-// Open opens a connection to another controller, which lasts until it is closed or Run ends. Whether the other
+// Open opens a connection to another controller. The connection lasts until it is closed or Run ends. Whether the other
 // controller is available is unknown until it answers.
 func (t *StoreTransport) Open(controller string) net.Conn {
 	transportEnd, callerEnd := net.Pipe()
@@ -119,7 +119,7 @@
 	defer goroutines.Wait()
 	defer close(t.stopped)
 	goroutines.Go(func() { t.watchFrames(ctx) })
-	connections := map[string]*storeConnection{} // the latest of each remote controller, by its name
+	connections := map[string]*storeConnection{} // by remote controller: the latest one
 	startConnection := func(connection *storeConnection) {
 		connections[connection.remote] = connection
 		goroutines.Go(func() { connection.run(ctx) })
@@ -154,8 +154,8 @@
 	}
 }
 
-// watchFrames receives frames until ctx ends. It ignores frames that were written before it began to watch. Senders
-// that still wait for an acknowledgement write those again.
+// watchFrames receives frames until ctx ends. It ignores frames that were written before it began to watch. A sender
+// that still waits for an acknowledgement writes its frame again.
 func (t *StoreTransport) watchFrames(ctx context.Context) {
 	for failures := 0; ctx.Err() == nil; failures++ {
 		if t.receiveFrames(ctx) {
--- a/internal/peer/store_transport_test.go
+++ b/internal/peer/store_transport_test.go
@@ -123,7 +123,7 @@
 	opening, accepting := newTestTransport("n1", memory), newTestTransport("n0", memory)
 	accepted := make(chan net.Conn, 2)
 	go accepting.Run(t.Context(), func(conn net.Conn) { accepted <- conn })
-	go opening.Run(t.Context(), func(net.Conn) { t.Error("the accepting controller opened a connection to the opening one") })
+	go opening.Run(t.Context(), func(net.Conn) { t.Error("opening controller accepted a connection, want none to it") })
 	request, answer := randomBytes(40000), randomBytes(30000)
 	for range 2 { // the second connection replaces the first
 		openerEnd := opening.Open("n0")
@@ -142,11 +142,11 @@
 		expectBytes(t, openerEnd, answer)
 		openerEnd.Close()
 		if n, err := acceptorEnd.Read(make([]byte, 1)); err == nil {
-			t.Errorf("read %d bytes after the other side closed the connection", n)
+			t.Errorf("read %d bytes after the other side closed the connection, want an error", n)
 		}
 	}
 	if n := memory.largestValue(); n > maxValueBytes {
-		t.Errorf("largest value takes %d bytes, want at most maxValueBytes", n)
+		t.Errorf("largest value took %d bytes, want at most maxValueBytes", n)
 	}
 }
 
@@ -167,7 +167,7 @@
 	stop()
 	<-ended
 	if _, err := connection.Read(make([]byte, 1)); err == nil {
-		t.Error("connection is still open after the end of the transport")
+		t.Error("connection still open after the end of the transport")
 	}
 	if _, err := transport.Open("n0").Read(make([]byte, 1)); err == nil {
 		t.Error("connection was opened after the end of the transport")
@@ -187,6 +187,6 @@
 	t.Helper()
 	got := make([]byte, len(want))
 	if _, err := io.ReadFull(conn, got); err != nil || !bytes.Equal(got, want) {
-		t.Fatalf("received bytes differ from the sent ones, read error %v", err)
+		t.Fatalf("received bytes differ from the sent bytes or are incomplete, read error %v", err)
 	}
 }
--- a/internal/peer/to_leader.go
+++ b/internal/peer/to_leader.go
@@ -26,10 +26,12 @@
 
 // ShardUpdate holds the changes in a shard.
 type ShardUpdate struct {
-	_msgpack        struct{} `msgpack:",as_array"`
-	Shard           int
-	FencingToken    wire.FencingToken
-	SettledOfferSeq uint64 // OfferSeq of the latest settled offers
+	_msgpack     struct{} `msgpack:",as_array"`
+	Shard        int
+	FencingToken wire.FencingToken
+	// SettledOfferSeq is the OfferSeq of the latest settled offers. An offer is settled once no attempt record of its
+	// tasks is being written any more.
+	SettledOfferSeq uint64
 	Events          []TaskEvent
 	Machines        []MachineState
 	NeedsRegrant    bool // a new grant is needed, for example because a machine has reported a newer fencing token
@@ -41,11 +43,11 @@
 // Kinds of task events.
 const (
 	EventCompleted EventKind = "done"     // the task completed
-	EventReleased  EventKind = "back"     // the task is on no machine of the shard
+	EventReleased  EventKind = "back"     // returned to the leader: the task is on no machine of the shard
 	EventAssigned  EventKind = "started"  // the task was assigned to a machine and is to be launched there
 	EventRunning   EventKind = "running"  // the task has its image and runs
 	EventFailed    EventKind = "errored"  // the task failed and is no longer on the machine
-	EventUnplaced  EventKind = "unplaced" // no machine has enough free capacity for the task
+	EventUnplaced  EventKind = "unplaced" // not placed, for example because no machine has enough free capacity
 	// EventAttemptRemains precedes an EventCompleted that does not end the last attempt of the task: another attempt
 	// may be running in the shard, and its end will be reported. The version in production neither sends nor recognizes
 	// this event.
--- a/internal/peer/transport.go
+++ b/internal/peer/transport.go
@@ -13,7 +13,8 @@
 const (
 	// TransportTCP is a direct TCP connection.
 	TransportTCP Transport = iota
-	// TransportStore carries the bytes in frames through the store. A message takes seconds.
+	// TransportStore carries the bytes in frames through the store, for controllers that cannot reach each other
+	// directly. A message takes seconds.
 	TransportStore
 )
 
--- a/internal/peer/transport_test.go
+++ b/internal/peer/transport_test.go
@@ -29,7 +29,7 @@
 		}
 	}
 	if n := counter.deadlines; n < 3 {
-		t.Errorf("read deadline was set %d times for three chunks", n)
+		t.Errorf("read deadline was set %d times for three chunks, want at least 3", n)
 	}
 }
 
