--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -5,6 +5,6 @@
 // term is a higher number. 0 means no term.
 type Term uint64
 
-// Incarnation identifies one run of a controller's process, so that a process does not mistake anything from before
-// its start for its own.
+// Incarnation identifies one run of a controller's process, so that a process does not mistake what an earlier run has
+// created for its own.
 type Incarnation uint64
--- a/internal/controller/cloud_effects.go
+++ b/internal/controller/cloud_effects.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// enqueue queues a request without blocking. If the queue is full, the request is dropped, and the leader repeats it
-// later.
+// enqueue queues a request without blocking. If the queue is full, the request is dropped, and the leader repeats
+// the request later.
 func (w *cloudWorker) enqueue(request func(context.Context)) {
 	select {
 	case w.queue <- request:
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -105,7 +105,7 @@
 	}
 }
 
-// Serve runs the controller until the context ends or an error prevents it from serving. When it returns, all
+// Serve runs the controller until the context ends or an error prevents it from serving. When Serve returns, all
 // goroutines have ended and all listeners are closed. It returns nil if the context has ended.
 func (c *Controller) Serve(ctx context.Context) error {
 	peerListener, err := netio.Listen(c.cfg.PeerAddress)
--- a/internal/controller/leader_effects.go
+++ b/internal/controller/leader_effects.go
@@ -43,7 +43,7 @@
 }
 
 // commitForLeader commits a transaction. It discards the result if the term has ended, because the leader no longer
-// waits for it.
+// waits for the result.
 func (c *Controller) commitForLeader(ctx context.Context, request leader.CommitTxn) {
 	result, err := c.store.Commit(ctx, request.Priority, request.Txn)
 	if ctx.Err() != nil {
--- a/internal/controller/mailbox.go
+++ b/internal/controller/mailbox.go
@@ -24,8 +24,8 @@
 	return mailbox[M]{messages: make(chan M, size), stopped: make(chan struct{})}
 }
 
-// run is the main loop of the actor: it handles one message at a time until the context ends. It must be called only
-// once.
+// run is the main loop of the actor: it handles one message at a time until the context ends. run must be called
+// only once.
 func (m mailbox[M]) run(ctx context.Context, handle func(M)) {
 	defer close(m.stopped)
 	for {
--- a/internal/controller/store_health.go
+++ b/internal/controller/store_health.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// storeOutageThreshold is how long all requests to the store must fail before it counts as unavailable.
+// storeOutageThreshold is how long all requests to the store must fail before the store counts as unavailable.
 const storeOutageThreshold = 2 * time.Second
 
 // storeHealth derives from the results of requests whether the store is available. It is safe for concurrent use.
--- a/internal/election/elector.go
+++ b/internal/election/elector.go
@@ -45,7 +45,7 @@
 	formerCampaignUnanswered bool // a campaign under an earlier lease got no answer; the key may be attached to that lease
 	campaignRetryAt          clock.Micros
 
-	term          cluster.Term // this controller's own term; 0: it does not lead
+	term          cluster.Term // this controller's own term; 0: this controller does not lead
 	termExpiresAt clock.Micros // the leader must not act on its term from then on
 
 	effects []Effect // of the current Step
@@ -102,7 +102,7 @@
 			return
 		}
 		// The key may be attached to an earlier lease. Renewing the current lease would not keep such a key, and
-		// it would be deleted while this controller leads. So the current lease is revoked, which also deletes the
+		// the key would be deleted while this controller leads. So the current lease is revoked, which also deletes the
 		// key if it is attached to this lease.
 		e.revokeLease()
 	}
--- a/internal/election/elector_test.go
+++ b/internal/election/elector_test.go
@@ -47,11 +47,11 @@
 	e.Step(0, LeaderKeyObserved{Revision: 5})
 	e.Step(1000, LeaseGranted{Lease: 9, SentAt: 500})
 	if got := acquiredTerm(e.Step(2000, CampaignResult{Lease: 9, Result: store.TxnResult{Committed: true, Revision: 6}})); got != 6 {
-		t.Fatalf("acquired term %d, want 6", got)
+		t.Fatalf("acquired term %d from the committed campaign, want 6", got)
 	}
 	effects := e.Step(30*clock.Second, LeaseRenewed{Lease: 9, SentAt: 1 * clock.Second})
 	if _, ok := effects[0].(LoseLeadership); !ok || e.Term() != 0 {
-		t.Errorf("first effect %T, term %d, want leadership lost", effects[0], e.Term())
+		t.Errorf("first effect after the pause is %T, term %d; want LoseLeadership and no term", effects[0], e.Term())
 	}
 }
 
--- a/internal/pausedetect/recorder.go
+++ b/internal/pausedetect/recorder.go
@@ -7,8 +7,8 @@
 	"swiftledge/internal/clock"
 )
 
-// CollectionWindow is how long after the first report of a pause further reports are merged into it. Each actor detects
-// a pause only when it handles its next message.
+// CollectionWindow is how long after the first report of a pause further reports are merged with the first report. Each
+// actor detects a pause only when it handles its next message.
 const CollectionWindow = clock.Second
 
 // Pause is a period during which a process was paused.
@@ -31,7 +31,7 @@
 
 // Recorder merges the reports of a pause by the actors of a process into one pause and keeps the last merged pause.
 type Recorder struct {
-	openPause *Pause // the pause being collected; nil without one
+	openPause *Pause // the pause being collected; nil if there is none
 	last      Pause
 	count     int // pauses so far
 }
--- a/internal/peer/frame.go
+++ b/internal/peer/frame.go
@@ -11,7 +11,8 @@
 	"swiftledge/wire"
 )
 
-// FramePrefix is the prefix of the store keys that hold frames. The names of the receiver and the sender follow it.
+// FramePrefix is the prefix of the store keys that hold frames. The names of the receiver and the sender follow the
+// prefix.
 const FramePrefix = "mail/"
 
 // frameWriteTimeout bounds the write of one frame.
@@ -42,7 +43,7 @@
 	return f.FromOpener && f.Sequence == 1 && f.Acknowledged == 0 && !f.End
 }
 
-// frameWriter writes the frames of one direction of a connection. Each frame overwrites the previous one.
+// frameWriter writes the frames of one direction of a connection. Each frame overwrites the previous frame.
 type frameWriter struct {
 	store        FrameStore
 	key          string
--- a/internal/peer/from_leader.go
+++ b/internal/peer/from_leader.go
@@ -34,7 +34,7 @@
 // InventoryMachine is a machine of the persisted inventory.
 type InventoryMachine struct {
 	_msgpack      struct{} `msgpack:",as_array"`
-	Name, Address string   // Address is "" while it is unknown
+	Name, Address string   // Address is "" while the address is unknown
 }
 
 // ShardOrders holds the leader's requests to the holder of a shard.
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -46,7 +46,8 @@
 	writer    sync.WaitGroup
 }
 
-// start takes ownership of a connection whose handshake is complete and starts the goroutine that writes to it.
+// start takes ownership of a connection whose handshake is complete and starts the goroutine that writes to the
+// connection.
 func (e *endpoint[Out, In]) start(conn net.Conn, decoder *msgpack.Decoder, peer Hello, transport Transport) {
 	e.Peer, e.conn, e.decoder, e.transport = peer, conn, decoder, transport
 	e.outgoing, e.closed = make(chan *Out, sendBacklog), make(chan struct{})
--- a/internal/peer/link_test.go
+++ b/internal/peer/link_test.go
@@ -149,9 +149,9 @@
 	_, err = FetchStatus(listener.Addr().String())
 	var statusError *StatusError
 	if !errors.Is(err, ErrStatusUnsupported) || !errors.As(err, &statusError) || statusError.Controller != "c1" {
-		t.Errorf("error %v, want ErrStatusUnsupported of c1", err)
+		t.Errorf("status request failed with error %v, want ErrStatusUnsupported of c1", err)
 	}
 	if want := "status: c1 does not support status requests"; err.Error() != want {
-		t.Errorf("error %q, want %q", err, want)
+		t.Errorf("status request failed with error %q, want %q", err, want)
 	}
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -4,8 +4,8 @@
 //
 // Shard holders dial the leader, which accepts links through a Server. A link carries FromLeader messages in one
 // direction and ToLeader messages in the other. A broken link is never resumed: the leader grants the shards again,
-// with new fencing tokens. A link owns its connection and the goroutine that writes to it, and both end with the link.
-// The package makes no decisions: the caller determines who leads and how messages are handled.
+// with new fencing tokens. A link owns its connection and the goroutine that writes to the connection, and these end
+// with the link. The package makes no decisions: the caller determines who leads and how messages are handled.
 //
 // Messages are encoded as arrays of their fields, and the decoder rejects an array of another length. During an
 // upgrade, two versions communicate with each other, so these arrays must not change. wire.Job and wire.MachineType
--- a/internal/peer/status.go
+++ b/internal/peer/status.go
@@ -29,7 +29,7 @@
 
 // PauseStatus describes a process pause of a controller.
 type PauseStatus struct {
-	EndedAt clock.Micros `msgpack:"at" json:"ended_at_us"` // wall-clock time of its end
+	EndedAt clock.Micros `msgpack:"at" json:"ended_at_us"` // wall-clock time of the end of the pause
 	AgoS    float64      `msgpack:"ago_s" json:"ago_s"`
 	LengthS float64      `msgpack:"length_s" json:"length_s"`
 	Expired []string     `msgpack:"expired" json:"expired"` // what expired during the pause, such as shard leases
@@ -77,7 +77,7 @@
 	CPUs           float64 `msgpack:"cpus" json:"cpus_held"`            // CPUs that the team uses
 	Limit          float64 `msgpack:"limit" json:"cpus_limit"`          // limit of the team's CPUs; 0: none
 	Waiting        int     `msgpack:"waiting" json:"waiting"`           // waiting tasks of the team
-	WaitingAtLimit int     `msgpack:"at_limit" json:"waiting_at_limit"` // those that would exceed the team's limit
+	WaitingAtLimit int     `msgpack:"at_limit" json:"waiting_at_limit"` // waiting tasks that would exceed the team's limit
 }
 
 // MigrationStatus describes a migration in flight.
--- a/internal/peer/store_transport_test.go
+++ b/internal/peer/store_transport_test.go
@@ -170,7 +170,7 @@
 		t.Error("connection still open after the end of the transport")
 	}
 	if _, err := transport.Open("n0").Read(make([]byte, 1)); err == nil {
-		t.Error("connection was opened after the end of the transport")
+		t.Error("connection opened after the end of the transport, want it closed at once")
 	}
 }
 
--- a/internal/shard/attempt_log_test.go
+++ b/internal/shard/attempt_log_test.go
@@ -24,7 +24,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			if got := l.newPage(c.token).key; got != c.want {
-				t.Errorf("key %s, want %s", got, c.want)
+				t.Errorf("key of the new page is %s, want %s", got, c.want)
 			}
 		})
 	}
@@ -68,7 +68,7 @@
 	}
 	txn, err := second.Txn()
 	if err != nil || len(txn.Writes) != 1 || len(txn.Writes[0].Value) > h.params.MaxValueBytes {
-		t.Errorf("transaction of %d puts, error %v; want one put within the size limit", len(txn.Writes), err)
+		t.Errorf("transaction of the second cycle has %d puts, error %v; want one put within the size limit", len(txn.Writes), err)
 	}
 	// No answer: a copy of the write may still be executed, so the page must not be overwritten.
 	h.Step(now, second.Result(store.TxnResult{Ambiguous: true}))
@@ -90,13 +90,13 @@
 		for _, write := range effectsOf[WriteAttempts](h.Step(now, offer(seq, job, 250))) {
 			txn, err := write.Txn()
 			if err != nil || len(txn.Writes) > h.params.MaxTxnOps {
-				t.Fatalf("cycle %d: %d puts in a transaction, error %v", seq, len(txn.Writes), err)
+				t.Fatalf("cycle %d: transaction has %d puts, error %v; want at most MaxTxnOps", seq, len(txn.Writes), err)
 			}
 			launched = len(h.shards[0].log.pendingWrite.attempts)
 			h.Step(now, write.Result(store.TxnResult{Committed: true, Revision: 30 + seq}))
 		}
 		if launched != 250 {
-			t.Fatalf("cycle %d launched %d of 250 tasks, with %d pages in use", seq, launched, len(h.shards[0].log.pages))
+			t.Fatalf("cycle %d launched %d of 250 tasks with %d pages in use, want all tasks launched", seq, launched, len(h.shards[0].log.pages))
 		}
 	}
 }
--- a/internal/shard/commands_test.go
+++ b/internal/shard/commands_test.go
@@ -57,7 +57,7 @@
 	checkSize(t, reply.Body)
 	for i, c := range reply.Body.Commands {
 		if kill := i < len(stop); (c.Verb == wire.VerbKill) != kill {
-			t.Fatalf("command %d of %d is %s, want the kill commands first", i, len(reply.Body.Commands), c.Verb)
+			t.Fatalf("command %d of %d in the reply is %s, want the kill commands first", i, len(reply.Body.Commands), c.Verb)
 		}
 	}
 }
--- a/internal/shard/effects.go
+++ b/internal/shard/effects.go
@@ -50,7 +50,7 @@
 		Machine      string
 		Address      string
 	}
-	// WriteAttempts writes the attempt records of a placement cycle before its tasks are launched.
+	// WriteAttempts writes the attempt records of a placement cycle before the tasks of the cycle are launched.
 	// AttemptsWritten is its result.
 	WriteAttempts struct {
 		Shard        int
--- a/internal/shard/fencing.go
+++ b/internal/shard/fencing.go
@@ -8,7 +8,7 @@
 
 const (
 	// fenceInterval is how long a machine may take to confirm the fencing token, or to answer a command, before the
-	// token is sent to it, and the time between repeats.
+	// token is sent to the machine, and the time between repeats.
 	fenceInterval = 4 * clock.Second
 	// maxFencesPerGrant is the maximum number of a shard's machines that are sent the token right after a grant.
 	maxFencesPerGrant = 24
@@ -31,9 +31,9 @@
 	return fenceInterval
 }
 
-// fence sends a machine the fencing token without waiting for its heartbeat. A former holder that is partitioned from
-// the other controllers may keep answering the machine's heartbeats until its shard lease expires, but redirects the
-// agent as soon as the agent reports the newer token.
+// fence sends a machine the fencing token without waiting for the machine's heartbeat. A former holder that is
+// partitioned from the other controllers may keep answering the machine's heartbeats until the former holder's shard
+// lease expires, but redirects the agent as soon as the agent reports the newer token.
 //
 // Each machine has at most one request with the token in flight. Commands to unreachable machines take seconds to fail,
 // and thousands of such commands in the queue would delay the commands to all other machines.
@@ -77,7 +77,8 @@
 	}
 }
 
-// handleInspectionAnswered applies the status of an agent whose epoch was unknown, and sends it the fencing token.
+// handleInspectionAnswered applies the status of an agent whose epoch was unknown, and sends the agent the fencing
+// token.
 func (h *Holder) handleInspectionAnswered(now clock.Micros, answer InspectionAnswered) {
 	s, m := h.machineWithToken(answer.Request.Shard, answer.Request.FencingToken, answer.Request.Machine)
 	if m == nil {
--- a/internal/shard/fencing_test.go
+++ b/internal/shard/fencing_test.go
@@ -8,8 +8,8 @@
 	"swiftledge/wire"
 )
 
-// A new holder sends its token to the machines at once, because a partitioned former holder may answer their
-// heartbeats until its lease expires.
+// A new holder sends its token to the machines at once, because a partitioned former holder may answer the machines'
+// heartbeats until the former holder's lease expires.
 func TestFencesWithoutHeartbeat(t *testing.T) {
 	h := newTestHolder(t)
 	status := heartbeat("m1", 1, testToken-1, running(1)).Heartbeat
@@ -21,7 +21,7 @@
 		}
 	}
 	if !sent {
-		t.Fatalf("effects %+v, want the token sent to m1", effects)
+		t.Fatalf("effects %+v after the inspection, want the token sent to m1", effects)
 	}
 	h.Step(now, answered(heartbeat("m1", 2, testToken, running(1))))
 	if !h.shards[0].machines["m1"].fence.confirmed {
@@ -138,7 +138,7 @@
 
 // A confirmed task that is no longer listed within the same epoch was lost by a restarted agent under the same name.
 // That agent has also lost the token, so a late copy of the run command may start the task again. The task is not
-// returned to the leader before a higher token is confirmed, and the holder requests one.
+// returned to the leader before a higher token is confirmed, and the holder requests a higher token.
 func TestUnlistedConfirmedTaskRequestsRegrant(t *testing.T) {
 	h := newTestHolder(t)
 	h.Step(afterUpdateIntervals(1), heartbeat("m2", 1, testToken, running(2)))
--- a/internal/shard/held_shard.go
+++ b/internal/shard/held_shard.go
@@ -87,8 +87,8 @@
 	s.markChanged(a.machine)
 }
 
-// removeAttempt removes an attempt that is proven to have ended on its machine. If its end has not been reported and no
-// other attempt of the task remains, the task is returned to the leader.
+// removeAttempt removes an attempt that is proven to have ended on its machine. If the end of the attempt has not been
+// reported and no other attempt of the task remains, the task is returned to the leader.
 func (s *heldShard) removeAttempt(a *taskAttempt) {
 	s.reportEnd(a, peer.TaskEvent{Task: a.task, Kind: peer.EventReleased, Machine: a.machine.name})
 	a.releaseRecord()
--- a/internal/shard/holder.go
+++ b/internal/shard/holder.go
@@ -1,15 +1,15 @@
 // Package shard implements the role of a controller as a holder of shard leases. A shard is a fixed subset of the
 // machines. The leader grants the lease of a shard, under a fencing token, to one controller at a time.
 //
-// The Holder owns the state of the machines in its shards and of the task attempts on them. It answers the heartbeats
-// of their agents, sends them commands, places the tasks offered by the leader by auction, and writes a write-ahead
-// record of each attempt to the store before it sends the run command. It takes a Message and the current time and
-// returns Effects, which the caller carries out in order.
+// The Holder owns the state of the machines in its shards and of the task attempts on these machines. It answers the
+// heartbeats of the machines' agents, sends the agents commands, places the tasks offered by the leader by auction, and
+// writes a write-ahead record of each attempt to the store before it sends the run command. It takes a Message and the
+// current time and returns Effects, which the caller carries out in order.
 //
 // The package does no I/O and starts no goroutines. To return a task to the leader, or to release it, is to report that
-// the task is on no machine of the shard, so that the leader can dispatch it again. This is never done while an attempt
-// of the task may still run. An attempt is proven to have ended by its agent's status, by the expiry of the agent's
-// lease, or by a higher fencing token.
+// the task is on no machine of the shard, so that the leader can dispatch it again. A Holder never does so while an
+// attempt of the task may still run. An attempt is proven to have ended by its agent's status, by the expiry of the
+// agent's lease, or by a higher fencing token.
 package shard
 
 import (
@@ -65,8 +65,8 @@
 	effects         []Effect                // of the current Step
 }
 
-// New returns a Holder without shards. The result of storeOK is reported to the leader, which uses it to tell whether
-// the store fails for one controller or for all.
+// New returns a Holder without shards. The result of storeOK is reported to the leader, which uses the result to tell
+// whether the store fails for one controller or for all controllers.
 func New(params Params, placementParams placement.Params, storeOK func() bool) *Holder {
 	return &Holder{
 		params:          params,
@@ -173,7 +173,8 @@
 	return s, s.machines[name]
 }
 
-// dropShard drops a shard whose machines or store key show a newer token, which makes its state here obsolete.
+// dropShard drops a shard whose machines or store key show a newer token, which makes the state in this Holder
+// obsolete.
 func (h *Holder) dropShard(s *heldShard) {
 	h.requestRegrant(s)
 	delete(h.shards, s.id)
--- a/internal/shard/launch_test.go
+++ b/internal/shard/launch_test.go
@@ -97,9 +97,9 @@
 	}
 }
 
-// The agent lease of a machine expires, or the machine is terminated, while an attempt record for it is being
-// written. The task must not be returned to the leader before the write ends, because it could also be launched if
-// the agent sends heartbeats again.
+// The agent lease of a machine expires, or the machine is terminated, while an attempt record for the machine is being
+// written. The task must not be returned to the leader before the write ends, because the task could also be launched
+// if the agent sends heartbeats again.
 func TestAgentLeaseExpiryKeepsRecordingAttempts(t *testing.T) {
 	h := newTestHolder(t)
 	h.Step(now, heartbeat("m1", 1, testToken))
@@ -145,7 +145,7 @@
 }
 
 // Sending a command costs a controller more than answering a heartbeat. An overloaded controller lets the next reply
-// carry a run command. Any other controller sends it at once.
+// carry a run command. Any other controller sends the run command at once.
 func TestLaunchesDeferredToHeartbeatsUnderOverload(t *testing.T) {
 	const onTime, late = lateTickThreshold / 2, 2 * lateTickThreshold
 	for _, c := range []struct {
--- a/internal/shard/messages.go
+++ b/internal/shard/messages.go
@@ -6,7 +6,7 @@
 	"swiftledge/wire"
 )
 
-// Message is an input of a Holder, which handles one at a time.
+// Message is an input of a Holder. A Holder handles one Message at a time.
 //
 //sumtype:decl
 type Message interface{ shardMessage() }
--- a/internal/shard/pause_test.go
+++ b/internal/shard/pause_test.go
@@ -24,7 +24,7 @@
 	}
 	for _, m := range s.machineOrder {
 		if m.silent {
-			t.Errorf("%s counted as silent right after the pause", m.name)
+			t.Errorf("%s counted as silent right after the pause, want silence counted from the end of the pause", m.name)
 		}
 	}
 	p := firstEffect[PauseDetected](t, effects).Pause
--- a/internal/shard/reconciliation.go
+++ b/internal/shard/reconciliation.go
@@ -29,7 +29,7 @@
 	commands []wire.Command // the commands to answer the status with
 }
 
-// applyStatus applies an agent's status and returns the commands to answer it with.
+// applyStatus applies an agent's status and returns the commands with which to answer the agent.
 func (h *Holder) applyStatus(
 	now clock.Micros, s *heldShard, m *machine, status *wire.Heartbeat, source statusSource,
 ) []wire.Command {
@@ -219,7 +219,7 @@
 		if r.isProvenEnded(a) {
 			r.shard.removeAttempt(a)
 		} else if a.state == attemptLaunched && a.stop == keepRunning {
-			// The status does not show that the run command has arrived. Repeating it is harmless.
+			// The status does not show that the run command has arrived. Repeating the command is harmless.
 			r.commands = append(r.commands, a.runCommand())
 		}
 	}
--- a/internal/shard/reconciliation_test.go
+++ b/internal/shard/reconciliation_test.go
@@ -9,7 +9,7 @@
 	"swiftledge/wire"
 )
 
-// Until a machine has confirmed the new token, it may still execute a command of the former holder, so its status
+// Until an agent has confirmed the new token, it may still execute a command of the former holder, so the agent's status
 // proves nothing.
 func TestStatusUnderOldTokenEndsNoAttempt(t *testing.T) {
 	h := newTestHolder(t)
--- a/internal/shard/store_txns.go
+++ b/internal/shard/store_txns.go
@@ -11,7 +11,7 @@
 )
 
 // Txn returns the transaction that writes the pages. Its conditions are the versions of the shard's key and of each
-// page, so that a copy that is applied late does not overwrite a newer page with an older one.
+// page, so that a copy of the transaction that is applied late does not overwrite a newer page with an older page.
 func (w WriteAttempts) Txn() (wire.Txn, error) {
 	txn := wire.Txn{Conditions: []wire.Condition{{Key: Key(w.Shard), Version: w.KeyVersion}}}
 	for _, page := range w.Pages {
@@ -25,8 +25,8 @@
 	return txn, nil
 }
 
-// Result interprets the outcome of the transaction. Only the holder of this lease writes its pages, one write at a
-// time. So if the condition of a page fails after an earlier send of the same write got no answer, that earlier send
+// Result interprets the outcome of the transaction. Only the holder of the lease writes the lease's pages, one write at
+// a time. So if the condition of a page fails after an earlier send of the same write got no answer, that earlier send
 // was committed.
 func (w WriteAttempts) Result(result store.TxnResult) AttemptsWritten {
 	fenced := result.FailedOn(Key(w.Shard))
@@ -47,8 +47,8 @@
 }
 
 // Txn returns the transaction that writes the new page and deletes the replaced ones. Its conditions are the version
-// of the shard's key and that the new page does not exist, so that a copy that is applied late does not restore the
-// page over a newer one.
+// of the shard's key and that the new page does not exist, so that a copy of the transaction that is applied late does
+// not restore the page over a newer page.
 func (c CompactPages) Txn() (wire.Txn, error) {
 	txn, err := WriteAttempts{Shard: c.Shard, KeyVersion: c.KeyVersion, Pages: []PageWrite{c.Put}}.Txn()
 	txn.Writes = append(txn.Writes, deletions(c.Delete)...)
