--- a/internal/controller/agent_client.go
+++ b/internal/controller/agent_client.go
@@ -37,7 +37,7 @@
 	return max(minAgentRequests, cfg.MaxCommandConnections()/4)
 }
 
-// agentClient sends requests to agents, so that the controller does not have to wait for their heartbeats.
+// agentClient sends requests to agents, so that the controller does not have to wait for the agents' heartbeats.
 type agentClient struct {
 	http        *fasthttp.Client
 	connections connectionCounter
@@ -61,8 +61,8 @@
 	return a
 }
 
-// acquire waits for a request slot. It returns false if the context ends first.
-func (a *agentClient) acquire(ctx context.Context) bool {
+// acquireRequestSlot waits for a request slot. It returns false if the context ends first.
+func (a *agentClient) acquireRequestSlot(ctx context.Context) bool {
 	select {
 	case a.requestSlots <- struct{}{}:
 		return true
@@ -71,15 +71,15 @@
 	}
 }
 
-func (a *agentClient) release() { <-a.requestSlots }
+func (a *agentClient) releaseRequestSlot() { <-a.requestSlots }
 
 // sendCommands sends commands to an agent and returns its answer. An error means that nothing was sent.
 func (a *agentClient) sendCommands(ctx context.Context, request shard.SendCommands) (shard.CommandsAnswered, error) {
 	answer := shard.CommandsAnswered{Request: request}
-	if !a.acquire(ctx) {
+	if !a.acquireRequestSlot(ctx) {
 		return answer, ctx.Err()
 	}
-	defer a.release()
+	defer a.releaseRequestSlot()
 	req, res := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(res)
@@ -104,10 +104,10 @@
 // inspect requests the status of an agent. An error means that nothing was sent.
 func (a *agentClient) inspect(ctx context.Context, request shard.InspectAgent) (shard.InspectionAnswered, error) {
 	answer := shard.InspectionAnswered{Request: request}
-	if !a.acquire(ctx) {
+	if !a.acquireRequestSlot(ctx) {
 		return answer, ctx.Err()
 	}
-	defer a.release()
+	defer a.releaseRequestSlot()
 	code, body, err := a.http.GetTimeout(nil, "http://"+request.Address+"/inspect", inspectionTimeout)
 	if err == nil && code == http.StatusOK {
 		answer.Status = decodeStatus(body, request.Machine)
@@ -115,7 +115,8 @@
 	return answer, nil
 }
 
-// decodeStatus decodes an agent status in a response body. It returns nil if it is invalid or of another machine.
+// decodeStatus decodes an agent status in a response body. It returns nil if the status is invalid or of another
+// machine.
 func decodeStatus(body []byte, machine string) *wire.Heartbeat {
 	var heartbeat wire.Heartbeat
 	if json.Unmarshal(body, &heartbeat) != nil || heartbeat.Machine != machine {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -105,7 +105,7 @@
 	}
 }
 
-// Serve runs the controller until the context ends or an error prevents it from serving. When it returns, all
+// Serve runs the controller until the context ends or an error prevents it from serving. When Serve returns, all
 // goroutines have ended and all listeners are closed. It returns nil if the context has ended.
 func (c *Controller) Serve(ctx context.Context) error {
 	peerListener, err := netio.Listen(c.cfg.PeerAddress)
@@ -153,7 +153,7 @@
 }
 
 // startServices starts the services whose answers the actors and the API wait for. The returned function stops the
-// services and waits for their end. It must be called after the last request to them.
+// services and waits for their end. It must be called after the last request to the services.
 func (c *Controller) startServices(ctx context.Context) (stop func()) {
 	ctx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	var services sync.WaitGroup
--- a/internal/pausedetect/recorder.go
+++ b/internal/pausedetect/recorder.go
@@ -7,8 +7,8 @@
 	"swiftledge/internal/clock"
 )
 
-// CollectionWindow is how long after the first report of a pause further reports are merged into it. Each actor detects
-// a pause only when it handles its next message.
+// CollectionWindow is how long after the first report of a pause further reports are merged with the first report. Each
+// actor detects a pause only when it handles its next message.
 const CollectionWindow = clock.Second
 
 // Pause is a period during which a process was paused.
@@ -29,31 +29,31 @@
 	return strings.Join(expired, ", ")
 }
 
-// Recorder merges the reports of a pause by the actors of a process into one pause and keeps the last one.
+// Recorder merges the reports of a pause by the actors of a process into one pause and keeps the last merged pause.
 type Recorder struct {
-	open  *Pause // the pause being collected; nil without one
-	last  Pause
-	count int // pauses so far
+	openPause *Pause // the pause being collected; nil if there is none
+	last      Pause
+	count     int // pauses so far
 }
 
-// Add merges the report of one actor and returns whether it is the first of a pause.
+// Add merges the report of one actor into the pause being collected. It returns whether the report starts a new pause.
 func (r *Recorder) Add(p Pause) (first bool) {
-	if r.open == nil {
-		r.open = &p
+	if r.openPause == nil {
+		r.openPause = &p
 		return true
 	}
-	r.open.Start, r.open.End = min(r.open.Start, p.Start), max(r.open.End, p.End)
-	r.open.Expired = append(r.open.Expired, p.Expired...)
+	r.openPause.Start, r.openPause.End = min(r.openPause.Start, p.Start), max(r.openPause.End, p.End)
+	r.openPause.Expired = append(r.openPause.Expired, p.Expired...)
 	return false
 }
 
 // Close ends the collection and returns the merged pause, or the zero Pause if no pause is being collected.
 func (r *Recorder) Close() Pause {
-	if r.open == nil {
+	if r.openPause == nil {
 		return Pause{}
 	}
-	slices.Sort(r.open.Expired)
-	r.last, r.open = *r.open, nil
+	slices.Sort(r.openPause.Expired)
+	r.last, r.openPause = *r.openPause, nil
 	r.count++
 	return r.last
 }
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -10,7 +10,7 @@
 )
 
 // sendBacklog is the number of messages that may be queued for a peer. In a cluster of thousands of machines, fewer
-// messages than that are sent within writeTimeout.
+// messages than sendBacklog are sent within writeTimeout.
 const sendBacklog = 1024
 
 // HolderLink is the leader's end of a link to a holder.
@@ -46,7 +46,8 @@
 	writer    sync.WaitGroup
 }
 
-// start takes ownership of a connection whose handshake is complete and starts the goroutine that writes to it.
+// start takes ownership of a connection whose handshake is complete and starts the goroutine that writes to the
+// connection.
 func (e *endpoint[Out, In]) start(conn net.Conn, decoder *msgpack.Decoder, peer Hello, transport Transport) {
 	e.Peer, e.conn, e.decoder, e.transport = peer, conn, decoder, transport
 	e.outgoing, e.closed = make(chan *Out, sendBacklog), make(chan struct{})
@@ -94,8 +95,8 @@
 	}
 }
 
-// receive calls handle for every message until the link is closed. It returns after the goroutine that writes has
-// ended.
+// receive calls handle for every message until the link is closed. It returns after the goroutine that writes to the
+// connection has ended.
 func (e *endpoint[Out, In]) receive(handle func(*In)) {
 	defer e.writer.Wait()
 	defer e.Close()
