--- a/.ci/measure/figures.go
+++ b/.ci/measure/figures.go
@@ -19,7 +19,7 @@
 	maxLineColumns   = 120 // columns
 )
 
-// finding is a piece of code with its measured value.
+// finding is a struct, function, file or package with its measured value, such as its number of lines.
 type finding struct {
 	name  string
 	value int
@@ -27,13 +27,13 @@
 
 // figures holds the measurements of the code without tests.
 type figures struct {
-	lines         map[string]int // by directory
+	lines         map[string]int // number of lines by directory
 	largeStructs  []finding
 	longFunctions []finding
 	complex       []finding
 	longFiles     []finding
-	overlongLines int
-	usesOfAny     int
+	overlongLines int // lines over maxLineColumns
+	usesOfAny     int // uses of the type any
 }
 
 func newFigures() *figures {
--- a/cmd/loopback/console.go
+++ b/cmd/loopback/console.go
@@ -19,9 +19,8 @@
 	surge         loopback.Surge
 	surgeRequests chan<- struct{} // each value starts a surge
 
-	// Operations that the resume and cancel commands undo.
-	pausedController *loopback.Controller
-	faultyJobs       []string
+	pausedController *loopback.Controller // resumed by the resume command; nil: none is paused
+	faultyJobs       []string             // references of the jobs that the cancel command cancels
 }
 
 // commands returns the functions that execute the commands, by command name.
--- a/cmd/loopback/surge.go
+++ b/cmd/loopback/surge.go
@@ -18,7 +18,7 @@
 	defaultRepeats = 3
 	// connectDelay is the time for controllers and agents to connect to each other before the surge starts.
 	connectDelay = 10 * time.Second
-	// samplesPerLine is the number of samples for each printed line. There is one sample a second.
+	// samplesPerLine is the number of load samples of which printResult prints one. There is one sample a second.
 	samplesPerLine = 15
 )
 
--- a/cmd/loopback/temp_cluster.go
+++ b/cmd/loopback/temp_cluster.go
@@ -26,7 +26,7 @@
 	directory string
 }
 
-// startCluster starts a cluster in a new directory. The directory is kept when the cluster is stopped.
+// startCluster starts a cluster in a new directory. Stop keeps the directory, stopAndRemove removes it.
 func (o *clusterOptions) startCluster(ctx context.Context) (*tempCluster, error) {
 	directory, err := os.MkdirTemp("", "loopback-")
 	if err != nil {
--- a/internal/compat/compat_test.go
+++ b/internal/compat/compat_test.go
@@ -29,7 +29,7 @@
 	return raw
 }
 
-// codec is one of the two encodings in which versions exchange values, with the samples that have it.
+// codec is one of the two encodings in which versions exchange values, with the samples that are encoded in it.
 type codec struct {
 	ext       string
 	samples   []sample
@@ -44,8 +44,8 @@
 	}
 }
 
-// TestReadsWhatProductionWrote checks that the samples that the version in production wrote decode to the values that
-// they had there.
+// TestReadsWhatProductionWrote checks that this version decodes the samples, which the version in production wrote, to
+// the values that production had encoded.
 func TestReadsWhatProductionWrote(t *testing.T) {
 	for _, c := range codecs() {
 		for _, s := range c.samples {
@@ -53,13 +53,14 @@
 			if err := c.unmarshal(testdata(t, s.name+c.ext), got.Interface()); err != nil {
 				t.Errorf("%s: %v", s.name, err)
 			} else if !reflect.DeepEqual(got.Elem().Interface(), s.value) {
-				t.Errorf("%s decodes to %+v", s.name, got.Elem())
+				t.Errorf("sample %s was decoded as %+v, want the value that production encoded", s.name, got.Elem())
 			}
 		}
 	}
 }
 
-// newFrozenValues returns, by sample name, functions that make an empty value of the frozen type.
+// newFrozenValues returns, by sample name, functions that make an empty value of the sample's frozen type: the copy of
+// production's type in frozen_test.go.
 func newFrozenValues() map[string]func() any {
 	return map[string]func() any{
 		"leader": func() any { return &oldLeaderRecord{} }, "layout": func() any { return &oldLayoutRecord{} },
@@ -71,8 +72,8 @@
 	}
 }
 
-// TestProductionReadsWhatThisVersionWrites checks that the version in production decodes the output of this version like
-// its own, and that it encodes the result to the original bytes again.
+// TestProductionReadsWhatThisVersionWrites checks that the version in production decodes what this version encodes like
+// what production itself encodes, and that production encodes the decoded value to the original bytes again.
 func TestProductionReadsWhatThisVersionWrites(t *testing.T) {
 	for _, c := range codecs() {
 		for _, s := range c.samples {
@@ -89,10 +90,10 @@
 				t.Fatal(err)
 			}
 			if !reflect.DeepEqual(got, want) {
-				t.Errorf("%s decodes to %+v in production", s.name, got)
+				t.Errorf("%s: production decoded this version's bytes as %+v, want the same as from its own", s.name, got)
 			}
 			if again, err := c.marshal(got); err != nil || !bytes.Equal(again, productionBytes) {
-				t.Errorf("%s: production encodes the decoded value as %q (error %v)", s.name, again, err)
+				t.Errorf("%s: production encoded the decoded value as %q (error %v), want the original bytes", s.name, again, err)
 			}
 		}
 	}
@@ -113,12 +114,12 @@
 		t.Fatal(err)
 	}
 	if msgpack.Unmarshal(raw, &oldHello{}) == nil {
-		t.Error("a longer array was decoded: messages may get new fields after all, see internal/peer")
+		t.Error("an array with an additional field was decoded, want an error; if decoders accept it, messages may get new fields (see internal/peer)")
 	}
 }
 
-// TestProductionReadsService checks that a service needs no encoding of its own. The version in production reads it as
-// a batch job whose tasks never complete, which is also what a rollback would mean.
+// TestProductionReadsService checks that a service needs no encoding of its own. The version in production reads a
+// service as a batch job whose tasks never complete, and would also run it as such after a rollback.
 func TestProductionReadsService(t *testing.T) {
 	service := wire.Job{Ref: "j-000413", Team: "vision", Shape: wire.ShapeService, Priority: wire.PriorityProduction, Tasks: 3, CPUs: 2}
 	raw, err := goccy.Marshal(leader.JobRecord{Spec: service})
@@ -127,7 +128,7 @@
 	}
 	var record oldJobRecord
 	if err := goccy.Unmarshal(raw, &record); err != nil || record.Spec.Tasks != 3 || record.Spec.EstimateS != 0 {
-		t.Errorf("the record of a service decodes to %+v (error %v)", record, err)
+		t.Errorf("the record of a service was decoded as %+v (error %v), want 3 tasks and no estimate", record, err)
 	}
 	raw, err = msgpack.Marshal(peer.FromLeader{Orders: []peer.ShardOrders{{Offers: []peer.TaskOffer{{Job: service, TaskIndexes: []int{0}}}}}})
 	if err != nil {
@@ -135,24 +136,24 @@
 	}
 	var down oldDown
 	if err := msgpack.Unmarshal(raw, &down); err != nil || down.Orders[0].Offers[0].Job.Ref != service.Ref {
-		t.Errorf("an offer of a service decodes to %+v (error %v)", down, err)
+		t.Errorf("an offer of a service was decoded as %+v (error %v), want the job of the service", down, err)
 	}
 }
 
-// TestChoicesAreUnchanged checks that the mapping of machines to shards, the keys, the numbering of attempts, the size of
+// TestComputedValuesAreUnchanged checks that the mapping of machines to shards, the keys, the numbering of attempts, the size of
 // progress chunks and the grant time are the same as in production.
-func TestChoicesAreUnchanged(t *testing.T) {
-	raw, err := json.MarshalIndent(currentChoices(), "", "  ")
+func TestComputedValuesAreUnchanged(t *testing.T) {
+	raw, err := json.MarshalIndent(currentComputedValues(), "", "  ")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if want := testdata(t, "choices.json"); !bytes.Equal(bytes.TrimSpace(want), raw) {
-		t.Errorf("computed values differ from production's: %s", raw)
+		t.Errorf("computed values are %s, want those of production in choices.json", raw)
 	}
 }
 
 // TestProductionReadsOperatorSettings checks that deploy/swiftledge.yaml has only keys that the version in production
-// knows, because it refuses the file otherwise.
+// knows, because that version refuses a file with unknown keys.
 func TestProductionReadsOperatorSettings(t *testing.T) {
 	raw, err := os.ReadFile(filepath.Join("..", "..", "deploy", "swiftledge.yaml"))
 	if err != nil {
@@ -165,6 +166,6 @@
 		t.Error(err)
 	}
 	if tuning.Grants.Blocks == 0 {
-		t.Error("swiftledge.yaml does not set grants.blocks")
+		t.Error("swiftledge.yaml does not set grants.blocks, want a number of shards")
 	}
 }
--- a/internal/compat/errors_test.go
+++ b/internal/compat/errors_test.go
@@ -21,7 +21,7 @@
 	"swiftledge/wire"
 )
 
-// faultySettings returns the text of the platform's file with one part replaced.
+// faultySettings returns the text of the platform's settings file with one part of it replaced.
 func faultySettings(t *testing.T, part, replacement string) string {
 	t.Helper()
 	raw, err := json.Marshal(platformSettings())
@@ -29,7 +29,7 @@
 		t.Fatal(err)
 	}
 	if !strings.Contains(string(raw), part) {
-		t.Fatalf("the settings do not contain %s", part)
+		t.Fatalf("the platform's settings do not contain %s, which the test replaces", part)
 	}
 	return strings.Replace(string(raw), part, replacement, 1)
 }
@@ -37,12 +37,12 @@
 // settingsErrorCase is a mistake in the settings, and the error that the operator gets.
 type settingsErrorCase struct {
 	name              string
-	part, replacement string // the part of the platform's file that is replaced, and its replacement
-	tuning            string // the text of the operators' file
-	want              string
+	part, replacement string // a part of the platform's settings file, and what replaces it
+	tuning            string // the text of the operators' settings file
+	want              string // the error text, with FILE for the path of the file
 }
 
-// platformErrorCases returns mistakes in the platform's file.
+// platformErrorCases returns mistakes in the platform's settings file.
 func platformErrorCases() []settingsErrorCase {
 	return []settingsErrorCase{
 		{
@@ -102,7 +102,7 @@
 	}
 }
 
-// tuningErrorCases returns mistakes in the operators' file.
+// tuningErrorCases returns mistakes in the operators' settings file.
 func tuningErrorCases() []settingsErrorCase {
 	return []settingsErrorCase{
 		{
@@ -173,8 +173,8 @@
 	}
 }
 
-// TestSettingsErrorTexts checks the error texts for settings that cannot be used. Some contain Go names: those of types
-// and, for a rule that compares two fields, that of a field.
+// TestSettingsErrorTexts checks the error texts for settings that cannot be used. Some texts contain Go names: names of
+// types and, for a rule that compares two fields, the name of a field.
 func TestSettingsErrorTexts(t *testing.T) {
 	for _, c := range slices.Concat(platformErrorCases(), tuningErrorCases()) {
 		t.Run(c.name, func(t *testing.T) {
@@ -187,7 +187,7 @@
 			}
 			_, err := config.Load(platform, tuning)
 			if err == nil {
-				t.Fatal("invalid settings were accepted")
+				t.Fatal("invalid settings were accepted, want an error")
 			}
 			if got := strings.NewReplacer(platform, "FILE", tuning, "FILE").Replace(err.Error()); got != c.want {
 				t.Errorf("error %q, want %q", got, c.want)
@@ -218,7 +218,7 @@
 	return listener.Addr().String()
 }
 
-// post sends a body, and returns the status and the body of the response.
+// post sends a POST request with a body, and returns the status code and the body of the response.
 func post(t *testing.T, address, path, body string) (int, string) {
 	t.Helper()
 	connection, err := net.Dial("tcp4", address)
--- a/internal/compat/exact_test.go
+++ b/internal/compat/exact_test.go
@@ -26,7 +26,7 @@
 
 const exactFile = "exact.txt"
 
-// exactSample is a value that one of the protocols transfers. Its bytes are a line of testdata/exact.txt.
+// exactSample is a value that one of the protocols transfers. A line of testdata/exact.txt has its expected bytes.
 type exactSample struct {
 	name  string
 	value any
@@ -247,7 +247,7 @@
 	}
 }
 
-// exactLines returns the lines of testdata/exact.txt: the expected text of each name.
+// exactLines returns the lines of testdata/exact.txt: the expected encoding of each sample, by encoding and sample name.
 func exactLines(t *testing.T) map[string]string {
 	t.Helper()
 	lines := map[string]string{}
@@ -258,14 +258,14 @@
 	return lines
 }
 
-// checkDecodes fails the test unless the bytes decode to the value that they were encoded from.
+// checkDecodes fails the test unless unmarshal decodes the bytes to the wanted value.
 func checkDecodes(t *testing.T, raw []byte, want any, unmarshal func([]byte, any) error) {
 	t.Helper()
 	got := reflect.New(reflect.TypeOf(want))
 	if err := unmarshal(raw, got.Interface()); err != nil {
 		t.Error(err)
 	} else if !reflect.DeepEqual(got.Elem().Interface(), want) {
-		t.Errorf("decoded as %+v, want the value that was encoded", got.Elem())
+		t.Errorf("bytes were decoded as %+v, want the value of the sample", got.Elem())
 	}
 }
 
@@ -285,7 +285,7 @@
 			want := lines["json:"+s.name]
 			for name, marshal := range jsonEncoders() {
 				if raw, err := marshal(s.value); err != nil || string(raw) != want {
-					t.Errorf("%s encodes it as %s (error %v), want %s", name, raw, err, want)
+					t.Errorf("%s encoded the sample as %s (error %v), want %s", name, raw, err, want)
 				}
 			}
 			checkDecodes(t, []byte(want), s.value, json.Unmarshal)
@@ -302,7 +302,7 @@
 			want := lines["msgpack:"+s.name]
 			raw, err := msgpack.Marshal(s.value)
 			if err != nil || hex.EncodeToString(raw) != want {
-				t.Errorf("encoded as %x (error %v), want %s", raw, err, want)
+				t.Errorf("sample was encoded as %x (error %v), want %s", raw, err, want)
 			}
 			wantBytes, err := hex.DecodeString(want)
 			if err != nil {
@@ -329,7 +329,7 @@
 		writeTestdata(t, "status_output.json", out.Bytes(), nil)
 	}
 	if want := testdata(t, "status_output.json"); !bytes.Equal(out.Bytes(), want) {
-		t.Errorf("status --json printed unexpected output:\n%s", out.String())
+		t.Errorf("status --json printed this, want the content of status_output.json:\n%s", out.String())
 	}
 	checkDecodes(t, out.Bytes(), controllers, json.Unmarshal)
 }
@@ -342,7 +342,7 @@
 			t.Run(s.name, func(t *testing.T) {
 				raw, err := c.marshal(s.value)
 				if want := testdata(t, s.name+c.ext); err != nil || !bytes.Equal(raw, want) {
-					t.Errorf("encoded as %q (error %v), want %q", raw, err, want)
+					t.Errorf("sample was encoded as %q (error %v), want %q", raw, err, want)
 				}
 			})
 		}
@@ -352,7 +352,7 @@
 // TestSamplesFillEveryField checks that the samples set every field. The other tests cannot detect a renamed field that
 // is empty in all samples.
 func TestSamplesFillEveryField(t *testing.T) {
-	// Fields that exclude each other, and fields that the version in production does not have.
+	// Fields of which a value may set only some, and fields that the version in production does not have.
 	exempt := []string{
 		"Job.FleetLoad",
 		"Write.Lease",
@@ -380,14 +380,14 @@
 		t.Run(s.name, func(t *testing.T) {
 			for _, name := range emptyFields(reflect.ValueOf(s.value)) {
 				if !slices.Contains(exempt, name) {
-					t.Errorf("field %s is empty", name)
+					t.Errorf("field %s is empty in the sample, want a value", name)
 				}
 			}
 		})
 	}
 }
 
-// emptyFields returns the names of the zero fields of a value, each with the name of its type before it.
+// emptyFields returns the names of the fields of a value that are zero, in the form Type.Field.
 func emptyFields(v reflect.Value) (names []string) {
 	kind := v.Kind()
 	switch {
@@ -411,7 +411,8 @@
 	return names
 }
 
-// elements returns the structs in a map or a slice. It leaves out other elements, such as numbers, which may be zero.
+// elements returns the structs in a map or a slice. It leaves out all other elements: a number, for example, may be
+// zero.
 func elements(v reflect.Value) (values []reflect.Value) {
 	for _, e := range v.Seq2() {
 		if e.Kind() == reflect.Struct {
--- a/internal/compat/frozen_test.go
+++ b/internal/compat/frozen_test.go
@@ -3,8 +3,8 @@
 package compat
 
 // These are the types of stored values and messages as the version in production declares them (commit in
-// deploy/service.toml). They never change: they stand for a reader that does not know any later change. That is why
-// the fields have production's names, and not the current terms.
+// deploy/service.toml). The types never change: they stand for a reader that does not know any later change. That
+// is why the fields have the names that they have in production, and not the current terms.
 
 type oldHello struct {
 	_msgpack struct{} `msgpack:",as_array"`
--- a/internal/compat/samples_test.go
+++ b/internal/compat/samples_test.go
@@ -18,9 +18,9 @@
 	"swiftledge/wire"
 )
 
-// record makes TestRecord write the samples as the checked-out version encodes them. It was used once, with this file
+// recordSamples makes TestRecord write the samples as the checked-out version encodes them. It was used once, with this file
 // copied into a checkout of the version in production (see testdata/README.md).
-var record = flag.Bool("record", false, "write testdata")
+var recordSamples = flag.Bool("record", false, "write testdata")
 
 // sample is a stored value or a message that one version writes and another reads.
 type sample struct {
@@ -197,8 +197,8 @@
 	}
 }
 
-// choices holds the computed values that must be the same in all controllers.
-type choices struct {
+// computedValues holds what all controllers must compute in the same way, of this and of the production version.
+type computedValues struct {
 	Blocks      map[string]int
 	BlockKey    string
 	RecordKeys  string
@@ -208,8 +208,8 @@
 	TaskName    string
 }
 
-func currentChoices() choices {
-	current := choices{
+func currentComputedValues() computedValues {
+	current := computedValues{
 		Blocks:      map[string]int{},
 		BlockKey:    shard.Key(2),
 		RecordKeys:  shard.AttemptPrefix(2),
@@ -237,7 +237,7 @@
 }
 
 func TestRecord(t *testing.T) {
-	if !*record {
+	if !*recordSamples {
 		t.Skip("runs only with -record")
 	}
 	for _, s := range storedSamples() {
@@ -248,6 +248,6 @@
 		raw, err := msgpack.Marshal(s.value)
 		writeTestdata(t, s.name+".msgpack", raw, err)
 	}
-	raw, err := json.MarshalIndent(currentChoices(), "", "  ")
+	raw, err := json.MarshalIndent(currentComputedValues(), "", "  ")
 	writeTestdata(t, "choices.json", append(raw, '\n'), err)
 }
--- a/internal/compat/written_test.go
+++ b/internal/compat/written_test.go
@@ -39,8 +39,8 @@
 	return wire.WatchResponse{}, ctx.Err()
 }
 
-// TestFrameBytes checks the exact keys and bytes of frames that go through the state service, except for the
-// connection number.
+// TestFrameBytes checks the exact keys and bytes of the frames that controllers exchange through the state service,
+// except for the connection number.
 func TestFrameBytes(t *testing.T) {
 	writes := make(chan wire.Write, 16)
 	transport := peer.NewStoreTransport("c0", frameStore{writes}, 4096, 1<<20, time.Millisecond)
@@ -56,7 +56,7 @@
 		t.Helper()
 		write := <-writes
 		if got := connectionNumber.ReplaceAllString(string(write.Value), `"c":0`); write.Put != "mail/c1/c0" || got != want {
-			t.Errorf("frame at key %s is %s, want %s", write.Put, got, want)
+			t.Errorf("frame was written to key %s as %s, want key mail/c1/c0 and %s", write.Put, got, want)
 		}
 	}
 	expect(`{"c":0,"o":true,"n":1,"a":0,"d":"YWJj"}`)
@@ -70,7 +70,7 @@
 	expect(`{"c":0,"o":true,"n":1,"a":0,"e":true}`)
 }
 
-// TestTraceLineBytes checks that a span is written as one line with these keys in this order.
+// TestTraceLineBytes checks that a span is written as one line with the expected keys in the expected order.
 func TestTraceLineBytes(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "trace")
 	tracer, err := trace.New(trace.Settings{File: file, MaxBytes: 1 << 20, JobShare: 1, QueueSize: 16}, "c0", clock.NewSteady(), slog.New(slog.DiscardHandler))
@@ -86,7 +86,7 @@
 	got = regexp.MustCompile(`"span":"[0-9a-f]{16}"`).ReplaceAllString(got, `"span":"RANDOM"`)
 	got = regexp.MustCompile(`"begin":"[-0-9]{10}T[0-9:.]+Z"`).ReplaceAllString(got, `"begin":"TIME"`)
 	if got != want {
-		t.Errorf("span is written as %s, want %s", got, want)
+		t.Errorf("span was written as %s, want %s", got, want)
 	}
 }
 
@@ -105,6 +105,6 @@
 		}
 		<-tick.C
 	}
-	t.Fatal("no complete line was written")
+	t.Fatal("the span was not written as a complete line in time")
 	return ""
 }
--- a/internal/fake/agent.go
+++ b/internal/fake/agent.go
@@ -23,10 +23,10 @@
 	RunCommandExecuted(a *Agent, task *Task)
 	// TaskStarted is called when a task starts to run after its image has been fetched.
 	TaskStarted(a *Agent, task *Task)
-	// TaskAlreadyDone is called when a task exits right after its image has been fetched because its result is
-	// already stored.
+	// TaskAlreadyDone is called when a task exits right after its image has been fetched because an earlier attempt
+	// of the task has stored its result.
 	TaskAlreadyDone(a *Agent, task *Task)
-	// TaskEnded is called when an active task has exited.
+	// TaskEnded is called when an active task has exited or was dropped.
 	TaskEnded(a *Agent, task *Task)
 }
 
@@ -54,7 +54,8 @@
 	FetchSeconds float64
 }
 
-// Session is the state that an agent keeps until its next boot. Its epoch also changes when the lease expires.
+// Session is the state that an agent keeps until its next boot. The agent epoch also changes when the agent's lease
+// expires.
 type Session struct {
 	AgentEpoch   wire.AgentEpoch
 	Seq          uint64 // sequence number of the last heartbeat
@@ -72,7 +73,7 @@
 // Counters hold totals over all sessions, except for RunCommands.
 type Counters struct {
 	ImagesFetched int
-	LostSeconds   float64        // run time of tasks that must be repeated
+	LostSeconds   float64        // run time that no checkpoint saved, so that tasks must repeat it
 	RunCommands   map[string]int // by job: run commands executed since the last boot
 }
 
@@ -99,17 +100,19 @@
 	a.RunCommands = map[string]int{}
 }
 
-// Reboot restarts the agent under the same name. It keeps no tasks, images or session data, so its agent epoch is 1
-// again.
+// Reboot restarts the agent under the same name. The agent keeps no tasks, images or session data, so its agent epoch
+// is 1 again.
 func (a *Agent) Reboot(now clock.Micros) {
 	a.dropTasks(now)
 	a.Boot(now)
 }
 
-// LeaseRenewedAt returns the send time of the last answered heartbeat, or the start of the session if it is later.
+// LeaseRenewedAt returns the send time of the last answered heartbeat, or the start of the agent epoch if that is
+// later.
 func (a *Agent) LeaseRenewedAt() clock.Micros { return a.leaseRenewedAt }
 
-// Load returns the dominant share of the machine's resources that its tasks use.
+// Load returns the dominant share of the machine's resources that its tasks use: the larger of the used shares of its
+// CPUs and of its memory.
 func (a *Agent) Load() float64 {
 	var used load.Resources
 	for _, task := range a.Tasks {
@@ -120,8 +123,8 @@
 	return used.DominantShare(load.Resources{CPUs: a.CPUs, Memory: a.MemoryGB})
 }
 
-// Advance updates the state to now: it completes image fetches, runs and saves that are due, and drops all tasks if
-// the lease has expired. It reports whether anything changed.
+// Advance updates the state to now: it completes the image fetches, task runs and checkpoint saves that are due, and
+// drops all tasks if the agent's lease has expired. It reports whether anything changed.
 func (a *Agent) Advance(now clock.Micros) bool {
 	changed := false
 	if now > a.leaseRenewedAt+a.LeaseTime {
@@ -139,7 +142,7 @@
 	return changed
 }
 
-// Heartbeat returns the next heartbeat, which contains the current state.
+// Heartbeat returns the agent's next heartbeat, which contains the current state of all its tasks.
 func (a *Agent) Heartbeat() *wire.Heartbeat {
 	a.Seq++
 	heartbeat := &wire.Heartbeat{
--- a/internal/fake/agent_commands.go
+++ b/internal/fake/agent_commands.go
@@ -24,8 +24,8 @@
 }
 
 // HandleResponse handles a 200 response to the heartbeat that was sent at sentAt with agentEpoch: it renews the lease
-// and executes the commands. It ignores a response that is late, has an outdated fencing token or belongs to another
-// agent epoch. It reports whether anything changed.
+// and executes the commands. It ignores a response that is late, has an outdated fencing token or answers a heartbeat
+// of another agent epoch. It reports whether anything changed.
 func (a *Agent) HandleResponse(
 	now, sentAt clock.Micros, agentEpoch wire.AgentEpoch, response wire.HeartbeatResponse,
 ) bool {
@@ -59,8 +59,8 @@
 	return changed
 }
 
-// executeCommand executes one command and reports whether a task changed. A run command for a listed attempt and any
-// other command for an unlisted attempt have no effect.
+// executeCommand executes one command and reports whether a task changed. A run command has no effect if the agent's
+// list already has the attempt, and any other command has none if the list does not have it.
 func (a *Agent) executeCommand(now clock.Micros, command wire.Command) (changed bool) {
 	position := slices.IndexFunc(a.Tasks, func(t *Task) bool {
 		return t.Task == command.Task && t.Attempt == command.Attempt
--- a/internal/fake/agent_tasks.go
+++ b/internal/fake/agent_tasks.go
@@ -10,8 +10,8 @@
 // failingTaskRunTime is the run time of a task that fails.
 const failingTaskRunTime = clock.Second
 
-// exitLost is the exit cause of a task that was dropped on a reboot or at the end of the lease. It appears in no
-// heartbeat.
+// exitLost is the exit cause of a task that was dropped on a reboot or at the end of the lease. The agent
+// removes such a task from its list at once, so this cause appears in no heartbeat.
 const exitLost wire.ExitCause = "lost"
 
 // Task is one attempt of a task on an agent.
@@ -42,7 +42,8 @@
 	}
 }
 
-// finishFetch starts a task whose image has been fetched. If its result is already stored, the task exits as done.
+// finishFetch starts a task whose image has been fetched. If an earlier attempt has stored the task's result, the task
+// exits as done instead.
 func (a *Agent) finishFetch(now clock.Micros, task *Task) {
 	if !a.images[task.Job.Image] {
 		a.images[task.Job.Image] = true
@@ -90,7 +91,7 @@
 }
 
 // endTask ends a task. If the task neither completed nor saved on request, its periodic checkpoints are kept. The run
-// time since the last one is counted as lost, because it must be repeated.
+// time since the last checkpoint is counted as lost, because the task must repeat it.
 func (a *Agent) endTask(now clock.Micros, task *Task, cause wire.ExitCause) {
 	if task.State == wire.TaskExited {
 		return
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -13,9 +13,9 @@
 	// CreatedAt, BootedAt and ListedAt are the times at which the instance is created, has booted and appears in
 	// the machine list.
 	CreatedAt, BootedAt, ListedAt clock.Micros
-	NeverBoots                    bool // it stays in the starting state
-	NeverHeartbeats               bool // it boots, but its agent never sends a heartbeat
-	Failed                        bool // it stopped without a delete request
+	NeverBoots                    bool // the instance stays in the starting state
+	NeverHeartbeats               bool // the instance boots, but its agent never sends a heartbeat
+	Failed                        bool // the instance stopped without a delete request
 	Deleted                       bool
 }
 
@@ -41,8 +41,8 @@
 }
 
 // Provision creates the machines of a request, or as many of them as the capacity allows, and returns their names. A
-// repeated request ID returns the names of the first request. The result is false if there is no capacity or the
-// machine type is unknown.
+// repeated request ID returns the names of the first request. The second result is false if there is no capacity
+// or the machine type is unknown.
 func (c *Cloud) Provision(now clock.Micros, request wire.ProvisionRequest) ([]string, bool) {
 	if names, ok := c.namesByRequest[request.RequestID]; ok {
 		return names, true
--- a/internal/fake/store.go
+++ b/internal/fake/store.go
@@ -14,15 +14,16 @@
 // bytesPerKB converts the limit on the size of a value, which the settings give in kilobytes, to bytes.
 const bytesPerKB = 1024
 
-// conditionsPerWrite is the ratio of a transaction's maximum number of conditions to its maximum number of writes.
-const conditionsPerWrite = 4
+// conditionLimitFactor is the number of conditions that a transaction may have for each write that the limit on
+// writes allows.
+const conditionLimitFactor = 4
 
 // Store is the fake state service: a key-value store with leases, transactions and watches.
 type Store struct {
 	Down          bool // during an outage the service answers 503 to all requests
-	MaxValueBytes int
-	MaxTxnWrites  int
-	Writes        int // number of writes in all transactions so far, failed ones included
+	MaxValueBytes int  // limit on the size of one value
+	MaxTxnWrites  int  // limit on the number of writes in one transaction
+	Writes        int  // number of writes in all transactions so far, failed transactions included
 
 	revision    uint64
 	items       map[string]wire.Item
@@ -99,10 +100,10 @@
 	return result, ""
 }
 
-// findProblem returns why a transaction is malformed: it exceeds a limit, has a value that is not JSON, or names a
-// lease that does not exist. The problem is empty if the transaction is valid.
+// findProblem returns why a transaction is malformed: it exceeds a limit, has a value that is not JSON, or refers to
+// a lease that does not exist. The problem is empty if the transaction is valid.
 func (s *Store) findProblem(txn wire.Txn) (result store.TxnResult, problem string) {
-	if len(txn.Writes) > s.MaxTxnWrites || len(txn.Conditions) > conditionsPerWrite*s.MaxTxnWrites {
+	if len(txn.Writes) > s.MaxTxnWrites || len(txn.Conditions) > conditionLimitFactor*s.MaxTxnWrites {
 		return result, "too many operations"
 	}
 	for _, write := range txn.Writes {
@@ -150,10 +151,10 @@
 // CompactChanges drops all changes so far. A watcher that has not received them must list the keys again.
 func (s *Store) CompactChanges() { s.changes, s.compactedThrough = nil, s.revision }
 
-// HasChangesSince reports whether the change log still holds all changes after a revision.
+// HasChangesSince reports whether the change log still holds all changes that were made after a revision.
 func (s *Store) HasChangesSince(revision uint64) bool { return revision >= s.compactedThrough }
 
-// ChangesSince returns the changes after a revision of the keys with a prefix.
+// ChangesSince returns the changes that were made after a revision to the keys with a prefix.
 func (s *Store) ChangesSince(prefix string, revision uint64) wire.WatchResponse {
 	response := wire.WatchResponse{Revision: s.revision}
 	first, _ := slices.BinarySearchFunc(s.changes, revision+1, func(c change, target uint64) int {
--- a/internal/loopback/client.go
+++ b/internal/loopback/client.go
@@ -18,8 +18,8 @@
 var ErrSubmissionRefused = errors.New("submission refused")
 
 const (
-	submitTimeout = 5 * time.Second
-	statusTimeout = 2 * time.Second
+	submitTimeout    = 5 * time.Second
+	jobStatusTimeout = 2 * time.Second
 )
 
 // Status requests the status of every controller in the same way as the status command. It returns one row for each
@@ -43,7 +43,7 @@
 	return nil, peer.Status{}
 }
 
-// Submit submits a job to a controller as a user does. runS is the actual run time of its tasks. If the job is
+// Submit submits a job to a controller as a user does. runS is the actual run time of the job's tasks. If the job is
 // submitted again, the run time and the submission time of the first submission are kept.
 func (c *Cluster) Submit(controller *Controller, job wire.Job, runS float64) error {
 	return c.submit(controller, job, submittedJob{runS: runS})
@@ -86,9 +86,9 @@
 	return err == nil && code == fiber.StatusOK
 }
 
-// JobState requests a job's state from a controller. It returns "" if there is no valid answer.
+// JobState requests a job's state from a controller. It returns "" if the controller gives no valid answer.
 func (c *Cluster) JobState(controller *Controller, ref string) wire.JobState {
-	code, body, err := c.client.GetTimeout(nil, controller.jobsURL()+"/"+ref, statusTimeout)
+	code, body, err := c.client.GetTimeout(nil, controller.jobsURL()+"/"+ref, jobStatusTimeout)
 	var jobStatus wire.JobStatus
 	if err != nil || code != fiber.StatusOK || json.Unmarshal(body, &jobStatus) != nil {
 		return ""
@@ -99,7 +99,7 @@
 // jobsURL returns the URL to which users submit jobs.
 func (c *Controller) jobsURL() string { return "http://" + c.ServeAddress + "/api/jobs" }
 
-// CompletedTasks returns how many tasks of a job have completed and how many of them completed more than once.
+// CompletedTasks returns how many tasks of a job have completed and how many of these tasks completed more than once.
 func (c *Cluster) CompletedTasks(ref string) (tasks, repeated int) {
 	c.env.call(func() { tasks, repeated = c.env.jobs[ref].completedTasks() })
 	return tasks, repeated
--- a/internal/loopback/cluster.go
+++ b/internal/loopback/cluster.go
@@ -10,13 +10,13 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Cluster is an environment of fakes with real controllers.
+// Cluster is a set of real controllers with the environment of fakes that they run in.
 type Cluster struct {
 	Controllers []*Controller
 
 	env      *environment
 	client   *fasthttp.Client
-	stopOnce func() // stops everything once and waits for it
+	stopOnce func() // stops all controllers and fakes on its first call, and returns when they have ended
 }
 
 // Start starts a cluster whose files are in dir. The binary is the controller's executable, and settingsFiles are
@@ -147,8 +147,8 @@
 	return nil
 }
 
-// connectMachine starts the agent's service and gives the machine its address and its links. A machine boots only once
-// it has an address.
+// connectMachine starts the HTTP service of a machine's agent and gives the machine its address and its links. A
+// machine boots only once it has an address.
 func (c *Cluster) connectMachine(m *machine) error {
 	address, err := c.env.serve(m.routes)
 	if err != nil {
@@ -174,8 +174,8 @@
 	return nil
 }
 
-// HeartbeatLink returns the link over which a machine's agent sends heartbeats to a controller. Both arguments are
-// indexes. The result is nil until the machine is connected.
+// HeartbeatLink returns the link over which a machine's agent sends heartbeats to a controller. The arguments are the
+// indexes of the machine and the controller. The result is nil until the machine is connected.
 func (c *Cluster) HeartbeatLink(machine, controller int) (link *Link) {
 	c.env.call(func() {
 		if machine < len(c.env.machines) && controller < len(c.env.machines[machine].heartbeatLinks) {
@@ -196,7 +196,7 @@
 	return link
 }
 
-// FailMachine simulates the failure of a machine, given by its index.
+// FailMachine simulates the failure of the machine with an index.
 func (c *Cluster) FailMachine(machine int) {
 	c.env.call(func() { c.env.machines[machine].terminated, c.env.machines[machine].instance.Failed = true, true })
 }
--- a/internal/loopback/controller.go
+++ b/internal/loopback/controller.go
@@ -17,13 +17,13 @@
 // Controller is a controller process with its addresses, its files and its outgoing links.
 type Controller struct {
 	Name         string
-	ServeAddress string // for users and agents
-	PeerAddress  string // for other controllers and operators
+	ServeAddress string // address at which it listens for users and agents
+	PeerAddress  string // address at which it listens for other controllers and operators
 	SettingsFile string
 	WorkDir      string // working directory of the process
 	StoreLink    *Link
 	CloudLink    *Link
-	PeerLinks    map[string]*Link // to the other controllers, by name
+	PeerLinks    map[string]*Link // links to the other controllers, by controller name
 
 	binary  string
 	args    []string
--- a/internal/loopback/environment.go
+++ b/internal/loopback/environment.go
@@ -60,10 +60,10 @@
 	calls      chan func()
 	done       chan struct{}
 	closeDone  func()         // closes done
-	goroutines sync.WaitGroup // of the actor, its services and its links
+	goroutines sync.WaitGroup // goroutines of the actor, its services and its links
 
 	store          *fake.Store
-	storeChanged   chan struct{} // closed at the next change of the store, and then replaced
+	storeChanged   chan struct{} // closed at the next change of the store, and then replaced by a new channel
 	cloud          *fake.Cloud
 	machines       []*machine
 	machinesByName map[string]*machine
@@ -71,17 +71,17 @@
 	outputs        *fake.Outputs
 }
 
-// submittedJob is a job with the actual behavior of its tasks and what was observed of it.
+// submittedJob is a submitted job with the actual behavior of its tasks, its times and the completions of its tasks.
 type submittedJob struct {
 	spec        wire.Job
-	runS        float64 // actual run time of its tasks
-	faulty      bool    // its tasks fail on every machine
+	runS        float64 // actual run time of the job's tasks
+	faulty      bool    // the job's tasks fail on every machine
 	submittedAt clock.Micros
-	startedAt   clock.Micros // start of its first task; 0: not started
+	startedAt   clock.Micros // start of the job's first task; 0: not started
 	completions map[int]int  // number of completions by task index
 }
 
-// completedTasks returns how many tasks have completed and how many of them completed more than once.
+// completedTasks returns how many tasks have completed and how many of these tasks completed more than once.
 func (j *submittedJob) completedTasks() (tasks, repeated int) {
 	for _, count := range j.completions {
 		tasks++
@@ -141,7 +141,7 @@
 	}
 }
 
-// call runs f in the actor's goroutine and waits until it returns. It returns false, without running f, if the
+// call runs f in the actor's goroutine and waits until f returns. It returns false, without running f, if the
 // environment has stopped.
 func (e *environment) call(f func()) bool {
 	returned := make(chan struct{})
@@ -178,7 +178,7 @@
 		m := newMachine(e, instance)
 		e.machines = append(e.machines, m)
 		e.goroutines.Go(func() {
-			// If no sockets are left, the machine never boots, like one whose boot fails.
+			// If connect fails because no sockets are left, the machine never boots, like a machine whose boot fails.
 			_ = connect(m)
 		})
 	}
--- a/internal/loopback/link.go
+++ b/internal/loopback/link.go
@@ -9,14 +9,14 @@
 
 // LinkFaults are the faults that a link simulates. The zero value is a link without faults.
 type LinkFaults struct {
-	Refused bool          // new connections are refused and open ones are closed
+	Refused bool          // new connections are refused and open connections are closed
 	CutTo   bool          // data sent to the target is held back
 	CutFrom bool          // data received from the target is held back
 	Delay   time.Duration // added to each chunk in both directions
 }
 
-// Link is a TCP proxy for the connections that one party opens to another. It delivers the data that it held back
-// during a cut after the link is healed, as a real network may do. It runs until it is closed.
+// Link is a TCP proxy for the connections that one party opens to another. After a cut is healed, it
+// delivers the data that it held back meanwhile, as a real network may do. It runs until it is closed.
 type Link struct {
 	listenAddress, targetAddress string
 	state                        atomic.Pointer[linkState]
@@ -25,7 +25,7 @@
 	goroutines                   sync.WaitGroup // the link's goroutines
 }
 
-// linkState holds the current faults of a link. The channel changed is closed when other faults replace them.
+// linkState holds the current faults of a link. The channel changed is closed when SetFaults replaces the faults.
 type linkState struct {
 	LinkFaults
 	changed chan struct{}
@@ -89,8 +89,8 @@
 	}
 }
 
-// accept accepts one connection and starts to forward it. It accepts none if the faults change or the link is closed
-// before a connection arrives.
+// accept accepts one connection and starts to forward its data. It accepts no connection if the faults change or the
+// link is closed before a connection arrives.
 func (l *Link) accept(listener *net.TCPListener, state *linkState) {
 	accepted := make(chan struct{})
 	l.goroutines.Go(func() {
@@ -128,8 +128,8 @@
 	}
 }
 
-// forward connects to the target and copies data in both directions until either side closes the connection or the
-// link ends it.
+// forward connects to the target and copies data in both directions until either side closes the connection, the link
+// is closed, or the link refuses connections.
 func (l *Link) forward(client net.Conn) {
 	defer client.Close()
 	target, err := net.DialTimeout("tcp4", l.targetAddress, dialTimeout)
@@ -147,7 +147,8 @@
 	}
 }
 
-// copy copies data in one direction until either side closes the connection or the link ends it.
+// copy copies data in one direction until either side closes the connection, the link is closed, or the link refuses
+// connections.
 func (l *Link) copy(from, to net.Conn, ended chan<- struct{}, isCut func(LinkFaults) bool) {
 	defer func() { ended <- struct{}{} }()
 	chunk := make([]byte, chunkSize)
--- a/internal/loopback/loopback_test.go
+++ b/internal/loopback/loopback_test.go
@@ -15,7 +15,8 @@
 	"swiftledge/wire"
 )
 
-// waitTimeout bounds each wait. No test checks how long a step takes.
+// waitTimeout bounds each wait for a condition. It is generous, because the tests check only what is reached and not
+// how long that takes.
 const waitTimeout = 2 * time.Minute
 
 // eventually waits until a condition holds, and fails the test after waitTimeout.
@@ -23,7 +24,7 @@
 	t.Helper()
 	for deadline := time.Now().Add(waitTimeout); !holds(); time.Sleep(100 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("condition not met in time: %s", description)
+			t.Fatalf("timed out waiting until %s", description)
 		}
 	}
 }
@@ -44,17 +45,17 @@
 fleet: {reserve: 10, idle_s: 3600}
 `
 
-// jobSeries is a series of similar jobs with consecutive numbers.
-type jobSeries struct {
-	firstNumber, count int // number of the first job, and number of jobs
-	tasks              int
-	runS               float64
-	// controllers receive the jobs in turn; empty: all controllers.
+// jobSeriesSpec describes a series of similar jobs with consecutive numbers that submitAll submits.
+type jobSeriesSpec struct {
+	firstNumber, count int     // number of the first job, and number of jobs
+	tasks              int     // number of tasks of each job
+	runS               float64 // actual run time of each task
+	// controllers are those to which the jobs are submitted in turn; empty: all controllers.
 	controllers []*Controller
 }
 
 // submitAll submits a series of jobs and returns their references.
-func submitAll(t *testing.T, c *Cluster, series jobSeries) (refs []string) {
+func submitAll(t *testing.T, c *Cluster, series jobSeriesSpec) (refs []string) {
 	t.Helper()
 	controllers := series.controllers
 	if len(controllers) == 0 {
@@ -90,14 +91,14 @@
 	for _, ref := range refs {
 		eventually(t, ref+" is done", func() bool { return c.JobState(c.Controllers[0], ref) == wire.JobDone })
 		if completed, repeated := c.CompletedTasks(ref); completed != tasks || repeated > 0 {
-			t.Errorf("%s: %d of %d tasks completed, %d of them more than once", ref, completed, tasks, repeated)
+			t.Errorf("%s: %d tasks completed, want %d; %d of them completed more than once, want 0", ref, completed, tasks, repeated)
 		}
 	}
 }
 
-// TestFailoverUnderLoad runs a shortened version of the surge measurement and checks states only, not times. Tasks are
-// migrated, the leader's process is killed, a machine fails, and links are cut and healed. Every job must complete, and
-// no task may complete twice.
+// TestFailoverUnderLoad runs a shortened version of the surge measurement and checks no times. Tasks are migrated, the
+// leader's process is killed, a machine fails, and links are cut and healed. Every job must complete, and no task may
+// complete twice.
 func TestFailoverUnderLoad(t *testing.T) {
 	config := DefaultClusterConfig()
 	config.Machines = 8
@@ -112,8 +113,8 @@
 	}
 	t.Cleanup(c.Stop)
 	eventually(t, "a controller is leader", func() bool { leader, _ := c.Leader(); return leader != nil })
-	longJobs := submitAll(t, c, jobSeries{firstNumber: 1, count: 4, tasks: 4, runS: 12})
-	shortJobs := submitAll(t, c, jobSeries{firstNumber: 11, count: 4, tasks: 4, runS: 2})
+	longJobs := submitAll(t, c, jobSeriesSpec{firstNumber: 1, count: 4, tasks: 4, runS: 12})
+	shortJobs := submitAll(t, c, jobSeriesSpec{firstNumber: 11, count: 4, tasks: 4, runS: 2})
 	eventually(t, "tasks run", func() bool { return c.SampleLoad().Mean > 0 })
 	checkAllDone(t, c, shortJobs, 4)
 
@@ -121,8 +122,8 @@
 	if killed == nil || len(leaderStatus.Machines) == 0 || len(leaderStatus.Shards) == 0 {
 		t.Fatalf("leader status = %+v, want machines and shards", leaderStatus)
 	}
-	// The leader is killed while another controller is partitioned from the state service: the third one must become
-	// leader.
+	// The leader is killed while another controller is partitioned from the state service: the third controller must
+	// become leader.
 	partitioned := c.Controllers[(indexOf(c, killed)+1)%len(c.Controllers)]
 	successor := c.Controllers[(indexOf(c, killed)+2)%len(c.Controllers)]
 	partitioned.StoreLink.SetFaults(LinkFaults{CutFrom: true})
@@ -136,7 +137,7 @@
 		link.SetFaults(LinkFaults{CutTo: true})
 	}
 	jobsDuringCut := submitAll(t, c,
-		jobSeries{firstNumber: 31, count: 2, tasks: 4, runS: 1, controllers: []*Controller{partitioned, successor}})
+		jobSeriesSpec{firstNumber: 31, count: 2, tasks: 4, runS: 1, controllers: []*Controller{partitioned, successor}})
 	for _, link := range cutLinks {
 		link.Heal()
 	}
@@ -153,13 +154,13 @@
 	eventually(t, "the partitioned controller knows the final states", func() bool {
 		return c.JobState(partitioned, longJobs[0]) == wire.JobDone
 	})
-	checkAllDone(t, c, submitAll(t, c, jobSeries{firstNumber: 21, count: 3, tasks: 4, runS: 1}), 4)
+	checkAllDone(t, c, submitAll(t, c, jobSeriesSpec{firstNumber: 21, count: 3, tasks: 4, runS: 1}), 4)
 	c.Stop()
 	checkTrace(t, c, longJobs[0])
 }
 
-// checkTrace checks that the spans of a job cover it from its submission to its end, and form one trace over several
-// controllers.
+// checkTrace checks that the recorded spans of a job include every stage from its submission to its end, and that they
+// belong to one trace to which several controllers contributed.
 func checkTrace(t *testing.T, c *Cluster, ref string) {
 	t.Helper()
 	names, controllers, traces := map[string]bool{}, map[string]bool{}, map[string]bool{}
@@ -183,7 +184,7 @@
 	}
 	for _, want := range []string{"submit", "queue", "start", "run", "job"} {
 		if !names[want] {
-			t.Errorf("no span %q of job %s, only %v", want, ref, names)
+			t.Errorf("span %q of job %s was not recorded; got spans %v", want, ref, names)
 		}
 	}
 	if len(controllers) < 2 || len(traces) != 1 {
@@ -266,18 +267,18 @@
 		sendText(t, connection, "two")
 		connection.SetReadDeadline(time.Now().Add(300 * time.Millisecond))
 		if n, _ := connection.Read(make([]byte, 3)); n > 0 {
-			t.Errorf("received %d bytes over a cut link, faults %+v", n, faults)
+			t.Errorf("received %d bytes over a cut link, want none; faults %+v", n, faults)
 		}
 		link.Heal()
 		if !receives(connection, "two") {
-			t.Errorf("text sent during a cut did not arrive after the link was healed, faults %+v", faults)
+			t.Errorf("text that was sent during a cut did not arrive after the link was healed; faults %+v", faults)
 		}
 	}
 	link.SetFaults(LinkFaults{Refused: true})
 	sendText(t, connection, "three")
 	connection.SetReadDeadline(time.Now().Add(waitTimeout))
 	if n, err := connection.Read(make([]byte, 3)); err == nil {
-		t.Errorf("received %d bytes over a link that refuses connections", n)
+		t.Errorf("received %d bytes over a link that refuses connections, want an error", n)
 	}
 	eventually(t, "a new connection is refused", func() bool {
 		connection, err := net.Dial("tcp4", link.listenAddress)
@@ -315,11 +316,11 @@
 		_, leaderStatus := c.Leader()
 		return len(leaderStatus.Suspects) == 1 && leaderStatus.Suspects[0].Job == faultyJob.Ref
 	})
-	refs := submitAll(t, c, jobSeries{firstNumber: 1, count: 4, tasks: 2, runS: 1})
+	refs := submitAll(t, c, jobSeriesSpec{firstNumber: 1, count: 4, tasks: 2, runS: 1})
 	checkAllDone(t, c, refs, 2)
 	paused, _ := c.Leader()
 	if paused == nil {
-		t.Fatal("no controller is leader")
+		t.Fatal("no controller was leader, want one to pause")
 	}
 	if err := paused.Pause(); err != nil {
 		t.Fatal(err)
@@ -340,6 +341,6 @@
 		return false
 	})
 	eventually(t, "the faulty job is cancelled", func() bool { return c.Cancel(c.Controllers[0], faultyJob.Ref) })
-	refs = submitAll(t, c, jobSeries{firstNumber: 20, count: 4, tasks: 2, runS: 1})
+	refs = submitAll(t, c, jobSeriesSpec{firstNumber: 20, count: 4, tasks: 2, runS: 1})
 	checkAllDone(t, c, refs, 2)
 }
--- a/internal/loopback/machine.go
+++ b/internal/loopback/machine.go
@@ -20,12 +20,12 @@
 	booted         bool
 	terminated     bool
 	client         *fasthttp.Client
-	heartbeatLinks []*Link // to the controllers, by index
+	heartbeatLinks []*Link // links to the controllers, by controller index
 	commandLink    *Link   // for direct commands from the controllers to the agent
 
-	controllerIndex  int // controller that receives the next heartbeat
-	nextHeartbeat    clock.Micros
-	lastHeartbeat    clock.Micros
+	controllerIndex  int // index of the controller that receives the next heartbeat
+	nextHeartbeatAt  clock.Micros
+	lastHeartbeatAt  clock.Micros
 	heartbeatPending bool // a heartbeat was sent and its response has not arrived
 }
 
@@ -85,9 +85,9 @@
 	return c.JSON(heartbeat)
 }
 
-// scheduleHeartbeat schedules the next heartbeat at the earliest time that minHeartbeatInterval allows.
+// scheduleHeartbeat moves the next heartbeat forward to the earliest time that minHeartbeatInterval allows.
 func (m *machine) scheduleHeartbeat() {
-	m.nextHeartbeat = min(m.nextHeartbeat, max(m.env.clock.Now(), m.lastHeartbeat+minHeartbeatInterval))
+	m.nextHeartbeatAt = min(m.nextHeartbeatAt, max(m.env.clock.Now(), m.lastHeartbeatAt+minHeartbeatInterval))
 }
 
 // tick advances the machine and its agent to now, and sends a heartbeat if one is due. The actor calls it.
@@ -99,14 +99,14 @@
 	case !m.booted:
 		if m.booted = now >= m.instance.BootedAt; m.booted {
 			m.Boot(now)
-			m.nextHeartbeat = now
+			m.nextHeartbeatAt = now
 		}
 		return
 	}
 	if m.Advance(now) {
 		m.scheduleHeartbeat()
 	}
-	if !m.heartbeatPending && now >= m.nextHeartbeat {
+	if !m.heartbeatPending && now >= m.nextHeartbeatAt {
 		m.sendHeartbeat(now)
 	}
 }
@@ -114,8 +114,8 @@
 // sendHeartbeat starts to send a heartbeat to the current controller.
 func (m *machine) sendHeartbeat(now clock.Micros) {
 	m.heartbeatPending = true
-	m.lastHeartbeat = now
-	m.nextHeartbeat = now + jitter(clock.FromSeconds(m.env.config.HeartbeatIntervalS))
+	m.lastHeartbeatAt = now
+	m.nextHeartbeatAt = now + jitter(clock.FromSeconds(m.env.config.HeartbeatIntervalS))
 	heartbeat, agentEpoch := m.Heartbeat(), m.AgentEpoch
 	link := m.heartbeatLinks[m.controllerIndex]
 	m.env.goroutines.Go(func() {
@@ -171,10 +171,10 @@
 			m.scheduleHeartbeat()
 		}
 	case result.status == fiber.StatusMisdirectedRequest && m.followRedirect(result.redirect.Controller):
-		m.nextHeartbeat = now
+		m.nextHeartbeatAt = now
 	default:
 		m.controllerIndex = (m.controllerIndex + 1) % len(m.heartbeatLinks)
-		m.nextHeartbeat = now + heartbeatRetryDelay
+		m.nextHeartbeatAt = now + heartbeatRetryDelay
 	}
 }
 
@@ -190,7 +190,7 @@
 	return false
 }
 
-// workload describes the submitted jobs to the fake agents.
+// workload implements fake.Workload: it tells the fake agents the submitted jobs and the behavior of their tasks.
 type workload struct{ env *environment }
 
 // Job implements fake.Workload.
@@ -207,7 +207,7 @@
 // Fails implements fake.Workload.
 func (w workload) Fails(job *wire.Job, _ int) bool { return w.env.jobs[job.Ref].faulty }
 
-// observer records the starts and completions of tasks.
+// observer implements fake.Observer: it records the starts and completions of tasks.
 type observer struct{ env *environment }
 
 // RunCommandExecuted implements fake.Observer.
--- a/internal/loopback/services.go
+++ b/internal/loopback/services.go
@@ -21,7 +21,7 @@
 	app := fiber.New()
 	routes(app)
 	e.goroutines.Go(func() {
-		// It returns an error when the listener is closed, which is the normal end of the service.
+		// Listener returns an error when the TCP listener is closed, which is the normal end of the service.
 		_ = app.Listener(listener, fiber.ListenConfig{DisableStartupMessage: true})
 	})
 	e.goroutines.Go(func() {
@@ -33,7 +33,8 @@
 	return listener.Addr().String(), nil
 }
 
-// decodeBody decodes the JSON body of a request. It answers 400 if the body is malformed.
+// decodeBody decodes the JSON body of a request. The error makes the service answer 400 if the body is
+// malformed.
 func decodeBody[T any](c fiber.Ctx) (body T, err error) {
 	if json.Unmarshal(c.Body(), &body) != nil {
 		return body, fiber.NewError(fiber.StatusBadRequest, "malformed")
--- a/internal/loopback/settings.go
+++ b/internal/loopback/settings.go
@@ -29,8 +29,8 @@
 
 const (
 	// minPort and maxPort bound the ports on which controllers listen. The range lies below the ephemeral ports,
-	// from which the system takes the local ports of connections: such a connection could occupy a port that was
-	// free when it was chosen.
+	// from which the system takes the local ports of outgoing connections: such a connection could occupy a port after
+	// freeAddress has found it free and before the controller listens on it.
 	minPort, maxPort = 10000, 30000
 	// maxPortAttempts is the maximum number of ports that freeAddress tries.
 	maxPortAttempts = 100
--- a/internal/loopback/surge.go
+++ b/internal/loopback/surge.go
@@ -16,8 +16,8 @@
 	JobInterval time.Duration // between two jobs of one team at the steady rate
 	Factor      int           // multiplies the first team's rate during the surge
 	WarmUp      time.Duration // steady load before the surge
-	Duration    time.Duration // of the surge
-	CoolDown    time.Duration // steady load after the surge, which is still measured
+	Duration    time.Duration // length of the surge
+	CoolDown    time.Duration // steady load after the surge, during which the load is still measured
 }
 
 // DefaultSurge returns a surge with ten times the steady rate. Its run takes almost five minutes.
@@ -31,12 +31,12 @@
 	}
 }
 
-// settleTime is the time after the start of a surge during which an uneven load is tolerated.
+// settleTime is the time from the start of a surge during which the result tolerates an uneven load.
 const settleTime = 2 * time.Minute
 
 // LoadSample is the load of the running machines at one point in time.
 type LoadSample struct {
-	AtS      float64 `json:"at_s"` // relative to the start of the surge
+	AtS      float64 `json:"at_s"` // time of the sample, relative to the start of the surge
 	Machines int     `json:"machines"`
 	Mean     float64 `json:"mean"`
 	Max      float64 `json:"greatest"`
@@ -119,7 +119,7 @@
 // submitAll submits the jobs of all teams until end and returns the number of refused submissions.
 func (s Surge) submitAll(ctx context.Context, c *Cluster, startedAt, surgeStart, end time.Time) (refused int) {
 	teams := c.env.config.Teams
-	dueTimes := make([]time.Time, len(teams)) // of each team's next job
+	dueTimes := make([]time.Time, len(teams)) // due time of each team's next job
 	for i := range dueTimes {
 		dueTimes[i] = startedAt.Add(s.JobInterval * time.Duration(i) / time.Duration(len(teams)))
 	}
@@ -230,7 +230,7 @@
 	return (j.startedAt - j.submittedAt).Seconds()
 }
 
-// teamWait summarizes the waits of a team's jobs, of which some may be notStarted.
+// teamWait summarizes the waits of a team's jobs. A wait of notStarted stands for a job that has not started.
 func teamWait(team string, waits []float64) TeamWait {
 	started := slices.DeleteFunc(slices.Sorted(slices.Values(waits)), func(s float64) bool { return s == notStarted })
 	summary := TeamWait{Team: team, Jobs: len(waits), StartedJobs: len(started)}
