--- a/.ci/measure/figures.go
+++ b/.ci/measure/figures.go
@@ -27,13 +27,13 @@
 
 // figures holds the measurements of the code without tests.
 type figures struct {
-	lines         map[string]int // number of lines by directory
-	largeStructs  []finding
-	longFunctions []finding
-	complex       []finding
-	longFiles     []finding
-	overlongLines int // lines over maxLineColumns
-	usesOfAny     int // uses of the type any
+	lines            map[string]int // number of lines by directory
+	largeStructs     []finding
+	longFunctions    []finding
+	complexFunctions []finding
+	longFiles        []finding
+	overlongLines    int // lines over maxLineColumns
+	usesOfAny        int // uses of the type any
 }
 
 func newFigures() *figures {
@@ -42,7 +42,7 @@
 
 func (s *figures) add(file *sourceFile) {
 	s.lines[file.directory()] += len(file.lines)
-	s.longFiles = appendOver(s.longFiles, maxFileLines, finding{file.path, len(file.lines)})
+	s.longFiles = appendIfOverLimit(s.longFiles, maxFileLines, finding{file.path, len(file.lines)})
 	for _, line := range file.lines {
 		if utf8.RuneCountInString(line) > maxLineColumns {
 			s.overlongLines++
@@ -63,7 +63,7 @@
 	case *ast.TypeSpec:
 		if structure, ok := node.Type.(*ast.StructType); ok {
 			name := file.tree.Name.Name + "." + node.Name.Name
-			s.largeStructs = appendOver(s.largeStructs, maxStructFields, finding{name, countFields(structure)})
+			s.largeStructs = appendIfOverLimit(s.largeStructs, maxStructFields, finding{name, countFields(structure)})
 		}
 	case *ast.FuncDecl:
 		if node.Body == nil {
@@ -71,13 +71,13 @@
 		}
 		name := file.directory() + " " + node.Name.Name
 		lines := file.line(node.End()) - file.line(node.Pos()) + 1
-		s.longFunctions = appendOver(s.longFunctions, maxFunctionLines, finding{name, lines})
-		s.complex = appendOver(s.complex, maxComplexity, finding{name, complexity(node)})
+		s.longFunctions = appendIfOverLimit(s.longFunctions, maxFunctionLines, finding{name, lines})
+		s.complexFunctions = appendIfOverLimit(s.complexFunctions, maxComplexity, finding{name, complexity(node)})
 	}
 }
 
-// appendOver appends a finding if its value exceeds the limit.
-func appendOver(findings []finding, limit int, candidate finding) []finding {
+// appendIfOverLimit appends a finding if its value exceeds the limit.
+func appendIfOverLimit(findings []finding, limit int, candidate finding) []finding {
 	if candidate.value > limit {
 		findings = append(findings, candidate)
 	}
@@ -130,7 +130,7 @@
 		total, largest.name, largest.value, 100*float64(largest.value)/float64(total))
 	printFindings(out, fmt.Sprintf("structs of over %d fields", maxStructFields), s.largeStructs)
 	printFindings(out, fmt.Sprintf("functions over %d lines", maxFunctionLines), s.longFunctions)
-	printFindings(out, fmt.Sprintf("cyclomatic complexity over %d", maxComplexity), s.complex)
+	printFindings(out, fmt.Sprintf("cyclomatic complexity over %d", maxComplexity), s.complexFunctions)
 	printFindings(out, fmt.Sprintf("files over %d lines", maxFileLines), s.longFiles)
 	fmt.Fprintf(out, "lines over %d columns: %d\n", maxLineColumns, s.overlongLines)
 	fmt.Fprintf(out, "uses of any: %d\n", s.usesOfAny)
--- a/internal/loopback/loopback_test.go
+++ b/internal/loopback/loopback_test.go
@@ -296,7 +296,8 @@
 }
 
 // TestPausedControllerAndFaultyJob checks that a controller reports its pause after it was paused and resumed, that a
-// faulty job is marked as suspect and can be cancelled, and that other jobs complete meanwhile.
+// faulty job is marked as suspect (its tasks failed on several machines) and can be cancelled, and that other jobs
+// complete meanwhile.
 func TestPausedControllerAndFaultyJob(t *testing.T) {
 	dir := t.TempDir()
 	settingsFile := filepath.Join(dir, "kept.yaml")
--- a/internal/scenario/agent_test.go
+++ b/internal/scenario/agent_test.go
@@ -12,9 +12,9 @@
 const (
 	// heartbeatTimeout is how long an agent waits for the reply to a heartbeat.
 	heartbeatTimeout = 4 * clock.Second
-	// heartbeatRetry is how long it waits before it tries another controller.
-	heartbeatRetry = clock.Second
-	// redirectDelay is how long it waits before it follows a redirect.
+	// heartbeatRetryDelay is how long an agent waits before it sends a heartbeat to another controller after a failure.
+	heartbeatRetryDelay = clock.Second
+	// redirectDelay is how long an agent waits before it follows a redirect.
 	redirectDelay = 100 * clock.Millisecond
 	// minHeartbeatInterval is the minimum time between two heartbeats of an agent.
 	minHeartbeatInterval = clock.Second / 2
@@ -27,26 +27,26 @@
 	terminated bool
 	network    machineNetwork
 
-	hungUntil          clock.Micros // the machine does nothing until then, and resumes
-	capturesHeartbeats bool         // copies of its heartbeats are replayed when the next leader takes over
+	hungUntil          clock.Micros // the machine does nothing until this time, and then resumes
+	capturesHeartbeats bool         // its heartbeats are copied; the copies are replayed when the next leader takes over
 	capturedHeartbeats []*wire.Heartbeat
 
-	controllerIndex  int // index of the controller that it sends heartbeats to
-	nextHeartbeat    clock.Micros
-	lastHeartbeat    clock.Micros
-	heartbeatPending bool // a heartbeat waits for its reply
+	controllerIndex  int // index of the controller to which the agent sends heartbeats
+	nextHeartbeatAt  clock.Micros
+	lastHeartbeatAt  clock.Micros
+	heartbeatPending bool // a heartbeat was sent and has neither a reply nor a timeout yet
 }
 
 // machineNetwork holds the faults of a machine's network connection.
 type machineNetwork struct {
 	unreachable       bool         // all messages are dropped
-	inboundDropped    bool         // messages to the machine are dropped, messages from it arrive
-	heartbeatsDropped bool         // its heartbeats are dropped, commands arrive
-	delayedUntil      clock.Micros // messages are delayed until then
-	duplicateDelay    clock.Micros // a copy of each heartbeat and command arrives after a second and up to this much more; 0: no copies
+	inboundDropped    bool         // messages to the machine are dropped, messages from the machine arrive
+	heartbeatsDropped bool         // heartbeats from the machine are dropped, commands to the machine arrive
+	delayedUntil      clock.Micros // messages in both directions are delayed until this time
+	duplicateDelay    clock.Micros // a copy of each heartbeat and command arrives late, by 1 s plus a random time below this; 0: no copies
 }
 
-// hasFaults reports whether any fault of the machine is active.
+// hasFaults reports whether any injected fault of the machine is active.
 func (s *simAgent) hasFaults(now clock.Micros) bool {
 	n := &s.network
 	return s.terminated || s.FailsTasks || s.capturesHeartbeats || s.hungUntil > now ||
@@ -59,8 +59,8 @@
 	return s.hungUntil > now && now > s.LeaseRenewedAt()+s.LeaseTime
 }
 
-// allows reports whether the constraints of a job allow its tasks to run on the machine, regardless of free capacity.
-func (s *simAgent) allows(j *wire.Job) bool {
+// allowsJob reports whether the constraints of a job allow its tasks to run on the machine, regardless of free capacity.
+func (s *simAgent) allowsJob(j *wire.Job) bool {
 	return (j.Spot || !s.Spot) && (len(j.Types) == 0 || slices.Contains(j.Types, s.Type)) && (j.Zone == "" || j.Zone == s.Zone)
 }
 
@@ -86,12 +86,12 @@
 	if s.Advance(w.now) {
 		s.scheduleHeartbeat(w)
 	}
-	if !s.heartbeatPending && w.now >= s.nextHeartbeat {
+	if !s.heartbeatPending && w.now >= s.nextHeartbeatAt {
 		s.sendHeartbeat(w)
 	}
 }
 
-// sentHeartbeat is a heartbeat that was sent to a controller.
+// sentHeartbeat is a heartbeat that was sent to a controller, until it is completed.
 type sentHeartbeat struct {
 	world      *world
 	agent      *simAgent
@@ -99,15 +99,15 @@
 	agentEpoch wire.AgentEpoch
 	sentAt     clock.Micros
 	controller *simController
-	completed  bool // it got a reply or timed out, or its controller does not run
+	completed  bool // the heartbeat got a reply or timed out, or its controller does not run
 }
 
 // sendHeartbeat sends a heartbeat to the agent's current controller.
 func (s *simAgent) sendHeartbeat(w *world) {
 	s.heartbeatPending = true
-	s.lastHeartbeat = w.now
+	s.lastHeartbeatAt = w.now
 	interval := clock.FromSeconds(w.cfg.Facts.Workers.ReportS)
-	s.nextHeartbeat = w.now + interval*3/4 + clock.Micros(w.rng.Int64N(int64(interval/2)))
+	s.nextHeartbeatAt = w.now + interval*3/4 + clock.Micros(w.rng.Int64N(int64(interval/2)))
 	sent := &sentHeartbeat{
 		world:      w,
 		agent:      s,
@@ -179,10 +179,11 @@
 
 // tryNextController ends the wait for a reply and switches to the next controller.
 func (h *sentHeartbeat) tryNextController() {
-	h.switchController((h.agent.controllerIndex+1)%len(h.world.controllers), heartbeatRetry)
+	h.switchController((h.agent.controllerIndex+1)%len(h.world.controllers), heartbeatRetryDelay)
 }
 
-// switchController sends the next heartbeat to another controller after a delay, unless this one has completed.
+// switchController completes the heartbeat and makes the agent send the next heartbeat to another controller after a
+// delay. It does nothing if the heartbeat has completed already.
 func (h *sentHeartbeat) switchController(controller int, delay clock.Micros) {
 	if h.completed {
 		return
@@ -190,12 +191,12 @@
 	h.completed = true
 	h.world.after(delay, func() {
 		s := h.agent
-		s.heartbeatPending, s.controllerIndex, s.nextHeartbeat = false, controller, h.world.now
+		s.heartbeatPending, s.controllerIndex, s.nextHeartbeatAt = false, controller, h.world.now
 	})
 }
 
 // deliver delivers a message to or from the machine. It delays the message until the end of a partition, of a message
-// delay or of a hang. Without any of these, it drops the message while the machine is unreachable.
+// delay or of a hang. If none of these applies, the message is dropped while the machine is unreachable.
 func (s *simAgent) deliver(w *world, c *simController, arrive func()) {
 	delay := w.latency()
 	switch {
@@ -218,13 +219,13 @@
 	}
 }
 
-// scheduleHeartbeat schedules the next heartbeat as soon as minHeartbeatInterval allows.
+// scheduleHeartbeat moves the next heartbeat forward to the earliest time that minHeartbeatInterval allows.
 func (s *simAgent) scheduleHeartbeat(w *world) {
-	s.nextHeartbeat = min(s.nextHeartbeat, max(w.now, s.lastHeartbeat+minHeartbeatInterval))
+	s.nextHeartbeatAt = min(s.nextHeartbeatAt, max(w.now, s.lastHeartbeatAt+minHeartbeatInterval))
 }
 
-// replayHeartbeats delivers the captured heartbeats to every controller, when a new leader's term begins and again
-// after the leader has acted.
+// replayHeartbeats delivers copies of the captured heartbeats to every controller. It is called when a new leader's term
+// begins. The first copies arrive then, and the others after the leader has acted.
 func (w *world) replayHeartbeats() {
 	delays := []clock.Micros{clock.Millisecond, 300 * clock.Millisecond, 2 * clock.Second, 6 * clock.Second}
 	for _, s := range w.machines.agents {
--- a/internal/scenario/command_args_test.go
+++ b/internal/scenario/command_args_test.go
@@ -19,7 +19,7 @@
 	return value
 }
 
-// duration returns the value of an argument that is a duration; the default is zero.
+// duration returns the value of a command's argument that is a duration. The default is zero.
 func duration(t *testing.T, d *datadriven.TestData, key string) clock.Micros {
 	t.Helper()
 	value, err := time.ParseDuration(arg(t, d, key, "0s"))
@@ -35,7 +35,8 @@
 	return w.controllers[arg(t, d, "controller", 0)]
 }
 
-// controllersArg returns the controllers that a command selects: one by its name, "leader", "others" or "all".
+// controllersArg returns the controllers that a command selects with who=: the controller with a name, "leader" (every
+// controller that leads), "others" (all running controllers that do not lead) or "all".
 func (w *world) controllersArg(t *testing.T, d *datadriven.TestData) []*simController {
 	t.Helper()
 	selector := arg(t, d, "who", "all")
@@ -52,7 +53,7 @@
 	return selected
 }
 
-// clusterWorld creates the cluster that a command describes.
+// clusterWorld creates the cluster that the arguments of the cluster command describe.
 func clusterWorld(t *testing.T, d *datadriven.TestData) *world {
 	t.Helper()
 	cfg := clusterConfig(t, d)
@@ -73,7 +74,7 @@
 	return w
 }
 
-// clusterConfig returns the settings of the cluster that a command describes.
+// clusterConfig returns the settings of the cluster that the arguments of the cluster command describe.
 func clusterConfig(t *testing.T, d *datadriven.TestData) config.Config {
 	t.Helper()
 	cfg := config.Config{Tuning: config.DefaultTuning()}
@@ -108,7 +109,7 @@
 	return cfg
 }
 
-// clusterTypes returns the machine types of the cluster that a command describes.
+// clusterTypes returns the machine types of the cluster that the arguments of the cluster command describe.
 func clusterTypes(t *testing.T, d *datadriven.TestData) []wire.MachineType {
 	t.Helper()
 	small := wire.MachineType{
--- a/internal/scenario/commands_controllers_test.go
+++ b/internal/scenario/commands_controllers_test.go
@@ -37,7 +37,8 @@
 	return ""
 }
 
-// controllerCommand sets the faults of controllers, and clears those that it does not name.
+// controllerCommand sets the faults of controllers that its arguments name, and clears all other faults of these
+// controllers.
 func controllerCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	for _, c := range w.controllersArg(t, d) {
 		c.faults = controllerFaults{
@@ -63,7 +64,7 @@
 	return "200"
 }
 
-// leaderCommand tells whether a controller leads.
+// leaderCommand tells whether any controller leads.
 func leaderCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	if len(w.leaders()) == 0 {
 		return "none"
@@ -83,7 +84,8 @@
 	return "all"
 }
 
-// detectedPauseCommand tells what a controller detected of its last process pause: the length and what expired.
+// detectedPauseCommand tells what a controller detected of its last process pause: the length of the pause and which of
+// its leases and grants expired meanwhile.
 func detectedPauseCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	c := w.controllerArg(t, d)
 	p := c.pauses.Close()
--- a/internal/scenario/commands_jobs_test.go
+++ b/internal/scenario/commands_jobs_test.go
@@ -57,7 +57,7 @@
 }
 
 // cancelRepeatedlyCommand cancels a job as a user who retries the request at the controllers in turn, until a
-// response has a final state.
+// response reports a final state.
 func cancelRepeatedlyCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	ref := arg(t, d, "ref", "")
 	for i, end := 0, w.now+duration(t, d, "within"); w.now < end; i++ {
@@ -71,7 +71,7 @@
 	return "no answer"
 }
 
-// awaitCommand waits until a job is in a state.
+// awaitCommand runs the cluster until a job is in a state, or until a timeout.
 func awaitCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	ref := arg(t, d, "ref", "")
 	return w.awaitState(w.controllerArg(t, d), ref, arg(t, d, "state", string(wire.JobDone)), duration(t, d, "within"))
@@ -84,7 +84,7 @@
 	return ""
 }
 
-// startedCommand tells whether a job's first task started in time.
+// startedCommand tells whether a job's first task started within a time after a controller accepted the job.
 func startedCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	ref := arg(t, d, "ref", "")
 	startedAt, ok := w.rules.firstStartAt[ref]
@@ -129,7 +129,8 @@
 	return fmt.Sprintf("once %d, repeated %d", once, repeated)
 }
 
-// suspectsCommand lists the suspect jobs that the leader's status shows to operators.
+// suspectsCommand lists the suspect jobs, whose tasks have failed on several machines, that the leader's status shows to
+// operators.
 func suspectsCommand(_ *testing.T, w *world, _ *datadriven.TestData) string {
 	var refs []string
 	for _, s := range w.leaderStatus().Suspects {
--- a/internal/scenario/commands_machines_test.go
+++ b/internal/scenario/commands_machines_test.go
@@ -40,8 +40,8 @@
 	return ""
 }
 
-// workerCommand sets the faults of agents and their machines, and clears those that it does not name. It can also
-// reboot the machines, make them fail or give them a preemption notice.
+// workerCommand sets the faults of machines and their agents that its arguments name, and clears all other faults of
+// these machines. It can also reboot the machines, make them fail or give them a preemption notice.
 func workerCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	for _, s := range w.agentsArg(t, d) {
 		s.network = machineNetwork{
@@ -70,8 +70,9 @@
 	return ""
 }
 
-// agentsArg returns the agents that a command selects by a range of indexes. Further arguments restrict them to those
-// that run tasks of a job, that a migration starts or ends at, or that have a preemption notice.
+// agentsArg returns the agents that a command selects by a range of indexes. Further arguments restrict the
+// selection to the agents that run tasks of a job, to the source or target machine of the first migration, or to the
+// machines that have a preemption notice.
 func (w *world) agentsArg(t *testing.T, d *datadriven.TestData) []*simAgent {
 	t.Helper()
 	ref := arg(t, d, "job", "")
@@ -89,7 +90,7 @@
 	return selected
 }
 
-// machinesCommand counts the machines.
+// machinesCommand counts the machines that are not deleted.
 func machinesCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	n := 0
 	for _, m := range w.cloud.Instances {
@@ -100,7 +101,7 @@
 	return fmt.Sprint(n)
 }
 
-// machineCommand tells whether a machine exists.
+// machineCommand tells whether a machine exists: it was created and is not deleted.
 func machineCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	if m := w.cloud.Instances[arg(t, d, "name", "")]; m == nil || m.Deleted {
 		return "gone"
@@ -130,7 +131,7 @@
 	return fmt.Sprint(len(w.agentsRunning(ref)))
 }
 
-// awaitActiveCommand waits until a number of a job's tasks are active.
+// awaitActiveCommand runs the cluster until a number of a job's tasks are active, or until a timeout.
 func awaitActiveCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	ref := arg(t, d, "ref", "")
 	n, end := arg(t, d, "tasks", 1), w.now+duration(t, d, "within")
--- a/internal/scenario/commands_rebalancing_test.go
+++ b/internal/scenario/commands_rebalancing_test.go
@@ -11,12 +11,13 @@
 	"swiftledge/internal/clock"
 )
 
-// loadCommand returns the mean and the highest load of the machines.
+// loadCommand returns the mean and the highest load of the schedulable machines.
 func loadCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	return w.machineLoads().String()
 }
 
-// balancedCommand tells whether, for a duration, no load exceeds a multiple of the mean load.
+// balancedCommand runs the cluster for a duration and tells whether no machine's load ever exceeded a multiple of the
+// mean load.
 func balancedCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	for end := w.now + duration(t, d, "for"); ; w.run(clock.Second) {
 		if l := w.machineLoads(); l.highestOverMean() > arg(t, d, "most", 2.0) {
@@ -28,7 +29,7 @@
 	}
 }
 
-// awaitMigrationCommand waits until the first migration in flight is at a stage.
+// awaitMigrationCommand runs the cluster until the first migration in flight is at a stage, or until a timeout.
 func awaitMigrationCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	stage := arg(t, d, "stage", "stopping")
 	for end := w.now + duration(t, d, "within"); w.now < end; w.run(tickInterval) {
--- a/internal/scenario/commands_store_test.go
+++ b/internal/scenario/commands_store_test.go
@@ -19,7 +19,7 @@
 	return ""
 }
 
-// limitsCommand lowers the limits of the state service.
+// limitsCommand lowers the limits of the state service on the size of a value and the writes of a transaction.
 func limitsCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	w.store.SetLimits(2, 4)
 	w.faults.limitsUnannounced = w.nextLimits == nil || d.HasArg("unannounced")
@@ -32,7 +32,7 @@
 	return ""
 }
 
-// malformedTxnsCommand tells whether at most a number of transactions were malformed.
+// malformedTxnsCommand tells whether the state service rejected at most a number of transactions as malformed.
 func malformedTxnsCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	if limit := arg(t, d, "most", 0); w.rules.malformedTxns > limit {
 		return fmt.Sprint(w.rules.malformedTxns)
@@ -46,7 +46,7 @@
 	return fmt.Sprint(len(items))
 }
 
-// largestValueCommand tells whether all values under a prefix are within a size in bytes.
+// largestValueCommand tells whether no value whose key has a prefix is larger than a size in bytes.
 func largestValueCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	items, _ := w.store.List(arg(t, d, "prefix", ""))
 	n := 0
--- a/internal/scenario/controller_elector_test.go
+++ b/internal/scenario/controller_elector_test.go
@@ -72,7 +72,7 @@
 	})
 }
 
-// readLeaderKey reads the leader's key and retries until it gets a response.
+// readLeaderKey reads the leader's key, retries until there is a response, and passes the key's value to the elector.
 func (c *simController) readLeaderKey() {
 	var item wire.Item
 	var revision uint64
@@ -82,7 +82,7 @@
 		_, revision = c.world.store.List("none")
 	}, func(err error) {
 		if err != nil {
-			c.world.after(leaderKeyRetry, c.ifSameProcess(c.readLeaderKey))
+			c.world.after(leaderKeyRetryDelay, c.ifSameProcess(c.readLeaderKey))
 			return
 		}
 		seen, err := election.DecodeKey(item, revision)
--- a/internal/scenario/controller_holder_test.go
+++ b/internal/scenario/controller_holder_test.go
@@ -12,7 +12,8 @@
 )
 
 const (
-	// inspectTimeout and commandTimeout are how long a holder waits for the response of an agent.
+	// inspectTimeout and commandTimeout are how long a holder waits for an agent's response to an inspection and to
+	// direct commands.
 	inspectTimeout = 2 * clock.Second
 	commandTimeout = 3 * clock.Second
 	// connectTimeout is how long a connection attempt to an unreachable agent takes to fail.
@@ -55,7 +56,7 @@
 	}
 }
 
-// sendToLeader sends a message over the link to the leader. The message is lost if there is no link.
+// sendToLeader sends a message over the controller's link to the leader. The message is lost if there is no link.
 func (c *simController) sendToLeader(x shard.SendToLeader) {
 	link := c.leaderLink
 	if link == nil {
@@ -74,7 +75,7 @@
 	for _, write := range txn.Writes {
 		hasKey := func(condition wire.Condition) bool { return condition.Key == write.Put }
 		if write.Put != "" && !slices.ContainsFunc(txn.Conditions, hasKey) {
-			c.world.reportViolation("unguarded: a late copy of an unconditional write could revert %s", write.Put)
+			c.world.reportViolation("unguarded: a write had no condition on its key, so that a late copy of it could revert %s", write.Put)
 		}
 	}
 	c.commit(commitCall{
--- a/internal/scenario/controller_leader_test.go
+++ b/internal/scenario/controller_leader_test.go
@@ -70,7 +70,7 @@
 	}
 }
 
-// sendToHolder sends a message over the link to a holder. The leader's own holder has a link, too.
+// sendToHolder sends a message over the link to a holder. The holder in the leader's own process has a link, too.
 func (c *simController) sendToHolder(x leader.SendToHolder) {
 	for _, grant := range x.Message.Grants {
 		c.world.rules.history.checkGrant(grant)
@@ -85,10 +85,10 @@
 	})
 }
 
-// commitLeaderTxn commits a leader's transaction and retries it as long as the term lasts.
+// commitLeaderTxn commits a leader's transaction. It retries the transaction as long as the term lasts.
 func (c *simController) commitLeaderTxn(x leader.CommitTxn) {
 	if !slices.Contains(x.Txn.Conditions, wire.Condition{Key: leader.Key, Version: uint64(x.Term)}) {
-		c.world.reportViolation("unguarded: a leader's transaction has no condition on its term")
+		c.world.reportViolation("unguarded: a leader's transaction had no condition on the leader's term")
 	}
 	c.commit(commitCall{
 		txn:      x.Txn,
@@ -122,10 +122,10 @@
 	}, leader.MachinesDeleted{Term: x.Term, Machines: x.Machines, Err: errCloudDown})
 }
 
-// callCloud sends a request to the cloud and passes the response to the leader, even if it has lost leadership
-// meanwhile. With the fault of late requests, the cloud may execute the request late, after the leader stopped
-// waiting. If the cloud is down or the request is late, the leader gets the message failure, unless that is nil. A
-// request from a partitioned zone is lost without any message to the leader.
+// callCloud sends a request to the cloud and passes the response to the leader, even if the leader has lost leadership
+// meanwhile. With the fault of late requests, the cloud may execute the request late, after the leader stopped waiting.
+// If the cloud is down or the request is late, the leader gets the message failure, unless that is nil. A request from
+// a partitioned zone is lost without any message to the leader.
 func (c *simController) callCloud(execute func() leader.Message, failure leader.Message) {
 	w := c.world
 	fail := func() {
@@ -138,7 +138,7 @@
 		case w.isPartitioned(c.cfg.Zone, ""):
 		case w.faults.cloudDown:
 			c.ifSameProcess(fail)()
-		case w.faults.lateCloudShare > 0 && w.rng.Float64() < w.faults.lateCloudShare:
+		case w.faults.lateCloudRequestShare > 0 && w.rng.Float64() < w.faults.lateCloudRequestShare:
 			w.after(w.extraDelay(extraDelayRange), func() { execute() })
 			w.after(cloudTimeout, c.ifSameProcess(fail))
 		default:
--- a/internal/scenario/controller_store_test.go
+++ b/internal/scenario/controller_store_test.go
@@ -13,10 +13,10 @@
 const (
 	// storeTimeout is how long a controller waits for a response of the state service.
 	storeTimeout = 1500 * clock.Millisecond
-	// storeRetry is how long it waits before it retries a request.
-	storeRetry = 100 * clock.Millisecond
-	// leaderKeyRetry is how long it waits before it retries a read of the leader's key.
-	leaderKeyRetry = 200 * clock.Millisecond
+	// storeRetryDelay is how long a controller waits before it retries a request to the state service.
+	storeRetryDelay = 100 * clock.Millisecond
+	// leaderKeyRetryDelay is how long a controller waits before it retries a read of the leader's key.
+	leaderKeyRetryDelay = 200 * clock.Millisecond
 	// minExtraDelay is the minimum delay of a late message, and extraDelayRange the range of delays above it.
 	minExtraDelay, extraDelayRange = 2 * clock.Second, 10 * clock.Second
 )
@@ -63,13 +63,13 @@
 	})
 }
 
-// losesResponse draws whether a transaction is executed now and its response is lost.
+// losesResponse draws whether a transaction loses its response. The caller then executes the transaction at once.
 func (c *simController) losesResponse() bool {
 	return c.faults.lostResponseShare > 0 && c.world.rng.Float64() < c.faults.lostResponseShare
 }
 
-// delaysTxn draws whether a transaction is late and gets no response. A late transaction is scheduled here, so that
-// it is executed after newer ones.
+// delaysTxn draws whether a transaction is late and gets no response. It schedules the execution of a late transaction,
+// so that the transaction is executed after newer transactions.
 func (c *simController) delaysTxn(t wire.Txn) bool {
 	w := c.world
 	if c.faults.lateTxnShare == 0 || !c.reachesStore() || w.rng.Float64() >= c.faults.lateTxnShare {
@@ -113,8 +113,8 @@
 	})
 }
 
-// noteMalformedTxn counts a transaction that exceeded a limit of the state service or was otherwise malformed. It
-// is a violation unless the limits fell unannounced.
+// noteMalformedTxn counts a transaction that exceeded a limit of the state service or was otherwise malformed. A
+// malformed transaction is a violation unless the limits fell unannounced.
 func (w *world) noteMalformedTxn(problem string) {
 	w.rules.malformedTxns++
 	if !w.faults.limitsUnannounced {
@@ -125,12 +125,12 @@
 // commitCall is a transaction that is retried until its outcome is known.
 type commitCall struct {
 	txn       wire.Txn
-	ambiguous bool        // an earlier try may have been executed
+	ambiguous bool        // the state service may have executed an earlier try whose response was lost
 	isNeeded  func() bool // reports whether the sender still waits for the result
 	onResult  func(store.TxnResult, error)
 }
 
-// commit retries a transaction until its outcome is known or it is not needed any more.
+// commit sends a transaction and retries it until its outcome is known or the sender does not need it any more.
 func (c *simController) commit(call commitCall) {
 	c.tryTxn(call.txn, func(result store.TxnResult, err error) {
 		if !call.isNeeded() {
@@ -139,7 +139,7 @@
 		outcomeUnknown := errors.Is(err, store.ErrOutcomeUnknown)
 		if outcomeUnknown || errors.Is(err, store.ErrNotExecuted) {
 			call.ambiguous = call.ambiguous || outcomeUnknown
-			c.world.after(storeRetry, c.ifSameProcess(func() { c.commit(call) }))
+			c.world.after(storeRetryDelay, c.ifSameProcess(func() { c.commit(call) }))
 			return
 		}
 		result.Ambiguous = call.ambiguous
@@ -187,13 +187,14 @@
 	retry     func() // called after a failure
 }
 
-// callInTerm sends a request. It drops the response if the leader's term has ended meanwhile.
+// callInTerm sends a leader's request to the state service. It drops the response if the leader's term has ended
+// meanwhile.
 func (c *simController) callInTerm(call termCall) {
 	c.callStore(call.execute, func(err error) {
 		switch {
 		case c.elector.Term() != call.term:
 		case err != nil:
-			c.world.after(storeRetry, c.ifSameProcess(call.retry))
+			c.world.after(storeRetryDelay, c.ifSameProcess(call.retry))
 		default:
 			call.onSuccess()
 		}
--- a/internal/scenario/controller_test.go
+++ b/internal/scenario/controller_test.go
@@ -22,8 +22,8 @@
 	incarnation int
 	running     bool
 	faults      controllerFaults
-	// runsOldVersion makes the controller behave like the version in production: it uses only the current store
-	// limits and migrates no tasks.
+	// runsOldVersion makes the controller behave like the version in production: it uses only the current store limits,
+	// not the announced ones, and migrates no tasks.
 	runsOldVersion bool
 
 	elector  *election.Elector
@@ -33,24 +33,24 @@
 	service  *api.Service
 	pauses   pausedetect.Recorder
 
-	term              cluster.Term // term that it follows
+	term              cluster.Term // term of the leader that the controller follows
 	leaderLink        *simLink
-	leaderKeyRevision uint64       // revision up to which it has seen the leader's key; 0 if it has not read the key
-	loadedTerm        cluster.Term // term in which it has loaded the leader's state; 0 if none
-	loadedRevision    uint64       // revision up to which it has seen the jobs
+	leaderKeyRevision uint64       // revision up to which the elector has seen the leader's key; 0: the key was not read yet
+	loadedTerm        cluster.Term // term in which the leader has loaded its state; 0: none
+	loadedRevision    uint64       // revision up to which the leader has seen the jobs
 }
 
 // controllerFaults holds the current faults of a controller.
 type controllerFaults struct {
-	storeUnreachable     bool    // for this controller only
-	peersUnreachable     bool    // the other controllers
-	agentsUnreachable    bool    // all agents
-	watchHangs           bool    // its watch of the jobs gets no events; all other requests are served
-	storeResponsesToLose int     // number of next responses to lose; the requests are executed
-	lostResponseShare    float64 // share of its transactions that are executed at once and get no response
-	lateTxnShare         float64 // share of its transactions that get no response and are executed seconds later
-	requestsDelayedUntil clock.Micros
-	pausedUntil          clock.Micros // the process does nothing until then, while its clocks advance
+	storeUnreachable     bool         // this controller cannot reach the state service
+	peersUnreachable     bool         // this controller and the other controllers cannot reach each other
+	agentsUnreachable    bool         // this controller and the agents cannot reach each other
+	watchHangs           bool         // its watch of the jobs gets no events; the state service serves all its other requests
+	storeResponsesToLose int          // number of next responses of the state service to lose; the requests are executed
+	lostResponseShare    float64      // share of its transactions that are executed at once and get no response
+	lateTxnShare         float64      // share of its transactions that get no response and are executed seconds later
+	requestsDelayedUntil clock.Micros // requests of its actors to the state service are executed only then and get no response
+	pausedUntil          clock.Micros // the process does nothing until this time, while its clocks advance
 }
 
 // any reports whether any fault is active.
@@ -73,7 +73,7 @@
 	return c
 }
 
-// start starts the process. It keeps no state of an earlier process.
+// start starts the controller's process. The new process keeps no state of an earlier process.
 func (c *simController) start() {
 	c.incarnation++
 	c.running, c.faults.pausedUntil = true, 0
@@ -114,7 +114,7 @@
 	})
 }
 
-// crash ends the process at once. Its links break shortly afterwards.
+// crash ends the controller's process at once. The links of the process break shortly afterwards.
 func (c *simController) crash() {
 	c.running = false
 	c.incarnation++
@@ -127,7 +127,7 @@
 }
 
 // ifSameProcess returns a function that runs f at once, or when the process resumes if it is paused. The function does
-// nothing if the process has crashed since this call, even if the controller runs again.
+// nothing if the process has crashed since this call, even if the controller was restarted.
 func (c *simController) ifSameProcess(f func()) func() {
 	incarnation := c.incarnation
 	return func() {
--- a/internal/scenario/deployments_test.go
+++ b/internal/scenario/deployments_test.go
@@ -9,7 +9,7 @@
 	"swiftledge/wire"
 )
 
-// deployment is a cluster of 1.5 times as many machines as its operators report, with its load.
+// deployment is a cluster that operators run, with its load. It has 1.5 times as many machines as the operators report.
 type deployment struct {
 	name     string
 	machines int
@@ -20,20 +20,21 @@
 	load     deploymentLoad
 }
 
-// deploymentLoad is a number of identical jobs.
+// deploymentLoad is the load of a deployment: a number of identical jobs.
 type deploymentLoad struct {
-	jobs, tasks int     // number of jobs, and of tasks in each
-	cpus        float64 // of each task
-	memoryGB    float64 // of each task
-	runSeconds  float64 // of each task
+	jobs, tasks int     // number of jobs, and number of tasks in each job
+	cpus        float64 // CPUs that each task needs
+	memoryGB    float64 // memory that each task needs
+	runSeconds  float64 // run time of each task
 }
 
-// zonesOfDeployments returns the zones that deployments use: each uses the first one, the first three or all of them.
+// zonesOfDeployments returns the zones that deployments use: each deployment uses the first zone, the first three or all
+// four.
 func zonesOfDeployments() []string { return []string{"a", "b", "c", "d"} }
 
-// deployments returns the clusters that operators run.
+// deployments returns the deployments that TestCostAtSize simulates.
 func deployments() []deployment {
-	return []deployment{oneType(), twoTypes(), smallControllersOneType(), smallControllersTwoTypes()}
+	return []deployment{oneTypeDeployment(), twoTypesDeployment(), smallControllersOneTypeDeployment(), smallControllersTwoTypesDeployment()}
 }
 
 // smallType returns a machine type of four CPUs.
@@ -78,7 +79,7 @@
 	return []wire.MachineType{small, middle}
 }
 
-func oneType() deployment {
+func oneTypeDeployment() deployment {
 	zones := zonesOfDeployments()[:1]
 	d := deployment{
 		name:     "one type",
@@ -97,7 +98,7 @@
 	return d
 }
 
-func twoTypes() deployment {
+func twoTypesDeployment() deployment {
 	zones := zonesOfDeployments()
 	d := deployment{
 		name:     "two types, four zones",
@@ -123,8 +124,8 @@
 	smallControllerSockets = 1500
 )
 
-func smallControllersOneType() deployment {
-	d := oneType()
+func smallControllersOneTypeDeployment() deployment {
+	d := oneTypeDeployment()
 	d.name, d.machines = "small controllers, one type", 750
 	d.team = config.Team{CPUs: 120, CPUsMax: 1000}
 	d.load.jobs, d.load.tasks = 30, 150
@@ -136,8 +137,8 @@
 	return d
 }
 
-func smallControllersTwoTypes() deployment {
-	d := twoTypes()
+func smallControllersTwoTypesDeployment() deployment {
+	d := twoTypesDeployment()
 	d.name, d.machines = "small controllers, two types, four zones", 900
 	d.team = config.Team{CPUs: 500, CPUsMax: 2200}
 	d.load.tasks = 300
@@ -151,7 +152,7 @@
 
 // largestDeployment returns a cluster of 1.5 times the size of the largest that operators run.
 func largestDeployment() deployment {
-	d := oneType()
+	d := oneTypeDeployment()
 	d.machines = 6000
 	d.team = config.Team{CPUs: 1500, CPUsMax: 9000}
 	d.load.tasks, d.load.runSeconds = 600, 90
@@ -168,7 +169,7 @@
 // teamName returns the name of a team. Any number maps to one of the teams.
 func (d *deployment) teamName(number int) string { return fmt.Sprint("t", number%d.teams) }
 
-// world creates the cluster.
+// world creates the deployment's cluster.
 func (d *deployment) world(name string) *world {
 	cfg := config.Config{Settings: d.settings, Tuning: config.DefaultTuning()}
 	cfg.Facts.InitialSize = 3
@@ -182,7 +183,7 @@
 	return w
 }
 
-// mustSubmitBatch submits a batch job of the deployment's load with a number of tasks.
+// mustSubmitBatch submits a batch job with a number of tasks, each like those of the deployment's load.
 func (w *world) mustSubmitBatch(t *testing.T, d *deployment, number, tasks int) {
 	t.Helper()
 	ref := fmt.Sprintf("j-%06d", number)
--- a/internal/scenario/faults_test.go
+++ b/internal/scenario/faults_test.go
@@ -11,9 +11,9 @@
 type fault struct {
 	startAt, duration clock.Micros
 	kind              string  // a name in faultKinds
-	target            int     // selects a controller, the order of the machines, or a team and other job parameters
-	count             int     // of machines, jobs or tasks
-	share             float64 // of messages that are lost or late
+	target            int     // number that selects a controller, the order of the machines, or a job's team and parameters
+	count             int     // number of machines, jobs or tasks that the fault concerns
+	share             float64 // share of the messages that are lost or late
 }
 
 // String describes a fault in the output of a failed test.
@@ -22,7 +22,7 @@
 		f.startAt.Seconds(), f.kind, f.duration.Seconds(), f.target, f.count, f.share)
 }
 
-// controller returns the controller that a fault concerns.
+// controller returns the one controller that a fault of a single controller concerns.
 func (f fault) controller(w *world) *simController { return w.controllers[f.target%len(w.controllers)] }
 
 // faultKind is a kind of fault. inject begins a fault and returns a function that ends it, or nil if it ends by itself.
@@ -167,13 +167,13 @@
 	return nil
 }
 
-// setFlag sets a flag. The function that it returns clears it.
+// setFlag sets the flag of a fault. The function that it returns clears the flag.
 func setFlag(flag *bool) func() {
 	*flag = true
 	return func() { *flag = false }
 }
 
-// setOnLeaders sets a flag of all leaders. The function that it returns clears it.
+// setOnLeaders sets a flag in the faults of all leaders. The function that it returns clears the flags.
 func setOnLeaders(w *world, flag func(*controllerFaults) *bool) func() {
 	var ends []func()
 	for _, c := range w.leaders() {
@@ -182,7 +182,7 @@
 	return callAll(ends)
 }
 
-// setShareOnAll sets a share of all controllers. The function that it returns resets it to zero.
+// setShareOnAll sets a share in the faults of all controllers. The function that it returns resets the share to zero.
 func setShareOnAll(w *world, value float64, share func(*controllerFaults) *float64) func() {
 	for _, c := range w.controllers {
 		*share(&c.faults) = value
@@ -194,7 +194,7 @@
 	}
 }
 
-// callAll returns a function that calls all functions in order, except those that are nil.
+// callAll returns a function that calls the given functions in order. It skips functions that are nil.
 func callAll(functions []func()) func() {
 	return func() {
 		for _, f := range functions {
@@ -215,8 +215,8 @@
 func beginCloudOutage(w *world, _ fault) func() { return setFlag(&w.faults.cloudDown) }
 
 func delayCloud(w *world, f fault) func() {
-	w.faults.lateCloudShare = f.share
-	return func() { w.faults.lateCloudShare = 0 }
+	w.faults.lateCloudRequestShare = f.share
+	return func() { w.faults.lateCloudRequestShare = 0 }
 }
 
 func delayCommands(w *world, f fault) func() {
--- a/internal/scenario/history_checks_test.go
+++ b/internal/scenario/history_checks_test.go
@@ -106,7 +106,7 @@
 		w.stop()
 		got := strings.Join(w.rules.violations, "; ")
 		if c.violated == "" && got != "" || !strings.HasPrefix(got, c.violated) {
-			t.Errorf("%s: got violations %q, want %q", c.name, got, c.violated)
+			t.Errorf("%s: got violations %q, want one that begins with %q, or none if that is empty", c.name, got, c.violated)
 		}
 	}
 }
--- a/internal/scenario/history_test.go
+++ b/internal/scenario/history_test.go
@@ -27,14 +27,14 @@
 // whose decisions are checked against it.
 type history struct {
 	world        *world
-	revision     uint64                    // revision of the state service up to which changes were applied
-	recorded     references[placedAttempt] // attempts, by attempt page
-	inventory    references[string]        // machines, by instance group record
-	progress     map[string]jobs.ProgressRecord
-	runCommands  map[wire.AttemptID]placedAttempt // executed run commands
-	shardByToken map[wire.FencingToken]int        // shards of the granted fencing tokens
+	revision     uint64                           // revision of the state service up to which changes were applied
+	recorded     references[placedAttempt]        // stored attempt records, by key of the attempt page
+	inventory    references[string]               // machines of the stored inventory, by key of the instance group record
+	progress     map[string]jobs.ProgressRecord   // stored progress pages, by key
+	runCommands  map[wire.AttemptID]placedAttempt // attempts whose run command a machine has executed
+	shardByToken map[wire.FencingToken]int        // shards that were granted, by fencing token
 	completed    map[wire.AttemptID]bool          // attempts that have completed their tasks
-	// restarted counts starts of completed tasks, which exit at once because their result is kept.
+	// restarted counts the starts of completed tasks. Such a task exits at once because its result is already stored.
 	restarted int
 }
 
@@ -56,7 +56,7 @@
 	h.progress = map[string]jobs.ProgressRecord{}
 }
 
-// references counts how many stored values mention each item.
+// references counts, for items of type T, how many stored values mention each item.
 type references[T comparable] struct {
 	byKey  map[string][]T
 	counts map[T]int
@@ -77,7 +77,8 @@
 	n.byKey[key] = items
 }
 
-// sync applies the changes of the state service since the last call. If they were compacted, it reads everything.
+// sync applies the changes of the state service since the last call. If these changes were compacted, sync reads all
+// stored values.
 func (h *history) sync() {
 	if !h.world.store.HasChangesSince(h.revision) {
 		items, revision := h.world.store.List("")
@@ -138,12 +139,12 @@
 	h.inventory.put(key, r.Machines)
 }
 
-// checkRunCommand checks the rule that no two tasks or machines get the same attempt ID, when a machine first executes
-// a run command.
+// checkRunCommand is called when a machine executes a run command for a new attempt. It checks the rule that no two
+// tasks or machines get the same attempt ID.
 func (h *history) checkRunCommand(machine string, t *fake.Task) {
 	a := placedAttempt{t.Task, t.Attempt, machine}
 	if earlier, ok := h.runCommands[t.Attempt]; ok && earlier != a {
-		h.world.reportViolation("attempt_repeated: %d is %s on %s and %s on %s", t.Attempt, earlier.task, earlier.machine, a.task, a.machine)
+		h.world.reportViolation("attempt_repeated: attempt %d was started for %s on %s and for %s on %s", t.Attempt, earlier.task, earlier.machine, a.task, a.machine)
 	}
 	h.runCommands[t.Attempt] = a
 }
@@ -151,7 +152,7 @@
 // checkGrant checks the rule that no two shard grants have the same fencing token.
 func (h *history) checkGrant(g peer.ShardGrant) {
 	if earlierShard, ok := h.shardByToken[g.FencingToken]; ok {
-		h.world.reportViolation("token_repeated: %d was granted for shard %d and again for shard %d", g.FencingToken, earlierShard, g.Shard)
+		h.world.reportViolation("token_repeated: fencing token %d was granted for shard %d and again for shard %d", g.FencingToken, earlierShard, g.Shard)
 	}
 	h.shardByToken[g.FencingToken] = g.Shard
 }
@@ -161,21 +162,21 @@
 func (h *history) checkStart(machine string, t *fake.Task) {
 	h.sync()
 	if h.recorded.counts[placedAttempt{t.Task, t.Attempt, machine}] == 0 {
-		h.world.reportViolation("unrecorded: %s runs as attempt %d on %s without an attempt record", t.Task, t.Attempt, machine)
+		h.world.reportViolation("unrecorded: task %s started as attempt %d on %s without an attempt record", t.Task, t.Attempt, machine)
 	}
 	if h.inventory.counts[machine] == 0 {
-		h.world.reportViolation("unlisted: %s runs on %s, which is not in the inventory", t.Task, machine)
+		h.world.reportViolation("unlisted: task %s started on %s, which is not in the inventory", t.Task, machine)
 	}
 }
 
-// checkRestart checks the start of a task whose result is kept, so that it exits at once. It is legal for a late copy
-// of the run command of a completed attempt (PROTOCOL, "forget"), and for a new attempt as long as the completion is
-// not stored.
+// checkRestart checks the start of a completed task, which exits at once because its result is already stored. Such a
+// start is legal for a late copy of the run command of a completed attempt (PROTOCOL, "forget"), and for a new attempt
+// as long as the state service has not stored the completion.
 func (h *history) checkRestart(t *fake.Task) {
 	h.sync()
 	h.restarted++
 	if !h.completed[t.Attempt] && h.completionStored(t.Job.Ref, t.Index) {
-		h.world.reportViolation("ran_again: %s is started as attempt %d after its completion was stored", t.Task, t.Attempt)
+		h.world.reportViolation("ran_again: task %s was started as attempt %d after its completion was stored", t.Task, t.Attempt)
 	}
 	h.completed[t.Attempt] = true
 }
--- a/internal/scenario/load_test.go
+++ b/internal/scenario/load_test.go
@@ -24,7 +24,7 @@
 	return fmt.Sprintf("%d machines, mean %.2f, greatest %.2f", l.machines, l.mean, l.highest)
 }
 
-// leaderStatus returns the status that the leader reports to operators. It is empty if no controller leads.
+// leaderStatus returns the status that the leader reports to operators. The status is empty if no controller leads.
 func (w *world) leaderStatus() (status peer.Status) {
 	for _, c := range w.leaders() {
 		replies := make(chan peer.Status, 1)
@@ -34,7 +34,8 @@
 	return status
 }
 
-// machineLoads computes loads from the simulated agents; the leader's status only tells which machines are schedulable.
+// machineLoads computes the loads of the schedulable machines from the simulated agents. It uses the leader's status
+// only to learn which machines are schedulable.
 func (w *world) machineLoads() (l loadSummary) {
 	for _, m := range w.leaderStatus().Machines {
 		s := w.agentByName(m.Name)
@@ -51,7 +52,8 @@
 	return l
 }
 
-// migrationMachine returns the name of the first migration's source ("from") or target, or "" if there is none.
+// migrationMachine returns the name of the source machine (end "from") or the target machine (any other end) of the
+// first migration in flight, or "" if there is no migration.
 func (w *world) migrationMachine(end string) string {
 	migrations := w.leaderStatus().Migrations
 	switch {
--- a/internal/scenario/machine_faults_test.go
+++ b/internal/scenario/machine_faults_test.go
@@ -69,7 +69,7 @@
 	return nil
 }
 
-// silenceNewMachines makes the next machines boot without an agent that sends heartbeats.
+// silenceNewMachines makes a number of the next machines boot without an agent that sends heartbeats.
 func silenceNewMachines(w *world, f fault) func() {
 	w.cloud.NextNeverHeartbeat = f.count / 4
 	return func() { w.cloud.NextNeverHeartbeat = 0 }
--- a/internal/scenario/machines_test.go
+++ b/internal/scenario/machines_test.go
@@ -12,7 +12,7 @@
 	agents        []*simAgent
 	byName        map[string]*simAgent
 	outputs       *fake.Outputs
-	booting       []*fake.Instance // created, but without an agent yet
+	booting       []*fake.Instance // instances that were created and have no agent yet
 	instancesSeen int              // number of the cloud's created instances that were added to booting so far
 }
 
@@ -62,7 +62,7 @@
 		Outputs:   w.machines.outputs,
 	}}
 	s.Boot(w.now)
-	s.nextHeartbeat = w.now
+	s.nextHeartbeatAt = w.now
 	s.controllerIndex = w.rng.IntN(len(w.controllers))
 	w.machines.agents = append(w.machines.agents, s)
 	w.machines.byName[s.Name] = s
--- a/internal/scenario/peer_link_test.go
+++ b/internal/scenario/peer_link_test.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// linkRetry is how long a follower waits before it tries to connect again.
-	linkRetry = 300 * clock.Millisecond
+	// linkRetryDelay is how long a follower waits before it tries again to connect to the leader.
+	linkRetryDelay = 300 * clock.Millisecond
 	// linkTimeout is the time from a message that cannot be delivered until its link breaks.
 	linkTimeout = 4 * clock.Second
 )
@@ -24,16 +24,16 @@
 	follower, leader                       *simController
 	followerIncarnation, leaderIncarnation int
 	broken                                 bool
-	lastDelivery                           map[*simController]clock.Micros // by receiver: when its latest message arrives
+	lastDelivery                           map[*simController]clock.Micros // by receiver: when the latest message to it arrives
 }
 
-// isUnreachableFrom reports whether messages from another controller cannot reach this one now.
+// isUnreachableFrom reports whether messages from another controller cannot reach this controller now.
 func (c *simController) isUnreachableFrom(from *simController) bool {
 	return c != from && (c.faults.peersUnreachable || from.faults.peersUnreachable ||
 		c.faults.pausedUntil > c.world.now || c.world.isPartitioned(c.cfg.Zone, from.cfg.Zone))
 }
 
-// connectToLeader connects to the leader of a term, and retries until it succeeds or the term changes.
+// connectToLeader connects to the leader of a term. It retries until it succeeds or the controller follows another term.
 func (c *simController) connectToLeader(term cluster.Term, name string) {
 	w := c.world
 	w.after(w.latency(), c.ifSameProcess(func() {
@@ -47,7 +47,7 @@
 			to.jobCache.Post(api.PeerContacted{})
 		}
 		if !to.running || to.elector.Term() != term || unreachable {
-			w.after(linkRetry, c.ifSameProcess(func() { c.connectToLeader(term, name) }))
+			w.after(linkRetryDelay, c.ifSameProcess(func() { c.connectToLeader(term, name) }))
 			return
 		}
 		if c.leaderLink != nil {
@@ -71,7 +71,8 @@
 // Send implements leader.Link. It must not be called: the simulation delivers the messages of a link itself.
 func (*simLink) Send(*peer.FromLeader) { panic("Send called on a simulated link") }
 
-// followerAlive and leaderAlive report whether the process at an end still runs and has not been restarted.
+// followerAlive and leaderAlive report whether the follower's or the leader's process runs and is the same process that
+// opened the link: a restarted process does not have the link any more.
 func (l *simLink) followerAlive() bool {
 	return l.follower.running && l.follower.incarnation == l.followerIncarnation
 }
@@ -80,7 +81,7 @@
 	return l.leader.running && l.leader.incarnation == l.leaderIncarnation
 }
 
-// disconnect breaks a link. Each side is notified if its process is still alive.
+// disconnect breaks a link and notifies each side whose process is still alive.
 func (l *simLink) disconnect() {
 	if l.broken {
 		return
@@ -104,7 +105,7 @@
 }
 
 // send delivers a message to one end of the link. If that end is unreachable or its process is paused, the message is
-// lost and the link breaks after a timeout.
+// lost and the link breaks after linkTimeout.
 func (l *simLink) send(to *simController, receive func()) {
 	w := to.world
 	from := l.follower
--- a/internal/scenario/random_faults_test.go
+++ b/internal/scenario/random_faults_test.go
@@ -74,13 +74,14 @@
 	rapid.Check(t, func(t *rapid.T) { runRandomFaults(t, 30, 150, config.DefaultTuning().Spread) })
 }
 
-// TestRandomFaultsAtSize runs the same check in fewer worlds with hundreds of machines and thousands of tasks.
+// TestRandomFaultsAtSize runs the check of TestRandomFaults in fewer worlds, with hundreds of machines and thousands of
+// tasks.
 func TestRandomFaultsAtSize(t *testing.T) {
 	checkFraction(t, 8, func(t *rapid.T) { runRandomFaults(t, 250, 450, config.DefaultTuning().Spread) })
 }
 
-// TestRandomFaultsDuringMigrations runs the same check with settings that migrate tasks as often as possible, so that
-// tasks are continually stopped and restarted during the faults.
+// TestRandomFaultsDuringMigrations runs the check of TestRandomFaults with settings that migrate tasks as often as
+// possible, so that tasks are continually stopped and restarted during the faults.
 func TestRandomFaultsDuringMigrations(t *testing.T) {
 	spread := config.Spread{
 		Enabled:         true,
@@ -96,12 +97,13 @@
 	migrations := 0
 	checkFraction(t, 2, func(t *rapid.T) { migrations += runRandomFaults(t, 30, 150, spread) })
 	if migrations == 0 {
-		t.Error("no migration was started")
+		t.Error("no migration was started in any world, want at least one")
 	}
 	t.Logf("the last leaders of the worlds started %d migrations", migrations)
 }
 
-// checkFraction checks a property on the number of worlds that rapid is set to check, divided by divisor.
+// checkFraction checks a property in a fraction of the worlds that rapid is set to check: their number divided by
+// divisor, but at least one.
 func checkFraction(t *testing.T, divisor int, property func(*rapid.T)) {
 	checks := flag.Lookup("rapid.checks").Value
 	original := checks.String()
@@ -112,8 +114,8 @@
 	rapid.Check(t, property)
 }
 
-// runRandomFaults draws a cluster and its faults, runs it, and fails if a rule was violated. It returns how many
-// migrations the last leader has started.
+// runRandomFaults draws a cluster and its faults, runs the cluster, and fails the test if a rule was violated. It
+// returns how many migrations the last leader has started.
 func runRandomFaults(t *rapid.T, minMachines, maxMachines int, spread config.Spread) (migrations int) {
 	machines := rapid.IntRange(minMachines, maxMachines).Draw(t, "machines")
 	faults := rapid.SliceOfN(rapid.Custom(drawFault), 1, 14).Draw(t, "faults")
@@ -127,8 +129,8 @@
 	return w.leaderStatus().MigrationOutcomes.Begun
 }
 
-// TestRandomFaultRegressions runs worlds in which a longer search found a fault of the scheduler. The key of each case
-// says what went wrong.
+// TestRandomFaultRegressions runs random worlds in which a longer search once found that the scheduler violated a rule.
+// The key of each case says what went wrong then.
 func TestRandomFaultRegressions(t *testing.T) {
 	seconds := func(s float64) clock.Micros { return clock.FromSeconds(s) }
 	for name, c := range map[string]struct {
@@ -192,16 +194,16 @@
 		j := w.users.jobs[ref]
 		switch {
 		case r.Code != 200:
-			w.reportViolation("forgotten: query of %s got response %d", ref, r.Code)
+			w.reportViolation("forgotten: query of accepted job %s got response %d, want 200", ref, r.Code)
 		case !j.IsService() && !isFinal(r.Status.State):
-			w.reportViolation("unfinished: %s is %s", ref, r.Status.State)
+			w.reportViolation("unfinished: batch job %s was %s after the recovery time, want a final state", ref, r.Status.State)
 		}
 		if _, ended := w.store.Get(leader.FinalStatePrefix + ref); !ended {
 			continue
 		}
 		for _, s := range w.machines.agents {
 			if s.activeTasks(ref) > 0 {
-				w.reportViolation("goes on: %s on %s", ref, s.Name)
+				w.reportViolation("goes on: a task of %s was active on %s after the final state of the job was stored", ref, s.Name)
 			}
 		}
 	}
--- a/internal/scenario/random_jobs_test.go
+++ b/internal/scenario/random_jobs_test.go
@@ -9,8 +9,8 @@
 	"swiftledge/wire"
 )
 
-// userRetry is how long a user waits before retrying a request.
-const userRetry = clock.Second
+// userRetryDelay is how long a user waits before retrying a request.
+const userRetryDelay = clock.Second
 
 // nextJob returns a batch job with a new reference for a random world. Each task needs one CPU.
 func (w *world) nextJob(class, team string, tasks int) wire.Job {
@@ -32,7 +32,8 @@
 // randomJobTeam returns the team of a random job, by its number.
 func randomJobTeam(i int) string { return []string{"red", "blue"}[i%2] }
 
-// submitRandom submits a job as a user. Depending on its number, it is a service or saves checkpoints.
+// submitRandom submits a job as a user. The job's number decides its team, priority and image, whether it is a
+// service, and whether it saves checkpoints. With rebalancing enabled, all batch jobs save checkpoints.
 func (w *world) submitRandom(i, tasks, runSeconds int) {
 	j := w.nextJob("l", randomJobTeam(i), tasks)
 	j.Priority = []wire.Priority{wire.PriorityStandard, wire.PriorityHigh}[i/2%2]
@@ -51,7 +52,7 @@
 	w.submitUntilAccepted(j, i)
 }
 
-// submitFaulty submits a job that fails on every machine, and returns its reference.
+// submitFaulty submits a job whose tasks fail on every machine, and returns the job's reference.
 func (w *world) submitFaulty(i, tasks int) string {
 	const runSeconds = 10
 	j := w.nextJob("l", randomJobTeam(i), tasks)
@@ -85,15 +86,16 @@
 	if c.isResponsive() && strings.HasPrefix(w.submit(c, body), "20") {
 		return
 	}
-	w.after(userRetry, func() { w.submitUntilAccepted(j, i+1) })
+	w.after(userRetryDelay, func() { w.submitUntilAccepted(j, i+1) })
 }
 
-// cancelUntilAnswered retries a cancellation at the controllers in turn until one responds that the job is cancelled.
+// cancelUntilAnswered retries a cancellation at the controllers in turn until a controller responds that the job
+// is cancelled.
 func (w *world) cancelUntilAnswered(ref string, i int) {
 	c := w.controllers[i%len(w.controllers)]
 	_, accepted := w.users.jobs[ref]
 	if accepted && c.isResponsive() && w.cancel(c, ref) == string(wire.JobCancelled) {
 		return
 	}
-	w.after(userRetry, func() { w.cancelUntilAnswered(ref, i+1) })
+	w.after(userRetryDelay, func() { w.cancelUntilAnswered(ref, i+1) })
 }
--- a/internal/scenario/rules_test.go
+++ b/internal/scenario/rules_test.go
@@ -12,10 +12,10 @@
 type rules struct {
 	violations    []string
 	malformedTxns int      // number of transactions that the state service rejected as malformed
-	history       *history // of the state service and of attempts
+	history       *history // events on the machines and the stored state
 
-	activeTasks  map[string][]activeTask // by team: tasks that were active when a task of the team last started
-	completions  map[string]int          // by task
+	activeTasks  map[string][]activeTask // by team: the tasks of the team that were active at the last start of one of them
+	completions  map[string]int          // by task: number of completions
 	firstStartAt map[string]clock.Micros // by job: when its first task started
 	lastStartAt  map[string]clock.Micros // by job: when one of its tasks last started
 	waitingSince map[string]clock.Micros // by job: since when it waits although there is free capacity for it
@@ -41,7 +41,7 @@
 	task  *fake.Task
 }
 
-// reportViolation records the violation of a rule, once for each text.
+// reportViolation records the violation of a rule. A text that was recorded before is not recorded again.
 func (w *world) reportViolation(format string, args ...any) {
 	violation := fmt.Sprintf(format, args...)
 	if !slices.Contains(w.rules.violations, violation) {
@@ -58,10 +58,10 @@
 		w.rules.firstStartAt[ref] = w.now
 	}
 	if cancelledAt, ok := w.users.cancelledAt[ref]; ok && w.now-cancelledAt > w.cancelTime() {
-		w.reportViolation("ran_cancelled: %s starts on %s", t.Task, agent.Name)
+		w.reportViolation("ran_cancelled: task %s started on %s later than cancel_s after its job was cancelled", t.Task, agent.Name)
 	}
-	if !agent.allows(&t.Job) {
-		w.reportViolation("wrong_place: %s on %s", t.Task, agent.Name)
+	if !agent.allowsJob(&t.Job) {
+		w.reportViolation("wrong_place: task %s started on %s, which the constraints of its job do not allow", t.Task, agent.Name)
 	}
 	active := append(w.rules.activeTasks[t.Job.Team], activeTask{agent, t})
 	active = slices.DeleteFunc(active, func(a activeTask) bool {
@@ -70,7 +70,7 @@
 	w.rules.activeTasks[t.Job.Team] = active
 	for _, other := range active {
 		if other.task.Task == t.Task && other.task != t {
-			w.reportViolation("ran_twice: %s on %s and %s", t.Task, other.agent.Name, agent.Name)
+			w.reportViolation("ran_twice: task %s was active on %s and on %s at the same time", t.Task, other.agent.Name, agent.Name)
 		}
 	}
 	w.checkQuota(t, active)
@@ -84,7 +84,7 @@
 		cpus += a.task.Job.CPUs
 	}
 	if team, _ := w.cfg.Team(t.Job.Team); cpus > team.CPULimit()+roundingError {
-		w.reportViolation("quota: %s uses %.0f cpus", t.Job.Team, cpus)
+		w.reportViolation("quota: the active tasks of team %s used %.0f CPUs, more than the team's limit", t.Job.Team, cpus)
 	}
 }
 
@@ -97,11 +97,11 @@
 		}
 	}
 	if t.Job.OneZone && len(tasksByZone) > 1 {
-		w.reportViolation("wrong_place: %s is in several zones", t.Job.Ref)
+		w.reportViolation("wrong_place: the tasks of job %s were active in several zones, want one zone", t.Job.Ref)
 	}
 	for zone, tasks := range tasksByZone {
 		if t.Job.Spread && tasks > (t.Job.Tasks+1)/2 {
-			w.reportViolation("wrong_place: %s has %d tasks in %s", t.Job.Ref, tasks, zone)
+			w.reportViolation("wrong_place: job %s had %d active tasks in zone %s, want at most half of its tasks", t.Job.Ref, tasks, zone)
 		}
 	}
 }
@@ -119,7 +119,7 @@
 		for _, s := range w.machines.agents {
 			for _, t := range s.Tasks {
 				if t.Job.Ref == ref && t.IsActive() && !s.terminated {
-					w.reportViolation("ran_cancelled: %s on %s", t.Task, s.Name)
+					w.reportViolation("ran_cancelled: task %s was active on %s later than cancel_s after its job was cancelled", t.Task, s.Name)
 				}
 			}
 		}
--- a/internal/scenario/size_test.go
+++ b/internal/scenario/size_test.go
@@ -27,11 +27,11 @@
 func (w *world) checkNoViolations(t *testing.T) {
 	t.Helper()
 	if len(w.rules.violations) > 0 {
-		t.Errorf("violated rules: %v", w.rules.violations)
+		t.Errorf("rules were violated, want none: %v", w.rules.violations)
 	}
 }
 
-// completedTasks counts the completions of all tasks.
+// completedTasks counts the completions of all tasks. A task that completed twice counts twice.
 func (w *world) completedTasks() (count int) {
 	for _, times := range w.rules.completions {
 		count += times
@@ -55,11 +55,11 @@
 	w.run(75 * clock.Second)
 	machines := len(w.cloud.Instances)
 	if machines < d.machines*9/10 {
-		t.Errorf("%d of %d machines were provisioned, want at least 9/10", machines, d.machines)
+		t.Errorf("%d of %d machines were provisioned, want at least 9/10 of them", machines, d.machines)
 	}
 	inventory, _ := w.store.List(leader.InstanceGroupPrefix)
 	if len(inventory) == 0 || len(inventory) > machines/20 {
-		t.Errorf("the inventory has %d keys for %d machines, want at least 1 and at most a twentieth", len(inventory), machines)
+		t.Errorf("inventory had %d keys for %d machines, want at least 1 key and at most a twentieth of the number of machines", len(inventory), machines)
 	}
 
 	// All controllers crash and restart: the agents' leases must outlast the takeover.
@@ -70,10 +70,10 @@
 	w.run(60 * clock.Second)
 	completed, perLoad := w.completedTasks(), d.load.jobs*d.load.tasks
 	if completed < perLoad*9/10 {
-		t.Errorf("%d of %d tasks have completed, want at least 45%%", completed, 2*perLoad)
+		t.Errorf("%d of %d tasks were completed, want at least 45%%", completed, 2*perLoad)
 	}
 	if putsPerTask := float64(w.store.Writes) / float64(completed); putsPerTask > 0.25 {
-		t.Errorf("%.2f puts for each completed task (%d for %d), want at most 0.25", putsPerTask, w.store.Writes, completed)
+		t.Errorf("the store got %.2f puts for each completed task (%d for %d), want at most 0.25", putsPerTask, w.store.Writes, completed)
 	}
 	w.checkMemory(t, d)
 	w.checkNoViolations(t)
@@ -81,8 +81,8 @@
 		machines, len(inventory), completed, w.store.Writes, recovery.Seconds(), heapMB())
 }
 
-// checkMemory queues tens of thousands of tasks and checks that the heap of the whole world stays within a third of
-// one controller's memory quota.
+// checkMemory queues a hundred thousand tasks and checks that the heap of the whole world stays within a third of one
+// controller's memory quota.
 func (w *world) checkMemory(t *testing.T, d *deployment) {
 	t.Helper()
 	for i := range 20 {
@@ -90,7 +90,7 @@
 	}
 	w.run(10 * clock.Second)
 	if mb := heapMB(); mb > d.settings.Facts.Quota.MemMB/3 {
-		t.Errorf("the heap of three controllers, state service, cloud and agents is %.0f MB, want at most a third of a controller's quota", mb)
+		t.Errorf("heap of three controllers, state service, cloud and agents had %.0f MB, want at most a third of a controller's quota", mb)
 	}
 }
 
@@ -123,13 +123,13 @@
 	t.Helper()
 	for _, s := range w.machines.agents {
 		if s.AgentEpoch > 1 && !s.terminated {
-			t.Fatalf("the agent lease of %s expired; all agents got a reply %.1f s after all controllers restarted",
+			t.Fatalf("agent lease of %s expired, want it kept; all agents got a reply %.1f s after all controllers restarted",
 				s.Name, recovery.Seconds())
 		}
 	}
 }
 
-// unansweredAgents counts the agents that have got no reply to a heartbeat sent since a time.
+// unansweredAgents counts the agents that have got no reply to any heartbeat that they sent since a time.
 func (w *world) unansweredAgents(since clock.Micros) (count int) {
 	for _, s := range w.machines.agents {
 		if !s.terminated && s.LeaseRenewedAt() < since {
@@ -155,7 +155,7 @@
 // jobs between them: the size of the attempt pages and the puts at rest. A takeover must keep all replicas running.
 func TestServicesAtSize(t *testing.T) {
 	const services, replicas = 130, 8
-	d := twoTypes()
+	d := twoTypesDeployment()
 	d.machines, d.load.runSeconds = 600, 8
 	d.settings.Facts.State.ValueKB, d.settings.Facts.State.TxnOps = 2, 4
 	w := d.world(t.Name())
@@ -164,7 +164,7 @@
 	w.submitServices(t, &d, services, replicas)
 	w.run(120 * clock.Second)
 	if n := w.activeReplicas(); n != services*replicas {
-		t.Fatalf("%d replicas run, want %d", n, services*replicas)
+		t.Fatalf("%d replicas were active, want %d", n, services*replicas)
 	}
 	putsBefore := w.store.Writes
 	w.run(60 * clock.Second)
@@ -175,15 +175,15 @@
 		bytes += len(page.Value)
 	}
 	if bytes > 75<<10 {
-		t.Errorf("%d attempt pages have %d kB in total, want at most 75", len(pages), bytes>>10)
+		t.Errorf("%d attempt pages had %d kB in total, want at most 75", len(pages), bytes>>10)
 	}
 	if idlePuts > 10 {
-		t.Errorf("%d puts in an idle minute, want at most 10", idlePuts)
+		t.Errorf("the store got %d puts in an idle minute, want at most 10", idlePuts)
 	}
 	recovery := w.restartControllers(4 * clock.Second)
 	w.run(30 * clock.Second)
 	if n := w.activeReplicas(); n != services*replicas {
-		t.Errorf("%d replicas run after a takeover, want as many as before", n)
+		t.Errorf("%d replicas were active after a takeover, want as many as before", n)
 	}
 	w.checkLeasesKept(t, recovery)
 	w.checkNoViolations(t)
@@ -218,7 +218,7 @@
 // without changes must cause work only at the shard holder, and all requests to the state service must be renewals of
 // the leader's lease. On real machines, a watch request every third of a TTL comes on top.
 func TestMessagesAtRest(t *testing.T) {
-	d := smallControllersTwoTypes()
+	d := smallControllersTwoTypesDeployment()
 	d.machines = 300
 	w := d.world(t.Name())
 	t.Cleanup(w.stop)
@@ -229,19 +229,19 @@
 	}
 	w.run(120 * clock.Second)
 	if n := len(w.machines.agents); n < 100 {
-		t.Fatalf("%d machines are up, want at least 100", n)
+		t.Fatalf("%d machines were up, want at least 100", n)
 	}
 	before := w.traffic
 	const seconds = 60
 	w.run(seconds * clock.Second)
 	messages := w.traffic.peerMessages - before.peerMessages
 	requests := w.traffic.storeRequests - before.storeRequests
-	// Each holder renews its grants every second and gets a reply.
+	// Each holder on a follower sends the leader a renewal of its grants every second and gets a reply.
 	if expected := seconds * 2 * (len(w.controllers) - 1); messages > expected*5/4 {
-		t.Errorf("%d messages between controllers in %d s, want at most 5/4 of %d", messages, seconds, expected)
+		t.Errorf("controllers sent each other %d messages in %d s, want at most 5/4 of %d", messages, seconds, expected)
 	}
 	if limit := seconds * 2; requests > limit {
-		t.Errorf("%d requests to the state service in %d s, want at most %d", requests, seconds, limit)
+		t.Errorf("controllers sent the state service %d requests in %d s, want at most %d", requests, seconds, limit)
 	}
 	t.Logf("%d machines: %d messages and %d requests to the state service in %d s",
 		len(w.machines.agents), messages, requests, seconds)
@@ -278,7 +278,7 @@
 	w.mustSubmitLoad(t, &d, 0)
 	w.run(120 * clock.Second)
 	if n := len(w.machines.agents); n < d.machines*9/10 {
-		t.Fatalf("%d of %d machines are up, want at least 9/10", n, d.machines)
+		t.Fatalf("%d of %d machines were up, want at least 9/10 of them", n, d.machines)
 	}
 	before := w.leaderTerms()
 	rebooted := w.rebootZone("a")
@@ -286,10 +286,10 @@
 	rebooted += w.rebootZone("a")
 	w.run(70 * clock.Second)
 	if after := w.leaderTerms(); len(after) != 1 || !maps.Equal(before, after) {
-		t.Errorf("leader terms are %v after %d machines rebooted, want one term, the same as before: %v", after, rebooted, before)
+		t.Errorf("leader terms were %v after %d machines rebooted, want one term, the same as before: %v", after, rebooted, before)
 	}
 	if n := w.unansweredAgents(w.now - clock.FromSeconds(2*d.settings.Facts.Workers.ReportS)); n > 0 {
-		t.Errorf("%d agents got no reply in two heartbeat intervals", n)
+		t.Errorf("%d agents got no reply within two heartbeat intervals, want a reply for each agent", n)
 	}
 
 	// The leader crashes, and a zone reboots while the next leader takes over.
@@ -303,7 +303,7 @@
 	w.run(120 * clock.Second)
 	completed := w.completedTasks()
 	if total := d.load.jobs * d.load.tasks; completed < total*9/10 {
-		t.Errorf("%d of %d tasks have completed, want at least 9/10", completed, total)
+		t.Errorf("%d of %d tasks were completed, want at least 9/10 of them", completed, total)
 	}
 	w.checkNoViolations(t)
 	t.Logf("%d machines, %d reboots, %d completed tasks, all agents got a reply %.1f s after all controllers restarted, %.0f MB",
--- a/internal/scenario/transcript_test.go
+++ b/internal/scenario/transcript_test.go
@@ -46,8 +46,8 @@
 func toAgent(machine string) string { return "worker " + machine }
 
 // transcript is a record of all messages that the controllers of one world send, encoded as on the wire. It contains
-// no Go identifiers, so that it stays comparable while the program is refactored. A nil transcript records
-// nothing.
+// no Go identifiers, so that it stays comparable while the program is refactored. A world has a nil transcript, and
+// nothing is recorded, unless the run has -transcripts.
 type transcript struct {
 	name   string
 	count  int // number of messages
@@ -65,7 +65,7 @@
 var transcripts = transcriptSet{byName: map[string]*transcript{}}
 
 // open begins a transcript, or returns nil if the run records none. A name that was used before gets a number as
-// suffix, so worlds of the same name must be created in a fixed order.
+// suffix. Worlds of the same name must therefore be created in a fixed order.
 func (s *transcriptSet) open(name string) *transcript {
 	if *transcriptDir == "" {
 		return nil
--- a/internal/scenario/users_test.go
+++ b/internal/scenario/users_test.go
@@ -15,12 +15,14 @@
 	submissions   map[string][]byte   // request bodies
 	jobs          map[string]wire.Job // accepted jobs
 	runSeconds    map[string]float64  // real run time of each task; 0 for a service that does not end
-	failEveryNth  map[string]int      // N if every Nth task fails on any machine; 0 if none fails
+	failEveryNth  map[string]int      // N if every Nth task fails on every machine; 0 if no task fails
 	acceptedAt    map[string]clock.Micros
 	cancelledAt   map[string]clock.Micros  // when the user got the response that the job is cancelled
 	reportedState map[string]wire.JobState // latest state that any controller reported
 	randomJobs    int                      // number of jobs that random worlds have submitted
-	queryOften    bool                     // users query at every tick, and query and resubmit everywhere after a first or final state
+	// queryOften makes users query unfinished jobs at every tick, and query and resubmit a job at all controllers when
+	// its first or its final state is reported.
+	queryOften bool
 }
 
 func newUsers() users {
@@ -41,7 +43,8 @@
 // isFinal reports whether a job in this state does not change any more.
 func isFinal(s wire.JobState) bool { return s == wire.JobDone || s == wire.JobCancelled }
 
-// submit submits a job as a user. It returns the code of the response with the job's state or the reason of the error.
+// submit submits a job as a user. It returns the code of the response, followed by the job's state or by the reason of
+// the error.
 func (w *world) submit(c *simController, body []byte) string {
 	r := c.submitJob(body)
 	var j wire.Job
@@ -75,7 +78,7 @@
 // "off" means that the job has no active tasks.
 func (w *world) awaitState(c *simController, ref, state string, timeout clock.Micros) string {
 	for end := w.now + timeout; w.now < end; {
-		if state == "off" { // checked at every tick, to return at the one at which the last task ends
+		if state == "off" { // checked at every tick, to return at the tick at which the last task ends
 			if w.run(tickInterval); w.countActive(ref) == 0 {
 				return state
 			}
@@ -105,7 +108,7 @@
 		return r
 	}
 	if state == stateUnknown || isFinal(previous) && state != previous {
-		w.reportViolation("went_back: %s is %s after %s", ref, state, previous)
+		w.reportViolation("went_back: job %s was reported as %s after it had been reported as %s", ref, state, previous)
 	}
 	if !isFinal(previous) {
 		w.users.reportedState[ref] = state
@@ -128,7 +131,7 @@
 				w.checkReply(ref, c.lookUpJob(ref))
 				r := c.submitJob(w.users.submissions[ref])
 				if w.checkReply(ref, r); r.Code == 400 || r.Code == 422 {
-					w.reportViolation("forgotten: resubmission of %s got response %d", ref, r.Code)
+					w.reportViolation("forgotten: resubmission of %s got response %d, want it accepted", ref, r.Code)
 				}
 			})
 		}
--- a/internal/scenario/waiting_rule_test.go
+++ b/internal/scenario/waiting_rule_test.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	// maxWait is how long a job may wait although there is free capacity for it, once all faults are over.
-	maxWait = 90 * clock.Second
-	// maxRetryDelay is how long a job with tasks that fail on any machine may wait after the last start of one of its
-	// tasks: the longest backoff and the time to place a task.
-	maxRetryDelay = 40 * clock.Second
+	// maxJobWait is how long a job may wait although there is free capacity for it, once all faults are over.
+	maxJobWait = 90 * clock.Second
+	// maxBackoffWait is how long a job with tasks that fail on every machine may wait after the last start of one of its
+	// tasks, in addition to maxJobWait: the longest backoff and the time to place a task.
+	maxBackoffWait = 40 * clock.Second
 )
 
 // freeCapacity is the free capacity of a machine.
@@ -21,11 +21,11 @@
 	cpus, memoryGB float64
 }
 
-// occupancy holds the free capacity of each machine and what the tasks that have not exited use in total.
+// occupancy holds the free capacity of each machine, and the totals of the tasks that have not exited.
 type occupancy struct {
 	free       map[*simAgent]freeCapacity
-	cpusByTeam map[string]float64
-	tasksByJob map[string]int // number of tasks that have not exited
+	cpusByTeam map[string]float64 // CPUs that these tasks use
+	tasksByJob map[string]int     // number of these tasks
 }
 
 // checkWaitingJobs checks, once a second, that no job waits longer than maxWait while an allowed machine has free
@@ -46,15 +46,15 @@
 	}
 	for ref, job := range w.users.jobs {
 		tasksLeft := job.Tasks - completed[ref] - occupied.tasksByJob[ref]
-		if tasksLeft <= 0 || !w.mayStart(&job, &occupied) || !occupied.fits(&job) {
+		if tasksLeft <= 0 || !w.mayStartTask(&job, &occupied) || !occupied.fitsTask(&job) {
 			delete(w.rules.waitingSince, ref)
 			continue
 		}
 		if _, ok := w.rules.waitingSince[ref]; !ok {
 			w.rules.waitingSince[ref] = w.now
 		}
-		if w.now-w.rules.waitingSince[ref] > maxWait {
-			w.reportViolation("waits: %s although there is free capacity for it", ref)
+		if w.now-w.rules.waitingSince[ref] > maxJobWait {
+			w.reportViolation("waits: job %s waited for longer than maxJobWait although there was free capacity for it", ref)
 		}
 	}
 }
@@ -84,28 +84,28 @@
 	return o
 }
 
-// fits reports whether any allowed machine has free capacity for a task of a job.
-func (o *occupancy) fits(job *wire.Job) bool {
+// fitsTask reports whether any allowed machine has free capacity for a task of a job.
+func (o *occupancy) fitsTask(job *wire.Job) bool {
 	for s, free := range o.free {
-		if s.allows(job) && free.cpus >= job.CPUs && free.memoryGB >= job.MemoryGB {
+		if s.allowsJob(job) && free.cpus >= job.CPUs && free.memoryGB >= job.MemoryGB {
 			return true
 		}
 	}
 	return false
 }
 
-// mayStart reports whether the limit of a job's team and the backoff after failures allow another task of the job to
+// mayStartTask reports whether the limit of a job's team and the backoff after failures allow another task of the job to
 // start now. It returns false for a job with a final state, and for services and jobs with zone constraints, whose
 // waiting is not checked.
-func (w *world) mayStart(job *wire.Job, occupied *occupancy) bool {
+func (w *world) mayStartTask(job *wire.Job, occupied *occupancy) bool {
 	if _, ended := w.store.Get(leader.FinalStatePrefix + job.Ref); ended {
 		return false
 	}
 	if job.IsService() || job.OneZone || job.Spread {
 		return false
 	}
-	// Tasks that fail on any machine wait for the backoff after the last start.
-	if w.users.failEveryNth[job.Ref] > 0 && w.now-w.rules.lastStartAt[job.Ref] < maxRetryDelay {
+	// Tasks that fail on every machine wait for the backoff after the last start of a task of their job.
+	if w.users.failEveryNth[job.Ref] > 0 && w.now-w.rules.lastStartAt[job.Ref] < maxBackoffWait {
 		return false
 	}
 	team, _ := w.cfg.Team(job.Team)
--- a/internal/scenario/world_test.go
+++ b/internal/scenario/world_test.go
@@ -19,10 +19,10 @@
 // world is a simulated cluster with its surroundings: state service, cloud, network and users.
 type world struct {
 	eventQueue
-	transcript  *transcript // nil if nothing is recorded
+	transcript  *transcript // nil if no messages are recorded
 	rng         *rand.Rand
 	cfg         config.Config
-	nextLimits  *config.Next // store limits that the settings announce for later
+	nextLimits  *config.Next // store limits that the settings announce for later; nil: none
 	store       *fake.Store
 	cloud       *fake.Cloud
 	controllers []*simController
@@ -32,20 +32,21 @@
 	faults      worldFaults
 	traffic     traffic
 
-	ctx           context.Context // of the controllers' goroutines
-	cancelContext context.CancelFunc
-	goroutines    sync.WaitGroup // of the controllers
+	ctx           context.Context    // cancelled when the world is stopped
+	cancelContext context.CancelFunc // cancels ctx
+	goroutines    sync.WaitGroup     // goroutines of the controllers
 }
 
 // worldFaults holds the current faults outside of controllers and machines.
 type worldFaults struct {
-	// The zone is partitioned from everything else. Messages sent meanwhile are delivered when the partition ends.
-	partitionedZone   string
-	partitionedUntil  clock.Micros
-	cloudDown         bool    // the cloud responds to every request with 503
-	lateCloudShare    float64 // share of cloud requests that get no response and are executed seconds later
-	lateCommandShare  float64 // share of direct commands that get no response and are executed seconds later
-	limitsUnannounced bool    // the limits of the state service fell below those in the settings
+	// partitionedZone is partitioned from everything else until partitionedUntil. Messages that are sent meanwhile are
+	// delivered when the partition ends.
+	partitionedZone       string
+	partitionedUntil      clock.Micros
+	cloudDown             bool    // the cloud responds to every request with 503
+	lateCloudRequestShare float64 // share of cloud requests that get no response and are executed seconds later
+	lateCommandShare      float64 // share of direct commands that get no response and are executed seconds later
+	limitsUnannounced     bool    // the limits of the state service fell below those in the settings
 }
 
 // traffic counts messages.
@@ -54,7 +55,7 @@
 	peerMessages  int // between different controllers
 }
 
-// newWorld creates a cluster and starts its controllers. Its transcript gets the name.
+// newWorld creates a cluster and starts its controllers. The name is the name of the world's transcript.
 func newWorld(name string, cfg config.Config, types []wire.MachineType, seed uint64) *world {
 	ctx, endContext := context.WithCancel(context.Background())
 	w := &world{
@@ -79,7 +80,7 @@
 	return w
 }
 
-// stop cancels the goroutines of the world and waits for them to end.
+// stop cancels the goroutines of the world's controllers and waits until they have ended.
 func (w *world) stop() {
 	w.cancelContext()
 	w.goroutines.Wait()
@@ -114,7 +115,7 @@
 
 // hasFaults reports whether any injected fault is active.
 func (w *world) hasFaults() bool {
-	return w.store.Down || w.faults.cloudDown || w.faults.lateCloudShare > 0 || w.faults.lateCommandShare > 0 ||
+	return w.store.Down || w.faults.cloudDown || w.faults.lateCloudRequestShare > 0 || w.faults.lateCommandShare > 0 ||
 		w.now < w.faults.partitionedUntil ||
 		slices.ContainsFunc(w.controllers, func(c *simController) bool { return !c.running || c.faults.any(w.now) }) ||
 		slices.ContainsFunc(w.machines.agents, func(s *simAgent) bool { return !s.instance.Deleted && s.hasFaults(w.now) })
