--- a/.ci/measure/figures.go
+++ b/.ci/measure/figures.go
@@ -27,13 +27,13 @@
 
 // figures holds the measurements of the code without tests.
 type figures struct {
-	lines            map[string]int // number of lines by directory
-	largeStructs     []finding
-	longFunctions    []finding
-	complexFunctions []finding
-	longFiles        []finding
-	overlongLines    int // lines over maxLineColumns
-	usesOfAny        int // uses of the type any
+	lines         map[string]int // number of lines by directory
+	largeStructs  []finding
+	longFunctions []finding
+	complex       []finding
+	longFiles     []finding
+	overlongLines int // lines over maxLineColumns
+	usesOfAny     int // uses of the type any
 }
 
 func newFigures() *figures {
@@ -72,7 +72,7 @@
 		name := file.directory() + " " + node.Name.Name
 		lines := file.line(node.End()) - file.line(node.Pos()) + 1
 		s.longFunctions = appendIfOverLimit(s.longFunctions, maxFunctionLines, finding{name, lines})
-		s.complexFunctions = appendIfOverLimit(s.complexFunctions, maxComplexity, finding{name, complexity(node)})
+		s.complex = appendIfOverLimit(s.complex, maxComplexity, finding{name, complexity(node)})
 	}
 }
 
@@ -130,7 +130,7 @@
 		total, largest.name, largest.value, 100*float64(largest.value)/float64(total))
 	printFindings(out, fmt.Sprintf("structs of over %d fields", maxStructFields), s.largeStructs)
 	printFindings(out, fmt.Sprintf("functions over %d lines", maxFunctionLines), s.longFunctions)
-	printFindings(out, fmt.Sprintf("cyclomatic complexity over %d", maxComplexity), s.complexFunctions)
+	printFindings(out, fmt.Sprintf("cyclomatic complexity over %d", maxComplexity), s.complex)
 	printFindings(out, fmt.Sprintf("files over %d lines", maxFileLines), s.longFiles)
 	fmt.Fprintf(out, "lines over %d columns: %d\n", maxLineColumns, s.overlongLines)
 	fmt.Fprintf(out, "uses of any: %d\n", s.usesOfAny)
