--- a/internal/compat/errors_test.go
+++ b/internal/compat/errors_test.go
@@ -190,7 +190,7 @@
 				t.Fatal("invalid settings were accepted, want an error")
 			}
 			if got := strings.NewReplacer(platform, "FILE", tuning, "FILE").Replace(err.Error()); got != c.want {
-				t.Errorf("error %q, want %q", got, c.want)
+				t.Errorf("error was %q, want %q", got, c.want)
 			}
 		})
 	}
@@ -306,7 +306,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			if code, got := post(t, address, c.path, c.body); code != c.code || got != c.want {
-				t.Errorf("answered %d %s, want %d %s", code, got, c.code, c.want)
+				t.Errorf("response was %d %s, want %d %s", code, got, c.code, c.want)
 			}
 		})
 	}
--- a/internal/fake/agent_tasks.go
+++ b/internal/fake/agent_tasks.go
@@ -82,7 +82,7 @@
 }
 
 // resultKey returns the key of a task's stored result. For a replica of a service the key includes the machine, because
-// the replica may run again on another one.
+// the replica may run again on another machine.
 func (a *Agent) resultKey(task *Task) string {
 	if task.Job.IsService() {
 		return task.Task + " on " + a.Name
--- a/internal/fake/store.go
+++ b/internal/fake/store.go
@@ -148,7 +148,7 @@
 	s.changes = append(s.changes, change{s.revision, event})
 }
 
-// CompactChanges drops all changes so far. A watcher that has not received them must list the keys again.
+// CompactChanges drops all changes so far. A watcher that has not received these changes must list the keys again.
 func (s *Store) CompactChanges() { s.changes, s.compactedThrough = nil, s.revision }
 
 // HasChangesSince reports whether the change log still holds all changes that were made after a revision.
--- a/internal/loopback/machine.go
+++ b/internal/loopback/machine.go
@@ -126,7 +126,7 @@
 
 // heartbeatResult is a controller's response to a heartbeat.
 type heartbeatResult struct {
-	status   int                    // HTTP status; 0: no response or an undecodable one
+	status   int                    // HTTP status; 0: no response, or one that cannot be decoded
 	response wire.HeartbeatResponse // for status 200
 	redirect wire.Redirect          // for status 421
 }
--- a/internal/scenario/commands_jobs_test.go
+++ b/internal/scenario/commands_jobs_test.go
@@ -78,7 +78,7 @@
 }
 
 // queryOftenCommand makes users query unfinished jobs at every tick. They also query a job and submit it again at all
-// controllers as soon as one of them first reports the job or reports its final state.
+// controllers as soon as a controller first reports the job or its final state.
 func queryOftenCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	w.users.queryOften = !d.HasArg("off")
 	return ""
@@ -114,7 +114,7 @@
 	return "enough"
 }
 
-// completionsCommand counts a job's tasks that have completed once and those that have completed more often.
+// completionsCommand counts a job's tasks that have completed once, and its tasks that have completed more often.
 func completionsCommand(t *testing.T, w *world, d *datadriven.TestData) string {
 	ref := arg(t, d, "ref", "")
 	once, repeated := 0, 0
--- a/internal/scenario/random_faults_test.go
+++ b/internal/scenario/random_faults_test.go
@@ -124,7 +124,7 @@
 	defer w.stop()
 	w.runFaults(faults, machines)
 	if len(w.rules.violations) > 0 {
-		t.Fatalf("%s", strings.Join(w.rules.violations[:min(len(w.rules.violations), 5)], "\n"))
+		t.Fatalf("rules were violated, want none:\n%s", strings.Join(w.rules.violations[:min(len(w.rules.violations), 5)], "\n"))
 	}
 	return w.leaderStatus().MigrationOutcomes.Begun
 }
@@ -153,7 +153,7 @@
 		w.runFaults(c.faults, c.machines)
 		w.stop()
 		if len(w.rules.violations) > 0 {
-			t.Errorf("%s: %v", name, w.rules.violations)
+			t.Errorf("%s: rules were violated, want none: %v", name, w.rules.violations)
 		}
 	}
 }
