--- a/internal/fake/agent_commands.go
+++ b/internal/fake/agent_commands.go
@@ -13,7 +13,8 @@
 // maxResponseDelay is the maximum age of a heartbeat at which the agent still accepts the response to it.
 const maxResponseDelay = 4 * clock.Second
 
-// resourceTolerance is the amount by which a task's resources may exceed the free resources, to allow for rounding errors.
+// resourceTolerance is the amount by which a task's resources may exceed the free resources, to allow for rounding
+// errors.
 const resourceTolerance = 1e-9
 
 // CommandsResult is the response to a batch of direct commands.
--- a/internal/loopback/link.go
+++ b/internal/loopback/link.go
@@ -15,8 +15,8 @@
 	Delay   time.Duration // added to each chunk in both directions
 }
 
-// Link is a TCP proxy for the connections that one party opens to another. After a cut is
-// healed, the link delivers the data that it held back meanwhile, as a real network may do. It runs until it is closed.
+// Link is a TCP proxy for the connections that one party opens to another. After a cut is healed, the
+// link delivers the data that it held back meanwhile, as a real network may do. It runs until it is closed.
 type Link struct {
 	listenAddress, targetAddress string
 	state                        atomic.Pointer[linkState]
