--- a/.ci/measure/figures.go
+++ b/.ci/measure/figures.go
@@ -19,7 +19,7 @@
 	maxLineColumns   = 120 // columns
 )
 
-// finding is a piece of code with its measured value.
+// finding is a struct, function, file or package with its measured value, such as its number of lines.
 type finding struct {
 	name  string
 	value int
@@ -27,13 +27,13 @@
 
 // figures holds the measurements of the code without tests.
 type figures struct {
-	lines         map[string]int // by directory
+	lines         map[string]int // number of lines by directory
 	largeStructs  []finding
 	longFunctions []finding
 	complex       []finding
 	longFiles     []finding
-	overlongLines int
-	usesOfAny     int
+	overlongLines int // lines over maxLineColumns
+	usesOfAny     int // uses of the type any
 }
 
 func newFigures() *figures {
@@ -42,7 +42,7 @@
 
 func (s *figures) add(file *sourceFile) {
 	s.lines[file.directory()] += len(file.lines)
-	s.longFiles = appendOver(s.longFiles, maxFileLines, finding{file.path, len(file.lines)})
+	s.longFiles = appendIfOverLimit(s.longFiles, maxFileLines, finding{file.path, len(file.lines)})
 	for _, line := range file.lines {
 		if utf8.RuneCountInString(line) > maxLineColumns {
 			s.overlongLines++
@@ -63,7 +63,7 @@
 	case *ast.TypeSpec:
 		if structure, ok := node.Type.(*ast.StructType); ok {
 			name := file.tree.Name.Name + "." + node.Name.Name
-			s.largeStructs = appendOver(s.largeStructs, maxStructFields, finding{name, countFields(structure)})
+			s.largeStructs = appendIfOverLimit(s.largeStructs, maxStructFields, finding{name, countFields(structure)})
 		}
 	case *ast.FuncDecl:
 		if node.Body == nil {
@@ -71,13 +71,13 @@
 		}
 		name := file.directory() + " " + node.Name.Name
 		lines := file.line(node.End()) - file.line(node.Pos()) + 1
-		s.longFunctions = appendOver(s.longFunctions, maxFunctionLines, finding{name, lines})
-		s.complex = appendOver(s.complex, maxComplexity, finding{name, complexity(node)})
+		s.longFunctions = appendIfOverLimit(s.longFunctions, maxFunctionLines, finding{name, lines})
+		s.complex = appendIfOverLimit(s.complex, maxComplexity, finding{name, complexity(node)})
 	}
 }
 
-// appendOver appends a finding if its value exceeds the limit.
-func appendOver(findings []finding, limit int, candidate finding) []finding {
+// appendIfOverLimit appends a finding if its value exceeds the limit.
+func appendIfOverLimit(findings []finding, limit int, candidate finding) []finding {
 	if candidate.value > limit {
 		findings = append(findings, candidate)
 	}
