--- a/internal/api/cancel.go
+++ b/internal/api/cancel.go
@@ -51,7 +51,7 @@
 	return finalResult(ref, final), nil
 }
 
-// endTxn returns the transaction that replaces a job's record by its final state, on condition that the record still
+// endTxn returns the transaction that replaces a job's record with its final state, on condition that the record still
 // has the given version.
 func endTxn(version uint64, ref string, final leader.FinalStateRecord) (wire.Txn, error) {
 	record, err := json.Marshal(final)
--- a/internal/api/decode_error.go
+++ b/internal/api/decode_error.go
@@ -3,7 +3,7 @@
 import "strings"
 
 // decodeErrorText returns the text of a decoding error for the sender of the body. The decoder's text has names of Go
-// types and fields. decodeErrorText replaces them by the names that clients know from the first version.
+// types and fields. decodeErrorText replaces them with the names that clients know from the first version.
 func decodeErrorText(err error) string {
 	return strings.NewReplacer(
 		"field JobSubmission.", "field JobForm.",
--- a/internal/api/status.go
+++ b/internal/api/status.go
@@ -40,7 +40,7 @@
 // readStatus reads a job's state from the store. The task counts come from the view.
 func (s *Service) readStatus(ctx context.Context, ref string, view View) (Result, error) {
 	priority := readPriority(view)
-	// A single transaction replaces a job's record by its final state. Reading the job's record first and the final
+	// A single transaction replaces a job's record with its final state. Reading the job's record first and the final
 	// state second cannot miss both.
 	_, err := s.options.Store.Get(ctx, priority, leader.JobPrefix+ref)
 	if err == nil {
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// withoutNamedStrings replaces a named string type by string in a JSON type error. Operators know the error text
+// withoutNamedStrings replaces a named string type with string in a JSON type error. Operators know the error text
 // from versions that had no such types.
 func withoutNamedStrings(err error) error {
 	var typeError *json.UnmarshalTypeError
--- a/internal/controller/holder.go
+++ b/internal/controller/holder.go
@@ -41,8 +41,8 @@
 	return nil, m.LeaderDisconnected
 }
 
-// runHolder runs the holder's actor until the context ends. The actor also keeps the link to the leader, because a
-// change of the link must take effect between two messages.
+// runHolder runs the holder's actor until the context ends. The actor also keeps the link to the leader, so that the
+// link never changes while a message is handled: all effects of one message use the same link.
 func (c *Controller) runHolder(ctx context.Context) {
 	holder := shard.FromConfig(c.cfg, c.storeHealth.available)
 	var link leaderLink
--- a/internal/election/messages.go
+++ b/internal/election/messages.go
@@ -18,21 +18,22 @@
 	Revision uint64 // of the store
 }
 
-// LeaseGranted is the answer to RequestLease.
+// LeaseGranted is the result of RequestLease. If the request failed, Err is set and no lease is known.
 type LeaseGranted struct {
 	Lease  uint64
 	SentAt clock.Micros // when the request was sent
 	Err    error
 }
 
-// CampaignResult is the answer to Campaign.
+// CampaignResult is the result of Campaign. If the transaction failed or its outcome is unknown, Err is set.
 type CampaignResult struct {
 	Lease  uint64
 	Result store.TxnResult
 	Err    error
 }
 
-// LeaseRenewed is the answer to RenewLease.
+// LeaseRenewed is the result of RenewLease. If the renewal failed, Err is set. store.ErrNotFound means that the lease
+// no longer exists.
 type LeaseRenewed struct {
 	Lease  uint64
 	SentAt clock.Micros // when the request was sent
@@ -57,22 +58,23 @@
 //sumtype:decl
 type Effect interface{ electionEffect() }
 
-// RequestLease requests a store lease. LeaseGranted is the answer.
+// RequestLease requests a store lease. LeaseGranted reports the result, also of a failed request.
 type RequestLease struct{ TTL clock.Micros }
 
-// Campaign tries to create the leader key under a lease. CampaignResult is the answer.
+// Campaign tries to create the leader key under a lease. CampaignResult reports the result, also of a failed
+// transaction.
 type Campaign struct {
 	Lease  uint64
 	Record Record
 }
 
-// RenewLease renews a lease. LeaseRenewed is the answer.
+// RenewLease renews a lease. LeaseRenewed reports the result, also of a failed renewal.
 type RenewLease struct{ Lease uint64 }
 
 // RevokeLease ends a lease at once. It needs no answer, because the lease expires in any case.
 type RevokeLease struct{ Lease uint64 }
 
-// ReadLeaderKey reads the leader key. LeaderKeyObserved is the answer.
+// ReadLeaderKey reads the leader key. LeaderKeyObserved is the answer. A failed read has no answer.
 type ReadLeaderKey struct{}
 
 // AcquireLeadership starts a term of this controller.
--- a/internal/failures/failures.go
+++ b/internal/failures/failures.go
@@ -1,10 +1,11 @@
 // Package failures attributes task failures to jobs or to machines, depending on which tasks fail on which machines.
 //
-// A job is sound once one of its tasks has completed. It is suspect once its tasks have failed on several machines and
-// none has completed. A suspect job is probed: single tasks of the job, called probes, are started with exponential
-// backoff to see whether they still fail. A machine is faulty when sound jobs, or several jobs with an unknown verdict,
-// fail on it. Failures of suspect jobs are no evidence against machines. A task of a sound job that fails on several
-// machines is faulty itself.
+// The verdict on a job is unknown at first. The job is sound once one of its tasks has completed. It is suspect once
+// its tasks have failed on several machines and none has completed. A suspect job is probed: single tasks of the job,
+// called probes, are started with exponential backoff to see whether they still fail. A machine is faulty when, since
+// a task last completed on it, sound jobs have failed on it twice, or three different jobs, each sound or with an
+// unknown verdict, have failed on it. Failures of suspect jobs are no evidence against machines. A task of a sound job
+// that fails on several machines is faulty itself.
 //
 // The package owns the evidence about each job and each machine. It turns failures, completions and the time into
 // verdicts and backoffs. It performs no I/O and reads no clock. The leader stops tasks and drains machines.
--- a/internal/leader/fairshare/queue.go
+++ b/internal/leader/fairshare/queue.go
@@ -41,7 +41,7 @@
 	selected    bool // nextEntry, oneTaskOnly and order are up to date
 }
 
-// Team returns the team's quota.
+// Team returns the team whose jobs the queue holds, with its quota.
 func (q *TeamQueue) Team() config.Team { return q.team }
 
 // Usage returns the current usage of the team's tasks.
--- a/internal/leader/fairshare/queue_test.go
+++ b/internal/leader/fairshare/queue_test.go
@@ -140,7 +140,7 @@
 	}
 	servicesOnly := policy.Queues(PassTime{}, newTable(service), usage)[0]
 	if !servicesOnly.ServiceFits(&service.Spec, 9) {
-		t.Error("minimum share was reserved although the team had no jobs other than services")
+		t.Error("services were limited to leave a minimum share although the team had no other jobs")
 	}
 }
 
--- a/internal/leader/instance_groups.go
+++ b/internal/leader/instance_groups.go
@@ -168,8 +168,9 @@
 	}
 }
 
-// recordProvisionOutcome records whether the cloud could provide all the machines that were requested of an option. If
-// it could not, the option is not requested for a while, longer each time, as every attempt costs puts and cloud calls.
+// recordProvisionOutcome records whether the cloud provided all the requested machines of an option, which is a machine
+// type in a zone, spot or on demand. If it did not (short), machines of the option are not requested for a while,
+// longer each time, because every provision request costs store writes and cloud calls.
 func (l *Leader) recordProvisionOutcome(now clock.Micros, group *instanceGroup, short bool) {
 	requested := l.option(group.record.Request)
 	option := requested.Key()
--- a/internal/leader/jobs/job.go
+++ b/internal/leader/jobs/job.go
@@ -215,8 +215,9 @@
 // IsCancelled reports whether the job was cancelled.
 func (j *Job) IsCancelled() bool { return j.cancelled }
 
-// StartFinishing marks the job as finishing and returns true if all tasks have completed and no write of its final
-// state is in flight. The caller then writes the final state.
+// StartFinishing marks the job as finishing and returns true. The caller then writes the job's final state. If a task
+// has not completed, the job is cancelled, or a write of its final state is in flight, StartFinishing changes nothing
+// and returns false.
 func (j *Job) StartFinishing() bool {
 	if j.finishing || j.cancelled || j.completed < j.Spec.Tasks {
 		return false
--- a/internal/leader/jobs/job_test.go
+++ b/internal/leader/jobs/job_test.go
@@ -25,7 +25,8 @@
 	}
 }
 
-// A task in two shard grants waits again only once it has left both grants. A completed task never waits again.
+// A task in two shard grants counts as waiting for dispatch again only after it has left both grants. A completed task
+// never counts as waiting again.
 func TestRequeue(t *testing.T) {
 	j := addJob(NewTable(), "j-000001", 2)
 	j.MarkDispatched(0)
--- a/internal/leader/proofs_test.go
+++ b/internal/leader/proofs_test.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// A task in the attempt records of two shards waits again only once it has left both shard grants. A completed task
-// never waits again.
+// A task in the attempt records of two shards counts as waiting for dispatch again only after it has left both shard
+// grants. A completed task never counts as waiting again.
 func TestTaskWaitsWhenItHasLeftItsLastGrant(t *testing.T) {
 	l := newLeader(t)
 	for _, lease := range l.shards.all {
--- a/internal/leader/rebalancing_test.go
+++ b/internal/leader/rebalancing_test.go
@@ -264,7 +264,8 @@
 			}
 		}
 		if len(stops) != 0 || logged != c.wantLogs {
-			t.Errorf("%s: stop orders %v, exclusion logged %d times, want no stop order and the log line only for impossible figures", name, stops, logged)
+			t.Errorf("%s: stop orders %v, exclusion from migrations logged %d times, want no stop order, and one log line only if the reported resources are impossible",
+				name, stops, logged)
 		}
 	}
 }
--- a/internal/leader/shard_assignment_test.go
+++ b/internal/leader/shard_assignment_test.go
@@ -54,7 +54,7 @@
 			l.inventory.machines[fmt.Sprint("more", i)] = &machine{}
 		}
 		if n := l.controllerCapacity().MaxShards(len(l.shards.all)); n < c.minShards || n > c.maxShards {
-			t.Errorf("%g of a core and %d machines: lone controller takes %d of 6 shards, want %d to %d", c.cpu, c.machines, n, c.minShards, c.maxShards)
+			t.Errorf("lone controller with %g of a core and %d machines takes %d of 6 shards, want %d to %d", c.cpu, c.machines, n, c.minShards, c.maxShards)
 		}
 	}
 }
@@ -135,10 +135,11 @@
 			}
 		}
 		if maxAtOnce > c.maxShards {
-			t.Errorf("%g of a core: %d shards taken over at once, want at most %d", c.cpu, maxAtOnce, c.maxShards)
+			t.Errorf("controller with %g of a core: %d shards taken over at once, want at most %d", c.cpu, maxAtOnce, c.maxShards)
 		}
 		if taken < 3 || lastTakeover > startTime+8*clock.Second {
-			t.Errorf("%g of a core: %d shards taken over, the last at %g s, want at least 3, the last by 8 s", c.cpu, taken, (lastTakeover - startTime).Seconds())
+			t.Errorf("controller with %g of a core: %d shards taken over, the last %g s after the start, want at least 3, the last at most 8 s after the start",
+				c.cpu, taken, (lastTakeover - startTime).Seconds())
 		}
 	}
 }
--- a/internal/leader/shard_grants.go
+++ b/internal/leader/shard_grants.go
@@ -106,7 +106,7 @@
 		"tasks", len(lease.tasks))
 }
 
-// rebuildFromAttempts replaces the tasks in a shard's grant by those that the shard's attempt records name.
+// rebuildFromAttempts replaces the tasks in a shard's grant with those that the shard's attempt records name.
 func (l *Leader) rebuildFromAttempts(lease *shardLease, pages map[string]peer.AttemptPage) {
 	old := lease.tasks
 	lease.tasks = map[peer.Task]*grantedTask{}
--- a/internal/leader/unconfirmed_machines.go
+++ b/internal/leader/unconfirmed_machines.go
@@ -19,8 +19,9 @@
 // are granted as well, drained. Their tasks count as running until the answer, or the heartbeats of the machines,
 // prove otherwise.
 
-// machinesOnlyInAttempts returns the machines that attempt records name and no inventory record does, if an inventory
-// record may be missing.
+// machinesOnlyInAttempts returns the machines that attempt records name, but no inventory record. It returns none if
+// every inventory record of a former leader's provision request is readable and has the cloud's answer, because the
+// inventory then names every machine that may run tasks.
 func (l *Leader) machinesOnlyInAttempts(pages map[string]peer.AttemptPage) []string {
 	if len(l.inventory.unansweredRequests) == 0 {
 		return nil
--- a/internal/load/resources.go
+++ b/internal/load/resources.go
@@ -45,8 +45,9 @@
 	return used / capacity
 }
 
-// Plausible reports whether a machine can have this capacity and this usage. Usage above the capacity is temporarily
-// plausible: after a takeover, attempt records are upper bounds and count in full.
+// Plausible reports whether a machine can have this capacity and this usage. It rejects amounts that are not finite, a
+// capacity without CPUs, and negative usage. It accepts usage above the capacity, because such usage is counted for a
+// while after a takeover, when attempt records are upper bounds and count in full.
 func Plausible(used, capacity Resources) bool {
 	return capacity.CPUs > 0 && plausible(used.CPUs, capacity.CPUs) &&
 		plausible(used.GPUs, capacity.GPUs) && plausible(used.Memory, capacity.Memory)
--- a/internal/loopback/machine.go
+++ b/internal/loopback/machine.go
@@ -190,7 +190,7 @@
 	return false
 }
 
-// workload implements fake.Workload: it tells the fake agents the submitted jobs and the behavior of their tasks.
+// workload implements fake.Workload: it provides the submitted jobs and the behavior of their tasks to the fake agents.
 type workload struct{ env *environment }
 
 // Job implements fake.Workload.
--- a/internal/netio/conn_test.go
+++ b/internal/netio/conn_test.go
@@ -53,7 +53,7 @@
 	}()
 	got, err := io.ReadAll(b)
 	if err != nil || !bytes.Equal(got, want) {
-		t.Errorf("read %d of %d bytes, or other bytes than were written; error %v", len(got), len(want), err)
+		t.Errorf("read %d bytes, want exactly the %d bytes that were written; error %v, want none", len(got), len(want), err)
 	}
 }
 
--- a/internal/peer/transport_test.go
+++ b/internal/peer/transport_test.go
@@ -14,7 +14,7 @@
 		writeEnd.Close()
 		readEnd.Close()
 	})
-	counter := &deadlineCounter{Conn: readEnd}
+	counter := &connCountingReadDeadlines{Conn: readEnd}
 	reader := TransportStore.newReader(counter)
 	go func() {
 		for range 3 {
@@ -33,13 +33,13 @@
 	}
 }
 
-// deadlineCounter counts how often a read deadline is set.
-type deadlineCounter struct {
+// connCountingReadDeadlines wraps a connection and counts how often a read deadline is set.
+type connCountingReadDeadlines struct {
 	net.Conn
 	deadlines int
 }
 
-func (c *deadlineCounter) SetReadDeadline(t time.Time) error {
+func (c *connCountingReadDeadlines) SetReadDeadline(t time.Time) error {
 	c.deadlines++
 	return c.Conn.SetReadDeadline(t)
 }
--- a/internal/placement/fallback.go
+++ b/internal/placement/fallback.go
@@ -32,7 +32,8 @@
 	return cmp.Or(cmp.Compare(f.freeCPUs, other.freeCPUs), cmp.Compare(f.machine, other.machine))
 }
 
-// fallbackHeap is a heap of fallbacks, the best on top. Push and Pop have the types that heap.Interface requires.
+// fallbackHeap is a heap of candidate machines, the best on top. Push and Pop have the types that heap.Interface
+// requires.
 type fallbackHeap []fallback
 
 // Len implements heap.Interface.
--- a/internal/scenario/command_args_test.go
+++ b/internal/scenario/command_args_test.go
@@ -35,8 +35,8 @@
 	return w.controllers[arg(t, d, "controller", 0)]
 }
 
-// controllersArg returns the controllers that a command selects with who=: the controller with a name, "leader" (every
-// controller that leads), "others" (all running controllers that do not lead) or "all".
+// controllersArg returns the controllers that a command selects with who=: the controller with the given name, "leader"
+// (every controller that leads), "others" (all running controllers that do not lead) or "all".
 func (w *world) controllersArg(t *testing.T, d *datadriven.TestData) []*simController {
 	t.Helper()
 	selector := arg(t, d, "who", "all")
--- a/internal/scenario/faults_test.go
+++ b/internal/scenario/faults_test.go
@@ -44,10 +44,10 @@
 		{"cloud is late", delayCloud},
 		{"cloud is down", beginCloudOutage},
 		{"commands are late", delayCommands},
-		{"controller crashes", crashOne},
+		{"controller crashes", crashOneController},
 		{"controller loses peers", disconnectPeersOfOne},
 		{"controller loses workers", disconnectAgentsOfOne},
-		{"controller pauses", pauseOne},
+		{"controller pauses", pauseOneController},
 		{"machines' messages are duplicated", eachMachine(duplicateMessages)},
 		{"jobs are cancelled", cancelJobs},
 		{"leader crashes", crashLeaders},
@@ -97,12 +97,12 @@
 
 // Faults of controllers.
 
-func crashOne(w *world, f fault) func()     { return crashControllers(f.controller(w)) }
-func crashLeaders(w *world, _ fault) func() { return crashControllers(w.leaders()...) }
-func crashAll(w *world, _ fault) func()     { return crashControllers(w.controllers...) }
-func pauseOne(w *world, f fault) func()     { return pauseControllers(f, f.controller(w)) }
-func pauseLeaders(w *world, f fault) func() { return pauseControllers(f, w.leaders()...) }
-func pauseAll(w *world, f fault) func()     { return pauseControllers(f, w.controllers...) }
+func crashOneController(w *world, f fault) func() { return crashControllers(f.controller(w)) }
+func crashLeaders(w *world, _ fault) func()       { return crashControllers(w.leaders()...) }
+func crashAll(w *world, _ fault) func()           { return crashControllers(w.controllers...) }
+func pauseOneController(w *world, f fault) func() { return pauseControllers(f, f.controller(w)) }
+func pauseLeaders(w *world, f fault) func()       { return pauseControllers(f, w.leaders()...) }
+func pauseAll(w *world, f fault) func()           { return pauseControllers(f, w.controllers...) }
 func disconnectStoreOfOne(w *world, f fault) func() {
 	return setFlag(&f.controller(w).faults.storeUnreachable)
 }
--- a/internal/scenario/size_test.go
+++ b/internal/scenario/size_test.go
@@ -15,8 +15,8 @@
 // electionTime is the time that a new cluster gets to elect its leader.
 const electionTime = 3 * clock.Second
 
-// heapMB returns the size of the heap in use, after a garbage collection.
-func heapMB() float64 {
+// heapMiB returns the size of the heap in use in MiB, after a garbage collection.
+func heapMiB() float64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
@@ -77,8 +77,8 @@
 	}
 	w.checkMemory(t, d)
 	w.checkNoViolations(t)
-	t.Logf("%d machines, %d inventory keys, %d completed tasks, %d puts, all agents got a reply %.1f s after all controllers restarted, %.0f MB",
-		machines, len(inventory), completed, w.store.Writes, recovery.Seconds(), heapMB())
+	t.Logf("%d machines, %d inventory keys, %d completed tasks, %d puts, all agents got a reply %.1f s after all controllers restarted, %.0f MiB",
+		machines, len(inventory), completed, w.store.Writes, recovery.Seconds(), heapMiB())
 }
 
 // checkMemory queues a hundred thousand tasks and checks that the heap of the whole world stays within a third of one
@@ -89,8 +89,8 @@
 		w.mustSubmitBatch(t, d, 2000+i, 5000)
 	}
 	w.run(10 * clock.Second)
-	if mb := heapMB(); mb > d.settings.Facts.Quota.MemMB/3 {
-		t.Errorf("heap of three controllers, state service, cloud and agents had %.0f MB, want at most a third of a controller's quota", mb)
+	if heap := heapMiB(); heap > d.settings.Facts.Quota.MemMB/3 {
+		t.Errorf("heap of three controllers, state service, cloud and agents had %.0f MiB, want at most a third of a controller's quota", heap)
 	}
 }
 
@@ -175,7 +175,7 @@
 		bytes += len(page.Value)
 	}
 	if bytes > 75<<10 {
-		t.Errorf("%d attempt pages had %d kB in total, want at most 75", len(pages), bytes>>10)
+		t.Errorf("%d attempt pages had %d KiB in total, want at most 75 KiB", len(pages), bytes>>10)
 	}
 	if idlePuts > 10 {
 		t.Errorf("the store got %d puts in an idle minute, want at most 10", idlePuts)
@@ -187,8 +187,8 @@
 	}
 	w.checkLeasesKept(t, recovery)
 	w.checkNoViolations(t)
-	t.Logf("%d replicas: %d attempt pages with %d kB in total, %d puts in an idle minute", services*replicas, len(pages), bytes>>10, idlePuts)
-	t.Logf("all agents got a reply %.1f s after all controllers restarted, %.0f MB for the whole world", recovery.Seconds(), heapMB())
+	t.Logf("%d replicas: %d attempt pages with %d KiB in total, %d puts in an idle minute", services*replicas, len(pages), bytes>>10, idlePuts)
+	t.Logf("all agents got a reply %.1f s after all controllers restarted, %.0f MiB for the whole world", recovery.Seconds(), heapMiB())
 }
 
 // submitServices submits a service every second, and a batch job with every fifth service.
@@ -306,6 +306,6 @@
 		t.Errorf("%d of %d tasks were completed, want at least 9/10 of them", completed, total)
 	}
 	w.checkNoViolations(t)
-	t.Logf("%d machines, %d reboots, %d completed tasks, all agents got a reply %.1f s after all controllers restarted, %.0f MB",
-		len(w.machines.agents), rebooted, completed, recovery.Seconds(), heapMB())
+	t.Logf("%d machines, %d reboots, %d completed tasks, all agents got a reply %.1f s after all controllers restarted, %.0f MiB",
+		len(w.machines.agents), rebooted, completed, recovery.Seconds(), heapMiB())
 }
--- a/internal/shard/agent_contact.go
+++ b/internal/shard/agent_contact.go
@@ -26,7 +26,8 @@
 	return isNewerThan(status, c.epoch, c.seq)
 }
 
-// record stores a status that is newer than all earlier statuses.
+// record stores a status as the newest one. It does not check that the status is newer: the caller checks it with
+// isNewer.
 func (c *agentContact) record(now clock.Micros, status *wire.Heartbeat) {
 	if status.AgentEpoch > c.epoch {
 		c.epochSince = now
@@ -47,7 +48,8 @@
 	return true
 }
 
-// recordHeartbeat stores a heartbeat that is newer than all earlier heartbeats.
+// recordHeartbeat stores a heartbeat as the newest one. It does not check that the heartbeat is newer: the caller
+// checks it with recordIfOutdated.
 func (c *agentContact) recordHeartbeat(heartbeat *wire.Heartbeat) {
 	c.heartbeatEpoch, c.heartbeatSeq = heartbeat.AgentEpoch, heartbeat.Seq
 }
--- a/internal/shard/effects.go
+++ b/internal/shard/effects.go
@@ -65,7 +65,7 @@
 		Version uint64
 		Page    peer.AttemptPage
 	}
-	// CompactPages replaces pages by one new page, which keeps only the records of attempts that are not proven to have
+	// CompactPages replaces pages with one new page, which keeps only the records of attempts that are not proven to have
 	// ended.
 	// PagesCompacted is its result. Without compaction, a replica that runs for hours would keep a page full of
 	// records of tasks that ended long ago, which count in full, are read at each failover and sent with each grant.
--- a/internal/shard/heartbeat.go
+++ b/internal/shard/heartbeat.go
@@ -62,7 +62,8 @@
 	return newEpoch && answeredRecently && m.fence.confirmed
 }
 
-// recordStatus stores what a status that is newer than all earlier statuses says about the machine itself.
+// recordStatus stores what a status says about the machine itself. The caller has checked that the status is newer than
+// all earlier statuses.
 func (h *Holder) recordStatus(now clock.Micros, s *heldShard, m *machine, status *wire.Heartbeat) {
 	info := infoFrom(status)
 	sameInfo := m.info.typeName == info.typeName && m.info.preemptionNotice == info.preemptionNotice
--- a/internal/shard/reconciliation_test.go
+++ b/internal/shard/reconciliation_test.go
@@ -117,7 +117,7 @@
 			// Without the contradiction, the end is accepted.
 			kinds := eventsOf(h.Step(afterUpdateIntervals(3), heartbeat("m2", 3, testToken, exitedWith(2, wire.ExitDone))))
 			if !slices.Contains(kinds, peer.EventCompleted) {
-				t.Errorf("events %v after a consistent status, want completed among them", kinds)
+				t.Errorf("events %v after a status without the contradiction, want completed among them", kinds)
 			}
 		})
 	}
--- a/internal/store/rate_limiter_test.go
+++ b/internal/store/rate_limiter_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// singleRequestQueue returns a queue with one request.
-func singleRequestQueue(priority Priority, writes int) requestQueue {
+// queueWithOneRequest returns a queue with one request.
+func queueWithOneRequest(priority Priority, writes int) requestQueue {
 	return requestQueue{{priority: priority, writes: writes}}
 }
 
@@ -49,15 +49,15 @@
 		waitS            float64
 	}{
 		{"empty queues", 5, 4, requestQueues{}, false, false, math.Inf(1)},
-		{"a read", 1, 0, requestQueues{reads: singleRequestQueue(PriorityReads, 0)}, true, false, 0},
-		{"a write over the limit", 5, 1, requestQueues{writes: singleRequestQueue(PriorityUrgent, 3)}, false, false, 0.5},
+		{"a read", 1, 0, requestQueues{reads: queueWithOneRequest(PriorityReads, 0)}, true, false, 0},
+		{"a write over the limit", 5, 1, requestQueues{writes: queueWithOneRequest(PriorityUrgent, 3)}, false, false, 0.5},
 		{"a read and a write over the limit", 5, 1,
-			requestQueues{reads: singleRequestQueue(PriorityBackground, 0), writes: singleRequestQueue(PriorityUrgent, 3)}, true, false, -0.4},
-		{"a write larger than the bucket", 5, 4, requestQueues{writes: singleRequestQueue(PriorityReads, 9)}, false, true, 0},
+			requestQueues{reads: queueWithOneRequest(PriorityBackground, 0), writes: queueWithOneRequest(PriorityUrgent, 3)}, true, false, -0.4},
+		{"a write larger than the bucket", 5, 4, requestQueues{writes: queueWithOneRequest(PriorityReads, 9)}, false, true, 0},
 		{"the higher priority of both", 5, 4,
-			requestQueues{reads: singleRequestQueue(PriorityBackground, 0), writes: singleRequestQueue(PriorityUrgent, 1)}, false, true, -0.75},
+			requestQueues{reads: queueWithOneRequest(PriorityBackground, 0), writes: queueWithOneRequest(PriorityUrgent, 1)}, false, true, -0.75},
 		{"empty bucket", 0, 4,
-			requestQueues{reads: singleRequestQueue(PriorityReads, 0), writes: singleRequestQueue(PriorityUrgent, 1)}, false, false, 0.1},
+			requestQueues{reads: queueWithOneRequest(PriorityReads, 0), writes: queueWithOneRequest(PriorityUrgent, 1)}, false, false, 0.1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			budget := Budget{RequestsPerSecond: 10, WritesPerSecond: 4}
--- a/internal/trace/rotating_file.go
+++ b/internal/trace/rotating_file.go
@@ -48,8 +48,8 @@
 	return err
 }
 
-// rotate replaces the previous file by the current one and creates a new file. After an error, rotate can be called
-// again.
+// rotate replaces the previous file with the current one and creates a new file. After an error, rotate can be
+// called again.
 func (r *rotatingFile) rotate() error {
 	// The error is ignored: every write has returned its own, and the file may be closed already if an earlier call
 	// failed.
