--- a/internal/scenario/waiting_rule_test.go
+++ b/internal/scenario/waiting_rule_test.go
@@ -28,8 +28,8 @@
 	tasksByJob map[string]int     // number of these tasks
 }
 
-// checkWaitingJobs checks, once a second, that no job waits longer than maxWait while an allowed machine has free
-// capacity for it and its team is under its limit.
+// checkWaitingJobs checks, once a second, that no job waits longer than maxJobWait while an allowed machine has
+// free capacity for it and its team is under its limit.
 func (w *world) checkWaitingJobs() {
 	if w.now%clock.Second >= tickInterval {
 		return
